--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -1,6 +1,6 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { systemClock } from "@galenaglade/http-parts";
-import { PlacementBoard } from "@galenaglade/placement";
+import { PlacementState } from "@galenaglade/placement";
 import { createRandomSource } from "@galenaglade/routing";
 import { createJsonLogger, createMetrics } from "@galenaglade/telemetry";
 import assert from "node:assert/strict";
@@ -33,10 +33,10 @@
     };
 }
 
-function createInquiry(t: TestContext): { readonly inquiry: LoadInquiry; readonly board: PlacementBoard; } {
+function createInquiry(t: TestContext): { readonly inquiry: LoadInquiry; readonly board: PlacementState; } {
     const connections = new ServerConnections();
     t.after(() => connections.close());
-    const board = new PlacementBoard({
+    const board = new PlacementState({
         name: "gateway-1",
         availabilityZone: "north",
         random: createRandomSource(1),
@@ -82,8 +82,8 @@
     const servers = [createServer("silent", silent.raw.port), createServer("full", full.raw.port)];
     assert.equal(await inquiry.ask(rules, servers, 200), 1);
     const nowMs = systemClock.monotonicMs();
-    assert.ok(board.trust.isSuspect("silent", nowMs));
-    assert.ok(!board.trust.isSuspect("full", nowMs));
+    assert.ok(board.suspects.isSuspect("silent", nowMs));
+    assert.ok(!board.suspects.isSuspect("full", nowMs));
 });
 
 /** A server in a thread of its own, so that it answers while this one is busy. */
--- a/packages/edge/src/__tests__/startGate.test.ts
+++ b/packages/edge/src/__tests__/startGate.test.ts
@@ -1,10 +1,16 @@
 import { systemClock } from "@galenaglade/http-parts";
-import { type StartRequest } from "@galenaglade/placement";
+import { type StartupRequest } from "@galenaglade/placement";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { StartGate } from "../callers/startGate.js";
 
-const late: StartRequest = { arrivedAtMs: 0, objectiveMs: 300, patienceMs: 500, kind: "lookup", typicalMs: 400 };
+const late: StartupRequest = {
+    arrivedAtMs: 0,
+    objectiveMs: 300,
+    patienceMs: 500,
+    route: "lookup",
+    typicalLatencyMs: 400,
+};
 
 // Right after a stop of all hosts a request waits for its turn while its time runs out. Held on, its caller would get no answer at all.
 test("a request whose time is over while it waits for its turn goes on at once, and takes nobody's turn", async () => {
--- a/packages/edge/src/__tests__/support/testNames.ts
+++ b/packages/edge/src/__tests__/support/testNames.ts
@@ -8,7 +8,7 @@
     type RolloutStatus,
     type StateItem,
 } from "@galenaglade/fleet-state";
-import { type AskedRest, type NamedLimit } from "@galenaglade/placement";
+import { type ParsedBackoff, type ParsedLimit } from "@galenaglade/placement";
 import { type CallerKey } from "@galenaglade/workspaces";
 import { findHeader, findHeaders, keepEndToEnd, type RawHeaders } from "@galenaglade/http-parts";
 import { type KeyValue } from "@galenaglade/platform";
@@ -64,7 +64,7 @@
     return more.length === 0 ? { type: "given", key } : { type: "malformed" };
 }
 
-function readRest(text: string | undefined): AskedRest {
+function readRest(text: string | undefined): ParsedBackoff {
     if (text === undefined) {
         return { type: "none" };
     }
@@ -72,7 +72,7 @@
     return seconds >= 0 ? { type: "asked", forMs: seconds * 1_000 } : { type: "malformed", text };
 }
 
-function readLimit(text: string | undefined): NamedLimit {
+function readLimit(text: string | undefined): ParsedLimit {
     return text === undefined ? { type: "none" } : { type: "named", perSecond: Number(text) };
 }
 
--- a/packages/edge/src/backends/askServer.ts
+++ b/packages/edge/src/backends/askServer.ts
@@ -1,6 +1,6 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type RawHeaders } from "@galenaglade/http-parts";
-import { type ServerOffer } from "@galenaglade/placement";
+import { type ServerStatus } from "@galenaglade/placement";
 import { type ContactEnd } from "@galenaglade/reachability";
 import { type Dispatcher } from "undici";
 import { type AnswerSigns, type EdgeVocabulary } from "../vocabulary.js";
@@ -22,7 +22,7 @@
 /** What a server said when it was asked. */
 export interface LoadAnswer {
     readonly type: "told";
-    readonly offer: ServerOffer;
+    readonly offer: ServerStatus;
     readonly signs: AnswerSigns;
 }
 
@@ -100,7 +100,7 @@
         if (signs.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
         }
-        const offer: ServerOffer = {
+        const offer: ServerStatus = {
             serverId: server.id,
             availabilityZone: server.availabilityZone,
             load: signs.load,
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -1,5 +1,5 @@
 import { findHeader, type RawHeaders } from "@galenaglade/http-parts";
-import { type NotRunReason, type SendEnd, type UnknownReason } from "@galenaglade/placement";
+import { type NotRunReason, type SendEnd, type UnknownRunReason } from "@galenaglade/placement";
 import { type ContactEnd } from "@galenaglade/reachability";
 import { type Readable } from "node:stream";
 import { type Dispatcher } from "undici";
@@ -198,7 +198,7 @@
     }
 
     /** An answer of which something is wrong is nobody's: it may be the end of another one, or half of this. */
-    #findFault({ status, headers, signs }: AnswerHead): UnknownReason | undefined {
+    #findFault({ status, headers, signs }: AnswerHead): UnknownRunReason | undefined {
         const { requestId, firstRequest, connection } = this.#input;
         // A server that turns a request away may not have read who it is; as the first one here it can mean no other.
         const anonymous = signs.requestId === undefined && firstRequest && signs.notRun;
@@ -270,7 +270,7 @@
     return signs.notRun ? "turnedAway" : undefined;
 }
 
-function findLoss(err: Error): UnknownReason {
+function findLoss(err: Error): UnknownRunReason {
     return isParserError(err) ? "notAnAnswer" : "connectionLost";
 }
 
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -1,6 +1,6 @@
 import { createFailure, type Failure, resolveFailure } from "@galenaglade/errors";
 import { readRequestBody, type RequestBody, writeFailure } from "@galenaglade/http-parts";
-import { resolveComeBack, type StartRequest } from "@galenaglade/placement";
+import { drawRetryAfterSeconds, type StartupRequest } from "@galenaglade/placement";
 import {
     handoverHeader,
     type HandoverOrder,
@@ -111,7 +111,7 @@
         const { view, vocabulary, random } = this.#parts;
         const { inForce } = view;
         if (inForce === undefined) {
-            const retryAfterSeconds = resolveComeBack("unread", 0, random);
+            const retryAfterSeconds = drawRetryAfterSeconds("unread", 0, random);
             return Left(createFailure("notFresh", "the configuration has not been read yet", { retryAfterSeconds }));
         }
         const head = {
@@ -135,7 +135,7 @@
         if (!claimsAbsence || isSurelyCurrent(view, nowMs)) {
             return failure;
         }
-        const retryAfterSeconds = resolveComeBack("noServer", 0, random);
+        const retryAfterSeconds = drawRetryAfterSeconds("noServer", 0, random);
         return createFailure("notFresh", `${failure.detail}, as far as is known`, { retryAfterSeconds });
     }
 
@@ -202,13 +202,13 @@
         this.#report(request, req, end, exchange, signal);
     }
 
-    #describeStart({ arrivedAtMs, route, rules }: EdgeRequest, req: IncomingMessage): StartRequest {
+    #describeStart({ arrivedAtMs, route, rules }: EdgeRequest, req: IncomingMessage): StartupRequest {
         return {
             arrivedAtMs,
             objectiveMs: route.objectiveMs,
             patienceMs: this.#parts.vocabulary.readRequest(req.rawHeaders).patienceMs,
-            kind: route.name,
-            typicalMs: this.#parts.board.work.of(rules.name, route.objectiveMs),
+            route: route.name,
+            typicalLatencyMs: this.#parts.board.typicalLatency.of(rules.name, route.objectiveMs),
         };
     }
 
--- a/packages/edge/src/callers/startGate.ts
+++ b/packages/edge/src/callers/startGate.ts
@@ -1,5 +1,5 @@
 import { type Clock } from "@galenaglade/http-parts";
-import { type StartRequest, StartTurns, startTurnsMs } from "@galenaglade/placement";
+import { type StartupRequest, StartupQueue, startupQueueMs } from "@galenaglade/placement";
 
 /** A request's turn, which its owner ends. */
 export interface StartPass {
@@ -12,18 +12,18 @@
 /** Has requests of the process's first seconds wait for their turn to look for a server. */
 export class StartGate {
     readonly #clock: Clock;
-    readonly #turns: StartTurns<Waiter>;
+    readonly #turns: StartupQueue<Waiter>;
 
     /** @param clock - the process's clock; its first seconds begin now */
     constructor(clock: Clock) {
         this.#clock = clock;
-        this.#turns = new StartTurns(clock.monotonicMs());
-        setTimeout(() => this.#takeTurns(), startTurnsMs).unref();
+        this.#turns = new StartupQueue(clock.monotonicMs());
+        setTimeout(() => this.#takeTurns(), startupQueueMs).unref();
     }
 
     /** Whether requests take turns now. */
     get isOn(): boolean {
-        return this.#turns.areOn(this.#clock.monotonicMs());
+        return this.#turns.isActive(this.#clock.monotonicMs());
     }
 
     /**
@@ -31,16 +31,16 @@
      * @param signal - aborted when the request waits no longer
      * @returns the request's turn, once it has come or the request waits no longer
      */
-    async enter(request: StartRequest, signal: AbortSignal): Promise<StartPass> {
+    async enter(request: StartupRequest, signal: AbortSignal): Promise<StartPass> {
         let begin: Waiter = () => undefined;
         const begun = new Promise<void>(resolve => {
             begin = resolve;
         });
-        this.#turns.add(request, begin);
+        this.#turns.enqueue(request, begin);
         this.#takeTurns();
         // A request that is due must get its answer whoever's turn it is.
         const leave = (): void => {
-            this.#turns.leave(begin);
+            this.#turns.remove(begin);
             begin();
         };
         signal.addEventListener("abort", leave);
@@ -62,7 +62,7 @@
     }
 
     #takeTurns(): void {
-        for (const { item } of this.#turns.take(this.#clock.monotonicMs())) {
+        for (const { item } of this.#turns.takeReady(this.#clock.monotonicMs())) {
             item();
         }
     }
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -7,7 +7,7 @@
     sleep,
     systemClock,
 } from "@galenaglade/http-parts";
-import { PlacementBoard, RepeatBudget } from "@galenaglade/placement";
+import { PlacementState, RepeatBudget } from "@galenaglade/placement";
 import { type KeyValueStore } from "@galenaglade/platform";
 import { GatewayRollouts } from "@galenaglade/rollout";
 import { createRandomSource } from "@galenaglade/routing";
@@ -100,7 +100,7 @@
     const callers = new CallerConnections();
     const { ratio, slack, windowSeconds } = settings.repeats;
     const budget = new RepeatBudget({ ratio, slack, windowMs: windowSeconds * 1_000 }, clock.monotonicMs());
-    const board = new PlacementBoard({
+    const board = new PlacementState({
         name,
         availabilityZone,
         random,
@@ -124,7 +124,7 @@
                 connections.closeIdle(id);
             }
         },
-        onRestored: (service, servers) => board.onLinksRestored(service, servers.map(({ id }) => id)),
+        onRestored: (service, servers) => board.onConnectivityRestored(service, servers.map(({ id }) => id)),
     });
     const peerConnections = new ServerConnections(new DirectLinks(helperConnectTimeoutMs));
     const placer = new Placer({
--- a/packages/edge/src/quarantine/crashReports.ts
+++ b/packages/edge/src/quarantine/crashReports.ts
@@ -1,7 +1,7 @@
 import { type FleetView, renderCrashReport } from "@galenaglade/fleet-state";
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { type KeyValueStore } from "@galenaglade/platform";
-import { type Crash, CrashLedger, type Verdict } from "@galenaglade/quarantine";
+import { type Crash, CrashLedger, type ContentStatus } from "@galenaglade/quarantine";
 import { type RandomSource } from "@galenaglade/routing";
 import { firstStorePauseMs, longestStorePauseMs, rewriteSpreadMs } from "../constants.js";
 import { type ExchangeContent } from "../requests/exchangeContent.js";
@@ -57,7 +57,7 @@
         this.#changesSeen = view.crashReportChanges;
         const own = reports.get(name);
         if (own !== undefined && !this.#adopted) {
-            this.#ledger.adopt(own.report, clock.epochMs());
+            this.#ledger.restore(own.report, clock.epochMs());
         }
         this.#adopted = true;
         this.#revision = Math.max(this.#revision, own?.revision ?? 0);
@@ -81,18 +81,18 @@
 
     /** @returns what is known now */
     mark(): number {
-        return this.#ledger.mark();
+        return this.#ledger.version();
     }
 
     /** @returns whether something is known of a request's content */
     knows(content: ExchangeContent): boolean {
-        return !this.#ledger.isEmpty && this.#ledger.knowsHead(content.headId);
+        return !this.#ledger.isEmpty && this.#ledger.mayHaveRecord(content.headId);
     }
 
     /** @returns what may be done with a request now */
-    judge(contentId: string): Verdict {
+    judge(contentId: string): ContentStatus {
         const { view, clock } = this.#parts;
-        return this.#ledger.judge(contentId, {
+        return this.#ledger.checkContent(contentId, {
             gateways: view.gateways(clock.monotonicMs()),
             epochMs: clock.epochMs(),
         });
--- a/packages/edge/src/quarantine/requestGuard.ts
+++ b/packages/edge/src/quarantine/requestGuard.ts
@@ -1,6 +1,6 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type SendEnd } from "@galenaglade/placement";
-import { singleSendStrikes, type Verdict } from "@galenaglade/quarantine";
+import { singleSendStrikeThreshold, type ContentStatus } from "@galenaglade/quarantine";
 import { type ServerState } from "../backends/serverChecks.js";
 import { type ExchangeContent } from "../requests/exchangeContent.js";
 import { type CrashReports } from "./crashReports.js";
@@ -34,7 +34,7 @@
 
     /** @returns whether it may be sent to one more server after another one was lost with it */
     mayRetry(): boolean {
-        return this.#endTrial === undefined && (this.#judge()?.strikes ?? 0) < singleSendStrikes;
+        return this.#endTrial === undefined && (this.#judge()?.strikes ?? 0) < singleSendStrikeThreshold;
     }
 
     /** @returns whether it may be sent to a second server beside the first */
@@ -50,7 +50,7 @@
 
     /** @returns whether what became of a lost server decides over the next send */
     get mustAwaitCheck(): boolean {
-        return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikes;
+        return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
     }
 
     /** What is known as a send begins. */
@@ -70,7 +70,7 @@
             this.#reports.onCrash({
                 contentId: this.#content.contentId,
                 incarnation: `${id}@${startedAtEpochMs ?? ""}`,
-                mark,
+                ledgerVersion: mark,
                 trial: this.#endTrial !== undefined,
             });
         }
@@ -85,7 +85,7 @@
         return this.#reports.knows(this.#content);
     }
 
-    #judge(): Verdict | undefined {
+    #judge(): ContentStatus | undefined {
         if (!this.#isKnown()) {
             return undefined;
         }
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -1,6 +1,6 @@
 import { type FleetView, type RegisteredServer } from "@galenaglade/fleet-state";
 import { type Clock } from "@galenaglade/http-parts";
-import { type PlacementBoard } from "@galenaglade/placement";
+import { type PlacementState } from "@galenaglade/placement";
 import { type ContactEnd } from "@galenaglade/reachability";
 import { askServer } from "../backends/askServer.js";
 import { type ServerConnections } from "../backends/serverConnections.js";
@@ -17,7 +17,7 @@
 /** What a load probe works with. */
 export interface LoadProbeParts {
     readonly view: FleetView;
-    readonly board: PlacementBoard;
+    readonly board: PlacementState;
     readonly notes: AnswerNotes;
     readonly connections: ServerConnections;
     readonly vocabulary: EdgeVocabulary;
@@ -51,7 +51,7 @@
             return told.reason === "otherServer" ? "heard" : told.reason;
         }
         connections.release(server.id, connection, { after: "question", nowMs });
-        board.onOffer(service, told.offer, startedAtMs);
+        board.onProbeResponse(service, told.offer, startedAtMs);
         notes.note({ server, signs: told.signs, source: { answered: "question", sentAtMs: startedAtMs }, nowMs });
         return "heard";
     }
--- a/packages/edge/src/requests/answerNotes.ts
+++ b/packages/edge/src/requests/answerNotes.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { type LimitSource, type PlacementBoard } from "@galenaglade/placement";
+import { type LimitSource, type PlacementState } from "@galenaglade/placement";
 import { type ServerConnections } from "../backends/serverConnections.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
@@ -7,7 +7,7 @@
 
 /** What notes are taken with. */
 export interface AnswerNotesParts {
-    readonly board: PlacementBoard;
+    readonly board: PlacementState;
     readonly connections: ServerConnections;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
@@ -76,7 +76,7 @@
             log.log("warn", "serverRest", { ...describe(answer), change: "malformed", text: rest.text });
             return;
         }
-        const untilMs = board.onRest(server, rest.forMs, nowMs);
+        const untilMs = board.onBackoff(server, rest.forMs, nowMs);
         log.log("info", "serverRest", {
             ...describe(answer),
             change: untilMs === undefined ? "none" : "resting",
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -1,7 +1,7 @@
 import { type ConfigurationInForce, type Route, type ServiceRules } from "@galenaglade/fleet-state";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type RawHeaders } from "@galenaglade/http-parts";
-import { drawDestination } from "@galenaglade/placement";
+import { pickDestination } from "@galenaglade/placement";
 import { type RandomSource } from "@galenaglade/routing";
 import { type Admission, authenticate, type RejectionReason } from "@galenaglade/workspaces";
 import { type Either, Left, Right } from "purify-ts";
@@ -80,7 +80,7 @@
     if (head.bodyBytes !== undefined && head.bodyBytes > limits.maximumBodyBytes) {
         return Left(createFailure("bodyTooLarge", `at most ${limits.maximumBodyBytes} bytes are taken`));
     }
-    const service = findOrdered(route, head.order) ?? drawDestination(route, random);
+    const service = findOrdered(route, head.order) ?? pickDestination(route, random);
     const rules = service === undefined ? undefined : inForce.services.get(service);
     if (rules === undefined) {
         return Left(createFailure("noBackendServer", `route ${route.name} leads to no service`));
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -1,7 +1,13 @@
 import { type RegisteredGateway } from "@galenaglade/fleet-state";
 import { type RequestBody } from "@galenaglade/http-parts";
 import { RequestGuard } from "../quarantine/requestGuard.js";
-import { hedgeAfterShare, isServerFailure, isServerLost, mayTryAgain, type SendEnd } from "@galenaglade/placement";
+import {
+    hedgeAfterShare,
+    isServerError,
+    isPossibleServerCrash,
+    isRetryAllowed,
+    type SendEnd,
+} from "@galenaglade/placement";
 import {
     type AnswerHead,
     type AnswerSink,
@@ -73,7 +79,7 @@
     ) {
         this.#parts = parts;
         this.#request = request;
-        this.#answers = new ExchangeAnswers(request, parts.board.work, parts.random);
+        this.#answers = new ExchangeAnswers(request, parts.board.typicalLatency, parts.random);
         this.#body = body;
         this.#signal = signal;
         this.#workspace = new ExchangeWorkspace(parts, request, signal);
@@ -179,7 +185,7 @@
         const mayGoOn = this.#mayTryAgain();
         if (answer !== undefined && end.type === "answered") {
             this.#answeredBy = underWay.to === "server" ? underWay.place.server.id : undefined;
-            if (!isServerFailure(end) && !answer.endedByClose) {
+            if (!isServerError(end) && !answer.endedByClose) {
                 return { type: "answered", answer };
             }
             // The server's own failure is an answer, and so is one that may be cut short; kept for the case that no other
@@ -237,7 +243,7 @@
             after: describeEnd(result.end),
             from: nameReceiver(failed),
             to: nameTarget(target),
-            budgetLeft: budget.left(this.#request.rules.name, this.#gateways(), this.#nowMs()),
+            budgetLeft: budget.remaining(this.#request.rules.name, this.#gateways(), this.#nowMs()),
         });
         if (typeof target === "string" || this.#workspace.isKeyChanged()) {
             return false;
@@ -293,7 +299,7 @@
 
     /** @returns whether what is known of servers that ended lets the request be sent once more */
     async #isAllowedAgain(end: SendEnd): Promise<boolean> {
-        if (!isServerLost(end)) {
+        if (!isPossibleServerCrash(end)) {
             return this.#guard.maySend();
         }
         if (this.#guard.mustAwaitCheck) {
@@ -386,7 +392,7 @@
             heldBytes: heldAnswerBytes,
             mayWrite: () =>
                 this.#mayWrite() && view.isUsable(server.id, clock.monotonicMs())
-                && board.barOf(server, clock.monotonicMs()) === undefined,
+                && board.exclusionOf(server, clock.monotonicMs()) === undefined,
             openSink: head => this.#beginStream(head, server.id),
         });
         const underWay: ServerSend = {
@@ -439,12 +445,12 @@
     }
 
     #mayTryAgain(): boolean {
-        return mayTryAgain({
+        return isRetryAllowed({
             idempotent: this.#request.route.idempotent,
-            repeatable: this.#body.repeatable,
+            isBodyReplayable: this.#body.repeatable,
             maximumRuns: this.#request.route.maximumRuns - this.#handover.furtherRuns,
             ends: this.#ends,
-            underWay: this.#underWay.size,
+            inFlight: this.#underWay.size,
         });
     }
 
--- a/packages/edge/src/requests/exchangeAnswers.ts
+++ b/packages/edge/src/requests/exchangeAnswers.ts
@@ -1,5 +1,5 @@
 import { createFailure, type Failure } from "@galenaglade/errors";
-import { resolveComeBack, type SendEnd, type TypicalWork } from "@galenaglade/placement";
+import { drawRetryAfterSeconds, type SendEnd, type TypicalLatency } from "@galenaglade/placement";
 import { type KeyChange } from "@galenaglade/workspaces";
 import { type Decision } from "@galenaglade/rate-limit";
 import { type RandomSource } from "@galenaglade/routing";
@@ -19,10 +19,10 @@
 /** Chooses what the caller of one request gets where no server's answer is at hand, and when it should come back. */
 export class ExchangeAnswers {
     readonly #request: EdgeRequest;
-    readonly #work: TypicalWork;
+    readonly #work: TypicalLatency;
     readonly #random: RandomSource;
 
-    constructor(request: EdgeRequest, work: TypicalWork, random: RandomSource) {
+    constructor(request: EdgeRequest, work: TypicalLatency, random: RandomSource) {
         this.#request = request;
         this.#work = work;
         this.#random = random;
@@ -49,7 +49,7 @@
 
     /** The caller's key was revoked or moved while the request waited. One that was moved is good for another try. */
     keyChanged(change: KeyChange): ExchangeEnd {
-        const retryAfterSeconds = resolveComeBack("turnedAway", 0, this.#random);
+        const retryAfterSeconds = drawRetryAfterSeconds("turnedAway", 0, this.#random);
         const failure = change === "revoked"
             ? createFailure("unauthenticated", "the request's key was revoked")
             : createFailure("notFresh", "the request's key belongs to another workspace now", { retryAfterSeconds });
@@ -90,12 +90,12 @@
     #refuse(
         kind: "noBackendServer" | "overloaded" | "backendShed",
         detail: string,
-        cause: Parameters<typeof resolveComeBack>[0],
+        cause: Parameters<typeof drawRetryAfterSeconds>[0],
         notBeforeMs = 0,
     ): ExchangeEnd {
         const { rules, route } = this.#request;
         const typicalMs = this.#work.of(rules.name, route.objectiveMs);
-        const comeBackSeconds = resolveComeBack(cause, typicalMs, this.#random);
+        const comeBackSeconds = drawRetryAfterSeconds(cause, typicalMs, this.#random);
         const retryAfterSeconds = Math.ceil(notBeforeMs + comeBackSeconds * oneSecondMs) / oneSecondMs;
         return { type: "failed", failure: createFailure(kind, detail, { retryAfterSeconds }) };
     }
--- a/packages/edge/src/requests/exchangeParts.ts
+++ b/packages/edge/src/requests/exchangeParts.ts
@@ -1,6 +1,6 @@
 import { type FleetView } from "@galenaglade/fleet-state";
 import { type Clock } from "@galenaglade/http-parts";
-import { type PlacementBoard, type RepeatBudget } from "@galenaglade/placement";
+import { type PlacementState, type RepeatBudget } from "@galenaglade/placement";
 import { type GatewayRollouts } from "@galenaglade/rollout";
 import { type RandomSource } from "@galenaglade/routing";
 import { type VersionSeen } from "../handover/versionSeen.js";
@@ -30,7 +30,7 @@
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly placer: Placer;
-    readonly board: PlacementBoard;
+    readonly board: PlacementState;
     readonly notes: AnswerNotes;
     readonly connections: ServerConnections;
     /** To other gateways, by their names. */
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -82,10 +82,10 @@
         return this.#parts.placer.place({
             rules,
             objectiveMs: route.objectiveMs,
-            rank,
+            priority: rank,
             arrivedAtMs,
             cutoffMs,
-            excluded: this.#triedServers,
+            triedServers: this.#triedServers,
             signal: this.#signal,
             mayHandOver: this.#request.handedOverBy === undefined,
             onlyGood,
--- a/packages/edge/src/requests/loadInquiry.ts
+++ b/packages/edge/src/requests/loadInquiry.ts
@@ -1,6 +1,6 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
 import { type Clock } from "@galenaglade/http-parts";
-import { isGood, type PlacementBoard, scoreServer, type ServerOffer } from "@galenaglade/placement";
+import { isGood, type PlacementState, scoreServer, type ServerStatus } from "@galenaglade/placement";
 import { type ContactEnd } from "@galenaglade/reachability";
 import { askServer, type LoadAnswer, type LoadSilence } from "../backends/askServer.js";
 import { type ServerConnections } from "../backends/serverConnections.js";
@@ -12,7 +12,7 @@
 
 /** What questions are asked with. */
 export interface LoadInquiryParts {
-    readonly board: PlacementBoard;
+    readonly board: PlacementState;
     readonly notes: AnswerNotes;
     readonly connections: ServerConnections;
     readonly reach: Pick<ServerReach, "onContact">;
@@ -77,7 +77,7 @@
         server: RegisteredServer,
         timeoutMs: number,
         ends: AskEnds,
-    ): Promise<ServerOffer | undefined> {
+    ): Promise<ServerStatus | undefined> {
         const { board, notes, connections, reach, vocabulary, clock, metrics, timeline } = this.#parts;
         timeline.reach("firstProbe");
         const askedAtMs = clock.monotonicMs();
@@ -101,7 +101,7 @@
         }
         timeline.reach("firstProbeAnswered");
         connections.release(server.id, connection, { after: "question", nowMs: clock.monotonicMs() });
-        board.onOffer(rules.name, told.offer, askedAtMs);
+        board.onProbeResponse(rules.name, told.offer, askedAtMs);
         const source = { answered: "question", sentAtMs: askedAtMs } as const;
         notes.note({ server, signs: told.signs, source, nowMs: clock.monotonicMs() });
         return told.offer;
@@ -117,7 +117,7 @@
             return;
         }
         for (const { id } of silent) {
-            this.#parts.board.onSilent(service, id, this.#parts.clock.monotonicMs());
+            this.#parts.board.onProbeUnanswered(service, id, this.#parts.clock.monotonicMs());
         }
     }
 }
@@ -127,6 +127,14 @@
     return told.type === "told" || told.reason === "otherServer" ? "heard" : told.reason;
 }
 
-function isGoodOffer(offer: ServerOffer): boolean {
-    return isGood(scoreServer(offer, { typicalMs: 0, sentSince: 0, sameZone: true, suspect: false, reservedSlots: 0 }));
+function isGoodOffer(offer: ServerStatus): boolean {
+    return isGood(
+        scoreServer(offer, {
+            typicalLatencyMs: 0,
+            sentSinceReport: 0,
+            sameZone: true,
+            suspect: false,
+            reservedSlots: 0,
+        }),
+    );
 }
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -1,12 +1,12 @@
 import { type FleetView, type RegisteredServer } from "@galenaglade/fleet-state";
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import {
-    type FleetSight,
-    type NoServer,
-    type PlacementBoard,
+    type FleetSnapshot,
+    type NoServerReason,
+    type PlacementState,
     type SearchInput,
     type SearchStep,
-    type ServerBar,
+    type ServerExclusion,
     ServerSearch,
 } from "@galenaglade/placement";
 import { type ServerReach } from "../reach/serverReach.js";
@@ -20,7 +20,7 @@
     /** This gateway's own. */
     readonly availabilityZone: string;
     readonly clock: Clock;
-    readonly board: PlacementBoard;
+    readonly board: PlacementState;
 }
 
 /** A request in search of a server. */
@@ -36,7 +36,7 @@
 
 /** Why no server was found. */
 export type NoPlace =
-    | NoServer
+    | NoServerReason
     | "abandoned"
     /** Neither this gateway nor another one reaches any server. */
     | "unreached";
@@ -108,17 +108,17 @@
         return this.#look(service, undefined).restingForMs;
     }
 
-    #look(service: string, among: readonly RegisteredServer[] | undefined): FleetSight {
+    #look(service: string, among: readonly RegisteredServer[] | undefined): FleetSnapshot {
         const { view, clock, board } = this.#parts;
         const nowMs = clock.monotonicMs();
         const counted = view.countedGateways(nowMs);
         const servers = among?.filter(({ id }) => view.isUsable(id, nowMs)) ?? view.usableServers(service, nowMs);
         return {
-            ...splitBarred(servers, server => board.barOf(server, nowMs)),
+            ...splitBarred(servers, server => board.exclusionOf(server, nowMs)),
             gateways: counted.names,
             zoneGateways: counted.byZone.get(this.#parts.availabilityZone) ?? [],
             gatewaysByZone: counted.byZone,
-            sinceContactMs: nowMs - view.lastContactMs,
+            sinceStoreContactMs: nowMs - view.lastContactMs,
             nowMs,
         };
     }
@@ -127,8 +127,8 @@
 /** Leaves out servers that want nothing of this gateway. */
 function splitBarred(
     servers: readonly RegisteredServer[],
-    barOf: (server: RegisteredServer) => ServerBar | undefined,
-): Pick<FleetSight, "usable" | "restingForMs"> {
+    barOf: (server: RegisteredServer) => ServerExclusion | undefined,
+): Pick<FleetSnapshot, "usable" | "restingForMs"> {
     const usable: RegisteredServer[] = [];
     let restingForMs = Infinity;
     for (const server of servers) {
--- a/packages/edge/src/requests/sendOutcomes.ts
+++ b/packages/edge/src/requests/sendOutcomes.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { isFailureOfServer, isServerLost } from "@galenaglade/placement";
+import { countsAsServerFailure, isPossibleServerCrash } from "@galenaglade/placement";
 import { type SendResult } from "../backends/sendRequest.js";
 import { type ServerState } from "../backends/serverChecks.js";
 import { leastWitnesses, mostWitnesses } from "../constants.js";
@@ -51,8 +51,8 @@
         const { end, answer, tookMs } = result;
         const { rules: { name: service }, route } = this.#request;
         const nowMs = clock.monotonicMs();
-        const typicalMs = board.work.of(service, route.objectiveMs);
-        const trial = { end, tookMs, typicalMs, factor: score.factor, beaten };
+        const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
+        const trial = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten };
         // What fails on this host's links says nothing of a version.
         const isEvidence = purpose === "first" && (end.type === "answered" || reach.stateOf(service) === "reached");
         rollouts.onSendEnded(server, route.name, isEvidence ? trial : undefined);
@@ -62,22 +62,22 @@
             const startedAtMs = nowMs - tookMs;
             reach.onContact({ service, serverId: server.id, isNewConnection, end: result.contact, startedAtMs });
         }
-        if (isServerLost(end)) {
+        if (isPossibleServerCrash(end)) {
             this.#checks.push(this.#checkLost(outcome));
         }
-        if (isFailureOfServer(end)) {
+        if (countsAsServerFailure(end)) {
             board.onFailure(service, server.id, nowMs);
         }
         else if (end.type === "answered") {
-            board.trust.onSuccess(server.id);
+            board.suspects.onSuccess(server.id);
             if (!rollouts.isUnproved(server)) {
-                board.work.onAnswer(service, tookMs, score.factor);
+                board.typicalLatency.onResponse(service, tookMs, score.latencyFactor);
             }
         }
         this.#noteServer(server, result, nowMs);
         const load = answer?.signs.load;
         if (load !== undefined) {
-            board.onLoad(service, server, load, nowMs);
+            board.onLoadReport(service, server, load, nowMs);
         }
     }
 
--- a/packages/edge/src/state/firstReading.ts
+++ b/packages/edge/src/state/firstReading.ts
@@ -1,5 +1,5 @@
 import { type Clock, sleep } from "@galenaglade/http-parts";
-import { admitAtStart, type StartAdmission } from "@galenaglade/placement";
+import { admitDuringStartup, type StartupAdmission } from "@galenaglade/placement";
 
 /** Holds what arrives before the store has been read for the first time. */
 export class FirstReading {
@@ -45,8 +45,8 @@
      * @param patienceMs - how long the caller waits; `undefined` where it doesn't say
      * @returns whether a request is worth holding until the store has been read
      */
-    admit(patienceMs: number | undefined): StartAdmission {
-        return admitAtStart({
+    admit(patienceMs: number | undefined): StartupAdmission {
+        return admitDuringStartup({
             readFailed: this.#state !== "underWay",
             held: this.#held,
             sinceStartMs: this.#clock.monotonicMs() - this.#startedAtMs,
--- a/packages/edge/src/vocabulary.ts
+++ b/packages/edge/src/vocabulary.ts
@@ -1,5 +1,5 @@
 import { type RawHeaders } from "@galenaglade/http-parts";
-import { type AskedRest, type LoadReport, type NamedLimit } from "@galenaglade/placement";
+import { type ParsedBackoff, type LoadReport, type ParsedLimit } from "@galenaglade/placement";
 import { type CallerKey } from "@galenaglade/workspaces";
 
 /** What a caller's request says of itself, besides what HTTP says. */
@@ -39,9 +39,9 @@
     readonly load: LoadReport | undefined;
     readonly coldRemainingMs: number;
     /** Requests a second that it takes from all gateways together. */
-    readonly limit: NamedLimit;
+    readonly limit: ParsedLimit;
     /** How long the server wants nothing from this gateway. */
-    readonly rest: AskedRest;
+    readonly rest: ParsedBackoff;
     /** Whether the server says that it leaves. */
     readonly leaving: boolean;
     /** Headers that say something which nobody here understands. */
--- a/packages/placement/src/__tests__/limits.test.ts
+++ b/packages/placement/src/__tests__/budgets.test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import {
-    ColdAdmission,
+    ColdServerAdmission,
     defaultPlacementPolicy,
     ProbeBudget,
     ProbeGroups,
@@ -79,13 +79,19 @@
     const names = Array.from({ length: 15 }, (_, i) => `gateway-${i}`);
     fc.assert(
         fc.property(fc.string({ minLength: 1 }), fc.shuffledSubarray(names, { minLength: 12 }), (serverId, some) => {
-            const admissions = names.map(name => ({ name, admission: new ColdAdmission(name) }));
+            const admissions = names.map(name => ({ name, admission: new ColdServerAdmission(name) }));
             const sent: number[] = [];
             for (let nowMs = 0; nowMs < 6_000; nowMs += 5) {
                 for (const [i, { admission }] of admissions.entries()) {
                     const gateways = i % 2 === 0 ? names : some;
-                    const input = { serverId, requestsPerSecond: bears.perSecond, gateways, sinceContactMs: 0, nowMs };
-                    if (admission.mayTake(input)) {
+                    const input = {
+                        serverId,
+                        requestsPerSecond: bears.perSecond,
+                        gateways,
+                        sinceStoreContactMs: 0,
+                        nowMs,
+                    };
+                    if (admission.maySend(input)) {
                         admission.onSend(input);
                         sent.push(nowMs);
                     }
@@ -102,10 +108,10 @@
 });
 
 test("a gateway that lost touch with the store sends nothing to cold servers", () => {
-    const admission = new ColdAdmission("a");
+    const admission = new ColdServerAdmission("a");
     const input = { serverId: "s", requestsPerSecond: 4, gateways: ["a"], nowMs: 0 };
-    assert.ok(admission.mayTake({ ...input, sinceContactMs: 100 }));
-    assert.equal(admission.mayTake({ ...input, sinceContactMs: 60_000 }), false);
+    assert.ok(admission.maySend({ ...input, sinceStoreContactMs: 100 }));
+    assert.equal(admission.maySend({ ...input, sinceStoreContactMs: 60_000 }), false);
 });
 
 // All requests of all gateways wait and ask again without a pause. Before there was a limit, servers were asked 100
@@ -126,7 +132,7 @@
     for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += 10) {
         for (const { groups, budget } of fleet) {
             const shareOf = (server: RegisteredServer): ProbeShare => groups.shareOf(server, servers);
-            for (const { id } of budget.take({ ordered, purpose: "waiting", wanted: 4, shareOf, nowMs })) {
+            for (const { id } of budget.take({ ordered, purpose: "waiting", maxProbes: 4, shareOf, nowMs })) {
                 asks.set(id, (asks.get(id) ?? 0) + 1);
             }
         }
@@ -143,7 +149,7 @@
     const budget = new ProbeBudget(-60_000);
     const ordered = Array.from({ length: 4 }, (_, i) => createServer(`server-${i}`));
     const take = (purpose: ProbePurpose): number =>
-        budget.take({ ordered, purpose, wanted: 4, shareOf: server => groups.shareOf(server, 4), nowMs: 0 }).length;
+        budget.take({ ordered, purpose, maxProbes: 4, shareOf: server => groups.shareOf(server, 4), nowMs: 0 }).length;
     while (take("waiting") > 0) {
         // Until no more are left to them.
     }
--- a/packages/placement/src/__tests__/choosePlacement.test.ts
+++ b/packages/placement/src/__tests__/choosePlacement.test.ts
@@ -17,30 +17,30 @@
         slots: 3,
         healthy: true,
         coldRemainingMs: 0,
-    }, { typicalMs, sentSince: 0, sameZone: true, suspect: false, reservedSlots: 0, ...more });
+    }, { typicalLatencyMs: typicalMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0, ...more });
 }
 
 function choose(scores: readonly ServerScore[], more: Partial<PlacementInput> = {}): string {
     const decision = choosePlacement({
         scores,
-        hasUnasked: false,
-        mayAskLater: false,
+        hasUnprobed: false,
+        mayProbeLater: false,
         waitedMs: 0,
         objectiveMs,
         remainingMs: 1_000,
-        typicalMs,
+        typicalLatencyMs: typicalMs,
         ...more,
     });
-    return decision.type === "send" ? decision.score.offer.serverId : decision.type;
+    return decision.type === "send" ? decision.score.status.serverId : decision.type;
 }
 
 test("a fast server with room is taken at once", () => {
-    assert.equal(choose([score({ running: 1 }), score({ slowdown: 4 })], { hasUnasked: true }), "{\"running\":1}");
+    assert.equal(choose([score({ running: 1 }), score({ slowdown: 4 })], { hasUnprobed: true }), "{\"running\":1}");
 });
 
 test("where only slow or full ones answered, the rest is asked, and then a better one is waited for", () => {
     const poor = [score({ slowdown: 4 }), score({ running: 3 })];
-    assert.equal(choose(poor, { hasUnasked: true }), "widen");
+    assert.equal(choose(poor, { hasUnprobed: true }), "widen");
     assert.equal(choose(poor), "wait");
 });
 
@@ -73,7 +73,7 @@
 
 test("a suspected server is not good, but better than none", () => {
     const suspect = score({}, { suspect: true });
-    assert.equal(choose([suspect], { hasUnasked: true }), "widen");
+    assert.equal(choose([suspect], { hasUnprobed: true }), "widen");
     assert.equal(choose([suspect], { waitedMs: 200 }), "{}");
 });
 
@@ -135,7 +135,7 @@
         slots: 3,
         healthy: true,
         coldRemainingMs: 0,
-    }, { typicalMs, sentSince: 0, sameZone: true, suspect: false, reservedSlots: 0 });
+    }, { typicalLatencyMs: typicalMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0 });
 }
 
 /** @returns the share of requests answered within their objective */
@@ -175,14 +175,14 @@
         const scores = asked.map(i => scoreShifting(servers, i));
         const decision = choosePlacement({
             scores,
-            hasUnasked: false,
-            mayAskLater: false,
+            hasUnprobed: false,
+            mayProbeLater: false,
             waitedMs,
             objectiveMs,
             remainingMs: 1_000 - waitedMs,
-            typicalMs,
+            typicalLatencyMs: typicalMs,
         });
-        return decision.type === "send" ? Number(decision.score.offer.serverId) : undefined;
+        return decision.type === "send" ? Number(decision.score.status.serverId) : undefined;
     };
     for (const perSecond of [40, 90]) {
         const blindShare = replay(7, perSecond, blind);
@@ -201,15 +201,15 @@
             const scores = asked.map(i => scoreShifting(servers, i));
             const decision = choosePlacement({
                 scores,
-                hasUnasked: false,
-                mayAskLater: false,
+                hasUnprobed: false,
+                mayProbeLater: false,
                 waitedMs,
                 objectiveMs,
                 remainingMs: 2_000 - waitedMs,
-                typicalMs,
+                typicalLatencyMs: typicalMs,
             });
             if (decision.type === "send") {
-                return Number(decision.score.offer.serverId);
+                return Number(decision.score.status.serverId);
             }
             return decision.type === "refuse" ? (mayQueue ? asked[0] : "refused") : undefined;
         });
--- a/packages/placement/src/__tests__/limitAdmission.test.ts
+++ b/packages/placement/src/__tests__/limitAdmission.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { LimitAdmission, type LimitInput, type ServerLimit } from "../index.js";
+import { LimitAdmission, type LimitAdmissionInput, type AdvertisedLimit } from "../index.js";
 
 const serverId = "server";
 const zones = ["north", "middle", "south"];
@@ -51,7 +51,7 @@
             sinceMs = nowMs;
         }
         const perSecond = then !== undefined && nowMs >= then.atMs ? then.perSecond : input.perSecond;
-        const limit: ServerLimit = { perSecond, sinceMs, heardAtMs: nowMs };
+        const limit: AdvertisedLimit = { perSecond, sinceMs, lastAdvertisedAtMs: nowMs };
         for (const [i, admission] of admissions.entries()) {
             const roster = rosters[i];
             if (roster !== undefined && admission.waitMs(createInput(roster, zoneOf(i), limit, nowMs)) === 0) {
@@ -63,7 +63,12 @@
     return sentAtMs;
 }
 
-function createInput({ gateways, byZone }: Rosters, zone: string, limit: ServerLimit, nowMs: number): LimitInput {
+function createInput(
+    { gateways, byZone }: Rosters,
+    zone: string,
+    limit: AdvertisedLimit,
+    nowMs: number,
+): LimitAdmissionInput {
     return {
         serverId,
         availabilityZone: "north",
--- a/packages/placement/src/__tests__/probeBudget.test.ts
+++ b/packages/placement/src/__tests__/probeBudget.test.ts
@@ -68,7 +68,7 @@
             const probed = gateway.budget.take({
                 ordered: servers,
                 purpose: "arrival",
-                wanted: servers.length,
+                maxProbes: servers.length,
                 shareOf: server => gateway.groups.shareOf(server, zoneServers),
                 nowMs,
             });
@@ -116,7 +116,7 @@
     for (const [i, { groups }] of gateways.entries()) {
         const zone = zones[i % zones.length];
         const own = servers.filter(server => groups.isInGroup(server, 36));
-        const allowed = servers.filter(server => groups.shareOf(server, 36).perMs > 0);
+        const allowed = servers.filter(server => groups.shareOf(server, 36).probesPerMs > 0);
         groupSizes.push(own.length);
         assert.ok(own.every(server => server.availabilityZone === zone));
         assert.ok(allowed.length >= 20, `${allowed.length} servers that it may probe`);
@@ -143,11 +143,11 @@
 });
 
 test("requests that wait leave half of what is saved beyond the first probe to those that arrive", () => {
-    const share = { perMs: 0.008, mostSaved: 8, savedAtStart: 8 };
+    const share = { probesPerMs: 0.008, maxSavedProbes: 8, initialProbes: 8 };
     const budget = new ProbeBudget(0);
     const ordered = [{ id: "server-0" }];
     const take = (purpose: "arrival" | "waiting"): number =>
-        budget.take({ ordered, purpose, wanted: mostAskedAtOnce, shareOf: () => share, nowMs: 0 }).length;
+        budget.take({ ordered, purpose, maxProbes: mostAskedAtOnce, shareOf: () => share, nowMs: 0 }).length;
     let waiting = 0;
     while (take("waiting") > 0) {
         waiting++;
@@ -158,9 +158,9 @@
 
 // Guards against waiting requests that never ask: of one probe that may be saved, half can't be left over.
 test("where one probe may be saved, a request that waits may use it", () => {
-    const share = { perMs: 0.0001, mostSaved: 1, savedAtStart: 1 };
+    const share = { probesPerMs: 0.0001, maxSavedProbes: 1, initialProbes: 1 };
     const budget = new ProbeBudget(0);
-    const input = { ordered: [{ id: "server-0" }], wanted: 1, shareOf: () => share, nowMs: 0 };
+    const input = { ordered: [{ id: "server-0" }], maxProbes: 1, shareOf: () => share, nowMs: 0 };
     assert.equal(budget.take({ ...input, purpose: "waiting" }).length, 1);
     assert.equal(budget.take({ ...input, purpose: "arrival" }).length, 0);
 });
--- a/packages/placement/src/__tests__/askOrder.test.ts
+++ b/packages/placement/src/__tests__/probeOrder.test.ts
@@ -2,7 +2,7 @@
 import { createRandomSource } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { countToAsk, defaultPlacementPolicy, orderToAsk, ProbeGroups, subsetServers } from "../index.js";
+import { chooseProbeCount, defaultPlacementPolicy, orderForProbing, ProbeGroups, subsetServers } from "../index.js";
 
 function createServers(count: number, zones: readonly string[]): readonly RegisteredServer[] {
     return Array.from({ length: count }, (_, i) => ({
@@ -38,12 +38,12 @@
     const near = inZone(servers, "north").length;
     const isNear = createSubset("gateway-1");
     const subset = new Set(servers.filter(server => isNear(server, near)).map(({ id }) => id));
-    const ordered = orderToAsk({
+    const ordered = orderForProbing({
         servers,
         availabilityZone: "north",
         isInSubset: server => isNear(server, near),
         isSuspect: id => id === "server-0",
-        chanceOf: () => 0.75,
+        goodChanceOf: () => 0.75,
         random: createRandomSource(1),
     });
     assert.equal(ordered.length, servers.length);
@@ -89,15 +89,15 @@
     const gateways = zoneGateways.map(name => ({ name, isNear: createSubset(name) }));
     for (let atMs = 0; atMs < 60_000; atMs += 1_000 / perGatewayAndSecond) {
         for (const { name, isNear } of gateways) {
-            const ordered = orderToAsk({
+            const ordered = orderForProbing({
                 servers,
                 availabilityZone: "north",
                 isInSubset: server => isNear(server, servers.length),
                 isSuspect: () => false,
-                chanceOf: () => 0.75,
+                goodChanceOf: () => 0.75,
                 random,
             });
-            for (const { id } of ordered.slice(0, countToAsk(ordered.map(() => 0.75)))) {
+            for (const { id } of ordered.slice(0, chooseProbeCount(ordered.map(() => 0.75)))) {
                 const pair = `${name} ${id}`;
                 asked++;
                 opened += atMs - (lastAskedMs.get(pair) ?? -Infinity) > idleMs ? 1 : 0;
--- a/packages/placement/src/__tests__/probingZones.test.ts
+++ b/packages/placement/src/__tests__/probingZones.test.ts
@@ -4,7 +4,7 @@
 import * as fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { dealProbingZones, defaultPlacementPolicy, ProbeBudget, ServiceProbes } from "../index.js";
+import { assignProbingZones, defaultPlacementPolicy, ProbeBudget, ProbeAssignments } from "../index.js";
 
 const zones = ["north", "south", "west"];
 
@@ -13,7 +13,7 @@
 }
 
 function sizes(serversByZone: Readonly<Record<string, number>>): readonly number[] {
-    const dealt = dealProbingZones({
+    const dealt = assignProbingZones({
         gatewaysByZone: createGateways(40),
         serversByZone: new Map(Object.entries(serversByZone)),
     });
@@ -33,7 +33,7 @@
 
 test("a service without servers, or a zone without gateways, changes nothing for the others", () => {
     assert.deepEqual(sizes({}), [40, 40, 40]);
-    const dealt = dealProbingZones({
+    const dealt = assignProbingZones({
         gatewaysByZone: new Map([["north", ["a", "b"]]]),
         serversByZone: new Map([["north", 3], ["south", 3]]),
     });
@@ -72,7 +72,7 @@
             const probedAtMs = new Map(all.map(({ id }) => [id, new Array<number>()]));
             const gateways = names.map(name => {
                 const availabilityZone = name.split("-")[0] ?? "";
-                const probes = new ServiceProbes({
+                const probes = new ProbeAssignments({
                     name,
                     availabilityZone,
                     probesPerServerAndSecond: 60,
@@ -88,7 +88,7 @@
                     const input = {
                         ordered: usable,
                         purpose: "arrival",
-                        wanted: usable.length,
+                        maxProbes: usable.length,
                         shareOf,
                         nowMs,
                     } as const;
--- a/packages/placement/src/__tests__/replayedLoads.test.ts
+++ b/packages/placement/src/__tests__/replayedLoads.test.ts
@@ -92,7 +92,10 @@
         }).run()
     );
     for (const fleet of fleets) {
-        assert.ok(fleet.repeated < fleet.tries * 0.2 + 58 * 2, `${fleet.repeated} repeats of ${fleet.tries}`);
+        assert.ok(
+            fleet.repeatedArrivals < fleet.tries * 0.2 + 58 * 2,
+            `${fleet.repeatedArrivals} repeats of ${fleet.tries}`,
+        );
         assert.ok(fleet.shareServed(5_000, 12_000) > 0.8, `${fleet.shareServed(5_000, 12_000)} served`);
     }
     const after = mean(fleets.map(fleet => fleet.shareInTime(13_000, 18_000)));
@@ -114,7 +117,10 @@
             }
         },
     }).run();
-    assert.ok(fleet.repeated < fleet.tries * 0.2 + 58 * 2, `${fleet.repeated} repeats of ${fleet.tries}`);
+    assert.ok(
+        fleet.repeatedArrivals < fleet.tries * 0.2 + 58 * 2,
+        `${fleet.repeatedArrivals} repeats of ${fleet.tries}`,
+    );
     assert.ok(fleet.shareServed(6_000, 12_000) > 0.9, `${fleet.shareServed(6_000, 12_000)} served`);
 });
 
@@ -174,7 +180,7 @@
 // A fourth of the requests is urgent, and the servers bear half of what comes. Turned away alike, half of the urgent ones
 // would get nothing although their work alone fits.
 test("load above what the servers bear: urgent requests are served before others", () => {
-    const resolveRank: ReplayInput["resolveRank"] = random => random.next() < 0.25 ? 0 : 2;
+    const resolveRank: ReplayInput["resolvePriority"] = random => random.next() < 0.25 ? 0 : 2;
     const servedShare = (fleet: ReplayFleet, rank: number): number => {
         const came = fleet.callers.filter(caller => caller.kind.priority === rank && caller.arrivedAtMs > 4_000);
         const inTime = came.filter(({ arrivedAtMs, answeredAtMs }) =>
@@ -183,7 +189,7 @@
         return inTime.length / came.length;
     };
     for (const seed of [5, 6, 7]) {
-        const fleet = new ReplayFleet({ ...usual, seed, load: () => 160, resolveRank }).run();
+        const fleet = new ReplayFleet({ ...usual, seed, load: () => 160, resolvePriority: resolveRank }).run();
         const urgent = servedShare(fleet, 0);
         const other = servedShare(fleet, 2);
         assert.ok(urgent > other + 0.15, `seed ${seed}: ${urgent} of the urgent ones, ${other} of the others`);
--- a/packages/placement/src/__tests__/serverSearch.test.ts
+++ b/packages/placement/src/__tests__/serverSearch.test.ts
@@ -3,9 +3,9 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
 import { createRandomSource } from "@galenaglade/routing";
 import {
-    type FleetSight,
+    type FleetSnapshot,
     type LoadReport,
-    PlacementBoard,
+    PlacementState,
     type SearchInput,
     type SearchStep,
     ServerSearch,
@@ -36,8 +36,8 @@
 
 const servers = ["a", "b", "c", "d", "e", "f"].map(createServer);
 
-function createBoard(probesPerServerAndSecond = 60): PlacementBoard {
-    return new PlacementBoard({
+function createBoard(probesPerServerAndSecond = 60): PlacementState {
+    return new PlacementState({
         name: "gateway-1",
         availabilityZone: "north",
         random: createRandomSource(1),
@@ -46,26 +46,26 @@
     });
 }
 
-function look(nowMs: number, usable: readonly RegisteredServer[] = servers): FleetSight {
-    return { usable, gateways: ["gateway-1"], zoneGateways: ["gateway-1"], sinceContactMs: 0, nowMs };
+function look(nowMs: number, usable: readonly RegisteredServer[] = servers): FleetSnapshot {
+    return { usable, gateways: ["gateway-1"], zoneGateways: ["gateway-1"], sinceStoreContactMs: 0, nowMs };
 }
 
-function search(board: PlacementBoard, more: Partial<SearchInput> = {}): ServerSearch {
+function search(board: PlacementState, more: Partial<SearchInput> = {}): ServerSearch {
     return new ServerSearch(board, {
         rules,
         objectiveMs,
-        rank: 0,
+        priority: 0,
         arrivedAtMs: 0,
         cutoffMs: 2_000,
-        excluded: new Set(),
+        triedServers: new Set(),
         onlyGood: false,
         ...more,
     });
 }
 
-function tell(board: PlacementBoard, id: string, load: LoadReport, atMs: number, coldRemainingMs = 0): void {
+function tell(board: PlacementState, id: string, load: LoadReport, atMs: number, coldRemainingMs = 0): void {
     const offer = { serverId: id, availabilityZone: "north", load, slots: 6, healthy: true, coldRemainingMs };
-    board.onOffer("tables", offer, atMs);
+    board.onProbeResponse("tables", offer, atMs);
 }
 
 function expectAsk(step: SearchStep): readonly string[] {
@@ -138,7 +138,7 @@
     const only = createServer("a");
     tell(board, "a", idle, 0);
     for (let nowMs = 20; nowMs <= 1_000; nowMs += 20) {
-        board.onLoad("tables", only, idle, nowMs);
+        board.onLoadReport("tables", only, idle, nowMs);
     }
     assert.deepEqual(expectAsk(search(board, { arrivedAtMs: 1_005 }).step(look(1_005, [only]))), ["a"]);
     const lastLook = search(board, { arrivedAtMs: 900 });
@@ -181,7 +181,7 @@
     }
     const nearlyFull = { ...idle, running: 5 };
     const place = (rank: number): string => {
-        const request = search(board, { rank, arrivedAtMs: 1_000 });
+        const request = search(board, { priority: rank, arrivedAtMs: 1_000 });
         const asked = request.step(look(1_000, only));
         if (asked.type === "ask") {
             tell(board, "a", nearlyFull, 1_000);
@@ -198,7 +198,7 @@
         board.onRequest("tables", 2, i * 10);
     }
     const only = [createServer("a")];
-    const request = search(board, { rank: 2, arrivedAtMs: 1_000 });
+    const request = search(board, { priority: 2, arrivedAtMs: 1_000 });
     expectAsk(request.step(look(1_000, only)));
     tell(board, "a", { ...idle, running: 5 }, 1_000);
     assert.equal(request.step(look(1_005, only)).type, "send");
--- a/packages/placement/src/__tests__/shapes.test.ts
+++ b/packages/placement/src/__tests__/serverShapes.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ReplayFleet, type ReplayInput, type UsualShape, usualShape } from "./support/replay.js";
+import { ReplayFleet, type ReplayInput, type TestServerShape, defaultShape } from "./support/replay.js";
 
 /** Work of a replay, so that each shape is replayed for about as many requests. */
 const replayedWorks = 80;
@@ -12,7 +12,7 @@
 interface Case {
     readonly what: string;
     readonly servers: number;
-    readonly shape: Partial<UsualShape>;
+    readonly shape: Partial<TestServerShape>;
 }
 
 const cases: readonly Case[] = [
@@ -32,7 +32,7 @@
 ];
 
 function createInput({ servers, shape }: Case): ReplayInput {
-    const { slots, workMs, slowShare, slowFactor } = { ...usualShape, ...shape };
+    const { slots, workMs, slowShare, slowFactor } = { ...defaultShape, ...shape };
     const perSlot = (1 - slowShare + slowShare / slowFactor) / workMs * 1_000;
     const perSecond = servers * slots * perSlot * loadShare;
     return { seed: 11, gateways: 15, servers, forMs: replayedWorks * workMs, load: () => perSecond, shape };
@@ -49,7 +49,7 @@
         const share = deciding.shareInTime(0, toMs);
         const without = blind.shareInTime(0, toMs);
         assert.ok(share > without - tolerance, `${share} against ${without}`);
-        if ((each.shape.slowFactor ?? usualShape.slowFactor) > 2 && each.shape.slowShare !== 0) {
+        if ((each.shape.slowFactor ?? defaultShape.slowFactor) > 2 && each.shape.slowShare !== 0) {
             assert.ok(share > without + tolerance, `${share} against ${without}`);
         }
     });
--- a/packages/placement/src/__tests__/startAdmission.test.ts
+++ b/packages/placement/src/__tests__/startupAdmission.test.ts
@@ -2,20 +2,20 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { admitAtStart, type StartAdmissionInput } from "../index.js";
+import { admitDuringStartup, type StartupAdmissionInput } from "../index.js";
 
-const usual: StartAdmissionInput = { readFailed: false, held: 0, sinceStartMs: 100, patienceMs: 4_000 };
+const usual: StartupAdmissionInput = { readFailed: false, held: 0, sinceStartMs: 100, patienceMs: 4_000 };
 const powerCut = new URL("../../../replay/scenarios/fleet-power-cut.yaml", import.meta.url);
 
 test("a request is held for the reading that is under way, for a part of its caller's patience at most", () => {
-    assert.deepEqual(admitAtStart(usual), { type: "hold", forMs: 900 });
-    assert.deepEqual(admitAtStart({ ...usual, patienceMs: 1_000 }), { type: "hold", forMs: 250 });
-    assert.deepEqual(admitAtStart({ ...usual, patienceMs: undefined }), { type: "hold", forMs: 900 });
+    assert.deepEqual(admitDuringStartup(usual), { type: "hold", forMs: 900 });
+    assert.deepEqual(admitDuringStartup({ ...usual, patienceMs: 1_000 }), { type: "hold", forMs: 250 });
+    assert.deepEqual(admitDuringStartup({ ...usual, patienceMs: undefined }), { type: "hold", forMs: 900 });
 });
 
 test("it is refused at once where the reading failed, takes too long, or too many are held", () => {
     for (const change of [{ readFailed: true }, { sinceStartMs: 1_000 }, { held: 200 }]) {
-        assert.deepEqual(admitAtStart({ ...usual, ...change }), { type: "refuse" });
+        assert.deepEqual(admitDuringStartup({ ...usual, ...change }), { type: "refuse" });
     }
 });
 
--- a/packages/placement/src/__tests__/startTurns.test.ts
+++ b/packages/placement/src/__tests__/startupQueue.test.ts
@@ -2,29 +2,35 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { mostInTurnAtStart, startTurnsMs } from "../constants.js";
-import { type StartRequest, StartTurns } from "../startTurns.js";
+import { maxStartupSearches, startupQueueMs } from "../constants.js";
+import { type StartupRequest, StartupQueue } from "../startupQueue.js";
 
-const request: StartRequest = { arrivedAtMs: 0, objectiveMs: 300, patienceMs: 2_000, kind: "lookup", typicalMs: 100 };
+const request: StartupRequest = {
+    arrivedAtMs: 0,
+    objectiveMs: 300,
+    patienceMs: 2_000,
+    route: "lookup",
+    typicalLatencyMs: 100,
+};
 /** Its caller waited for longer than the objective before it came. */
-const lateRequest: StartRequest = { ...request, patienceMs: 1_200 };
+const lateRequest: StartupRequest = { ...request, patienceMs: 1_200 };
 
-function takeItems(turns: StartTurns<string>, nowMs: number): readonly string[] {
-    return turns.take(nowMs).map(({ item }) => item);
+function takeItems(turns: StartupQueue<string>, nowMs: number): readonly string[] {
+    return turns.takeReady(nowMs).map(({ item }) => item);
 }
 
 // Placed in the order in which they came, requests that are late already would take the time and the servers of those that are not.
 test("whoever can still be in time goes first, the newest of them first, and few at once", () => {
-    const turns = new StartTurns<string>(0);
-    turns.add(lateRequest, "late 1");
-    turns.add(lateRequest, "late 2");
-    for (let i = 0; i < mostInTurnAtStart + 1; i++) {
-        turns.add({ ...request, arrivedAtMs: i }, `${i}`);
+    const turns = new StartupQueue<string>(0);
+    turns.enqueue(lateRequest, "late 1");
+    turns.enqueue(lateRequest, "late 2");
+    for (let i = 0; i < maxStartupSearches + 1; i++) {
+        turns.enqueue({ ...request, arrivedAtMs: i }, `${i}`);
     }
-    const newest = Array.from({ length: mostInTurnAtStart }, (_, i) => `${mostInTurnAtStart - i}`);
+    const newest = Array.from({ length: maxStartupSearches }, (_, i) => `${maxStartupSearches - i}`);
     assert.deepEqual(takeItems(turns, 10), newest);
     turns.onSent(newest[0] ?? "");
-    assert.deepEqual(turns.take(10), [{ item: "0", untilEnd: false }, { item: "late 1", untilEnd: true }]);
+    assert.deepEqual(turns.takeReady(10), [{ item: "0", untilEnd: false }, { item: "late 1", untilEnd: true }]);
     turns.onSent("late 1");
     assert.deepEqual(takeItems(turns, 10), [], "a late one keeps its turn until it ends");
     turns.onEnded("late 1");
@@ -33,22 +39,22 @@
 
 // A turn that is never given back, or one that never comes, would hold requests until their callers leave.
 test("at the end of the first seconds everybody's turn has come, and a request that left is passed over", () => {
-    const turns = new StartTurns<string>(0);
+    const turns = new StartupQueue<string>(0);
     for (const item of ["a", "b", "c", "d"]) {
-        turns.add(lateRequest, item);
+        turns.enqueue(lateRequest, item);
     }
-    turns.add(request, "in time");
+    turns.enqueue(request, "in time");
     assert.deepEqual(takeItems(turns, 10), ["in time", "a"]);
-    turns.leave("c");
-    assert.deepEqual(takeItems(turns, startTurnsMs), ["b", "d"]);
+    turns.remove("c");
+    assert.deepEqual(takeItems(turns, startupQueueMs), ["b", "d"]);
 });
 
 // A caller that is merely less patient than others of its route must not be taken for one that waited.
 test("patience says that a caller waited only of those that come with the first ones", () => {
-    const turns = new StartTurns<string>(0);
-    turns.add(request, "first");
-    turns.add({ ...lateRequest, arrivedAtMs: 1_000 }, "impatient");
-    assert.deepEqual(turns.take(1_000)[0], { item: "impatient", untilEnd: false });
+    const turns = new StartupQueue<string>(0);
+    turns.enqueue(request, "first");
+    turns.enqueue({ ...lateRequest, arrivedAtMs: 1_000 }, "impatient");
+    assert.deepEqual(turns.takeReady(1_000)[0], { item: "impatient", untilEnd: false });
 });
 
 const stopAll = new URL("../../../replay/scenarios/fleet-stop-all.yaml", import.meta.url);
--- a/packages/placement/src/__tests__/loadMemory.test.ts
+++ b/packages/placement/src/__tests__/statusCache.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { createRandomSource } from "@galenaglade/routing";
-import { countToAsk, GoodChances, LoadMemory, type ServerOffer } from "../index.js";
+import { chooseProbeCount, GoodChanceEstimator, StatusCache, type ServerStatus } from "../index.js";
 
-function createOffer(serverId: string, slowdown = 1): ServerOffer {
+function createOffer(serverId: string, slowdown = 1): ServerStatus {
     return {
         serverId,
         availabilityZone: "north",
@@ -15,20 +15,20 @@
 }
 
 test("one question is enough where a server is nearly surely good, four are the most where hardly any is", () => {
-    assert.equal(countToAsk([0.95, 0.75, 0.75]), 1);
-    assert.equal(countToAsk([0.75, 0.75, 0.75, 0.75]), 2);
-    assert.equal(countToAsk([0.3, 0.3, 0.3, 0.3, 0.3, 0.3]), 4);
-    assert.equal(countToAsk([0.2]), 1);
-    assert.equal(countToAsk([]), 0);
+    assert.equal(chooseProbeCount([0.95, 0.75, 0.75]), 1);
+    assert.equal(chooseProbeCount([0.75, 0.75, 0.75, 0.75]), 2);
+    assert.equal(chooseProbeCount([0.3, 0.3, 0.3, 0.3, 0.3, 0.3]), 4);
+    assert.equal(chooseProbeCount([0.2]), 1);
+    assert.equal(chooseProbeCount([]), 0);
 });
 
 test("what came late doesn't replace what is newer, and a server that is gone is forgotten", () => {
-    const memory = new LoadMemory();
-    memory.onOffer(createOffer("a", 1), true, 100, true);
-    memory.onOffer(createOffer("a", 4), false, 60, true);
-    assert.equal(memory.recall("a")?.offer.load?.slowdown, 1);
+    const memory = new StatusCache();
+    memory.onStatus(createOffer("a", 1), true, 100, true);
+    memory.onStatus(createOffer("a", 4), false, 60, true);
+    assert.equal(memory.get("a")?.status.load?.slowdown, 1);
     memory.retain(new Set(["b"]));
-    assert.equal(memory.recall("a"), undefined);
+    assert.equal(memory.get("a"), undefined);
 });
 
 // Noise that lasts 20 ms makes a look worthless after that; noise that lasts seconds makes it worth much for long. The same
@@ -36,23 +36,25 @@
 test("how long a look is worth something is learnt, for fast and for slow noise", () => {
     const chanceAfter = (noiseMs: number, ageMs: number): number => {
         const random = createRandomSource(3);
-        const chances = new GoodChances();
+        const chances = new GoodChanceEstimator();
         for (let i = 0; i < 4_000; i++) {
             const seenAgeMs = random.next() * 400;
             const wasGood = random.next() < 0.7;
             const changed = random.next() > Math.exp(-seenAgeMs / noiseMs);
             const isGood = changed ? random.next() < 0.7 : wasGood;
-            chances.onLook(isGood, { wasGood, ageMs: seenAgeMs });
+            chances.onObservation(isGood, { wasGood, ageMs: seenAgeMs });
         }
-        return chances.of({ wasGood: true, ageMs });
+        return chances.goodChanceOf({ wasGood: true, ageMs });
     };
     assert.ok(chanceAfter(20, 200) < 0.8, `${chanceAfter(20, 200)} for fast noise`);
     assert.ok(chanceAfter(5_000, 200) > 0.9, `${chanceAfter(5_000, 200)} for slow noise`);
 });
 
 test("before anything was seen a look is worth nearly everything at once and nothing in the end", () => {
-    const chances = new GoodChances();
-    assert.ok(chances.of({ wasGood: true, ageMs: 5 }) > 0.9);
-    assert.ok(chances.of({ wasGood: false, ageMs: 5 }) < 0.2);
-    assert.ok(Math.abs(chances.of({ wasGood: true, ageMs: 60_000 }) - chances.of(undefined)) < 0.15);
+    const chances = new GoodChanceEstimator();
+    assert.ok(chances.goodChanceOf({ wasGood: true, ageMs: 5 }) > 0.9);
+    assert.ok(chances.goodChanceOf({ wasGood: false, ageMs: 5 }) < 0.2);
+    assert.ok(
+        Math.abs(chances.goodChanceOf({ wasGood: true, ageMs: 60_000 }) - chances.goodChanceOf(undefined)) < 0.15,
+    );
 });
--- a/packages/placement/src/__tests__/support/replay.ts
+++ b/packages/placement/src/__tests__/support/replay.ts
@@ -9,7 +9,7 @@
 import { type RandomSource } from "@galenaglade/routing";
 
 /** What a test's servers are like. */
-export interface UsualShape {
+export interface TestServerShape {
     readonly slots: number;
     /** Usual time of the work in milliseconds. */
     readonly workMs: number;
@@ -19,13 +19,13 @@
     readonly shiftMs: number;
 }
 
-export const usualShape: UsualShape = { slots: 3, workMs: 160, slowShare: 0.25, slowFactor: 4, shiftMs: 300 };
+export const defaultShape: TestServerShape = { slots: 3, workMs: 160, slowShare: 0.25, slowFactor: 4, shiftMs: 300 };
 
 /** Objective and patience of callers, as multiples of the work. */
 const objectiveFactor = 2.5;
 const patienceFactor = 12.5;
-export const objectiveMs = usualShape.workMs * objectiveFactor;
-export const patienceMs = usualShape.workMs * patienceFactor;
+export const objectiveMs = defaultShape.workMs * objectiveFactor;
+export const patienceMs = defaultShape.workMs * patienceFactor;
 const zones = ["north", "middle", "south"];
 /** Requests that wait at a server, at most, for each of its slots. */
 const queuedPerSlot = 2;
@@ -42,7 +42,7 @@
     readonly servers: number;
     readonly forMs: number;
     /** What the servers are like; by default three slots, and a fourth of them slow at any moment. */
-    readonly shape?: Partial<UsualShape>;
+    readonly shape?: Partial<TestServerShape>;
     /** Requests a second at a time. */
     readonly load: (nowMs: number) => number;
     /** Share of the callers who repeat at once and often. */
@@ -50,7 +50,7 @@
     /** How long a caller waits; by default two seconds. */
     readonly resolvePatienceMs?: (random: RandomSource, nowMs: number) => number;
     /** Rank of the next request; by default all are alike. */
-    readonly resolveRank?: (random: RandomSource) => number;
+    readonly resolvePriority?: (random: RandomSource) => number;
     /** Called before each step, to change what the load is about. */
     readonly onStep?: (fleet: ReplayFleet, nowMs: number) => void;
     /** Sends to any server at once and never refuses, in place of the decisions: what a gain is measured against. */
@@ -64,12 +64,12 @@
     readonly #fleet: FleetReplay;
 
     constructor(input: ReplayInput) {
-        const { load, resolvePatienceMs, resolveRank, onStep, impatientShare = 0 } = input;
+        const { load, resolvePatienceMs, resolvePriority, onStep, impatientShare = 0 } = input;
         this.#fleet = new FleetReplay(createScenario(input), {
             crowd: {
                 rateFactor: load,
                 ...resolvePatienceMs === undefined ? {} : { resolvePatienceMs },
-                ...resolveRank === undefined ? {} : { resolvePriority: resolveRank },
+                ...resolvePriority === undefined ? {} : { resolvePriority },
             },
             onTick: { everyMs: stepMs, run: (_, nowMs) => onStep?.(this, nowMs) },
         });
@@ -90,7 +90,7 @@
     }
 
     /** Arrivals at servers beyond the first of each try. */
-    get repeated(): number {
+    get repeatedArrivals(): number {
         return this.#fleet.gateways.reduce((sum, { repeatedArrivals }) => sum + repeatedArrivals, 0);
     }
 
@@ -127,7 +127,7 @@
 }
 
 function createScenario({ seed, gateways, servers, forMs, shape, blind = false }: ReplayInput): Scenario {
-    const own = { ...usualShape, ...shape };
+    const own = { ...defaultShape, ...shape };
     return {
         name: "load",
         seed,
@@ -161,7 +161,7 @@
     };
 }
 
-function createShape({ slots, slowShare, slowFactor, shiftMs }: UsualShape): ServerShape {
+function createShape({ slots, slowShare, slowFactor, shiftMs }: TestServerShape): ServerShape {
     return {
         slots,
         queue: slots * queuedPerSlot,
--- a/packages/placement/src/serverLimits.ts
+++ b/packages/placement/src/advertisedLimits.ts
@@ -1,19 +1,19 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 
 /** What an answer of a backend server says of the requests a second that it takes from all gateways together. */
-export type NamedLimit =
+export type ParsedLimit =
     | { readonly type: "none"; }
     | { readonly type: "named"; readonly perSecond: number; }
     /** Something that is no limit; it says nothing. */
     | { readonly type: "malformed"; readonly text: string; };
 
 /** What this gateway believes of one server's limit. */
-export interface ServerLimit {
+export interface AdvertisedLimit {
     readonly perSecond: number;
     /** When the server first named one to this gateway, without an end since. */
     readonly sinceMs: number;
     /** When it last did. */
-    readonly heardAtMs: number;
+    readonly lastAdvertisedAtMs: number;
 }
 
 /** What a server answered as it named a limit, or none. */
@@ -24,18 +24,18 @@
 }
 
 /** A change of what is believed of a server's limit, for the log. */
-export type LimitChange =
+export type AdvertisedLimitChange =
     | { readonly type: "named" | "changed"; readonly perSecond: number; readonly before: number | undefined; }
     | { readonly type: "ended"; readonly before: number; readonly heldMs: number; };
 
-interface KnownLimit extends ServerLimit {
+interface KnownLimit extends AdvertisedLimit {
     readonly startedAtEpochMs: number | undefined;
     /** Answers to what have named it: a service may do so in one kind only. */
     readonly namedIn: ReadonlySet<LimitSource["answered"]>;
 }
 
 /** The limits that backend servers have named, as this gateway heard them. */
-export class ServerLimits {
+export class AdvertisedLimits {
     readonly #limits = new Map<string, KnownLimit>();
 
     /**
@@ -47,13 +47,20 @@
      * @param nowMs - the present time
      * @returns what is believed otherwise now
      */
-    onAnswer(server: RegisteredServer, limit: NamedLimit, source: LimitSource, nowMs: number): LimitChange | undefined {
+    onResponse(
+        server: RegisteredServer,
+        limit: ParsedLimit,
+        source: LimitSource,
+        nowMs: number,
+    ): AdvertisedLimitChange | undefined {
         const known = this.#find(server);
         if (limit.type === "malformed") {
             return undefined;
         }
         if (limit.type === "none") {
-            if (known === undefined || source.sentAtMs < known.heardAtMs || !known.namedIn.has(source.answered)) {
+            if (
+                known === undefined || source.sentAtMs < known.lastAdvertisedAtMs || !known.namedIn.has(source.answered)
+            ) {
                 return undefined;
             }
             this.#limits.delete(server.id);
@@ -63,7 +70,7 @@
         this.#limits.set(server.id, {
             perSecond,
             sinceMs: known?.sinceMs ?? nowMs,
-            heardAtMs: nowMs,
+            lastAdvertisedAtMs: nowMs,
             startedAtEpochMs: server.startedAtEpochMs,
             namedIn: new Set([...known?.namedIn ?? [], source.answered]),
         });
@@ -74,7 +81,7 @@
     }
 
     /** @returns a server's limit; one that was started again under its id has named none yet */
-    of(server: RegisteredServer): ServerLimit | undefined {
+    of(server: RegisteredServer): AdvertisedLimit | undefined {
         return this.#find(server);
     }
 
--- a/packages/placement/src/choosePlacement.ts
+++ b/packages/placement/src/choosePlacement.ts
@@ -1,4 +1,4 @@
-import { leastTimeShare } from "./constants.js";
+import { minRemainingTimeShare } from "./constants.js";
 import { defaultPlacementPolicy, type PlacementPolicy } from "./policy.js";
 import { isGood, type ServerScore } from "./serverScore.js";
 
@@ -15,15 +15,15 @@
 export interface PlacementInput {
     /** The servers that may be sent to, scored. */
     readonly scores: readonly ServerScore[];
-    readonly hasUnasked: boolean;
+    readonly hasUnprobed: boolean;
     /** Whether there is someone to ask, but no question left for the moment. */
-    readonly mayAskLater: boolean;
+    readonly mayProbeLater: boolean;
     /** Since the request arrived. */
     readonly waitedMs: number;
     readonly objectiveMs: number;
     /** Until its caller or its route gives up. */
     readonly remainingMs: number;
-    readonly typicalMs: number;
+    readonly typicalLatencyMs: number;
 }
 
 /**
@@ -41,18 +41,18 @@
     input: PlacementInput,
     policy: PlacementPolicy = defaultPlacementPolicy,
 ): PlacementDecision {
-    const { scores, remainingMs, typicalMs, waitedMs, objectiveMs } = input;
-    if (remainingMs < typicalMs * leastTimeShare) {
+    const { scores, remainingMs, typicalLatencyMs, waitedMs, objectiveMs } = input;
+    if (remainingMs < typicalLatencyMs * minRemainingTimeShare) {
         return { type: "refuse", reason: "tooLate" };
     }
     const best = findBest(scores);
     if (best !== undefined && isGood(best, policy)) {
         return { type: "send", score: best, reason: "good" };
     }
-    if (input.hasUnasked) {
+    if (input.hasUnprobed) {
         return { type: "widen" };
     }
-    if (best !== undefined && best.free && waitedMs + best.expectedMs <= objectiveMs) {
+    if (best !== undefined && best.hasFreeSlot && waitedMs + best.expectedLatencyMs <= objectiveMs) {
         return { type: "send", score: best, reason: "inTime" };
     }
     if (waitedMs < objectiveMs * policy.waitShare) {
@@ -60,7 +60,7 @@
     }
     if (best === undefined) {
         // Nothing is known of the servers: refused for want of a question, requests would be lost while there is room.
-        return input.mayAskLater && waitedMs + typicalMs < objectiveMs
+        return input.mayProbeLater && waitedMs + typicalLatencyMs < objectiveMs
             ? { type: "wait" }
             : { type: "refuse", reason: "noOffer" };
     }
@@ -71,8 +71,8 @@
 }
 
 /** An idle server is never passed over, however slow: the request takes nothing from others there. */
-function isBearable({ free, idle, factor }: ServerScore, { tooSlowFactor }: PlacementPolicy): boolean {
-    return free && (idle || factor < tooSlowFactor);
+function isBearable({ hasFreeSlot, isIdle, latencyFactor }: ServerScore, { tooSlowFactor }: PlacementPolicy): boolean {
+    return hasFreeSlot && (isIdle || latencyFactor < tooSlowFactor);
 }
 
 function findBest(scores: readonly ServerScore[]): ServerScore | undefined {
@@ -87,5 +87,6 @@
 
 /** Among equals the least filled one: taken in the order of a list, the same server would be everybody's choice. */
 function isBetter(a: ServerScore, b: ServerScore): boolean {
-    return a.expectedMs < b.expectedMs || (a.expectedMs === b.expectedMs && a.fill < b.fill);
+    return a.expectedLatencyMs < b.expectedLatencyMs
+        || (a.expectedLatencyMs === b.expectedLatencyMs && a.utilization < b.utilization);
 }
--- a/packages/placement/src/coldAdmission.ts
+++ b/packages/placement/src/coldServerAdmission.ts
@@ -1,14 +1,14 @@
 import { findOwners } from "@galenaglade/fleet-state";
-import { coldOwners, coldShare, ownershipMs } from "./constants.js";
+import { coldServerOwners, coldRateShare, ownershipValidityMs } from "./constants.js";
 
 /** What decides whether a cold server may be sent to. */
-export interface ColdInput {
+export interface ColdAdmissionInput {
     readonly serverId: string;
     /** Requests a second that the server bears from all gateways together. */
     readonly requestsPerSecond: number;
     readonly gateways: readonly string[];
     /** Since the store last answered this gateway. */
-    readonly sinceContactMs: number;
+    readonly sinceStoreContactMs: number;
     readonly nowMs: number;
 }
 
@@ -18,7 +18,7 @@
  * over. Two gateways own each server, each with half of the rate and no savings beyond one request. While two rosters
  * differ, three may own it, which stays below the bound too.
  */
-export class ColdAdmission {
+export class ColdServerAdmission {
     readonly #name: string;
     readonly #nextAtMs = new Map<string, number>();
 
@@ -28,19 +28,19 @@
     }
 
     /** @returns whether this gateway may send to the cold server now */
-    mayTake(input: ColdInput): boolean {
-        if (input.requestsPerSecond <= 0 || input.sinceContactMs > ownershipMs) {
+    maySend(input: ColdAdmissionInput): boolean {
+        if (input.requestsPerSecond <= 0 || input.sinceStoreContactMs > ownershipValidityMs) {
             return false;
         }
         if (input.nowMs < (this.#nextAtMs.get(input.serverId) ?? -Infinity)) {
             return false;
         }
-        return findOwners(input.serverId, input.gateways, coldOwners).includes(this.#name);
+        return findOwners(input.serverId, input.gateways, coldServerOwners).includes(this.#name);
     }
 
     /** A request goes to the cold server. */
-    onSend({ serverId, requestsPerSecond, nowMs }: ColdInput): void {
-        this.#nextAtMs.set(serverId, nowMs + 1_000 * coldOwners / (requestsPerSecond * coldShare));
+    onSend({ serverId, requestsPerSecond, nowMs }: ColdAdmissionInput): void {
+        this.#nextAtMs.set(serverId, nowMs + 1_000 * coldServerOwners / (requestsPerSecond * coldRateShare));
     }
 
     /** Forgets servers that are no longer there. */
--- a/packages/placement/src/destination.ts
+++ b/packages/placement/src/destination.ts
@@ -9,7 +9,7 @@
  * @param random - draws
  * @returns the service's name, or `undefined` where no weight is above zero
  */
-export function drawDestination(route: Route, random: RandomSource): string | undefined {
+export function pickDestination(route: Route, random: RandomSource): string | undefined {
     let total = 0;
     for (const { weight } of route.destinations) {
         total += weight;
--- a/packages/placement/src/goodChances.ts
+++ b/packages/placement/src/goodChanceEstimator.ts
@@ -1,7 +1,7 @@
-import { initialGoodShare, leastLearningWeight, priorSamples } from "./constants.js";
+import { initialGoodShare, minSampleWeight, priorSamples } from "./constants.js";
 
 /** What was seen of a server before it was looked at again. */
-export interface EarlierLook {
+export interface PreviousObservation {
     readonly wasGood: boolean;
     readonly ageMs: number;
 }
@@ -27,7 +27,7 @@
  * How likely a backend server is good now, by what was last seen of it and how long ago. How long a figure stays true
  * differs from service to service and from hour to hour, so it is learnt from pairs of looks at the same server.
  */
-export class GoodChances {
+export class GoodChanceEstimator {
     readonly #bands: readonly AgeBand[] = initialBands.map(({ belowMs, afterGood, afterPoor }) => ({
         belowMs,
         afterGood: new LearntShare(afterGood),
@@ -36,7 +36,7 @@
     readonly #unseen = new LearntShare(initialGoodShare);
 
     /** A server was looked at. @param before - the look before, where there was one */
-    onLook(isGood: boolean, before: EarlierLook | undefined): void {
+    onObservation(isGood: boolean, before: PreviousObservation | undefined): void {
         this.#unseen.learn(isGood);
         if (before !== undefined) {
             this.#share(before)?.learn(isGood);
@@ -44,12 +44,12 @@
     }
 
     /** @returns the chance that a server is good, from 0 to 1 */
-    of(before: EarlierLook | undefined): number {
+    goodChanceOf(before: PreviousObservation | undefined): number {
         const share = before === undefined ? this.#unseen : this.#share(before);
         return (share ?? this.#unseen).value;
     }
 
-    #share({ wasGood, ageMs }: EarlierLook): LearntShare | undefined {
+    #share({ wasGood, ageMs }: PreviousObservation): LearntShare | undefined {
         for (const band of this.#bands) {
             if (ageMs < band.belowMs) {
                 return wasGood ? band.afterGood : band.afterPoor;
@@ -74,7 +74,7 @@
 
     learn(isGood: boolean): void {
         this.#samples++;
-        const weight = Math.max(leastLearningWeight, 1 / this.#samples);
+        const weight = Math.max(minSampleWeight, 1 / this.#samples);
         this.#value += ((isGood ? 1 : 0) - this.#value) * weight;
     }
 }
--- a/packages/placement/src/limitAdmission.ts
+++ b/packages/placement/src/limitAdmission.ts
@@ -1,20 +1,20 @@
 import { RendezvousRanks } from "@galenaglade/fleet-state";
 import {
-    leastLimitOwners,
-    leastLimitPerSecond,
+    minLimitOwners,
+    minLimitPerSecond,
     limitRecheckShare,
-    limitOwnerPerSecond,
-    limitShare,
-    mostLimitOwners,
+    minPerSecondPerLimitOwner,
+    ownerLimitShare,
+    maxLimitOwners,
 } from "./constants.js";
-import { type ServerLimit } from "./serverLimits.js";
+import { type AdvertisedLimit } from "./advertisedLimits.js";
 
 /** What decides whether a server that named a limit may be sent to. */
-export interface LimitInput {
+export interface LimitAdmissionInput {
     readonly serverId: string;
     /** Of the server. */
     readonly availabilityZone: string;
-    readonly limit: ServerLimit;
+    readonly limit: AdvertisedLimit;
     /** Gateways that count; the same array while they are the same. */
     readonly gateways: readonly string[];
     /** Those of this gateway's own zone. */
@@ -57,7 +57,7 @@
     }
 
     /** @returns how long this gateway must wait until it may send to the server, in milliseconds; 0 where it may now */
-    waitMs(input: LimitInput): number {
+    waitMs(input: LimitAdmissionInput): number {
         const { serverId, limit, nowMs } = input;
         const { intervalMs, firstAfterMs } = this.#partOf(input);
         const sentAtMs = this.#sentAtMs.get(serverId) ?? -Infinity;
@@ -81,13 +81,13 @@
         }
     }
 
-    #partOf(input: LimitInput): LimitPart {
-        const perSecond = Math.max(leastLimitPerSecond, input.limit.perSecond);
-        const wanted = Math.ceil(perSecond * limitShare / limitOwnerPerSecond);
+    #partOf(input: LimitAdmissionInput): LimitPart {
+        const perSecond = Math.max(minLimitPerSecond, input.limit.perSecond);
+        const wanted = Math.ceil(perSecond * ownerLimitShare / minPerSecondPerLimitOwner);
         const gateways = Math.max(1, input.gateways.length);
-        const owners = Math.min(gateways, mostLimitOwners, Math.max(leastLimitOwners, wanted));
+        const owners = Math.min(gateways, maxLimitOwners, Math.max(minLimitOwners, wanted));
         if (this.#isOwner(input, owners)) {
-            const intervalMs = oneSecondMs * owners / (perSecond * limitShare);
+            const intervalMs = oneSecondMs * owners / (perSecond * ownerLimitShare);
             return { intervalMs, firstAfterMs: intervalMs };
         }
         const intervalMs = oneSecondMs * gateways / (perSecond * limitRecheckShare);
@@ -96,7 +96,7 @@
         return { intervalMs, firstAfterMs: intervalMs * (0.5 + this.#fleetRanks.rankOf(input.serverId) / gateways) };
     }
 
-    #isOwner({ serverId, availabilityZone, ...input }: LimitInput, owners: number): boolean {
+    #isOwner({ serverId, availabilityZone, ...input }: LimitAdmissionInput, owners: number): boolean {
         if (input.serverZoneGateways.length < owners) {
             this.#fleetRanks.update(input.gateways);
             return this.#fleetRanks.rankOf(serverId) < owners;
--- a/packages/placement/src/rankMix.ts
+++ b/packages/placement/src/priorityMix.ts
@@ -1,4 +1,4 @@
-import { mixMemoryMs, mostReservedShare } from "./constants.js";
+import { arrivalDecayMs, maxReservedShare } from "./constants.js";
 
 interface RecentArrivals {
     count: number;
@@ -10,7 +10,7 @@
  * urgent requests leave as many of each server's slots as the more urgent ones need; without that all ranks are turned away
  * alike, and what is worth most to callers goes under with what is worth least.
  */
-export class RankMix {
+export class PriorityMix {
     /** Arrivals by service and rank. */
     readonly #arrivals = new Map<string, Map<number, RecentArrivals>>();
 
@@ -33,10 +33,10 @@
             all += count;
             moreUrgent += other < rank ? count : 0;
         }
-        return all === 0 ? 0 : Math.round(slots * Math.min(mostReservedShare, moreUrgent / all));
+        return all === 0 ? 0 : Math.round(slots * Math.min(maxReservedShare, moreUrgent / all));
     }
 }
 
 function fade({ count, atMs }: RecentArrivals, nowMs: number): number {
-    return count * Math.exp((atMs - nowMs) / mixMemoryMs);
+    return count * Math.exp((atMs - nowMs) / arrivalDecayMs);
 }
--- a/packages/placement/src/serviceProbes.ts
+++ b/packages/placement/src/probeAssignments.ts
@@ -1,10 +1,10 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type PlacementPolicy } from "./policy.js";
 import { ProbeGroups, type ProbeShare, type ProbingFleet } from "./probeGroups.js";
-import { dealProbingZones, type ProbingZone } from "./probingZones.js";
+import { assignProbingZones, type ProbingZone } from "./probingZones.js";
 
 /** What service probes are made with. */
-export interface ServiceProbesParts {
+export interface ProbeAssignmentsDeps {
     /** Name of this gateway, as in its registration. */
     readonly name: string;
     /** The gateway's own. */
@@ -22,13 +22,13 @@
 }
 
 /** What one gateway may ask of the servers of each service: by the group of gateways of the zone that it probes first. */
-export class ServiceProbes {
-    readonly #parts: ServiceProbesParts;
+export class ProbeAssignments {
+    readonly #parts: ProbeAssignmentsDeps;
     /** By service and zone: gateways are dealt anew for each service, and ranks are kept up by differences. */
     readonly #groups = new Map<string, ProbeGroups>();
     readonly #zones = new Map<string, KnownZone>();
 
-    constructor(parts: ServiceProbesParts) {
+    constructor(parts: ProbeAssignmentsDeps) {
         this.#parts = parts;
     }
 
@@ -38,7 +38,7 @@
      * @param fleet - the gateways that share the allowance
      * @returns this gateway's part in probing them
      */
-    of(service: string, usable: readonly RegisteredServer[], fleet: ProbingFleet): ProbeParts {
+    of(service: string, usable: readonly RegisteredServer[], fleet: ProbingFleet): ProbeAssignment {
         const zone = this.#zoneOf(service, usable, fleet);
         const groups = this.#groupsOf(service, zone.availabilityZone);
         groups.update({ gateways: fleet.gateways, zoneGateways: zone.gateways });
@@ -72,7 +72,7 @@
         if (known !== undefined && known.fleet === gatewaysByZone && known.servers === servers) {
             return known.zone;
         }
-        const dealt = dealProbingZones({ gatewaysByZone, serversByZone });
+        const dealt = assignProbingZones({ gatewaysByZone, serversByZone });
         const zone = dealt.find(({ gateways }) => gateways.includes(name)) ?? own;
         this.#zones.set(service, { fleet: gatewaysByZone, servers, zone });
         return zone;
@@ -89,7 +89,7 @@
 }
 
 /** One gateway's part in probing the servers of one service. */
-export interface ProbeParts {
+export interface ProbeAssignment {
     /** Whether it probes a server before others. */
     readonly isInGroup: (server: RegisteredServer) => boolean;
     /** Its part of the server's allowance. */
--- a/packages/placement/src/probeBudget.ts
+++ b/packages/placement/src/probeBudget.ts
@@ -4,12 +4,12 @@
 export type ProbePurpose = "arrival" | "waiting";
 
 /** What decides whom a request may probe. */
-export interface ProbeInput<Server> {
+export interface ProbeBudgetInput<Server> {
     /** Those that it would probe, first ones first. */
     readonly ordered: readonly Server[];
     readonly purpose: ProbePurpose;
     /** How many it would probe at once. */
-    readonly wanted: number;
+    readonly maxProbes: number;
     /** This gateway's part of a server's allowance. */
     readonly shareOf: (server: Server) => ProbeShare;
     readonly nowMs: number;
@@ -43,16 +43,16 @@
      * @param input - what decides
      * @returns the servers to probe, in their order
      */
-    take<Server extends { readonly id: string; }>(input: ProbeInput<Server>): readonly Server[] {
-        const { ordered, purpose, wanted, shareOf, nowMs } = input;
+    take<Server extends { readonly id: string; }>(input: ProbeBudgetInput<Server>): readonly Server[] {
+        const { ordered, purpose, maxProbes, shareOf, nowMs } = input;
         const chosen: Server[] = [];
         for (const server of ordered) {
-            if (chosen.length >= wanted) {
+            if (chosen.length >= maxProbes) {
                 break;
             }
             const share = shareOf(server);
             const probes = this.#probesOf(server.id, share, nowMs);
-            const kept = purpose === "waiting" ? Math.max(0, share.mostSaved - 1) / 2 : 0;
+            const kept = purpose === "waiting" ? Math.max(0, share.maxSavedProbes - 1) / 2 : 0;
             if (probes - 1 >= kept) {
                 this.#saved.set(server.id, { probes: probes - 1, atMs: nowMs });
                 chosen.push(server);
@@ -70,8 +70,8 @@
         }
     }
 
-    #probesOf(id: string, { perMs, mostSaved, savedAtStart }: ProbeShare, nowMs: number): number {
-        const { probes, atMs } = this.#saved.get(id) ?? { probes: savedAtStart, atMs: this.#startedAtMs };
-        return Math.min(mostSaved, probes + (nowMs - atMs) * perMs);
+    #probesOf(id: string, { probesPerMs, maxSavedProbes, initialProbes }: ProbeShare, nowMs: number): number {
+        const { probes, atMs } = this.#saved.get(id) ?? { probes: initialProbes, atMs: this.#startedAtMs };
+        return Math.min(maxSavedProbes, probes + (nowMs - atMs) * probesPerMs);
     }
 }
--- a/packages/placement/src/askCount.ts
+++ b/packages/placement/src/probeCount.ts
@@ -7,7 +7,7 @@
  * @param chances - of the servers in the order in which they would be asked, each from 0 to 1
  * @param policy - the chance wanted, and the most at once
  */
-export function countToAsk(
+export function chooseProbeCount(
     chances: readonly number[],
     { mostAskedAtOnce, wantedChance }: PlacementPolicy = defaultPlacementPolicy,
 ): number {
--- a/packages/placement/src/probeGroups.ts
+++ b/packages/placement/src/probeGroups.ts
@@ -2,10 +2,10 @@
 import {
     evenProbeShare,
     groupProbeShare,
-    mostGroupSize,
-    probeSavingsMs,
+    maxGroupGatewaysPerProbe,
+    probeBurstMs,
     reserveProbeShare,
-    reserveSize,
+    reserveGatewaysPerProbe,
 } from "./constants.js";
 import { type PlacementPolicy } from "./policy.js";
 
@@ -21,14 +21,14 @@
 
 /** What one gateway may ask of one backend server. */
 export interface ProbeShare {
-    readonly perMs: number;
+    readonly probesPerMs: number;
     /** Probes that may be saved up. */
-    readonly mostSaved: number;
+    readonly maxSavedProbes: number;
     /** Probes that a gateway has when it has just started. */
-    readonly savedAtStart: number;
+    readonly initialProbes: number;
 }
 
-const noShare: ProbeShare = Object.freeze({ perMs: 0, mostSaved: 0, savedAtStart: 0 });
+const noShare: ProbeShare = Object.freeze({ probesPerMs: 0, maxSavedProbes: 0, initialProbes: 0 });
 
 /**
  * Deals out each backend server's allowance of load probes among the gateways, and with it says which servers a gateway
@@ -98,7 +98,7 @@
         if (this.isInGroup(server, zoneServers)) {
             return this.#createShare(groupProbeShare, this.#groupSize(zoneServers));
         }
-        const reserve = Math.max(1, Math.floor(this.#perServerAndSecond * reserveSize));
+        const reserve = Math.max(1, Math.floor(this.#perServerAndSecond * reserveGatewaysPerProbe));
         return this.#fleetRanks.rankOf(server.id) < reserve
             ? this.#createShare(reserveProbeShare, reserve)
             : noShare;
@@ -113,8 +113,8 @@
     #createShare(share: number, gateways: number): ProbeShare {
         const perMs = this.#perServerAndSecond * share / gateways / 1_000;
         // At least one probe, or a gateway could never ask.
-        const mostSaved = Math.max(1, perMs * probeSavingsMs);
-        return { perMs, mostSaved, savedAtStart: mostSaved };
+        const mostSaved = Math.max(1, perMs * probeBurstMs);
+        return { probesPerMs: perMs, maxSavedProbes: mostSaved, initialProbes: mostSaved };
     }
 
     #groupSize(zoneServers: number): number {
@@ -125,6 +125,6 @@
 
     /** Each gateway may save one probe, and has one after a restart; with more of them that alone would be too much. */
     #mostInGroup(): number {
-        return Math.max(1, Math.floor(this.#perServerAndSecond * mostGroupSize));
+        return Math.max(1, Math.floor(this.#perServerAndSecond * maxGroupGatewaysPerProbe));
     }
 }
--- a/packages/placement/src/askOrder.ts
+++ b/packages/placement/src/probeOrder.ts
@@ -1,9 +1,9 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type RandomSource } from "@galenaglade/routing";
-import { otherSubsetPenalty, otherZonePenalty, spreadShare, suspectPenalty } from "./constants.js";
+import { otherSubsetPenalty, otherZonePenalty, probeOrderJitter, suspectPenalty } from "./constants.js";
 
 /** What decides whom to ask first. */
-export interface AskOrderInput {
+export interface ProbeOrderInput {
     /** Those that may be given work. */
     readonly servers: readonly RegisteredServer[];
     /** The gateway's own. */
@@ -12,7 +12,7 @@
     readonly isInSubset: (server: RegisteredServer) => boolean;
     readonly isSuspect: (serverId: string) => boolean;
     /** How likely a server is good now, from 0 to 1. */
-    readonly chanceOf: (serverId: string) => number;
+    readonly goodChanceOf: (serverId: string) => number;
     readonly random: RandomSource;
 }
 
@@ -23,18 +23,18 @@
  *
  * @param input - what decides
  */
-export function orderToAsk(input: AskOrderInput): readonly RegisteredServer[] {
-    const { servers, isSuspect, chanceOf, random } = input;
+export function orderForProbing(input: ProbeOrderInput): readonly RegisteredServer[] {
+    const { servers, isSuspect, goodChanceOf, random } = input;
     const keyed = servers.map(server => ({
         server,
         key: (isSuspect(server.id) ? suspectPenalty : 0) + resolveDistance(server, input)
-            - chanceOf(server.id) + spreadShare * random.next(),
+            - goodChanceOf(server.id) + probeOrderJitter * random.next(),
     }));
     keyed.sort((a, b) => a.key - b.key);
     return keyed.map(({ server }) => server);
 }
 
-function resolveDistance(server: RegisteredServer, { availabilityZone, isInSubset }: AskOrderInput): number {
+function resolveDistance(server: RegisteredServer, { availabilityZone, isInSubset }: ProbeOrderInput): number {
     if (isInSubset(server)) {
         return server.availabilityZone === availabilityZone ? 0 : otherSubsetPenalty;
     }
--- a/packages/placement/src/probingZones.ts
+++ b/packages/placement/src/probingZones.ts
@@ -1,5 +1,5 @@
 import { findOwners } from "@galenaglade/fleet-state";
-import { mostCrowding } from "./constants.js";
+import { maxFairShareFactor } from "./constants.js";
 
 /** The gateways with which one gateway shares the load probes of a service's servers, and where those servers are. */
 export interface ProbingZone {
@@ -10,7 +10,7 @@
 }
 
 /** A fleet by availability zone. */
-export interface ZonedFleet {
+export interface FleetByZone {
     readonly gatewaysByZone: ReadonlyMap<string, readonly string[]>;
     /** Servers of one service that may be given work. */
     readonly serversByZone: ReadonlyMap<string, number>;
@@ -28,7 +28,7 @@
  * @param fleet - gateways and a service's servers
  * @returns the zones, each with the gateways that probe its servers first
  */
-export function dealProbingZones({ gatewaysByZone, serversByZone }: ZonedFleet): readonly ProbingZone[] {
+export function assignProbingZones({ gatewaysByZone, serversByZone }: FleetByZone): readonly ProbingZone[] {
     const gateways = sum([...gatewaysByZone.values()].map(names => names.length));
     const servers = sum([...serversByZone.values()]);
     const zones = [...new Set([...gatewaysByZone.keys(), ...serversByZone.keys()])].sort();
@@ -36,7 +36,7 @@
     const dealt = zones.map(zone => {
         const own = gatewaysByZone.get(zone) ?? [];
         const fair = servers === 0 ? own.length : gateways * (serversByZone.get(zone) ?? 0) / servers;
-        const most = Math.ceil(fair * mostCrowding);
+        const most = Math.ceil(fair * maxFairShareFactor);
         const ranked = own.length > most ? findOwners("probing zone", own, own.length) : own;
         surplus.push(...ranked.slice(most));
         const kept = ranked.slice(0, most);
--- a/packages/placement/src/recentSends.ts
+++ b/packages/placement/src/recentSends.ts
@@ -1,17 +1,17 @@
-import { sentMemoryMs } from "./constants.js";
+import { recentSendRetentionMs } from "./constants.js";
 
 /** This gateway's latest sends, a server: they may not be in the load that the server told before. */
 export class RecentSends {
     readonly #sentAtMs = new Map<string, number[]>();
 
     onSend(serverId: string, nowMs: number): void {
-        const times = (this.#sentAtMs.get(serverId) ?? []).filter(sentAtMs => nowMs - sentAtMs < sentMemoryMs);
+        const times = (this.#sentAtMs.get(serverId) ?? []).filter(sentAtMs => nowMs - sentAtMs < recentSendRetentionMs);
         times.push(nowMs);
         this.#sentAtMs.set(serverId, times);
     }
 
     /** @returns sends since a time */
-    since(serverId: string, sinceMs: number): number {
+    countSince(serverId: string, sinceMs: number): number {
         const times = this.#sentAtMs.get(serverId);
         return times === undefined ? 0 : times.filter(sentAtMs => sentAtMs >= sinceMs).length;
     }
--- a/packages/placement/src/repeatBudget.ts
+++ b/packages/placement/src/repeatBudget.ts
@@ -1,4 +1,4 @@
-import { hedgeShare, repeatShare } from "./constants.js";
+import { maxHedgeShare, repeatBudgetShare } from "./constants.js";
 
 /** What the whole fleet may send beyond the first send of each request, a service, in one window. */
 export interface RepeatAllowance {
@@ -36,7 +36,7 @@
     }
 
     /** @returns what may still be repeated now */
-    left(service: string, gateways: number, nowMs: number): number {
+    remaining(service: string, gateways: number, nowMs: number): number {
         return this.#limit(service, gateways, nowMs) - this.#windowOf(service, nowMs).repeatsAtMs.length;
     }
 
@@ -49,7 +49,7 @@
      */
     take(service: string, purpose: "retry" | "hedge", gateways: number, nowMs: number): boolean {
         const window = this.#windowOf(service, nowMs);
-        const limit = this.#limit(service, gateways, nowMs) * (purpose === "hedge" ? hedgeShare : 1);
+        const limit = this.#limit(service, gateways, nowMs) * (purpose === "hedge" ? maxHedgeShare : 1);
         if (window.repeatsAtMs.length + 1 > limit) {
             return false;
         }
@@ -61,7 +61,7 @@
         const { ratio, slack, windowMs } = this.#allowance;
         // A process that was restarted doesn't know what it has repeated before, so its fixed part grows from nothing.
         const grown = Math.min(1, (nowMs - this.#startedAtMs) / windowMs);
-        const fixed = gateways === 0 ? 0 : slack * repeatShare * grown / gateways;
+        const fixed = gateways === 0 ? 0 : slack * repeatBudgetShare * grown / gateways;
         return this.#windowOf(service, nowMs).requestsAtMs.length * ratio + fixed;
     }
 
--- a/packages/placement/src/comeBack.ts
+++ b/packages/placement/src/retryAfter.ts
@@ -1,5 +1,5 @@
 import { type RandomSource } from "@galenaglade/routing";
-import { longestComeBackMs, shortestComeBackMs } from "./constants.js";
+import { maxTurnedAwayRetryMs, minTurnedAwayRetryMs } from "./constants.js";
 
 /** Why a caller is asked to come back. */
 export type RefusalCause = "turnedAway" | "full" | "resting" | "noServer" | "unread";
@@ -23,10 +23,10 @@
  * @param random - draws the time
  * @returns seconds, with fractions
  */
-export function resolveComeBack(cause: RefusalCause, typicalMs: number, random: RandomSource): number {
+export function drawRetryAfterSeconds(cause: RefusalCause, typicalMs: number, random: RandomSource): number {
     switch (cause) {
         case "turnedAway":
-            return draw(shortestComeBackMs, longestComeBackMs, random);
+            return draw(minTurnedAwayRetryMs, maxTurnedAwayRetryMs, random);
         case "full":
             return draw(typicalMs * 0.5, typicalMs * 1.5, random);
         case "resting":
--- a/packages/placement/src/nextTry.ts
+++ b/packages/placement/src/retryDecision.ts
@@ -1,4 +1,4 @@
-import { maximumSends } from "./constants.js";
+import { maxSends } from "./constants.js";
 
 /** How one send of a request ended. */
 export type SendEnd =
@@ -7,14 +7,14 @@
     /** It has not run there and never will. */
     | { readonly type: "notRun"; readonly reason: NotRunReason; }
     /** Nobody can say whether it ran. */
-    | { readonly type: "unknown"; readonly reason: UnknownReason; }
+    | { readonly type: "unknown"; readonly reason: UnknownRunReason; }
     /** Given up from here. */
     | { readonly type: "abandoned"; };
 
 /** Why a request is known not to have run. */
 export type NotRunReason = "connectFailed" | "notSent" | "turnedAway" | "otherServer";
 /** Why it is not known whether a request ran. */
-export type UnknownReason =
+export type UnknownRunReason =
     | "connectionLost"
     | "notAnAnswer"
     | "otherRequestsAnswer"
@@ -25,15 +25,15 @@
 const firstServerErrorStatus = 500;
 
 /** What decides over another try. */
-export interface NextTryInput {
+export interface RetryInput {
     readonly idempotent: boolean;
     /** Whether the body can be sent once more. */
-    readonly repeatable: boolean;
+    readonly isBodyReplayable: boolean;
     readonly maximumRuns: number;
     /** Ends of all sends so far. */
     readonly ends: readonly SendEnd[];
     /** Sends that are still under way. */
-    readonly underWay: number;
+    readonly inFlight: number;
 }
 
 /**
@@ -42,12 +42,12 @@
  *
  * @param input - what decides
  */
-export function mayTryAgain(input: NextTryInput): boolean {
-    const { ends, underWay } = input;
-    if (!input.repeatable || ends.length + underWay >= maximumSends) {
+export function isRetryAllowed(input: RetryInput): boolean {
+    const { ends, inFlight } = input;
+    if (!input.isBodyReplayable || ends.length + inFlight >= maxSends) {
         return false;
     }
-    const possibleRuns = underWay + ends.filter(end => end.type !== "notRun").length;
+    const possibleRuns = inFlight + ends.filter(end => end.type !== "notRun").length;
     if (!input.idempotent) {
         return possibleRuns === 0;
     }
@@ -55,17 +55,17 @@
 }
 
 /** @returns whether an answer is the server's own failure, which another server may not have */
-export function isServerFailure(end: SendEnd): boolean {
+export function isServerError(end: SendEnd): boolean {
     return end.type === "answered" && end.status >= firstServerErrorStatus;
 }
 
 /** @returns whether the server may have ended with the request: its connection did, before the answer was whole */
-export function isServerLost(end: SendEnd): boolean {
+export function isPossibleServerCrash(end: SendEnd): boolean {
     return end.type === "unknown" && (end.reason === "connectionLost" || end.reason === "cutShort");
 }
 
 /** @returns whether the end says something against its server */
-export function isFailureOfServer(end: SendEnd): boolean {
-    return end.type === "unknown" || isServerFailure(end)
+export function countsAsServerFailure(end: SendEnd): boolean {
+    return end.type === "unknown" || isServerError(end)
         || (end.type === "notRun" && end.reason === "connectFailed");
 }
--- a/packages/placement/src/serverNotices.ts
+++ b/packages/placement/src/serverExclusions.ts
@@ -1,15 +1,15 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { mostGoneRemembered } from "./constants.js";
+import { maxRememberedRemovedServers } from "./constants.js";
 
 /** What an answer of a backend server says of a rest that it wants from the gateway that it answers. */
-export type AskedRest =
+export type ParsedBackoff =
     | { readonly type: "none"; }
     | { readonly type: "asked"; readonly forMs: number; }
     /** Something that is no time; it says nothing. */
     | { readonly type: "malformed"; readonly text: string; };
 
 /** Why a server gets nothing of this gateway, by its own word. */
-export type ServerBar =
+export type ServerExclusion =
     | { readonly type: "resting"; readonly forMs: number; }
     | { readonly type: "leaving"; };
 
@@ -22,13 +22,13 @@
  * What backend servers have told this gateway of rest and of leaving. Both are one server's word to one gateway, and bind this
  * gateway alone; a server that was started again under its id has said neither.
  */
-export class ServerNotices {
+export class ServerExclusions {
     readonly #rests = new Map<string, Rest>();
     /** Starts of the lives that leave. */
     readonly #leaving = new Map<string, number | undefined>();
 
     /** @returns when the rest ends, where that is later than was known */
-    onRest({ id, startedAtEpochMs }: RegisteredServer, forMs: number, nowMs: number): number | undefined {
+    onBackoff({ id, startedAtEpochMs }: RegisteredServer, forMs: number, nowMs: number): number | undefined {
         const known = this.#rests.get(id);
         const untilMs = nowMs + forMs;
         if (
@@ -52,7 +52,7 @@
     }
 
     /** @returns why the server gets nothing now; `undefined` where it may get something */
-    barOf(server: RegisteredServer, nowMs: number): ServerBar | undefined {
+    exclusionOf(server: RegisteredServer, nowMs: number): ServerExclusion | undefined {
         if (this.#isLeaving(server)) {
             return { type: "leaving" };
         }
@@ -77,7 +77,7 @@
 /** A server whose entry is gone may write it again, after an outage of the store: of these a bounded number is remembered. */
 function dropGone(kept: Map<string, unknown>, serverIds: ReadonlySet<string>): void {
     for (const serverId of kept.keys()) {
-        if (kept.size <= mostGoneRemembered) {
+        if (kept.size <= maxRememberedRemovedServers) {
             return;
         }
         if (!serverIds.has(serverId)) {
--- a/packages/placement/src/serverSearch.ts
+++ b/packages/placement/src/serverSearch.ts
@@ -1,8 +1,8 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
-import { countToAsk } from "./askCount.js";
+import { chooseProbeCount } from "./probeCount.js";
 import { choosePlacement, type PlacementDecision } from "./choosePlacement.js";
-import { leastAskedChance, longestPauseMs, shortestPauseMs } from "./constants.js";
-import { type FleetSight, type PlacementBoard, type RatedServer } from "./placementBoard.js";
+import { minProbeChance, maxProbePauseMs, minProbePauseMs } from "./constants.js";
+import { type FleetSnapshot, type PlacementState, type ServerCandidate } from "./placementState.js";
 import { type PlacementPolicy } from "./policy.js";
 import { type ProbePurpose } from "./probeBudget.js";
 import { isGood, type ServerScore } from "./serverScore.js";
@@ -12,18 +12,18 @@
     readonly rules: ServiceRules;
     readonly objectiveMs: number;
     /** 0 is the most urgent. */
-    readonly rank: number;
+    readonly priority: number;
     readonly arrivedAtMs: number;
     /** When its caller or its route gives up. */
     readonly cutoffMs: number;
     /** Servers that it was sent to before. */
-    readonly excluded: ReadonlySet<string>;
+    readonly triedServers: ReadonlySet<string>;
     /** Whether to look once, and take none but a good server. */
     readonly onlyGood: boolean;
 }
 
 /** Why no server was found. */
-export type NoServer = "noServer" | "allFull" | "tooLate" | "noOffer" | "noneGood" | "limited" | "resting";
+export type NoServerReason = "noServer" | "allFull" | "tooLate" | "noOffer" | "noneGood" | "limited" | "resting";
 
 /** What to do next in a search. */
 export type SearchStep =
@@ -39,7 +39,7 @@
     }
     /** Look again after a pause. */
     | { readonly type: "pause"; readonly forMs: number; }
-    | { readonly type: "refuse"; readonly reason: NoServer; };
+    | { readonly type: "refuse"; readonly reason: NoServerReason; };
 
 /**
  * Looks for a server for one request, step by step. What the process knows from other requests comes first: a server that
@@ -47,24 +47,24 @@
  * and never one of which it is known that the answer would change nothing.
  */
 export class ServerSearch {
-    readonly #board: PlacementBoard;
+    readonly #board: PlacementState;
     readonly #input: SearchInput;
     /** When servers were asked in this round. */
     readonly #askedAtMs = new Map<string, number>();
     #round = 0;
 
-    constructor(board: PlacementBoard, input: SearchInput) {
+    constructor(board: PlacementState, input: SearchInput) {
         this.#board = board;
         this.#input = input;
     }
 
     /** @param sight - what is believed of the fleet now */
-    step(sight: FleetSight): SearchStep {
+    step(sight: FleetSnapshot): SearchStep {
         const candidates = this.#findCandidates(sight.usable);
         if (candidates.length === 0) {
             return { type: "refuse", reason: sight.restingForMs === undefined ? "noServer" : "resting" };
         }
-        const rated = this.#board.rate(this.#input.rules, candidates, this.#input, sight);
+        const rated = this.#board.evaluate(this.#input.rules, candidates, this.#input, sight);
         if (this.#areAllLimited(rated, sight)) {
             return { type: "refuse", reason: "limited" };
         }
@@ -86,44 +86,45 @@
 
     /** A service with one server left has no other to try. */
     #findCandidates(usable: readonly RegisteredServer[]): readonly RegisteredServer[] {
-        const others = usable.filter(({ id }) => !this.#input.excluded.has(id));
+        const others = usable.filter(({ id }) => !this.#input.triedServers.has(id));
         return others.length > 0 ? others : usable;
     }
 
     /** Whether the limits that servers named keep this gateway from all of them for longer than a request is held. */
-    #areAllLimited(rated: readonly RatedServer[], { nowMs }: FleetSight): boolean {
+    #areAllLimited(rated: readonly ServerCandidate[], { nowMs }: FleetSnapshot): boolean {
         const { arrivedAtMs, objectiveMs } = this.#input;
         const heldUntilMs = arrivedAtMs + objectiveMs * this.#policy.waitShare;
         return rated.every(({ limitedForMs }) => limitedForMs > 0 && nowMs + limitedForMs > heldUntilMs);
     }
 
     /** Those that are worth a question; any, where nothing is known of the others. */
-    #findUnasked(rated: readonly RatedServer[]): readonly RatedServer[] {
+    #findUnasked(rated: readonly ServerCandidate[]): readonly ServerCandidate[] {
         const unasked = rated.filter(({ server }) => !this.#askedAtMs.has(server.id));
-        const worthIt = unasked.filter(({ chance }) => chance >= leastAskedChance);
+        const worthIt = unasked.filter(({ goodChance }) => goodChance >= minProbeChance);
         const knowsNone = rated.every(({ ageMs }) => ageMs > this.#policy.rememberedMs);
         return worthIt.length === 0 && knowsNone ? unasked.filter(({ admitted }) => admitted) : worthIt;
     }
 
-    #isSure(rated: RatedServer, sight: FleetSight): boolean {
-        const { score, ageMs, chance } = rated;
+    #isSure(rated: ServerCandidate, sight: FleetSnapshot): boolean {
+        const { score, ageMs, goodChance } = rated;
         const { sureMs, sureChance } = this.#policy;
         if (score === undefined) {
             return false;
         }
         return this.#hasAnswered(rated, sight)
-            || (ageMs <= sureMs && chance >= sureChance && isGood(score, this.#policy) && this.#isSurelyWarm(rated));
+            || (ageMs <= sureMs && goodChance >= sureChance && isGood(score, this.#policy)
+                && this.#isSurelyWarm(rated));
     }
 
-    #isKnown(rated: RatedServer, sight: FleetSight): boolean {
+    #isKnown(rated: ServerCandidate, sight: FleetSnapshot): boolean {
         const { lastResortMs, rememberedMs } = this.#policy;
         const oldestMs = this.#isLastLook(sight.nowMs) ? lastResortMs : rememberedMs;
         return this.#hasAnswered(rated, sight) || (rated.ageMs <= oldestMs && this.#isSurelyWarm(rated));
     }
 
-    #hasAnswered({ server, askedAgoMs }: RatedServer, { nowMs }: FleetSight): boolean {
+    #hasAnswered({ server, probedAgoMs }: ServerCandidate, { nowMs }: FleetSnapshot): boolean {
         const askedAtMs = this.#askedAtMs.get(server.id);
-        return askedAtMs !== undefined && nowMs - askedAgoMs >= askedAtMs;
+        return askedAtMs !== undefined && nowMs - probedAgoMs >= askedAtMs;
     }
 
     /** Whether the time for which a request is held for a better server is over. */
@@ -132,9 +133,9 @@
         return nowMs - arrivedAtMs >= objectiveMs * this.#policy.waitShare;
     }
 
-    #takeProbes(unasked: readonly RatedServer[], sight: FleetSight): readonly RegisteredServer[] {
-        const ordered = this.#board.order(unasked, sight);
-        const wanted = countToAsk(ordered.map(({ chance }) => chance), this.#policy);
+    #takeProbes(unasked: readonly ServerCandidate[], sight: FleetSnapshot): readonly RegisteredServer[] {
+        const ordered = this.#board.orderForProbing(unasked, sight);
+        const wanted = chooseProbeCount(ordered.map(({ goodChance }) => goodChance), this.#policy);
         const servers = this.#board.takeProbes(ordered, this.#resolvePurpose(sight.nowMs), wanted, sight);
         for (const { id } of servers) {
             this.#askedAtMs.set(id, sight.nowMs);
@@ -154,26 +155,26 @@
     }
 
     #decide(
-        known: readonly RatedServer[],
+        known: readonly ServerCandidate[],
         { hasUnasked, mayAskLater = false }: { readonly hasUnasked: boolean; readonly mayAskLater?: boolean; },
-        { nowMs }: FleetSight,
+        { nowMs }: FleetSnapshot,
     ): PlacementDecision {
         const { rules, arrivedAtMs, objectiveMs, cutoffMs } = this.#input;
         const scores = known.flatMap(({ score, admitted }) => score !== undefined && admitted ? [score] : []);
-        const healthy = scores.filter(({ offer }) => offer.healthy);
+        const healthy = scores.filter(({ status }) => status.healthy);
         // Health checks may all be wrong at once; with none that says it is well, the others are better than nobody.
         return choosePlacement({
             scores: healthy.length === 0 && !hasUnasked ? scores : healthy,
-            hasUnasked,
-            mayAskLater,
+            hasUnprobed: hasUnasked,
+            mayProbeLater: mayAskLater,
             waitedMs: nowMs - arrivedAtMs,
             objectiveMs,
             remainingMs: cutoffMs - nowMs,
-            typicalMs: this.#board.work.of(rules.name, objectiveMs),
+            typicalLatencyMs: this.#board.typicalLatency.of(rules.name, objectiveMs),
         }, this.#policy);
     }
 
-    #act(decision: PlacementDecision, rated: readonly RatedServer[], sight: FleetSight): SearchStep {
+    #act(decision: PlacementDecision, rated: readonly ServerCandidate[], sight: FleetSnapshot): SearchStep {
         switch (decision.type) {
             case "refuse":
                 return decision;
@@ -188,10 +189,10 @@
 
     #send(
         { score, reason }: PlacementDecision & { readonly type: "send"; },
-        rated: readonly RatedServer[],
-        sight: FleetSight,
+        rated: readonly ServerCandidate[],
+        sight: FleetSnapshot,
     ): SearchStep {
-        const chosen = rated.find(({ server }) => server.id === score.offer.serverId);
+        const chosen = rated.find(({ server }) => server.id === score.status.serverId);
         if (chosen === undefined) {
             throw new Error("the chosen server is none of the candidates");
         }
@@ -207,7 +208,7 @@
         this.#askedAtMs.clear();
         return {
             type: "pause",
-            forMs: shortestPauseMs + (longestPauseMs - shortestPauseMs) * this.#board.random.next(),
+            forMs: minProbePauseMs + (maxProbePauseMs - minProbePauseMs) * this.#board.random.next(),
         };
     }
 
@@ -215,8 +216,8 @@
      * A server may turn cold at any moment, and says so only when it is asked. Sent to by what its answers say alone, it would go
      * on getting its usual load from every gateway; asked within this time, it gets that no longer than for this time.
      */
-    #isSurelyWarm({ askedAgoMs }: RatedServer): boolean {
-        return askedAgoMs <= this.#policy.lastResortMs;
+    #isSurelyWarm({ probedAgoMs }: ServerCandidate): boolean {
+        return probedAgoMs <= this.#policy.lastResortMs;
     }
 
     get #policy(): PlacementPolicy {
--- a/packages/placement/src/loadReport.ts
+++ b/packages/placement/src/serverStatus.ts
@@ -1,4 +1,4 @@
-import { type NamedLimit } from "./serverLimits.js";
+import { type ParsedLimit } from "./advertisedLimits.js";
 
 /** What a backend server says of its load at one moment. */
 export interface LoadReport {
@@ -10,7 +10,7 @@
 }
 
 /** What asking one backend server brought. */
-export interface ServerOffer {
+export interface ServerStatus {
     readonly serverId: string;
     readonly availabilityZone: string;
     /** `undefined` where its service doesn't tell. */
@@ -21,5 +21,5 @@
     /** How much longer it is cold; 0 where it is warm. */
     readonly coldRemainingMs: number;
     /** What the answer says of a limit. */
-    readonly limit?: NamedLimit;
+    readonly limit?: ParsedLimit;
 }
--- a/packages/placement/src/startAdmission.ts
+++ b/packages/placement/src/startupAdmission.ts
@@ -1,7 +1,7 @@
-import { longestStartHoldMs, mostHeldAtStart, startHoldPatienceShare } from "./constants.js";
+import { maxStartupHoldMs, maxHeldAtStartup, startupHoldPatienceShare } from "./constants.js";
 
 /** What decides over a request that arrives before the process knows the fleet. */
-export interface StartAdmissionInput {
+export interface StartupAdmissionInput {
     /** Whether the first reading of the store has failed, so that nobody knows when it will succeed. */
     readonly readFailed: boolean;
     /** Requests that are held already. */
@@ -13,11 +13,11 @@
 }
 
 /** Hold the request until the fleet is known, for a time at most, or refuse it at once. */
-export type StartAdmission =
+export type StartupAdmission =
     | { readonly type: "hold"; readonly forMs: number; }
     | { readonly type: "refuse"; };
 
-const refuse: StartAdmission = Object.freeze({ type: "refuse" });
+const refuse: StartupAdmission = Object.freeze({ type: "refuse" });
 
 /**
  * Decides over a request that arrives while a process reads the store for the first time. When a whole fleet comes back
@@ -27,7 +27,9 @@
  *
  * @param input - what decides
  */
-export function admitAtStart({ readFailed, held, sinceStartMs, patienceMs }: StartAdmissionInput): StartAdmission {
-    const forMs = Math.min(longestStartHoldMs - sinceStartMs, (patienceMs ?? Infinity) * startHoldPatienceShare);
-    return readFailed || held >= mostHeldAtStart || forMs <= 0 ? refuse : { type: "hold", forMs };
+export function admitDuringStartup(
+    { readFailed, held, sinceStartMs, patienceMs }: StartupAdmissionInput,
+): StartupAdmission {
+    const forMs = Math.min(maxStartupHoldMs - sinceStartMs, (patienceMs ?? Infinity) * startupHoldPatienceShare);
+    return readFailed || held >= maxHeldAtStartup || forMs <= 0 ? refuse : { type: "hold", forMs };
 }
--- a/packages/placement/src/startTurns.ts
+++ b/packages/placement/src/startupQueue.ts
@@ -1,27 +1,27 @@
-import { mostInTurnAtStart, mostLateAtStart, startCrowdMs, startTurnsMs } from "./constants.js";
+import { maxStartupSearches, maxLateStartupRequests, startupBacklogMs, startupQueueMs } from "./constants.js";
 
 /** A request that came within the first seconds of a process. */
-export interface StartRequest {
+export interface StartupRequest {
     readonly arrivedAtMs: number;
     readonly objectiveMs: number;
     /** How long its caller still waited when it came; `undefined` where it doesn't say. */
     readonly patienceMs: number | undefined;
     /** What is alike in patience: its route. */
-    readonly kind: string;
+    readonly route: string;
     /** Expected time of its work. */
-    readonly typicalMs: number;
+    readonly typicalLatencyMs: number;
 }
 
 /** Whether a request's answer can still be of full use. */
 type Usefulness = "inTime" | "late";
 
 interface Waiting<T> {
-    readonly request: StartRequest;
+    readonly request: StartupRequest;
     readonly item: T;
 }
 
 /** A request whose turn has come. */
-export interface StartTurn<T> {
+export interface StartupSlot<T> {
     readonly item: T;
     /** Whether the turn lasts until the request has ended; otherwise until it is sent. */
     readonly untilEnd: boolean;
@@ -33,7 +33,7 @@
  * time, each waits for the probes of all others, and those that are late already fill the servers for those that are not.
  * So few look at a time: first those that can still be in time, the newest of them first, and of the others a few until they end.
  */
-export class StartTurns<T> {
+export class StartupQueue<T> {
     readonly #startedAtMs: number;
     #firstArrivedAtMs = Infinity;
     readonly #waiting: Waiting<T>[] = [];
@@ -47,24 +47,24 @@
     }
 
     /** @returns whether requests take turns; afterwards each goes on at once */
-    areOn(nowMs: number): boolean {
-        return nowMs - this.#startedAtMs < startTurnsMs;
+    isActive(nowMs: number): boolean {
+        return nowMs - this.#startedAtMs < startupQueueMs;
     }
 
     /** A request has come that may be placed once its turn has come. */
-    add(request: StartRequest, item: T): void {
-        const { kind, patienceMs = 0, arrivedAtMs } = request;
+    enqueue(request: StartupRequest, item: T): void {
+        const { route, patienceMs = 0, arrivedAtMs } = request;
         this.#firstArrivedAtMs = Math.min(this.#firstArrivedAtMs, arrivedAtMs);
-        this.#longestPatienceMs.set(kind, Math.max(patienceMs, this.#longestPatienceMs.get(kind) ?? 0));
+        this.#longestPatienceMs.set(route, Math.max(patienceMs, this.#longestPatienceMs.get(route) ?? 0));
         this.#waiting.push({ request, item });
     }
 
     /** @returns whose turn it is now; nobody's is missed where this is called after each addition, end and at the end of all turns */
-    take(nowMs: number): readonly StartTurn<T>[] {
-        if (!this.areOn(nowMs)) {
+    takeReady(nowMs: number): readonly StartupSlot<T>[] {
+        if (!this.isActive(nowMs)) {
             return this.#waiting.splice(0).map(({ item }) => ({ item, untilEnd: false }));
         }
-        const turns: StartTurn<T>[] = [];
+        const turns: StartupSlot<T>[] = [];
         for (;;) {
             const next = this.#findNext(nowMs);
             if (next === undefined) {
@@ -79,7 +79,7 @@
     }
 
     /** A request waits no longer for its turn. */
-    leave(item: T): void {
+    remove(item: T): void {
         const at = this.#waiting.findIndex(each => each.item === item);
         if (at >= 0) {
             this.#waiting.splice(at, 1);
@@ -114,7 +114,7 @@
             return undefined;
         }
         const usefulness = best.leftMs >= 0 ? "inTime" : "late";
-        const most = usefulness === "inTime" ? mostInTurnAtStart : mostLateAtStart;
+        const most = usefulness === "inTime" ? maxStartupSearches : maxLateStartupRequests;
         return this.#inTurn[usefulness] < most ? { at: best.at, usefulness } : undefined;
     }
 
@@ -123,10 +123,10 @@
      * patience: less of it is left than of the newest callers of its kind. Whoever came later waited for nobody, and is merely
      * less patient.
      */
-    #leftMs({ arrivedAtMs, objectiveMs, patienceMs, kind, typicalMs }: StartRequest, nowMs: number): number {
-        const longestMs = this.#longestPatienceMs.get(kind) ?? 0;
-        const isOfCrowd = arrivedAtMs - this.#firstArrivedAtMs < startCrowdMs;
+    #leftMs({ arrivedAtMs, objectiveMs, patienceMs, route, typicalLatencyMs }: StartupRequest, nowMs: number): number {
+        const longestMs = this.#longestPatienceMs.get(route) ?? 0;
+        const isOfCrowd = arrivedAtMs - this.#firstArrivedAtMs < startupBacklogMs;
         const waitedBeforeMs = patienceMs === undefined || !isOfCrowd ? 0 : longestMs - patienceMs;
-        return objectiveMs - waitedBeforeMs - (nowMs - arrivedAtMs) - typicalMs;
+        return objectiveMs - waitedBeforeMs - (nowMs - arrivedAtMs) - typicalLatencyMs;
     }
 }
--- a/packages/placement/src/loadMemory.ts
+++ b/packages/placement/src/statusCache.ts
@@ -1,15 +1,15 @@
-import { GoodChances } from "./goodChances.js";
-import { type ServerOffer } from "./loadReport.js";
+import { GoodChanceEstimator } from "./goodChanceEstimator.js";
+import { type ServerStatus } from "./serverStatus.js";
 
 /** What a backend server said of itself last. */
-export interface RememberedOffer {
-    readonly offer: ServerOffer;
+export interface CachedStatus {
+    readonly status: ServerStatus;
     /** When it was asked, or when the answer came that said so. */
-    readonly atMs: number;
+    readonly observedAtMs: number;
     /** Whether it was good then. */
     readonly wasGood: boolean;
     /** When it was last asked itself. Whether it is cold it says only then. */
-    readonly askedAtMs: number;
+    readonly probedAtMs: number;
 }
 
 /**
@@ -17,27 +17,27 @@
  * requests look for a server within the time that an answer stays true; each asking for itself, they would keep gateways
  * and servers busy with questions alone.
  */
-export class LoadMemory {
-    readonly #latest = new Map<string, RememberedOffer>();
-    readonly #chances = new GoodChances();
+export class StatusCache {
+    readonly #latest = new Map<string, CachedStatus>();
+    readonly #chances = new GoodChanceEstimator();
 
     /** @param wasAsked - whether the server was asked; otherwise its load came with the answer to a request */
-    onOffer(offer: ServerOffer, isGood: boolean, atMs: number, wasAsked: boolean): void {
+    onStatus(offer: ServerStatus, isGood: boolean, atMs: number, wasAsked: boolean): void {
         const before = this.#latest.get(offer.serverId);
-        if (before !== undefined && before.atMs > atMs) {
+        if (before !== undefined && before.observedAtMs > atMs) {
             return;
         }
-        this.#chances.onLook(isGood, before && { wasGood: before.wasGood, ageMs: atMs - before.atMs });
-        const askedAtMs = wasAsked ? atMs : before?.askedAtMs ?? -Infinity;
-        this.#latest.set(offer.serverId, { offer, atMs, wasGood: isGood, askedAtMs });
+        this.#chances.onObservation(isGood, before && { wasGood: before.wasGood, ageMs: atMs - before.observedAtMs });
+        const askedAtMs = wasAsked ? atMs : before?.probedAtMs ?? -Infinity;
+        this.#latest.set(offer.serverId, { status: offer, observedAtMs: atMs, wasGood: isGood, probedAtMs: askedAtMs });
     }
 
     /** What it said is not to be relied on any more. */
-    forget(serverId: string): void {
+    invalidate(serverId: string): void {
         this.#latest.delete(serverId);
     }
 
-    recall(serverId: string): RememberedOffer | undefined {
+    get(serverId: string): CachedStatus | undefined {
         return this.#latest.get(serverId);
     }
 
@@ -45,9 +45,9 @@
      * @param isGood - whether it would still be good by what it said and what was sent since
      * @returns the chance that the server is good now, from 0 to 1
      */
-    chanceOf(serverId: string, isGood: boolean, nowMs: number): number {
+    goodChanceOf(serverId: string, isGood: boolean, nowMs: number): number {
         const last = this.#latest.get(serverId);
-        return this.#chances.of(last && { wasGood: isGood, ageMs: nowMs - last.atMs });
+        return this.#chances.goodChanceOf(last && { wasGood: isGood, ageMs: nowMs - last.observedAtMs });
     }
 
     /** Forgets servers that are no longer there. */
--- a/packages/placement/src/serverTrust.ts
+++ b/packages/placement/src/suspectServers.ts
@@ -1,4 +1,4 @@
-import { firstSuspicionMs, longestSuspicionMs } from "./constants.js";
+import { initialSuspicionMs, maxSuspicionMs } from "./constants.js";
 
 interface Suspicion {
     readonly failures: number;
@@ -12,7 +12,7 @@
  * its time is over, the next request tries it, and each further failure doubles the time. It never leaves the choice
  * altogether, so that a fault which all servers share can't empty a service.
  */
-export class ServerTrust {
+export class SuspectServers {
     readonly #suspicions = new Map<string, Suspicion>();
 
     onFailure(serverId: string, nowMs: number): void {
@@ -20,7 +20,7 @@
     }
 
     /** A server didn't tell its load. */
-    onSilent(serverId: string, nowMs: number): void {
+    onProbeUnanswered(serverId: string, nowMs: number): void {
         this.#suspect(serverId, nowMs, this.#suspicions.get(serverId)?.onlySilent ?? true);
     }
 
@@ -28,7 +28,7 @@
      * A server told its load: that it was silent before says nothing more. A suspected server gets no trial request, so without
      * this a version on trial gets none for up to `longestSuspicionMs` after a moment in which this process was slow.
      */
-    onTold(serverId: string): void {
+    onProbeResponse(serverId: string): void {
         if (this.#suspicions.get(serverId)?.onlySilent === true) {
             this.#suspicions.delete(serverId);
         }
@@ -54,7 +54,7 @@
 
     #suspect(serverId: string, nowMs: number, onlySilent: boolean): void {
         const failures = (this.#suspicions.get(serverId)?.failures ?? 0) + 1;
-        const lastsMs = Math.min(longestSuspicionMs, firstSuspicionMs * 2 ** (failures - 1));
+        const lastsMs = Math.min(maxSuspicionMs, initialSuspicionMs * 2 ** (failures - 1));
         this.#suspicions.set(serverId, { failures, untilMs: nowMs + lastsMs, onlySilent });
     }
 }
--- a/packages/placement/src/typicalWork.ts
+++ b/packages/placement/src/typicalLatency.ts
@@ -1,7 +1,7 @@
-import { initialWorkShare, workWeight } from "./constants.js";
+import { initialLatencyShare, latencyWeight } from "./constants.js";
 
 /** How long a service's requests take on a server that is neither slow nor full, learnt from answers. */
-export class TypicalWork {
+export class TypicalLatency {
     readonly #meanMs = new Map<string, number>();
 
     /**
@@ -9,14 +9,14 @@
      * @param tookMs - from sending to the whole answer
      * @param factor - how many times longer than usual it was expected to take
      */
-    onAnswer(service: string, tookMs: number, factor: number): void {
+    onResponse(service: string, tookMs: number, factor: number): void {
         const plainMs = tookMs / Math.max(1, factor);
         const before = this.#meanMs.get(service) ?? plainMs;
-        this.#meanMs.set(service, before + (plainMs - before) * workWeight);
+        this.#meanMs.set(service, before + (plainMs - before) * latencyWeight);
     }
 
     /** @returns the typical time, or a guess from the objective before any answer */
     of(service: string, objectiveMs: number): number {
-        return this.#meanMs.get(service) ?? objectiveMs * initialWorkShare;
+        return this.#meanMs.get(service) ?? objectiveMs * initialLatencyShare;
     }
 }
--- a/packages/quarantine/src/__tests__/crashLedger.test.ts
+++ b/packages/quarantine/src/__tests__/crashLedger.test.ts
@@ -5,7 +5,7 @@
 import {
     type ContentState,
     CrashLedger,
-    defaultTrialAfterMs,
+    defaultTrialDelaysMs,
     quarantineRetentionMs,
     suspicionRetentionMs,
 } from "../index.js";
@@ -41,7 +41,7 @@
         ledger.onCrash({
             contentId,
             incarnation: more.incarnation ?? `server-${++this.#crashed}`,
-            mark: more.mark ?? ledger.mark(),
+            ledgerVersion: more.mark ?? ledger.version(),
             epochMs: this.epochMs,
             trial: this.state(gateway, contentId) === "trial",
         });
@@ -60,7 +60,7 @@
     }
 
     state(gateway: number, contentId: string): ContentState {
-        return this.of(gateway).judge(contentId, { gateways: this.names, epochMs: this.epochMs }).state;
+        return this.of(gateway).checkContent(contentId, { gateways: this.names, epochMs: this.epochMs }).state;
     }
 
     states(contentId: string): readonly ContentState[] {
@@ -72,7 +72,7 @@
         const ledger = new CrashLedger(name);
         const own = this.#stored.get(name);
         if (own !== undefined) {
-            ledger.adopt(own.report, this.epochMs);
+            ledger.restore(own.report, this.epochMs);
         }
         ledger.onReports(this.#stored, this.epochMs);
         return ledger;
@@ -93,7 +93,7 @@
 // A power failure ends many servers at once, and with them every request that they ran.
 test("servers that end together quarantine no request that they ran", () => {
     const fleet = new Fleet(5);
-    const marks = fleet.ledgers.map(ledger => ledger.mark());
+    const marks = fleet.ledgers.map(ledger => ledger.version());
     for (const [gateway, mark] of marks.entries()) {
         fleet.crash(gateway, "popular", { mark });
         fleet.spread([gateway]);
@@ -113,13 +113,13 @@
 // A popular read that was on three servers which crashed one after the other must not stay refused.
 test("a request that is served after its strikes were known is cleared at every gateway", () => {
     const fleet = new Fleet(3);
-    const early = fleet.of(1).mark();
+    const early = fleet.of(1).version();
     [0, 0, 0].forEach(gateway => fleet.crash(gateway, "popular"));
     fleet.spread();
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
     assert.equal(fleet.of(1).onServed("popular", early, fleet.epochMs), false);
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
-    assert.equal(fleet.of(1).onServed("popular", fleet.of(1).mark(), fleet.epochMs), true);
+    assert.equal(fleet.of(1).onServed("popular", fleet.of(1).version(), fleet.epochMs), true);
     fleet.spread();
     assert.deepEqual(fleet.states("popular"), ["clear"]);
     fleet.spread();
@@ -134,7 +134,10 @@
     });
     for (const name of ["gateway-0", "gateway-1", "gateway-new"]) {
         const restarted = fleet.restart(name);
-        assert.equal(restarted.judge("deadly", { gateways: fleet.names, epochMs: fleet.epochMs }).state, "quarantined");
+        assert.equal(
+            restarted.checkContent("deadly", { gateways: fleet.names, epochMs: fleet.epochMs }).state,
+            "quarantined",
+        );
     }
     assert.equal(fleet.restart("gateway-0").report().strikes.length, 2);
 });
@@ -158,7 +161,7 @@
         }
         fleet.spread();
     }
-    assert.equal(trials, defaultTrialAfterMs.length);
+    assert.equal(trials, defaultTrialDelaysMs.length);
     fleet.epochMs += quarantineRetentionMs;
     assert.deepEqual(fleet.states("deadly"), ["clear"]);
 });
@@ -166,11 +169,11 @@
 test("a trial is one request at a time, and one that is served ends the quarantine", () => {
     const fleet = new Fleet(1);
     [0, 0, 0].forEach(gateway => fleet.crash(gateway, "deadly"));
-    fleet.epochMs += defaultTrialAfterMs[0] ?? 0;
+    fleet.epochMs += defaultTrialDelaysMs[0] ?? 0;
     assert.equal(fleet.state(0, "deadly"), "trial");
     const end = fleet.of(0).beginTrial("deadly");
     assert.equal(fleet.state(0, "deadly"), "quarantined");
-    fleet.of(0).onServed("deadly", fleet.of(0).mark(), fleet.epochMs);
+    fleet.of(0).onServed("deadly", fleet.of(0).version(), fleet.epochMs);
     end();
     assert.equal(fleet.state(0, "deadly"), "clear");
 });
--- a/packages/quarantine/src/__tests__/support/crashWorld.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -1,26 +1,26 @@
 import { type CrashReport, type StoredCrashReport } from "@galenaglade/fleet-state";
 import { EventQueue } from "@galenaglade/replay";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { CrashLedger, quarantineStrikes } from "../../index.js";
+import { CrashLedger, quarantineStrikeThreshold } from "../../index.js";
 
 /** What befalls the servers, besides deadly requests. */
-export type Trouble = "none" | "zoneEnds" | "release" | "crashes";
+export type ServerTrouble = "none" | "zoneEnds" | "release" | "crashes";
 
-export interface CrashWorldInput {
+export interface CrashSimulationInput {
     readonly seed: number;
     readonly gateways: number;
-    readonly trouble: Trouble;
+    readonly trouble: ServerTrouble;
     /** Deadly requests a second, from the start on. */
     readonly deadlyPerSecond: number;
 }
 
 /** What a run counted. */
-export interface CrashWorldResult {
+export interface CrashSimulationResult {
     /** Requests that end no server, and those of them that were kept from servers. */
-    readonly innocent: number;
+    readonly harmless: number;
     readonly wronglyRefused: number;
     /** Servers that ended under the deadly request, and times it reached one once all gateways had to know. */
-    readonly ended: number;
+    readonly crashed: number;
     readonly lateArrivals: number;
     /** Contents other than the deadly one that were still quarantined at the end. */
     readonly leftQuarantined: number;
@@ -44,10 +44,10 @@
 const mostRuns = 2;
 
 /** Gateways, servers and callers in a time of their own; the ledgers are the product's. */
-export class CrashWorld {
+export class CrashSimulation {
     readonly #queue = new EventQueue();
     readonly #random: RandomSource;
-    readonly #input: CrashWorldInput;
+    readonly #input: CrashSimulationInput;
     readonly #ledgers: readonly CrashLedger[];
     readonly #names: readonly string[];
     readonly #stored = new Map<string, StoredCrashReport>();
@@ -59,7 +59,7 @@
     #wronglyRefused = 0;
     #lateArrivals = 0;
 
-    constructor(input: CrashWorldInput) {
+    constructor(input: CrashSimulationInput) {
         this.#input = input;
         this.#random = createRandomSource(input.seed);
         this.#names = Array.from({ length: input.gateways }, (_, i) => `gateway-${i}`);
@@ -72,7 +72,7 @@
         }));
     }
 
-    run(): CrashWorldResult {
+    run(): CrashSimulationResult {
         this.#everySecond(innocentPerSecond, () => this.#callInnocent());
         this.#everySecond(this.#input.deadlyPerSecond, () => this.#send(deadly, this.#drawGateway(), 0));
         this.#queue.schedule(troubleAtMs, () => this.#befall());
@@ -80,11 +80,11 @@
         const [ledger] = this.#ledgers;
         const isDeadlyQuarantined = ledger !== undefined && this.#stateOf(ledger, deadly) === "quarantined";
         return {
-            innocent: this.#innocent,
+            harmless: this.#innocent,
             wronglyRefused: this.#wronglyRefused,
-            ended: this.#deadlyEndsMs.length,
+            crashed: this.#deadlyEndsMs.length,
             lateArrivals: this.#lateArrivals,
-            leftQuarantined: (ledger?.quarantined ?? 0) - (isDeadlyQuarantined ? 1 : 0),
+            leftQuarantined: (ledger?.quarantinedCount ?? 0) - (isDeadlyQuarantined ? 1 : 0),
         };
     }
 
@@ -107,7 +107,7 @@
 
     /** Sends a request to a server that is up; one that ends sends it on while that is allowed. */
     #send(content: string, ledger: CrashLedger, runs: number): void {
-        const { state, strikes } = ledger.judge(content, { gateways: this.#names, epochMs: this.#queue.nowMs });
+        const { state, strikes } = ledger.checkContent(content, { gateways: this.#names, epochMs: this.#queue.nowMs });
         if (state === "quarantined") {
             this.#wronglyRefused += content === deadly ? 0 : 1;
             return;
@@ -117,7 +117,7 @@
         if (server === undefined || runs >= mostRuns || (runs > 0 && strikes >= 2)) {
             return;
         }
-        const mark = ledger.mark();
+        const mark = ledger.version();
         const endTrial = state === "trial" ? ledger.beginTrial(content) : undefined;
         const life = server.life;
         const onEnded = (): void => this.#onLost(content, ledger, { server, life, mark, runs, endTrial });
@@ -137,7 +137,7 @@
     }
 
     #onDeadlyArrival(): void {
-        const knownAtMs = this.#deadlyEndsMs[quarantineStrikes - 1];
+        const knownAtMs = this.#deadlyEndsMs[quarantineStrikeThreshold - 1];
         if (knownAtMs !== undefined && this.#queue.nowMs > knownAtMs + settleMs) {
             this.#lateArrivals++;
         }
@@ -177,7 +177,13 @@
         const epochMs = this.#queue.nowMs;
         const incarnation = `${server.number}@${life}`;
         this.#tellIf(
-            ledger.onCrash({ contentId: content, incarnation, mark, epochMs, trial: endTrial !== undefined }),
+            ledger.onCrash({
+                contentId: content,
+                incarnation,
+                ledgerVersion: mark,
+                epochMs,
+                trial: endTrial !== undefined,
+            }),
             ledger,
         );
         endTrial?.();
@@ -241,6 +247,6 @@
     }
 
     #stateOf(ledger: CrashLedger, content: string): string {
-        return ledger.judge(content, { gateways: this.#names, epochMs: this.#queue.nowMs }).state;
+        return ledger.checkContent(content, { gateways: this.#names, epochMs: this.#queue.nowMs }).state;
     }
 }
--- a/packages/quarantine/src/contentRecord.ts
+++ b/packages/quarantine/src/contentRecord.ts
@@ -1,18 +1,23 @@
 import { type CrashStrike } from "@galenaglade/fleet-state";
-import { quarantineGenerations, quarantineRetentionMs, quarantineStrikes, suspicionRetentionMs } from "./constants.js";
+import {
+    quarantineGenerationThreshold,
+    quarantineRetentionMs,
+    quarantineStrikeThreshold,
+    suspicionRetentionMs,
+} from "./constants.js";
 
 /** A strike, and since when this gateway has known it. */
-export interface LearntStrike {
+export interface KnownStrike {
     readonly strike: CrashStrike;
-    readonly learnedAt: number;
+    readonly knownSinceVersion: number;
 }
 
 /** Everything that counts against one content: the server starts that ended under it, each once. */
 export class ContentRecord {
-    readonly #strikes = new Map<string, LearntStrike>();
+    readonly #strikes = new Map<string, KnownStrike>();
 
     /** Several gateways may have had the content on one server when it ended; the lowest generation condemns least. */
-    add(learnt: LearntStrike): void {
+    add(learnt: KnownStrike): void {
         const known = this.#strikes.get(learnt.strike.incarnation);
         if (known === undefined || known.strike.generation > learnt.strike.generation) {
             this.#strikes.set(learnt.strike.incarnation, learnt);
@@ -29,7 +34,7 @@
     }
 
     /** When it is forgotten unless another server ends. */
-    get forgottenAtEpochMs(): number {
+    get expiresAtEpochMs(): number {
         return this.#lastAtEpochMs + (this.isQuarantined ? quarantineRetentionMs : suspicionRetentionMs);
     }
 
@@ -37,18 +42,18 @@
      * @param trialAfterMs - how long after the latest strike each trial comes
      * @returns when it may be tried again; `Infinity` where it was tried too often
      */
-    trialAtEpochMs(trialAfterMs: readonly number[]): number {
+    nextTrialAtEpochMs(trialAfterMs: readonly number[]): number {
         const trials = this.#each(({ strike }) => strike.trial).filter(Boolean).length;
         return this.#lastAtEpochMs + (trialAfterMs[trials] ?? Infinity);
     }
 
     get isQuarantined(): boolean {
-        return this.strikes >= quarantineStrikes && this.generations >= quarantineGenerations;
+        return this.strikes >= quarantineStrikeThreshold && this.generations >= quarantineGenerationThreshold;
     }
 
     /** @returns since when a server's end is known, as a mark; `undefined` where it is not */
-    learnedAt(incarnation: string): number | undefined {
-        return this.#strikes.get(incarnation)?.learnedAt;
+    knownSinceVersion(incarnation: string): number | undefined {
+        return this.#strikes.get(incarnation)?.knownSinceVersion;
     }
 
     /** @returns the generation that a send begun at a mark belongs to */
@@ -65,11 +70,11 @@
         return Math.max(0, ...this.#each(({ strike }) => strike.atEpochMs));
     }
 
-    #knownAt(mark: number): readonly LearntStrike[] {
-        return [...this.#strikes.values()].filter(({ learnedAt }) => learnedAt <= mark);
+    #knownAt(mark: number): readonly KnownStrike[] {
+        return [...this.#strikes.values()].filter(({ knownSinceVersion }) => knownSinceVersion <= mark);
     }
 
-    #each<T>(read: (learnt: LearntStrike) => T): readonly T[] {
+    #each<T>(read: (learnt: KnownStrike) => T): readonly T[] {
         return [...this.#strikes.values()].map(read);
     }
 }
--- a/packages/quarantine/src/crashLedger.ts
+++ b/packages/quarantine/src/crashLedger.ts
@@ -6,7 +6,7 @@
     type StoredCrashReport,
 } from "@galenaglade/fleet-state";
 import { ContentRecord } from "./contentRecord.js";
-import { defaultTrialAfterMs, quarantineRetentionMs } from "./constants.js";
+import { defaultTrialDelaysMs, quarantineRetentionMs } from "./constants.js";
 
 /** What may be done with a request. */
 export type ContentState =
@@ -20,7 +20,7 @@
     | "trial";
 
 /** What is known of a request's content. */
-export interface Verdict {
+export interface ContentStatus {
     readonly state: ContentState;
     /** Servers that ended under it. */
     readonly strikes: number;
@@ -29,7 +29,7 @@
 }
 
 /** What a verdict depends on besides the strikes. */
-export interface LedgerSight {
+export interface ContentCheckContext {
     /** Gateways that count. */
     readonly gateways: readonly string[];
     readonly epochMs: number;
@@ -40,20 +40,20 @@
     readonly contentId: string;
     readonly incarnation: string;
     /** What was known when the request was sent. */
-    readonly mark: number;
+    readonly ledgerVersion: number;
     readonly epochMs: number;
     readonly trial: boolean;
 }
 
 /** A change of what is believed of a content, for the log. */
-export interface LedgerChange {
+export interface ContentStateChange {
     readonly contentId: string;
     readonly state: "clear" | "suspected" | "quarantined";
     readonly strikes: number;
     readonly generations: number;
 }
 
-const clearVerdict: Verdict = Object.freeze({ state: "clear", strikes: 0, retryAfterMs: 0 });
+const clearVerdict: ContentStatus = Object.freeze({ state: "clear", strikes: 0, retryAfterMs: 0 });
 
 /**
  * What one gateway knows of requests under which backend servers ended: its own strikes and those that the others report. Every
@@ -68,7 +68,7 @@
     readonly #trials = new Set<string>();
     /** Contents with strikes that this gateway has cleared and not told. */
     readonly #untold = new Set<string>();
-    readonly #changes: LedgerChange[] = [];
+    readonly #changes: ContentStateChange[] = [];
     #others: readonly CrashReport[] = [];
     #records = new Map<string, ContentRecord>();
     #headIds: ReadonlySet<string> = new Set();
@@ -79,13 +79,13 @@
      * @param name - of this gateway, as in its registration
      * @param trialAfterMs - how long after its latest strike a quarantined request is tried, for each trial
      */
-    constructor(name: string, trialAfterMs: readonly number[] = defaultTrialAfterMs) {
+    constructor(name: string, trialAfterMs: readonly number[] = defaultTrialDelaysMs) {
         this.#name = name;
         this.#trialAfterMs = trialAfterMs;
     }
 
     /** @returns what is known now, to be given back with the end of a send that begins now */
-    mark(): number {
+    version(): number {
         return this.#mark;
     }
 
@@ -95,29 +95,29 @@
     }
 
     /** @returns whether something is known of a content whose id begins so; most requests need no further look */
-    knowsHead(headId: string): boolean {
+    mayHaveRecord(headId: string): boolean {
         return this.#headIds.has(headId);
     }
 
     /** Contents that are quarantined now. */
-    get quarantined(): number {
+    get quarantinedCount(): number {
         return [...this.#records.values()].filter(record => record.isQuarantined).length;
     }
 
     /** @returns what may be done with a request now */
-    judge(contentId: string, { gateways, epochMs }: LedgerSight): Verdict {
+    checkContent(contentId: string, { gateways, epochMs }: ContentCheckContext): ContentStatus {
         const record = this.#records.get(contentId);
-        if (record === undefined || epochMs >= record.forgottenAtEpochMs) {
+        if (record === undefined || epochMs >= record.expiresAtEpochMs) {
             return clearVerdict;
         }
         const { strikes } = record;
-        const trialAtEpochMs = record.trialAtEpochMs(this.#trialAfterMs);
+        const trialAtEpochMs = record.nextTrialAtEpochMs(this.#trialAfterMs);
         if (!record.isQuarantined) {
             return { state: "suspected", strikes, retryAfterMs: 0 };
         }
         const mayTry = epochMs >= trialAtEpochMs && !this.#trials.has(contentId)
             && findOwners(contentId, gateways, 1)[0] === this.#name;
-        const openAtEpochMs = Math.min(trialAtEpochMs, record.forgottenAtEpochMs);
+        const openAtEpochMs = Math.min(trialAtEpochMs, record.expiresAtEpochMs);
         return { state: mayTry ? "trial" : "quarantined", strikes, retryAfterMs: Math.max(0, openAtEpochMs - epochMs) };
     }
 
@@ -128,12 +128,12 @@
     }
 
     /** A server ended under a request of this gateway. @returns whether the others must hear of it */
-    onCrash({ contentId, incarnation, mark, epochMs, trial }: Crash): boolean {
+    onCrash({ contentId, incarnation, ledgerVersion, epochMs, trial }: Crash): boolean {
         const key = createKey(contentId, incarnation);
         if (this.#ownStrikes.has(key)) {
             return false;
         }
-        const generation = this.#records.get(contentId)?.generationAt(mark) ?? 1;
+        const generation = this.#records.get(contentId)?.generationAt(ledgerVersion) ?? 1;
         this.#ownStrikes.set(key, { contentId, incarnation, generation, atEpochMs: epochMs, trial });
         this.#rebuild(epochMs);
         return true;
@@ -167,7 +167,7 @@
     }
 
     /** Goes on with what this gateway reported before it was restarted. */
-    adopt({ strikes, cleared }: CrashReport, epochMs: number): void {
+    restore({ strikes, cleared }: CrashReport, epochMs: number): void {
         for (const strike of strikes) {
             this.#ownStrikes.set(createKey(strike.contentId, strike.incarnation), strike);
         }
@@ -184,7 +184,7 @@
     }
 
     /** @returns what is believed otherwise since the last call */
-    takeChanges(): readonly LedgerChange[] {
+    takeChanges(): readonly ContentStateChange[] {
         return this.#changes.splice(0);
     }
 
@@ -211,7 +211,10 @@
             }
             const record = this.#records.get(contentId) ?? new ContentRecord();
             this.#records.set(contentId, record);
-            record.add({ strike, learnedAt: before.get(contentId)?.learnedAt(incarnation) ?? this.#mark });
+            record.add({
+                strike,
+                knownSinceVersion: before.get(contentId)?.knownSinceVersion(incarnation) ?? this.#mark,
+            });
         }
         this.#forgetOld(epochMs);
         this.#headIds = new Set([...this.#records.keys()].map(headIdOf));
@@ -220,7 +223,7 @@
 
     #forgetOld(epochMs: number): void {
         for (const [contentId, record] of this.#records) {
-            if (epochMs >= record.forgottenAtEpochMs) {
+            if (epochMs >= record.expiresAtEpochMs) {
                 this.#records.delete(contentId);
             }
         }
@@ -300,7 +303,7 @@
     return end < 0 ? contentId : contentId.slice(0, end);
 }
 
-function stateOf(record: ContentRecord | undefined): LedgerChange["state"] {
+function stateOf(record: ContentRecord | undefined): ContentStateChange["state"] {
     if (record === undefined) {
         return "clear";
     }
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,16 +1,16 @@
 /** Which requests end the backend servers that run them, and what keeps these from further servers. */
 export {
-    defaultTrialAfterMs,
+    defaultTrialDelaysMs,
     quarantineRetentionMs,
-    quarantineStrikes,
-    singleSendStrikes,
+    quarantineStrikeThreshold,
+    singleSendStrikeThreshold,
     suspicionRetentionMs,
 } from "./constants.js";
 export {
     type ContentState,
     type Crash,
     CrashLedger,
-    type LedgerChange,
-    type LedgerSight,
-    type Verdict,
+    type ContentStateChange,
+    type ContentCheckContext,
+    type ContentStatus,
 } from "./crashLedger.js";
--- a/packages/replay/src/world/attempt.ts
+++ b/packages/replay/src/world/attempt.ts
@@ -1,13 +1,13 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
 import {
-    admitAtStart,
-    isFailureOfServer,
-    mayTryAgain,
+    admitDuringStartup,
+    countsAsServerFailure,
+    isRetryAllowed,
     type RefusalCause,
-    resolveComeBack,
+    drawRetryAfterSeconds,
     type SearchStep,
     type SendEnd,
-    type ServerOffer,
+    type ServerStatus,
 } from "@galenaglade/placement";
 import { type RequestKind } from "./scenario.js";
 import { type ServerFinder } from "./serverFinder.js";
@@ -79,17 +79,17 @@
 
     #whenTurn(): void {
         const { startTurns, board, events } = this.#gateway;
-        if (startTurns?.areOn(events.nowMs) !== true) {
+        if (startTurns?.isActive(events.nowMs) !== true) {
             this.#begin();
             return;
         }
         const { service, objectiveMs, name } = this.#kind;
-        startTurns.add({
+        startTurns.enqueue({
             arrivedAtMs: this.#arrivedAtMs,
             objectiveMs,
             patienceMs: this.#patienceMs,
-            kind: name,
-            typicalMs: board.work.of(service, objectiveMs),
+            route: name,
+            typicalLatencyMs: board.typicalLatency.of(service, objectiveMs),
         }, this);
         this.#gateway.takeTurns();
     }
@@ -115,7 +115,7 @@
             run();
             return;
         }
-        const admission = admitAtStart({
+        const admission = admitDuringStartup({
             readFailed: !gateway.holdsAtStart,
             held: gateway.heldAtStart,
             sinceStartMs: gateway.sinceStartMs,
@@ -164,10 +164,10 @@
         const finder = this.#gateway.createFinder({
             rules: this.#rules,
             objectiveMs,
-            rank: priority,
+            priority: priority,
             arrivedAtMs: this.#arrivedAtMs,
             cutoffMs: this.#cutoffMs(),
-            excluded: this.#tried,
+            triedServers: this.#tried,
             onlyGood: purpose === "hedge",
         });
         this.#look(finder, purpose);
@@ -214,7 +214,7 @@
                 isWanted: () => !this.#isOver,
                 onArrival: () => gateway.repeatedArrivals += this.#arrivals++ > 0 ? 1 : 0,
                 onEnded: (end, offer) => this.#onSendEnded(underWay, end, offer),
-                onRest: restMs => gateway.board.onRest(place.server, restMs, this.#nowMs()),
+                onRest: restMs => gateway.board.onBackoff(place.server, restMs, this.#nowMs()),
             }),
         };
         this.#underWay.add(underWay);
@@ -222,7 +222,7 @@
         gateway.onTurnSent(this);
     }
 
-    #onSendEnded(underWay: SendUnderWay, end: SendEnd, offer: ServerOffer | undefined): void {
+    #onSendEnded(underWay: SendUnderWay, end: SendEnd, offer: ServerStatus | undefined): void {
         const { board, connections } = this.#gateway;
         const { place, sentAtMs } = underWay;
         const { server } = place;
@@ -234,15 +234,15 @@
         if (end.type !== "unknown") {
             connections.release(server.id, this.#nowMs());
         }
-        if (isFailureOfServer(end)) {
+        if (countsAsServerFailure(end)) {
             board.onFailure(service, server.id, this.#nowMs());
         }
         else if (end.type === "answered") {
-            board.trust.onSuccess(server.id);
-            board.work.onAnswer(service, this.#nowMs() - sentAtMs, place.score.factor);
+            board.suspects.onSuccess(server.id);
+            board.typicalLatency.onResponse(service, this.#nowMs() - sentAtMs, place.score.latencyFactor);
         }
         if (offer?.load !== undefined) {
-            board.onLoad(service, server, offer.load, this.#nowMs());
+            board.onLoadReport(service, server, offer.load, this.#nowMs());
         }
         if (offer?.limit !== undefined) {
             board.onLimit(server, offer.limit, { answered: "request", sentAtMs }, this.#nowMs());
@@ -259,12 +259,12 @@
 
     #tryAgain(end: SendEnd): void {
         const { idempotent } = this.#kind;
-        const mayGoOn = mayTryAgain({
+        const mayGoOn = isRetryAllowed({
             idempotent,
-            repeatable: true,
+            isBodyReplayable: true,
             maximumRuns: 2,
             ends: this.#ends,
-            underWay: this.#underWay.size,
+            inFlight: this.#underWay.size,
         });
         const reachedServer = !(end.type === "notRun" && end.reason === "connectFailed");
         if (mayGoOn && (!reachedServer || this.#takeRepeat("retry"))) {
@@ -313,8 +313,8 @@
 
     #refuse(cause: RefusalCause): void {
         const { board, random } = this.#gateway;
-        const typicalMs = board.work.of(this.#kind.service, this.#kind.objectiveMs);
-        this.#finish({ type: "refused", retryAfterMs: resolveComeBack(cause, typicalMs, random) * 1_000 });
+        const typicalMs = board.typicalLatency.of(this.#kind.service, this.#kind.objectiveMs);
+        this.#finish({ type: "refused", retryAfterMs: drawRetryAfterSeconds(cause, typicalMs, random) * 1_000 });
     }
 
     #finish(end: AttemptEnd): void {
--- a/packages/replay/src/world/loadProbe.ts
+++ b/packages/replay/src/world/loadProbe.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { isGood, scoreServer, type ServerOffer } from "@galenaglade/placement";
+import { isGood, scoreServer, type ServerStatus } from "@galenaglade/placement";
 import { takeConnection, wayTo } from "./serverSend.js";
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type SimulatedServer } from "./simulatedServer.js";
@@ -20,7 +20,7 @@
     const silent: string[] = [];
     let answered = 0;
     let isKnown = false;
-    const onEnded = (id: string, offer: ServerOffer | undefined): void => {
+    const onEnded = (id: string, offer: ServerStatus | undefined): void => {
         if (offer === undefined) {
             silent.push(id);
         }
@@ -48,12 +48,12 @@
     { gateway, service }: LoadProbe,
     server: SimulatedServer,
     timeoutMs: number,
-    onEnded: (offer: ServerOffer | undefined) => void,
+    onEnded: (offer: ServerStatus | undefined) => void,
 ): void {
     const { costs, events } = gateway;
     const askedAtMs = events.nowMs;
     let isOver = false;
-    const end = (offer: ServerOffer | undefined): void => {
+    const end = (offer: ServerStatus | undefined): void => {
         if (!isOver) {
             isOver = true;
             onEnded(offer);
@@ -70,7 +70,7 @@
                 gateway.execute(costs.probeMs, () => {
                     if (!isOver) {
                         gateway.connections.release(server.id, events.nowMs);
-                        gateway.board.onOffer(service, offer, askedAtMs);
+                        gateway.board.onProbeResponse(service, offer, askedAtMs);
                     }
                     end(offer);
                 }));
@@ -78,6 +78,14 @@
     });
 }
 
-function isGoodOffer(offer: ServerOffer): boolean {
-    return isGood(scoreServer(offer, { typicalMs: 0, sentSince: 0, sameZone: true, suspect: false, reservedSlots: 0 }));
+function isGoodOffer(offer: ServerStatus): boolean {
+    return isGood(
+        scoreServer(offer, {
+            typicalLatencyMs: 0,
+            sentSinceReport: 0,
+            sameZone: true,
+            suspect: false,
+            reservedSlots: 0,
+        }),
+    );
 }
--- a/packages/replay/src/world/serverFinder.ts
+++ b/packages/replay/src/world/serverFinder.ts
@@ -1,11 +1,11 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { type FleetSight, type SearchStep, scoreServer } from "@galenaglade/placement";
+import { type FleetSnapshot, type SearchStep, scoreServer } from "@galenaglade/placement";
 import { type RandomSource } from "@galenaglade/routing";
 
 /** Finds a server for one request, step by step; `ServerSearch` is the one that is to be proved. */
 export abstract class ServerFinder {
     /** @param sight - what the gateway believes of the fleet now */
-    abstract step(sight: FleetSight): SearchStep;
+    abstract step(sight: FleetSnapshot): SearchStep;
 }
 
 /** Takes any server at once: what a gain of the decisions is measured against. */
@@ -17,7 +17,7 @@
         this.#random = random;
     }
 
-    override step({ usable }: FleetSight): SearchStep {
+    override step({ usable }: FleetSnapshot): SearchStep {
         const server = usable[this.#random.below(usable.length)];
         return server === undefined
             ? { type: "refuse", reason: "noServer" }
@@ -33,5 +33,5 @@
         slots: server.slots,
         healthy: true,
         coldRemainingMs: 0,
-    }, { typicalMs: 0, sentSince: 0, sameZone: true, suspect: false, reservedSlots: 0 });
+    }, { typicalLatencyMs: 0, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0 });
 }
--- a/packages/replay/src/world/serverSend.ts
+++ b/packages/replay/src/world/serverSend.ts
@@ -1,4 +1,4 @@
-import { type SendEnd, type ServerOffer } from "@galenaglade/placement";
+import { type SendEnd, type ServerStatus } from "@galenaglade/placement";
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type Arrival, type ServerJob, type SimulatedServer } from "./simulatedServer.js";
 
@@ -8,7 +8,7 @@
     readonly isWanted: () => boolean;
     readonly onArrival: () => void;
     /** @param offer - the server's load, where its answer told it */
-    readonly onEnded: (end: SendEnd, offer: ServerOffer | undefined) => void;
+    readonly onEnded: (end: SendEnd, offer: ServerStatus | undefined) => void;
     /** The server turned the request away and wants rest. */
     readonly onRest: (restMs: number) => void;
 }
@@ -63,7 +63,7 @@
         this.#passBack(resolveEnd(arrival), undefined, this.#server.restMs);
     }
 
-    #passBack(end: SendEnd, offer: ServerOffer | undefined, restMs?: number): void {
+    #passBack(end: SendEnd, offer: ServerStatus | undefined, restMs?: number): void {
         const gateway = this.#gateway;
         gateway.schedule(
             wayTo(gateway, this.#server),
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -1,13 +1,13 @@
 import {
-    type FleetSight,
-    PlacementBoard,
+    type FleetSnapshot,
+    PlacementState,
     type PlacementPolicy,
     RepeatBudget,
     resolvePlacementPolicy,
     type SearchInput,
     ServerSearch,
-    StartTurns,
-    startTurnsMs,
+    StartupQueue,
+    startupQueueMs,
 } from "@galenaglade/placement";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import { type Attempt } from "./attempt.js";
@@ -51,7 +51,7 @@
     readonly policy: PlacementPolicy;
     readonly random: RandomSource;
     readonly attempts = new Set<Attempt>();
-    board: PlacementBoard;
+    board: PlacementState;
     repeats: RepeatBudget;
     connections: ConnectionPool;
     /** Raised with each start: what an earlier life planned no longer happens. */
@@ -63,7 +63,7 @@
     /** Requests that wait for the first reading of the store. */
     heldAtStart = 0;
     /** Requests of the first seconds of a life, by turns. */
-    startTurns: StartTurns<Attempt> | undefined;
+    startTurns: StartupQueue<Attempt> | undefined;
     #openedBefore = 0;
     #requestsOfLife: number;
     readonly #parts: GatewayParts;
@@ -156,12 +156,12 @@
         this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#parts.cores);
         this.#readAtMs = this.#upAtMs + firstReadMs;
         this.heldAtStart = 0;
-        this.startTurns = new StartTurns(startedAtMs);
+        this.startTurns = new StartupQueue(startedAtMs);
         this.#requestsOfLife = 0;
         this.board = this.#createBoard(startedAtMs);
         this.repeats = new RepeatBudget(this.#parts.scenario.repeats, startedAtMs);
         this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
-        this.schedule(downMs + startTurnsMs, () => this.takeTurns());
+        this.schedule(downMs + startupQueueMs, () => this.takeTurns());
         for (const attempt of cut) {
             attempt.onPowerLost();
         }
@@ -170,7 +170,7 @@
     /** Begins with the requests whose turn it is. */
     takeTurns(): void {
         const { startTurns } = this;
-        for (const { item } of startTurns?.take(this.events.nowMs) ?? []) {
+        for (const { item } of startTurns?.takeReady(this.events.nowMs) ?? []) {
             item.onTurn();
         }
     }
@@ -186,15 +186,15 @@
     }
 
     /** @returns what it believes of the servers of a service and of the fleet */
-    look(service: string): FleetSight {
+    look(service: string): FleetSnapshot {
         return {
             usable: this.directory.usable(service).filter(server =>
-                this.board.barOf(server, this.events.nowMs) === undefined
+                this.board.exclusionOf(server, this.events.nowMs) === undefined
             ),
             gateways: this.#parts.knownGateways(),
             zoneGateways: this.#parts.knownInZone(),
             gatewaysByZone: this.#parts.knownByZone(),
-            sinceContactMs: 0,
+            sinceStoreContactMs: 0,
             nowMs: this.events.nowMs,
         };
     }
@@ -203,9 +203,9 @@
         return this.#parts.scenario.blind ? new RandomFinder(this.random) : new SearchFinder(this.board, input);
     }
 
-    #createBoard(startedAtMs: number): PlacementBoard {
+    #createBoard(startedAtMs: number): PlacementState {
         const { name, zone, scenario } = this.#parts;
-        return new PlacementBoard({
+        return new PlacementState({
             name,
             availabilityZone: zone,
             random: this.random,
@@ -219,12 +219,12 @@
 class SearchFinder extends ServerFinder {
     readonly #search: ServerSearch;
 
-    constructor(board: PlacementBoard, input: SearchInput) {
+    constructor(board: PlacementState, input: SearchInput) {
         super();
         this.#search = new ServerSearch(board, input);
     }
 
-    override step(sight: FleetSight): ReturnType<ServerSearch["step"]> {
+    override step(sight: FleetSnapshot): ReturnType<ServerSearch["step"]> {
         return this.#search.step(sight);
     }
 }
--- a/packages/replay/src/world/simulatedServer.ts
+++ b/packages/replay/src/world/simulatedServer.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { type ServerOffer } from "@galenaglade/placement";
+import { type ServerStatus } from "@galenaglade/placement";
 import { type RandomSource } from "@galenaglade/routing";
 import { type EventQueue } from "./eventQueue.js";
 
@@ -107,7 +107,7 @@
     }
 
     /** @returns what it says when it is asked for its load */
-    probe(): ServerOffer {
+    probe(): ServerStatus {
         this.probesAtMs.push(this.#events.nowMs);
         return this.describe(false);
     }
@@ -116,7 +116,7 @@
      * @param namesLimit - whether the answer names its limit, if it has one
      * @returns its load, as it also stands in its answers
      */
-    describe(namesLimit: boolean): ServerOffer {
+    describe(namesLimit: boolean): ServerStatus {
         const { slots } = this.#shape;
         return {
             serverId: this.id,
--- a/packages/rollout/src/outcome.ts
+++ b/packages/rollout/src/outcome.ts
@@ -1,4 +1,4 @@
-import { isFailureOfServer, type SendEnd } from "@galenaglade/placement";
+import { countsAsServerFailure, type SendEnd } from "@galenaglade/placement";
 import { slowFactor } from "./constants.js";
 
 /** How one request's first send ended. */
@@ -23,7 +23,7 @@
     const isSlow = tookMs > typicalMs * Math.max(1, factor) * slowFactor;
     switch (end.type) {
         case "answered":
-            return isFailureOfServer(end) || isSlow;
+            return countsAsServerFailure(end) || isSlow;
         case "unknown":
             return true;
         case "abandoned":
