--- a/packages/edge/src/__tests__/cutCrashReports.test.ts
+++ b/packages/edge/src/__tests__/cutCrashReports.test.ts
@@ -10,7 +10,10 @@
     fleet.serve = () => undefined;
     // Beside load some find no server in time; six are enough to have their content kept from all servers.
     const waiting = Array.from({ length: 18 }, () => fleet.send(0, "POST"));
-    await eventually(() => fleet.backends.flatMap(({ served }) => served()).length >= 6, "servers have six of them");
+    await eventually(
+        () => fleet.backends.flatMap(({ servedRequests }) => servedRequests()).length >= 6,
+        "servers have six of them",
+    );
     fleet.cut(0, "reset");
     await Promise.all(waiting);
     await sleep(1_000);
--- a/packages/edge/src/__tests__/edgeLog.test.ts
+++ b/packages/edge/src/__tests__/edgeLog.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Writable } from "node:stream";
-import { logLinesPerSecond } from "../constants.js";
+import { maxLogLinesPerSecond } from "../constants.js";
 import { BoundedOutput } from "../telemetry/boundedOutput.js";
 import { EdgeLog } from "../telemetry/edgeLog.js";
 
@@ -25,13 +25,13 @@
         log.log("info", "requestEnded", { requestId: String(i) });
     }
     log.log("warn", "requestFailed", { requestId: "failed" });
-    assert.equal(logger.lines.length, logLinesPerSecond + 1);
+    assert.equal(logger.lines.length, maxLogLinesPerSecond + 1);
     assert.equal(logger.lines.at(-1)?.message, "requestFailed");
     nowMs = 1_000;
     log.log("info", "requestEnded", { requestId: "next" });
     assert.deepEqual(logger.lines.at(-2), {
         message: "linesLeftOut",
-        fields: { event: "requestEnded", lines: 1_000 - logLinesPerSecond },
+        fields: { event: "requestEnded", lines: 1_000 - maxLogLinesPerSecond },
     });
 });
 
--- a/packages/edge/src/__tests__/firstReading.test.ts
+++ b/packages/edge/src/__tests__/firstReading.test.ts
@@ -5,7 +5,7 @@
     call,
     createConfiguration,
     eventually,
-    register,
+    registerServer,
     startBackend,
     startEdge,
     type TestEdge,
@@ -19,7 +19,7 @@
 test("requests that come before the first reading are held for it and served", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const answers = [call(edge, "/tables/x"), call(edge, "/tables/y")];
@@ -46,8 +46,8 @@
 test("a part of the first reading that has all the operator's keys is served by", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
-    register(store, await startBackend(t, "b"));
+    registerServer(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "b"));
     store.partKeys = 2;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
@@ -62,7 +62,7 @@
 test("a part that lacks some of the operator's keys is not", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     store.partKeys = 1;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
--- a/packages/edge/src/__tests__/fleetState.test.ts
+++ b/packages/edge/src/__tests__/fleetState.test.ts
@@ -6,11 +6,11 @@
     call,
     createConfiguration,
     eventually,
-    register,
+    registerServer,
     startBackend,
     startEdge,
     tables,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 test("before the configuration is read, requests are refused at once and the balancer is told", async t => {
@@ -26,23 +26,23 @@
 
     store.down = false;
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
-    await whenReady(edge);
+    registerServer(store, await startBackend(t, "a"));
+    await waitUntilReady(edge);
     assert.equal((await call(edge, "/tables/x")).status, 200);
 });
 
 test("a new configuration is in force for new requests, and an older one never again", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(3));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     assert.equal((await call(edge, "/new/x")).status, 404);
     store.put("configuration", createConfiguration(5, [{ ...tables, pathPrefix: "/new/" }]));
     await eventually(async () => (await call(edge, "/new/x")).status === 200, "the new route is served");
     assert.equal((await call(edge, "/tables/x")).status, 404);
     store.put("configuration", createConfiguration(4));
-    register(store, await startBackend(t, "b"));
+    registerServer(store, await startBackend(t, "b"));
     await eventually(
         () => edge.logs.some(line => line["subject"] === "server" && line["name"] === "b"),
         "what came after it is known",
@@ -56,22 +56,22 @@
     const b = await startBackend(t, "b");
     const c = await startBackend(t, "c");
     store.put("configuration", createConfiguration(1));
-    register(store, a);
-    register(store, b, { availabilityZone: "south" });
-    register(store, c);
+    registerServer(store, a);
+    registerServer(store, b, { availabilityZone: "south" });
+    registerServer(store, c);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
-    register(store, a, { state: "draining" });
+    await waitUntilReady(edge);
+    registerServer(store, a, { state: "draining" });
     store.put("out/south", {});
     await eventually(
         () => edge.logs.filter(line => line["message"] === "belief" && line["change"] === "out").length > 0,
         "it is known",
     );
-    const before = a.served().length + b.served().length;
+    const before = a.servedRequests().length + b.servedRequests().length;
     for (let i = 0; i < 10; i++) {
         assert.equal((await call(edge, "/tables/x")).body, "from c");
     }
-    assert.equal(a.served().length + b.served().length, before);
+    assert.equal(a.servedRequests().length + b.servedRequests().length, before);
     store.remove("out/south");
     c.load = "3,9,3,4";
     await eventually(async () => (await call(edge, "/tables/x")).body === "from b", "the zone is used again");
@@ -80,11 +80,11 @@
 test("while the store is away, requests are served by what was known", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     store.down = true;
-    register(store, await startBackend(t, "b"));
+    registerServer(store, await startBackend(t, "b"));
     await eventually(() => edge.logs.some(line => line["message"] === "storeLost"), "the loss is logged");
     assert.equal((await call(edge, "/tables/x")).status, 200);
     store.down = false;
@@ -98,10 +98,10 @@
     const a = await startBackend(t, "a");
     const b = await startBackend(t, "b");
     store.put("configuration", createConfiguration(1));
-    register(store, a);
-    register(store, b);
+    registerServer(store, a);
+    registerServer(store, b);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     store.historyLost = true;
     store.remove("servers/a");
     await eventually(() => edge.logs.some(line => line["name"] === "a" && line["change"] === "removed"), "a is gone");
@@ -111,9 +111,9 @@
 test("metrics count requests by outcome", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     await call(edge, "/tables/x");
     const res = await request(edge.metricsUrl);
     const text = await res.body.text();
@@ -126,7 +126,7 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     assert.equal((await call(edge, "/new/x")).status, 404);
     store.down = true;
     await eventually(async () => (await call(edge, "/new/x")).status === 503, "the absence is in doubt");
--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -5,7 +5,7 @@
 import { request } from "undici";
 import { CutFleet } from "./support/cutFleet.js";
 import { type HelperConduct, type HelperStandIn, startHelper } from "./support/helperStandIn.js";
-import { eventually, renderSigned } from "./support/testEdge.js";
+import { eventually, renderSignedResponse } from "./support/testEdge.js";
 
 const busy: HelperConduct = {
     type: "verdict",
@@ -150,7 +150,7 @@
         assert.ok(states.filter(state => state === "lost").length <= 1, states.join(" "));
         assert.equal(states.at(-1), "unreachable", states.join(" "));
     }
-    const requests = fleet.backends.flatMap(({ served }) => served());
+    const requests = fleet.backends.flatMap(({ servedRequests }) => servedRequests());
     assert.deepEqual(new Set(requests.map(({ headers }) => headers.get("x-id"))).size, requests.length);
 });
 
@@ -192,14 +192,14 @@
 test("a large answer comes through another gateway whole and signed, and one that breaks off isn't whole", async t => {
     const fleet = await CutFleet.start(t, 3);
     const large = "x".repeat(1_500_000);
-    fleet.serve = req => req.socket.write(renderSigned(req, large));
+    fleet.serve = req => req.socket.write(renderSignedResponse(req, large));
     fleet.cut(0, "reset");
     await fleet.sendFor(300, 20);
     const got = await fleet.send(0);
     assert.deepEqual([got.status, got.body.length, got.headers["x-signed"]], [200, large.length, "1"]);
     assert.equal(got.headers["galenaglade-handover"], undefined);
     fleet.serve = req => {
-        const head = renderSigned(req, "").replace("content-length: 0", `content-length: ${large.length}`);
+        const head = renderSignedResponse(req, "").replace("content-length: 0", `content-length: ${large.length}`);
         req.socket.write(head + "x".repeat(1_000_000));
         setTimeout(() => req.socket.resetAndDestroy(), 300);
     };
@@ -209,7 +209,8 @@
 // Guards against a body that a helper runs changed or in part.
 test("bodies of any size come through another gateway unchanged", async t => {
     const fleet = await CutFleet.start(t, 3);
-    fleet.serve = req => req.socket.write(renderSigned(req, `${req.path} ${req.body.length} ${req.body.slice(-3)}`));
+    fleet.serve = req =>
+        req.socket.write(renderSignedResponse(req, `${req.path} ${req.body.length} ${req.body.slice(-3)}`));
     fleet.cut(0, "reset");
     await fleet.sendFor(300, 20);
     for (const bytes of [0, 10, 60_000]) {
@@ -268,7 +269,7 @@
     const [status, mark] = await send(JSON.stringify(order));
     assert.equal(status, 403);
     assert.match(mark, /notRegistered/);
-    assert.deepEqual(fleet.backends.flatMap(({ served }) => served()), []);
+    assert.deepEqual(fleet.backends.flatMap(({ servedRequests }) => servedRequests()), []);
     const refusals = fleet.edgeOf(0).logs.filter(line => line["message"] === "handoverRefused");
     assert.deepEqual(refusals.map(line => line["reason"]), [...Array<string>(4).fill("malformed"), "notRegistered"]);
 });
--- a/packages/edge/src/__tests__/keyChanges.test.ts
+++ b/packages/edge/src/__tests__/keyChanges.test.ts
@@ -8,13 +8,13 @@
 import {
     createConfiguration,
     eventually,
-    register,
-    renderSigned,
+    registerServer,
+    renderSignedResponse,
     returns,
     startBackend,
     startEdge,
     tables,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 /** Longer than a change of the store takes to be in force. */
@@ -41,7 +41,7 @@
     const serve = (req: RawRequest): void => {
         arrived.push(req);
         if (arrived.length > 1) {
-            req.socket.write(renderSigned(req, "served"));
+            req.socket.write(renderSignedResponse(req, "served"));
             return;
         }
         write(2, after);
@@ -50,10 +50,10 @@
         }, turnAwayAfterMs);
     };
     write(1, before);
-    register(store, await startBackend(t, "i-1", serve));
-    register(store, await startBackend(t, "i-2", serve));
+    registerServer(store, await startBackend(t, "i-1", serve));
+    registerServer(store, await startBackend(t, "i-2", serve));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
     const res = await request(`${edge.url}/tables/1`, {
         headers: {
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -7,18 +7,18 @@
 import { once } from "node:events";
 import { test, type TestContext } from "node:test";
 import { Worker } from "node:worker_threads";
-import { askServer } from "../backends/askServer.js";
-import { ServerConnections } from "../backends/serverConnections.js";
+import { probeServerLoad } from "../backends/probeServerLoad.js";
+import { ServerConnectionPool } from "../backends/serverConnectionPool.js";
 import { AnswerNotes } from "../requests/answerNotes.js";
 import { LoadInquiry } from "../requests/loadInquiry.js";
 import { EdgeLog } from "../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { StartTimeline } from "../telemetry/startTimeline.js";
 import { startBackend } from "./support/testEdge.js";
-import { TestVocabulary } from "./support/testNames.js";
+import { TestMetadataCodec } from "./support/testCodecs.js";
 
 const rules = { name: "tables", healthPath: "/health", maximumConnections: 200, coldRequestsPerSecond: 4 };
-const vocabulary = new TestVocabulary();
+const vocabulary = new TestMetadataCodec();
 
 function createServer(id: string, port: number): RegisteredServer {
     return {
@@ -34,7 +34,7 @@
 }
 
 function createInquiry(t: TestContext): { readonly inquiry: LoadInquiry; readonly board: PlacementState; } {
-    const connections = new ServerConnections();
+    const connections = new ServerConnectionPool();
     t.after(() => connections.close());
     const board = new PlacementState({
         name: "gateway-1",
@@ -102,12 +102,12 @@
     t.after(() => worker.terminate());
     const [port] = await once(worker, "message") as [number];
     const server = createServer("a", port);
-    const connections = new ServerConnections();
+    const connections = new ServerConnectionPool();
     t.after(() => connections.close());
     const question = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
     const connection = connections.open(server.address);
-    assert.equal((await askServer({ ...question, connection })).type, "told", "and the connection is open");
-    const asked = askServer({ ...question, connection });
+    assert.equal((await probeServerLoad({ ...question, connection })).type, "told", "and the connection is open");
+    const asked = probeServerLoad({ ...question, connection });
     // Lets the question go out, and is then busy until long after the limit.
     await new Promise(resolve => setImmediate(resolve));
     const untilMs = performance.now() + 600;
--- a/packages/edge/src/__tests__/loadQuestions.test.ts
+++ b/packages/edge/src/__tests__/loadQuestions.test.ts
@@ -2,7 +2,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { MemoryStore } from "./support/memoryStore.js";
-import { call, createConfiguration, register, startBackend, startEdge, whenReady } from "./support/testEdge.js";
+import {
+    call,
+    createConfiguration,
+    registerServer,
+    startBackend,
+    startEdge,
+    waitUntilReady,
+} from "./support/testEdge.js";
 
 const whole = (headers: readonly string[], body = ""): string =>
     ["HTTP/1.1 200 OK", `content-length: ${body.length}`, ...headers, "", body].join("\r\n");
@@ -26,10 +33,10 @@
         store.put("configuration", createConfiguration(1));
         const good = await startBackend(t, "good");
         const raw = await startRawBackend(t, req => req.socket.write(answer));
-        register(store, good);
-        register(store, { ...good, id: "faulty", raw });
+        registerServer(store, good);
+        registerServer(store, { ...good, id: "faulty", raw });
         const edge = await startEdge(t, store);
-        await whenReady(edge);
+        await waitUntilReady(edge);
         for (let i = 0; i < 6; i++) {
             const got = await call(edge, `/returns/${i}`, { method: "POST" });
             assert.deepEqual([got.status, got.body], [200, "from good"]);
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -5,7 +5,7 @@
 import { deadlyPath, deadlyReturnPath, DyingServers } from "./support/dyingServers.js";
 import { LinkedStore } from "./support/linkedStore.js";
 import { MemoryStore } from "./support/memoryStore.js";
-import { createConfiguration, eventually, startEdge, type TestEdge, whenReady } from "./support/testEdge.js";
+import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
 
 const bounds = { crashes: 3, settleMs: 3_000, retries: 3 };
 const servers = 6;
@@ -36,7 +36,7 @@
         links.push(link);
         edges.push(await startEdge(t, link, { ...settings, name: `edge-${i}` }));
     }
-    await Promise.all(edges.map(whenReady));
+    await Promise.all(edges.map(waitUntilReady));
     await eventually(
         () => edges.every(({ logs }) => logs.filter(line => line["subject"] === "gateway").length >= gateways),
         "the gateways know each other",
@@ -107,7 +107,7 @@
     const restarted = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-0" });
     const added = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-new" });
     for (const edge of [restarted, added]) {
-        await whenReady(edge);
+        await waitUntilReady(edge);
         assert.equal((await fleet.servers.send(edge, deadlyPath)).status, 503);
     }
     assert.equal(fleet.servers.ended, endedBefore);
--- a/packages/edge/src/__tests__/registration.test.ts
+++ b/packages/edge/src/__tests__/registration.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { MemoryStore } from "./support/memoryStore.js";
-import { createConfiguration, eventually, startEdge, type TestEdge, whenReady } from "./support/testEdge.js";
+import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
 
 async function whenRegistered(edge: TestEdge): Promise<Readonly<Record<string, unknown>>> {
     const find = (): Readonly<Record<string, unknown>> | undefined =>
@@ -16,7 +16,7 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
-    await whenReady(first);
+    await waitUntilReady(first);
     const before = await whenRegistered(first);
     await first.stop();
     const second = await startEdge(t, store, { peersPort: first.peersPort });
@@ -30,7 +30,7 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
-    await whenReady(first);
+    await waitUntilReady(first);
     const before = await whenRegistered(first);
     await first.stop();
     const second = await startEdge(t, store);
@@ -42,7 +42,7 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
-    await whenReady(first);
+    await waitUntilReady(first);
     const before = await whenRegistered(first);
     await first.stop();
     const second = await startEdge(t, store, { name: "edge-2" });
--- a/packages/edge/src/__tests__/relay.test.ts
+++ b/packages/edge/src/__tests__/relay.test.ts
@@ -5,7 +5,7 @@
 import { request } from "undici";
 import { LinkedStore } from "./support/linkedStore.js";
 import { MemoryStore } from "./support/memoryStore.js";
-import { createConfiguration, eventually, startEdge, type TestEdge, whenReady } from "./support/testEdge.js";
+import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
 
 interface Member {
     readonly edge: TestEdge;
@@ -32,7 +32,7 @@
     for (let i = 0; i < count; i++) {
         const link = new LinkedStore(store);
         const edge = await startEdge(t, link, { name: `edge-${i}` });
-        await whenReady(edge);
+        await waitUntilReady(edge);
         members.push({ edge, link });
     }
     // Those that were asked while they knew only a part of the fleet read the store for some seconds more.
--- a/packages/edge/src/__tests__/requestLog.test.ts
+++ b/packages/edge/src/__tests__/requestLog.test.ts
@@ -5,11 +5,11 @@
     call,
     createConfiguration,
     eventually,
-    register,
+    registerServer,
     startBackend,
     startEdge,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 function find(edge: TestEdge, message: string): Readonly<Record<string, unknown>> {
@@ -21,9 +21,9 @@
 test("the end of a request is logged with what decided over it", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     await call(edge, "/tables/x");
     const line = find(edge, "requestEnded");
     assert.match(String(line["requestId"]), /^r\d+$/);
@@ -39,9 +39,9 @@
     store.put("configuration", createConfiguration(7));
     const backend = await startBackend(t, "a");
     backend.load = "3,30,3,4";
-    register(store, backend);
+    registerServer(store, backend);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     const got = await call(edge, "/tables/x");
     const line = find(edge, "requestFailed");
     assert.deepEqual([line["kind"], line["detail"], line["status"]], ["overloaded", "allFull", 503]);
@@ -53,9 +53,9 @@
 test("start, stop, and what a process learns are logged", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     await eventually(() => edge.logs.some(line => line["name"] === "a"), "the server is known");
     await edge.stop();
     for (const message of ["started", "belief", "stopping", "stopped"]) {
@@ -66,9 +66,9 @@
 test("no line holds a body, a cookie or an authorization", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
-    register(store, await startBackend(t, "a"));
+    registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     await call(edge, "/returns/x?token=secret-query", { method: "POST", body: "secret-body" });
     assert.doesNotMatch(JSON.stringify(edge.logs), /secret/);
 });
--- a/packages/edge/src/__tests__/requestPath.test.ts
+++ b/packages/edge/src/__tests__/requestPath.test.ts
@@ -7,14 +7,14 @@
     call,
     createConfiguration,
     eventually,
-    register,
-    renderSigned,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     startEdge,
     tables,
     type TestBackend,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 /** An edge process before some backend servers. */
@@ -22,10 +22,10 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     for (const backend of backends) {
-        register(store, backend);
+        registerServer(store, backend);
     }
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     // Until it counts itself, it may repeat nothing.
     await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
     return edge;
@@ -35,12 +35,15 @@
     const backend = await startBackend(
         t,
         "a",
-        req => req.socket.write(renderSigned(req, "the table", "201 Created", ["x-more: 1", "connection: keep-alive"])),
+        req =>
+            req.socket.write(
+                renderSignedResponse(req, "the table", "201 Created", ["x-more: 1", "connection: keep-alive"]),
+            ),
     );
     const edge = await startPath(t, backend);
     const got = await call(edge, "/returns/x?y=1", { method: "POST", body: "filed" });
     assert.deepEqual([got.status, got.body, got.headers["x-more"]], [201, "the table", "1"]);
-    const [seen] = backend.served();
+    const [seen] = backend.servedRequests();
     assert.ok(seen !== undefined);
     assert.deepEqual([seen.method, seen.path, seen.body], ["POST", "/returns/x?y=1", "filed"]);
     assert.equal(seen.headers.get("host"), "survey.example");
@@ -71,7 +74,7 @@
     const edge = await startPath(t, a, b);
     const got = await call(edge, "/returns/x", { method: "POST", body: "filed" });
     assert.equal(got.status, 502);
-    assert.equal(a.served().length + b.served().length, 1);
+    assert.equal(a.servedRequests().length + b.servedRequests().length, 1);
 });
 
 test("an idempotent request whose connection is lost is sent to another server", async t => {
@@ -122,7 +125,7 @@
     let first: RawRequest | undefined;
     const a = await startBackend(t, "a", req => {
         first ??= req;
-        req.socket.write(renderSigned(first, "somebody else's table"));
+        req.socket.write(renderSignedResponse(first, "somebody else's table"));
     });
     const edge = await startPath(t, a);
     await call(edge, "/tables/x");
@@ -182,7 +185,10 @@
 
 test("an answer too large to be held streams through whole", async t => {
     const body = "x".repeat(3_000_000);
-    const edge = await startPath(t, await startBackend(t, "a", req => req.socket.write(renderSigned(req, body))));
+    const edge = await startPath(
+        t,
+        await startBackend(t, "a", req => req.socket.write(renderSignedResponse(req, body))),
+    );
     const got = await call(edge, "/tables/x");
     assert.equal(got.body.length, body.length);
 });
@@ -193,7 +199,7 @@
     const edge = await startPath(t, a);
     const leave = new AbortController();
     const pending = call(edge, "/tables/x", { signal: leave.signal }).catch(() => undefined);
-    await eventually(() => a.served().length === 1, "the request reaches the server");
+    await eventually(() => a.servedRequests().length === 1, "the request reaches the server");
     leave.abort();
     await pending;
     await eventually(() => closed, "the server is freed");
@@ -209,7 +215,7 @@
     const edge = await startPath(t, a);
     const leave = new AbortController();
     const pending = call(edge, "/returns/x", { method: "POST", signal: leave.signal }).catch(() => undefined);
-    await eventually(() => a.served().length === 1, "the request reaches the server");
+    await eventually(() => a.servedRequests().length === 1, "the request reaches the server");
     leave.abort();
     await pending;
     await sleep(150);
@@ -241,7 +247,7 @@
 
 test("answers to requests sent ahead come back in the order of the requests", async t => {
     const a = await startBackend(t, "a", req => {
-        setTimeout(() => req.socket.write(renderSigned(req, req.path)), req.path.endsWith("1") ? 150 : 0);
+        setTimeout(() => req.socket.write(renderSignedResponse(req, req.path)), req.path.endsWith("1") ? 150 : 0);
     });
     const edge = await startPath(t, a);
     const render = (n: number, close: boolean): string =>
@@ -260,9 +266,9 @@
     const store = new MemoryStore();
     // A wait of 1.8 s, far longer than any of these questions takes on a busy machine.
     store.put("configuration", createConfiguration(1, [{ ...tables, objectiveMs: 6_000, timeoutMs: 10_000 }]));
-    register(store, a);
+    registerServer(store, a);
     const edge = await startEdge(t, store, { asksPerSecond: 1 });
-    await whenReady(edge);
+    await waitUntilReady(edge);
     const pending: ReturnType<typeof call>[] = [];
     for (let i = 0; i < 20; i++) {
         pending.push(call(edge, "/tables/x"));
@@ -279,7 +285,7 @@
     const edge = await startPath(t, a);
     const pending = call(edge, "/tables/x");
     await sleep(60);
-    assert.equal(a.served().length, 0);
+    assert.equal(a.servedRequests().length, 0);
     a.load = "0,0,3,1";
     assert.equal((await pending).status, 200);
 });
@@ -293,7 +299,7 @@
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers["retry-after"]) > 0);
     assert.ok(performance.now() - startedAtMs < tables.objectiveMs);
-    assert.equal(a.served().length, 0, "nothing was sent for show");
+    assert.equal(a.servedRequests().length, 0, "nothing was sent for show");
 });
 
 test("a cold server is given no more than it bears", async t => {
@@ -309,7 +315,7 @@
 // later than usual. Given up each time after the same short wait, every request would be refused though all are well.
 test("a server that is slow to tell its load is waited for longer the second time", async t => {
     const a = await startBackend(t, "a");
-    a.tellsAfterMs = 60;
+    a.loadResponseDelayMs = 60;
     const edge = await startPath(t, a);
     assert.equal((await call(edge, "/tables/x")).status, 200);
 });
--- a/packages/edge/src/__tests__/rollouts.test.ts
+++ b/packages/edge/src/__tests__/rollouts.test.ts
@@ -8,13 +8,13 @@
     call,
     createConfiguration,
     eventually,
-    register,
-    renderSigned,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     startEdge,
     type TestBackend,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 const order: RolloutOrder = { service: "tables", version: "v2", allowedMs: 6_000 };
@@ -37,16 +37,16 @@
     const old = await startBackend(t, "old");
     const fresh = await Promise.all(
         ["new-1", "new-2"].map(id =>
-            startBackend(t, id, req => req.socket.write(renderSigned(req, `from ${id}`, answerOfNew)))
+            startBackend(t, id, req => req.socket.write(renderSignedResponse(req, `from ${id}`, answerOfNew)))
         ),
     );
-    register(store, old, { version: "v1", slots: 6 });
+    registerServer(store, old, { version: "v1", slots: 6 });
     const edges = [
         await startEdge(t, store, { name: "edge-1", exposureShare: 0.5, asksPerSecond: 2_000 }),
         await startEdge(t, store, { name: "edge-2", exposureShare: 0.5, asksPerSecond: 2_000 }),
     ];
     for (const edge of edges) {
-        await whenReady(edge);
+        await waitUntilReady(edge);
         await eventually(() => edge.logs.some(line => line["message"] === "registered"), "the gateway registers");
     }
     for (const edge of edges) {
@@ -74,7 +74,7 @@
 function orderRollout({ store, fresh }: Fleet): void {
     store.put("orders/tables", order);
     for (const backend of fresh) {
-        register(store, backend, { version: "v2" });
+        registerServer(store, backend, { version: "v2" });
     }
 }
 
@@ -82,9 +82,12 @@
     const fleet = await startFleet(t, "200 OK");
     orderRollout(fleet);
     await eventually(async () => (await fleet.status())?.stage === "completed", "the roll-out is completed");
-    const before = fleet.old.served().length;
-    await eventually(() => fleet.fresh.every(({ served }) => served().length > 100), "the new servers are used");
-    assert.equal(fleet.old.served().length, before);
+    const before = fleet.old.servedRequests().length;
+    await eventually(
+        () => fleet.fresh.every(({ servedRequests }) => servedRequests().length > 100),
+        "the new servers are used",
+    );
+    assert.equal(fleet.old.servedRequests().length, before);
     const stages = fleet.edges.flatMap(({ logs }) => logs.filter(line => line["message"] === "rolloutStage"));
     assert.deepEqual(stages.map(line => line["to"]), ["trial", "widened", "shifted", "completed"]);
 });
@@ -97,13 +100,13 @@
     for (const { logs } of fleet.edges) {
         await eventually(() => logs.some(line => line["change"] === "v2 rolledBack"), "the gateway hears of it");
     }
-    const before = fleet.fresh.map(({ served }) => served().length);
+    const before = fleet.fresh.map(({ servedRequests }) => servedRequests().length);
     const late = await startEdge(t, fleet.store, { name: "edge-3", exposureShare: 0.5 });
-    await whenReady(late);
+    await waitUntilReady(late);
     for (let i = 0; i < 30; i++) {
         assert.equal((await call(late, "/tables/x")).body, "from old");
     }
-    assert.deepEqual(fleet.fresh.map(({ served }) => served().length), before);
+    assert.deepEqual(fleet.fresh.map(({ servedRequests }) => servedRequests().length), before);
 });
 
 test("a report that can't be read is refused and changes nothing", async t => {
--- a/packages/edge/src/__tests__/sendLost.test.ts
+++ b/packages/edge/src/__tests__/sendLost.test.ts
@@ -6,12 +6,12 @@
     call,
     createConfiguration,
     eventually,
-    register,
+    registerServer,
     startBackend,
     startEdge,
     type TestBackend,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 type Line = Readonly<Record<string, unknown>>;
@@ -19,9 +19,9 @@
 async function startPath(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, backend);
+    registerServer(store, backend);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     return edge;
 }
 
@@ -42,9 +42,9 @@
     assert.deepEqual((await findLost(edge, 1)).map(line => [line["from"], line["server"]]), [["a", "listening"]]);
     await backend.raw.stop();
     const ending = await startBackend(t, "b", req => void ending.raw.stop().then(() => reset(req)));
-    register(edge.store, ending);
+    registerServer(edge.store, ending);
     await eventually(() => edge.logs.some(line => line["name"] === "b"), "the server is known");
-    for (let i = 0; ending.served().length === 0 && i < 50; i++) {
+    for (let i = 0; ending.servedRequests().length === 0 && i < 50; i++) {
         await call(edge, "/returns/x", { method: "POST", body: "filed" });
     }
     const [, lost] = await findLost(edge, 2);
--- a/packages/edge/src/__tests__/serverConnections.test.ts
+++ b/packages/edge/src/__tests__/serverConnections.test.ts
@@ -1,19 +1,19 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
-import { ServerConnections } from "../backends/serverConnections.js";
-import { heardLatelyMs, idleConnectionsPerServer, quietMs } from "../constants.js";
+import { ServerConnectionPool } from "../backends/serverConnectionPool.js";
+import { recentProbeMs, maxIdleConnectionsPerServer, minQuietMs } from "../constants.js";
 import { MemoryStore } from "./support/memoryStore.js";
 import {
     call,
     createConfiguration,
     eventually,
-    register,
-    renderSigned,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     startEdge,
     type TestBackend,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 const address = { host: "127.0.0.1", port: 1 };
@@ -21,43 +21,43 @@
 async function startWith(t: TestContext, backend: TestBackend): Promise<TestEdge> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    register(store, backend);
+    registerServer(store, backend);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     return edge;
 }
 
 test("what must not run twice goes on a connection that was heard on just now, and on no other kept one", () => {
-    const connections = new ServerConnections();
-    const heard = connections.take("a", address);
+    const connections = new ServerConnectionPool();
+    const heard = connections.acquire("a", address);
     connections.release("a", heard, { after: "question", nowMs: 1_000 });
-    assert.notEqual(connections.takeQuiet("a", address, 1_000 + heardLatelyMs + 1), heard);
-    assert.equal(connections.takeQuiet("a", address, 1_000 + heardLatelyMs), heard);
+    assert.notEqual(connections.acquireQuiet("a", address, 1_000 + recentProbeMs + 1), heard);
+    assert.equal(connections.acquireQuiet("a", address, 1_000 + recentProbeMs), heard);
     connections.close();
 });
 
 test("a connection on which a request has ended is left to settle, also when a question was answered since", () => {
-    const connections = new ServerConnections();
-    const used = connections.take("a", address);
+    const connections = new ServerConnectionPool();
+    const used = connections.acquire("a", address);
     connections.release("a", used, { after: "request", nowMs: 1_000 });
-    assert.equal(connections.take("a", address), used);
+    assert.equal(connections.acquire("a", address), used);
     connections.release("a", used, { after: "question", nowMs: 1_010 });
-    assert.notEqual(connections.takeQuiet("a", address, 1_020), used);
-    assert.equal(connections.take("a", address), used);
-    connections.release("a", used, { after: "question", nowMs: 1_000 + quietMs });
-    assert.equal(connections.takeQuiet("a", address, 1_000 + quietMs), used);
+    assert.notEqual(connections.acquireQuiet("a", address, 1_020), used);
+    assert.equal(connections.acquire("a", address), used);
+    connections.release("a", used, { after: "question", nowMs: 1_000 + minQuietMs });
+    assert.equal(connections.acquireQuiet("a", address, 1_000 + minQuietMs), used);
     assert.equal(connections.isFirstRequest(used), false);
     connections.close();
 });
 
 test("no more than a few are kept, and none of an address that is another's now", () => {
-    const connections = new ServerConnections();
-    const open = Array.from({ length: idleConnectionsPerServer + 2 }, () => connections.open(address));
+    const connections = new ServerConnectionPool();
+    const open = Array.from({ length: maxIdleConnectionsPerServer + 2 }, () => connections.open(address));
     for (const connection of open) {
         connections.release("a", connection, { after: "question", nowMs: 0 });
     }
     assert.equal(open.filter(({ destroyed }) => destroyed).length, 2);
-    assert.ok(!open.includes(connections.take("a", { host: "127.0.0.1", port: 2 })));
+    assert.ok(!open.includes(connections.acquire("a", { host: "127.0.0.1", port: 2 })));
     assert.ok(open.every(({ destroyed }) => destroyed));
     connections.close();
 });
@@ -75,8 +75,8 @@
 // would lose it: the late answer comes in place of its own, and nobody can say whether it ran.
 test("a late second answer costs no later request its own", async t => {
     const backend = await startBackend(t, "a", req => {
-        req.socket.write(renderSigned(req, "once"));
-        setTimeout(() => req.socket.write(renderSigned(req, "late")), 30);
+        req.socket.write(renderSignedResponse(req, "once"));
+        setTimeout(() => req.socket.write(renderSignedResponse(req, "late")), 30);
     });
     const edge = await startWith(t, backend);
     for (let i = 0; i < 12; i++) {
@@ -92,7 +92,7 @@
         const isFirst = spoilt === undefined;
         spoilt ??= req.connection;
         const headers = isFirst ? new Map([...req.headers, ["x-id", "another"]]) : req.headers;
-        req.socket.write(renderSigned({ ...req, headers }, "answer"));
+        req.socket.write(renderSignedResponse({ ...req, headers }, "answer"));
     });
     const edge = await startWith(t, backend);
     assert.equal((await call(edge, "/returns/x", { method: "POST" })).status, 502);
--- a/packages/edge/src/__tests__/serverLimit.test.ts
+++ b/packages/edge/src/__tests__/serverLimit.test.ts
@@ -48,7 +48,7 @@
 // A server in need that goes on getting its usual load from every gateway that it has told falls over.
 test("a server that names a limit gets no more than that from all gateways together", async t => {
     const fleet = await startLimitedFleet(t, 5, ["a", "b", "c"]);
-    fleet.servers.limit("a", 1.1);
+    fleet.servers.setLimit("a", 1.1);
     await sendFor(fleet, 9_000, 15);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
     assert.deepEqual(findRefusedForLimits(fleet), []);
@@ -57,12 +57,12 @@
 // Kept away for good, gateways would never hear that a server is well again; all at once, they would make it fall over once more.
 test("a server whose limit has ended is used again", async t => {
     const fleet = await startLimitedFleet(t, 3, ["a", "b"]);
-    fleet.servers.limit("a", 2);
+    fleet.servers.setLimit("a", 2);
     await sendFor(fleet, 4_000, 20);
-    fleet.servers.limit("a", undefined);
+    fleet.servers.setLimit("a", undefined);
     const endedAtMs = performance.now();
     await sendFor(fleet, 6_000, 20);
-    const used = fleet.servers.count("a", endedAtMs + 4_000);
+    const used = fleet.servers.countRequests("a", endedAtMs + 4_000);
     assert.ok(used > 20, `${used} requests in the last two seconds`);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
 });
@@ -71,7 +71,7 @@
     const fleet = await startLimitedFleet(t, 1, ["a"]);
     const [edge] = fleet.edges;
     assert.ok(edge);
-    fleet.servers.limit("a", 0.1);
+    fleet.servers.setLimit("a", 0.1);
     assert.equal((await fleet.servers.send(edge)).status, 200);
     const askedAtMs = performance.now();
     const got = await fleet.servers.send(edge);
--- a/packages/edge/src/__tests__/stopping.test.ts
+++ b/packages/edge/src/__tests__/stopping.test.ts
@@ -8,14 +8,14 @@
     call,
     createConfiguration,
     eventually,
-    register,
-    renderSigned,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     returns,
     startEdge,
     tables,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 async function startSlowPath(t: TestContext, workMs: number): Promise<TestEdge<MemoryStore>> {
@@ -24,12 +24,12 @@
     const patient = [tables, returns].map(route => ({ ...route, objectiveMs: 4_000 }));
     store.put("configuration", createConfiguration(1, patient));
     const backend = await startBackend(t, "a", req => {
-        setTimeout(() => req.socket.write(renderSigned(req, req.path)), workMs);
+        setTimeout(() => req.socket.write(renderSignedResponse(req, req.path)), workMs);
     });
     backend.load = "0,0,20,1";
-    register(store, backend, { slots: 20 });
+    registerServer(store, backend, { slots: 20 });
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     return edge;
 }
 
--- a/packages/edge/src/__tests__/support/noticeServers.ts
+++ b/packages/edge/src/__tests__/support/announcingServers.ts
@@ -6,9 +6,9 @@
 import {
     call,
     createConfiguration,
-    type Got,
-    register,
-    renderSigned,
+    type CallerResponse,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     startEdges,
     type TestBackend,
@@ -20,7 +20,7 @@
 const largeBytes = 400_000;
 
 /** Backend servers that ask for rest and that leave as the test says, and the history of what they got and from whom. */
-export class NoticeServers extends RecordedServers {
+export class AnnouncingServers extends RecordedServers {
     readonly #restSeconds = new Map<string, number>();
     readonly #leaving = new Set<string>();
     readonly #breakingOff = new Set<string>();
@@ -34,26 +34,28 @@
                 const requestId = req.headers.get("x-id") ?? "";
                 const where = { server: id, availabilityZone: "north", cold: false };
                 this.record({ type: "serverTurnedAway", requestId, ...where, restMs: rest * 1_000 });
-                req.socket.write(renderSigned(req, "", "503 Busy", [...more, "x-not-run: 1", `x-rest: ${rest}`]));
+                req.socket.write(
+                    renderSignedResponse(req, "", "503 Busy", [...more, "x-not-run: 1", `x-rest: ${rest}`]),
+                );
                 return;
             }
             this.recordStarted(id, req);
             if (this.#breakingOff.has(id)) {
-                const head = renderSigned(req, "", "200 OK", more).replace(
+                const head = renderSignedResponse(req, "", "200 OK", more).replace(
                     "content-length: 0",
                     `content-length: ${largeBytes}`,
                 );
                 req.socket.write(head + "x".repeat(largeBytes - 1), () => req.socket.destroy());
                 return;
             }
-            setTimeout(() => req.socket.write(renderSigned(req, id, "200 OK", more)), workMs);
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
         });
         this.#backends.set(id, backend);
-        register(this.store, backend);
+        registerServer(this.store, backend);
     }
 
     /** A server turns everything away from now on and asks for so many seconds of rest, or serves again. */
-    rest(id: string, seconds: number | undefined): void {
+    setBackoff(id: string, seconds: number | undefined): void {
         if (seconds === undefined) {
             this.#restSeconds.delete(id);
             return;
@@ -62,12 +64,12 @@
     }
 
     /** A server says in its answers from now on that it leaves; its entry in the store says nothing of it. */
-    leave(id: string): void {
+    announceLeaving(id: string): void {
         this.#leaving.add(id);
     }
 
     /** A server says so, in an answer too large to be held that breaks off. */
-    leaveMidway(id: string): void {
+    announceLeavingInTruncatedResponse(id: string): void {
         this.#leaving.add(id);
         this.#breakingOff.add(id);
     }
@@ -78,24 +80,24 @@
         this.#restSeconds.delete(id);
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
-            register(this.store, backend, { startedAtEpochMs });
+            registerServer(this.store, backend, { startedAtEpochMs });
         }
     }
 
     /** A server's entry lapses, or is written again by the same server. */
-    lapse(id: string): void {
+    expireEntry(id: string): void {
         this.store.remove(`servers/${id}`);
     }
 
-    rewrite(id: string): void {
+    rewriteEntry(id: string): void {
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
-            register(this.store, backend);
+            registerServer(this.store, backend);
         }
     }
 
     /** Sends a request through a gateway. */
-    async send(edge: TestEdge, method: "GET" | "POST" = "GET"): Promise<Got> {
+    async send(edge: TestEdge, method: "GET" | "POST" = "GET"): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const gateway = edge.name;
         const idempotent = method === "GET";
@@ -108,7 +110,7 @@
     }
 
     /** Requests that reached a server in a span of time. */
-    count(id: string, fromMs: number, toMs = Infinity): number {
+    countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             (line.type === "serverStarted" || line.type === "serverTurnedAway") && line.server === id
             && line.atMs >= fromMs && line.atMs < toMs
@@ -117,15 +119,19 @@
 }
 
 /** Gateways in front of servers that say something of themselves. */
-export interface NoticeFleet {
-    readonly servers: NoticeServers;
+export interface AnnouncingFleet {
+    readonly servers: AnnouncingServers;
     readonly edges: readonly TestEdge[];
 }
 
-export async function startNoticeFleet(t: TestContext, gateways: number, ids: readonly string[]): Promise<NoticeFleet> {
+export async function startAnnouncingFleet(
+    t: TestContext,
+    gateways: number,
+    ids: readonly string[],
+): Promise<AnnouncingFleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    const servers = new NoticeServers(t, store);
+    const servers = new AnnouncingServers(t, store);
     for (const id of ids) {
         await servers.start(id);
     }
@@ -134,8 +140,8 @@
 }
 
 /** Sends requests to one gateway after the other. @returns their statuses */
-export async function sendFor(
-    { servers, edges }: NoticeFleet,
+export async function sendRequestsFor(
+    { servers, edges }: AnnouncingFleet,
     forMs: number,
     everyMs: number,
 ): Promise<readonly number[]> {
--- a/packages/edge/src/__tests__/support/cutFleet.ts
+++ b/packages/edge/src/__tests__/support/cutFleet.ts
@@ -8,9 +8,9 @@
 import {
     call,
     createConfiguration,
-    type Got,
-    register,
-    renderSigned,
+    type CallerResponse,
+    registerServer,
+    renderSignedResponse,
     startBackend,
     startEdges,
     type TestBackend,
@@ -24,7 +24,10 @@
     readonly backends: TestBackend[] = [];
     /** What servers do with a request; they answer it after a while unless the test says otherwise. */
     serve: (req: RawRequest, server: string) => void = (req, server) => {
-        setTimeout(() => req.socket.write(renderSigned(req, server, "200 OK", [`x-server: ${server}`])), workMs);
+        setTimeout(
+            () => req.socket.write(renderSignedResponse(req, server, "200 OK", [`x-server: ${server}`])),
+            workMs,
+        );
     };
     #edges: readonly TestEdge[] = [];
     #links: readonly CutLinks[] = [];
@@ -69,7 +72,7 @@
     }
 
     /** Sends a request through a gateway. */
-    async send(gateway: number, method: "GET" | "POST" = "GET", signal?: AbortSignal): Promise<Got> {
+    async send(gateway: number, method: "GET" | "POST" = "GET", signal?: AbortSignal): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const edge = this.edgeOf(gateway);
         const idempotent = method === "GET";
@@ -94,9 +97,9 @@
     }
 
     /** Sends requests to one gateway after the other for a while. @returns what each got */
-    async sendFor(forMs: number, everyMs: number): Promise<readonly Got[]> {
+    async sendFor(forMs: number, everyMs: number): Promise<readonly CallerResponse[]> {
         const untilMs = performance.now() + forMs;
-        const sent: Promise<Got>[] = [];
+        const sent: Promise<CallerResponse>[] = [];
         for (let i = 0; performance.now() < untilMs; i++) {
             sent.push(this.send(i % this.#edges.length, i % 4 === 0 ? "POST" : "GET"));
             await sleep(everyMs);
@@ -110,6 +113,6 @@
             this.serve(req, id);
         });
         this.backends.push(backend);
-        register(this.store, backend);
+        registerServer(this.store, backend);
     }
 }
--- a/packages/edge/src/__tests__/support/cutLinks.ts
+++ b/packages/edge/src/__tests__/support/cutLinks.ts
@@ -1,7 +1,7 @@
 import { type ServerAddress } from "@galenaglade/fleet-state";
 import { type Socket } from "node:net";
-import { type OnLinkOpened, ServerLinks } from "../../index.js";
-import { DirectLinks } from "../../backends/serverLinks.js";
+import { type OnConnected, ServerConnector } from "../../index.js";
+import { DirectConnector } from "../../backends/serverConnector.js";
 import { connectTimeoutMs } from "../../constants.js";
 
 /** What becomes of a gateway's connections to all backend servers. */
@@ -34,18 +34,18 @@
 }
 
 /** Links to backend servers that a test cuts and restores. */
-export class CutLinks extends ServerLinks {
-    readonly #direct = new DirectLinks();
+export class CutLinks extends ServerConnector {
+    readonly #direct = new DirectConnector();
     readonly #sockets = new Set<Socket>();
     readonly #held: HeldSocket[] = [];
     #manner: CutManner | undefined;
     /** Sockets opened so far. */
     opened = 0;
 
-    override open(address: ServerAddress, onOpened: OnLinkOpened): void {
+    override connect(address: ServerAddress, onOpened: OnConnected): void {
         const manner = this.#manner;
         if (manner === undefined) {
-            this.#direct.open(address, opened => {
+            this.#direct.connect(address, opened => {
                 if (!(opened instanceof Error)) {
                     this.opened++;
                     this.#sockets.add(opened);
--- a/packages/edge/src/__tests__/support/dyingServers.ts
+++ b/packages/edge/src/__tests__/support/dyingServers.ts
@@ -3,7 +3,14 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { type MemoryStore } from "./memoryStore.js";
 import { RecordedServers } from "./recordedServers.js";
-import { call, type Got, register, renderSigned, startBackend, type TestEdge } from "./testEdge.js";
+import {
+    call,
+    type CallerResponse,
+    registerServer,
+    renderSignedResponse,
+    startBackend,
+    type TestEdge,
+} from "./testEdge.js";
 
 const runMs = 30;
 const backAfterMs = 400;
@@ -40,13 +47,13 @@
                 void this.#end(id, req, () => backend.raw.stop());
                 return;
             }
-            req.socket.write(renderSigned(req, "a table"));
+            req.socket.write(renderSignedResponse(req, "a table"));
         });
-        register(this.store, backend);
+        registerServer(this.store, backend);
     }
 
     /** Sends a request, and records it. */
-    async send(edge: TestEdge, path: string, body?: string): Promise<Got> {
+    async send(edge: TestEdge, path: string, body?: string): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const contentId = `${path} ${body ?? ""}`;
         const idempotent = body === undefined;
--- a/packages/edge/src/__tests__/support/helperStandIn.ts
+++ b/packages/edge/src/__tests__/support/helperStandIn.ts
@@ -1,7 +1,7 @@
 import { type RawRequest, startRawBackend } from "@galenaglade/stand-ins";
 import { type TestContext } from "node:test";
 import { type MemoryStore } from "./memoryStore.js";
-import { renderSigned } from "./testEdge.js";
+import { renderSignedResponse } from "./testEdge.js";
 
 /** What a stand-in for another gateway does with a request that is handed to it. */
 export type HelperConduct =
@@ -57,7 +57,7 @@
     switch (conduct.type) {
         case "answer": {
             const verdict = JSON.stringify({ type: "answered", version: 1 });
-            req.socket.write(renderSigned(req, conduct.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
+            req.socket.write(renderSignedResponse(req, conduct.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
             return;
         }
         case "verdict": {
--- a/packages/edge/src/__tests__/support/limitedServers.ts
+++ b/packages/edge/src/__tests__/support/limitedServers.ts
@@ -1,5 +1,12 @@
 import { RecordedServers } from "./recordedServers.js";
-import { call, type Got, register, renderSigned, startBackend, type TestEdge } from "./testEdge.js";
+import {
+    call,
+    type CallerResponse,
+    registerServer,
+    renderSignedResponse,
+    startBackend,
+    type TestEdge,
+} from "./testEdge.js";
 
 const workMs = 20;
 
@@ -12,13 +19,13 @@
             this.recordStarted(id, req);
             const limit = this.#limits.get(id);
             const more = [`x-server: ${id}`, ...(limit === undefined ? [] : [`x-limit: ${limit}`])];
-            setTimeout(() => req.socket.write(renderSigned(req, id, "200 OK", more)), workMs);
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
         });
-        register(this.store, backend);
+        registerServer(this.store, backend);
     }
 
     /** A server names a limit from now on, or none any more. */
-    limit(id: string, perSecond: number | undefined): void {
+    setLimit(id: string, perSecond: number | undefined): void {
         this.record({ type: "serverLimited", server: id, perSecond });
         if (perSecond === undefined) {
             this.#limits.delete(id);
@@ -28,7 +35,7 @@
     }
 
     /** Sends a request through a gateway. */
-    async send(edge: TestEdge): Promise<Got> {
+    async send(edge: TestEdge): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const gateway = edge.name;
         this.record({
@@ -47,7 +54,7 @@
     }
 
     /** Requests that a server got in a span of time. */
-    count(id: string, fromMs: number, toMs = Infinity): number {
+    countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             line.type === "serverStarted" && line.server === id && line.atMs >= fromMs && line.atMs < toMs
         ).length;
--- a/packages/edge/src/__tests__/support/simulatedGateways.ts
+++ b/packages/edge/src/__tests__/support/simulatedGateways.ts
@@ -18,7 +18,7 @@
 import { StateSync } from "../../state/stateSync.js";
 import { EdgeLog } from "../../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../../telemetry/edgeMetrics.js";
-import { TestCodec } from "./testNames.js";
+import { TestStateCodec } from "./testCodecs.js";
 import { TroubledLink, type TroubledStore } from "./troubledStore.js";
 import { type VirtualTime } from "./virtualTime.js";
 
@@ -51,7 +51,15 @@
             this.logs.push({ atMs: time.monotonicMs(), message, ...fields });
         };
         const log = new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => time.monotonicMs());
-        const shared = { store: this.link, codec: new TestCodec(), view: this.view, clock: time, random, log, metrics };
+        const shared = {
+            store: this.link,
+            codec: new TestStateCodec(),
+            view: this.view,
+            clock: time,
+            random,
+            log,
+            metrics,
+        };
         this.#registration = new Registration({
             ...shared,
             name: this.name,
--- a/packages/edge/src/__tests__/support/testNames.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -12,13 +12,19 @@
 import { type CallerKey } from "@galenaglade/workspaces";
 import { findHeader, findHeaders, keepEndToEnd, type RawHeaders } from "@galenaglade/http-parts";
 import { type KeyValue } from "@galenaglade/platform";
-import { type AnswerSigns, EdgeVocabulary, type ForwardSigns, type RequestSigns, StateCodec } from "../../index.js";
+import {
+    type ResponseMetadata,
+    EdgeMetadataCodec,
+    type ForwardMetadata,
+    type RequestMetadata,
+    StateCodec,
+} from "../../index.js";
 
 /** Header names of the tests' callers and backend servers. */
-export class TestVocabulary extends EdgeVocabulary {
+export class TestMetadataCodec extends EdgeMetadataCodec {
     override readonly readinessPath = "/ready";
 
-    override readRequest(headers: RawHeaders): RequestSigns {
+    override readRequest(headers: RawHeaders): RequestMetadata {
         const patience = findHeader(headers, "x-patience-ms");
         return {
             requestId: findHeader(headers, "x-id"),
@@ -27,7 +33,7 @@
         };
     }
 
-    override resolveForwardHeaders(headers: RawHeaders, signs: ForwardSigns): string[] {
+    override createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[] {
         const { identity } = signs;
         const isDropped = (name: string): boolean =>
             name === "x-patience-ms" || (identity.type !== "unchecked" && ["x-key", "x-workspace"].includes(name));
@@ -38,7 +44,7 @@
         return [...kept, "x-patience-ms", String(signs.remainingMs), "x-for", signs.serverId];
     }
 
-    override readAnswer(_status: number, headers: RawHeaders): AnswerSigns {
+    override readResponse(_status: number, headers: RawHeaders): ResponseMetadata {
         const load = findHeader(headers, "x-load")?.split(",").map(Number);
         const [running = 0, waiting = 0, slots = 3, slowdown = 1] = load ?? [];
         return {
@@ -49,9 +55,9 @@
             load: load === undefined ? undefined : { running, waiting, slots, slowdown },
             coldRemainingMs: Number(findHeader(headers, "x-cold-ms") ?? 0),
             limit: readLimit(findHeader(headers, "x-limit")),
-            rest: readRest(findHeader(headers, "x-rest")),
+            backoff: readRest(findHeader(headers, "x-rest")),
             leaving: findHeader(headers, "x-leaving") !== undefined,
-            unknown: findHeader(headers, "x-riddle") === undefined ? [] : ["x-riddle"],
+            unknownHeaders: findHeader(headers, "x-riddle") === undefined ? [] : ["x-riddle"],
         };
     }
 }
@@ -77,8 +83,8 @@
 }
 
 /** The tests' keys: each value is the item itself. */
-export class TestCodec extends StateCodec {
-    override isPastOperator(key: string): boolean {
+export class TestStateCodec extends StateCodec {
+    override isAfterOperatorKeys(key: string): boolean {
         return key > "servers/";
     }
 
@@ -96,7 +102,7 @@
         return `statuses/${service}`;
     }
 
-    override renderRolloutStatus(status: RolloutStatus): string {
+    override encodeRolloutStatus(status: RolloutStatus): string {
         return JSON.stringify(status);
     }
 
--- a/packages/edge/src/__tests__/support/testEdge.ts
+++ b/packages/edge/src/__tests__/support/testEdge.ts
@@ -5,21 +5,21 @@
 import { type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import { createEdge, type Edge, resolveEdgeSettings, type ServerLinks } from "../../index.js";
+import { createEdge, type Edge, resolveEdgeSettings, type ServerConnector } from "../../index.js";
 import { type MemoryStore } from "./memoryStore.js";
-import { TestCodec, TestVocabulary } from "./testNames.js";
+import { TestStateCodec, TestMetadataCodec } from "./testCodecs.js";
 
 /** A backend server of the tests: tells its load as the test says, and serves requests as the test says. */
 export interface TestBackend {
     readonly id: string;
     readonly raw: RawBackend;
     /** Requests other than questions for its load. */
-    readonly served: () => readonly RawRequest[];
+    readonly servedRequests: () => readonly RawRequest[];
     /** What it answers a question for its load with; `undefined` for no answer. */
     load: string | undefined;
     coldMs: number;
     /** How long it takes to answer a question for its load. */
-    tellsAfterMs: number;
+    loadResponseDelayMs: number;
 }
 
 /** One edge process in the test's own process, with its store. */
@@ -38,7 +38,12 @@
 }
 
 /** @returns an answer to a request as a whole and signed one */
-export function renderSigned(req: RawRequest, body: string, status = "200 OK", more: readonly string[] = []): string {
+export function renderSignedResponse(
+    req: RawRequest,
+    body: string,
+    status = "200 OK",
+    more: readonly string[] = [],
+): string {
     const head = [
         `HTTP/1.1 ${status}`,
         `content-length: ${body.length}`,
@@ -52,7 +57,7 @@
 export async function startBackend(
     t: TestContext,
     id: string,
-    serve: (req: RawRequest) => void = req => req.socket.write(renderSigned(req, `from ${id}`)),
+    serve: (req: RawRequest) => void = req => req.socket.write(renderSignedResponse(req, `from ${id}`)),
 ): Promise<TestBackend> {
     const served: RawRequest[] = [];
     const raw = await startRawBackend(t, req => {
@@ -64,10 +69,17 @@
         if (backend.load !== undefined) {
             const head = ["HTTP/1.1 200 OK", "content-length: 0", `x-server: ${id}`, `x-load: ${backend.load}`];
             const answer = [...head, `x-cold-ms: ${backend.coldMs}`, "", ""].join("\r\n");
-            setTimeout(() => req.socket.write(answer), backend.tellsAfterMs);
+            setTimeout(() => req.socket.write(answer), backend.loadResponseDelayMs);
         }
     });
-    const backend: TestBackend = { id, raw, served: () => served, load: "0,0,3,1", coldMs: 0, tellsAfterMs: 0 };
+    const backend: TestBackend = {
+        id,
+        raw,
+        servedRequests: () => served,
+        load: "0,0,3,1",
+        coldMs: 0,
+        loadResponseDelayMs: 0,
+    };
     return backend;
 }
 
@@ -95,7 +107,11 @@
 }
 
 /** Writes a backend server's entry. */
-export function register(store: MemoryStore, { id, raw }: TestBackend, more: Partial<RegisteredServer> = {}): void {
+export function registerServer(
+    store: MemoryStore,
+    { id, raw }: TestBackend,
+    more: Partial<RegisteredServer> = {},
+): void {
     store.put(
         `servers/${id}`,
         {
@@ -122,7 +138,7 @@
         readonly peersPort?: number;
         readonly exposureShare?: number;
         readonly firstTrialSeconds?: number;
-        readonly links?: ServerLinks;
+        readonly links?: ServerConnector;
     } = {},
 ): Promise<TestEdge<Store>> {
     const [callers, readiness, free = 0, metrics] = await findFreePorts(4);
@@ -147,8 +163,8 @@
     const edge = createEdge({
         settings,
         store,
-        codec: new TestCodec(),
-        vocabulary: new TestVocabulary(),
+        codec: new TestStateCodec(),
+        metadataCodec: new TestMetadataCodec(),
         logger: createJsonLogger({
             process: settings.name,
             level: "info",
@@ -156,7 +172,7 @@
         }),
         metrics: createMetrics("test"),
         seed: 1,
-        ...(more.links === undefined ? {} : { links: more.links }),
+        ...(more.links === undefined ? {} : { connector: more.links }),
     });
     await edge.start();
     let stopped: Promise<void> | undefined;
@@ -191,7 +207,7 @@
 }
 
 /** Waits until the edge process says that it is ready. */
-export async function whenReady({ readinessUrl }: TestEdge): Promise<void> {
+export async function waitUntilReady({ readinessUrl }: TestEdge): Promise<void> {
     await eventually(async () => {
         const res = await request(readinessUrl);
         await res.body.dump();
@@ -204,14 +220,14 @@
     t: TestContext,
     store: MemoryStore,
     count: number,
-    links: readonly ServerLinks[] = [],
+    links: readonly ServerConnector[] = [],
 ): Promise<readonly TestEdge[]> {
     const edges: TestEdge[] = [];
     for (let i = 0; i < count; i++) {
         const own = links[i];
         edges.push(await startEdge(t, store, { name: `edge-${i}`, ...(own === undefined ? {} : { links: own }) }));
     }
-    await Promise.all(edges.map(whenReady));
+    await Promise.all(edges.map(waitUntilReady));
     await eventually(
         () => edges.every(({ logs }) => logs.filter(line => line["subject"] === "gateway").length >= count),
         "the gateways know each other",
@@ -220,7 +236,7 @@
 }
 
 /** What a caller got. */
-export interface Got {
+export interface CallerResponse {
     readonly status: number;
     readonly body: string;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -238,7 +254,7 @@
         readonly signal?: AbortSignal;
         readonly requestId?: string;
     } = {},
-): Promise<Got> {
+): Promise<CallerResponse> {
     const res = await request(url + path, {
         method: more.method ?? "GET",
         headers: { "host": "survey.example", "x-id": more.requestId ?? `r${++requests}`, "x-patience-ms": "8000" },
--- a/packages/edge/src/__tests__/workspaceLimits.test.ts
+++ b/packages/edge/src/__tests__/workspaceLimits.test.ts
@@ -5,7 +5,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import { MemoryStore } from "./support/memoryStore.js";
-import { createConfiguration, register, startBackend, startEdges, type TestEdge } from "./support/testEdge.js";
+import { createConfiguration, registerServer, startBackend, startEdges, type TestEdge } from "./support/testEdge.js";
 
 const limited: Workspace = { name: "limited", keys: ["k-limited"], limit: { perSecond: 20, burst: 20 } };
 const free: Workspace = { name: "free", keys: ["k-free"] };
@@ -17,8 +17,8 @@
 async function startFleet(t: TestContext, count: number): Promise<readonly TestEdge[]> {
     const store = new MemoryStore();
     store.put("configuration", configure(1));
-    register(store, await startBackend(t, "i-1"), { slots: 100 });
-    register(store, await startBackend(t, "i-2"), { slots: 100 });
+    registerServer(store, await startBackend(t, "i-1"), { slots: 100 });
+    registerServer(store, await startBackend(t, "i-2"), { slots: 100 });
     return startEdges(t, store, count);
 }
 
--- a/packages/edge/src/__tests__/workspaces.test.ts
+++ b/packages/edge/src/__tests__/workspaces.test.ts
@@ -7,14 +7,14 @@
 import {
     createConfiguration,
     eventually,
-    register,
+    registerServer,
     returns,
     startBackend,
     startEdge,
     tables,
     type TestBackend,
     type TestEdge,
-    whenReady,
+    waitUntilReady,
 } from "./support/testEdge.js";
 
 const north: Workspace = { name: "north", keys: ["k-north"] };
@@ -27,9 +27,9 @@
 async function start(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
     const store = new MemoryStore();
     store.put("configuration", withWorkspaces(1, [north]));
-    register(store, backend);
+    registerServer(store, backend);
     const edge = await startEdge(t, store);
-    await whenReady(edge);
+    await waitUntilReady(edge);
     // From here on it hears of changes as they come.
     await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
     return edge;
@@ -51,7 +51,9 @@
     assert.equal(await ask(edge, "/tables/3", { "x-key": "k-other" }), 401);
     assert.equal(await ask(edge, "/open/4", { "x-workspace": "forged" }), 200);
     assert.equal(await ask(edge, "/open/5", { "x-key": "k-north" }), 200);
-    const seen = backend.served().map(({ path, headers }) => [path, headers.get("x-workspace"), headers.get("x-key")]);
+    const seen = backend.servedRequests().map((
+        { path, headers },
+    ) => [path, headers.get("x-workspace"), headers.get("x-key")]);
     assert.deepEqual(seen, [
         ["/tables/1", "north", undefined],
         ["/open/4", undefined, undefined],
@@ -74,5 +76,5 @@
         () => edge.logs.some(({ name, change }) => name === "2" && change === "inForce"),
         "it is in force",
     );
-    assert.deepEqual([status, backend.served().length], [401, 1]);
+    assert.deepEqual([status, backend.servedRequests().length], [401, 1]);
 });
--- a/packages/edge/src/backends/contactEnds.ts
+++ b/packages/edge/src/backends/classifyConnectionError.ts
@@ -4,7 +4,7 @@
 const socketCode = "UND_ERR_SOCKET";
 
 /** How an exchange without an answer ended. @param err - as the HTTP client reports it */
-export function findContactEnd(err: Error): Exclude<ServerContactResult, "heard"> {
+export function classifyConnectionError(err: Error): Exclude<ServerContactResult, "heard"> {
     const { code, syscall } = err as NodeJS.ErrnoException;
     if (code === timeoutCode) {
         return "silent";
--- a/packages/edge/src/backends/askServer.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -3,31 +3,31 @@
 import { type ServerStatus } from "@galenaglade/placement";
 import { type ServerContactResult } from "@galenaglade/reachability";
 import { type Dispatcher } from "undici";
-import { type AnswerSigns, type EdgeVocabulary } from "../vocabulary.js";
-import { findContactEnd } from "./contactEnds.js";
-import { readRawHeaders } from "./rawHeaders.js";
+import { type ResponseMetadata, type EdgeMetadataCodec } from "../metadataCodec.js";
+import { classifyConnectionError } from "./classifyConnectionError.js";
+import { readRawHeaders } from "./readRawHeaders.js";
 import { type ServerConnection } from "./serverConnection.js";
 
 const okStatus = 200;
 
 /** What to ask with. */
-export interface AskInput {
+export interface LoadProbeOptions {
     readonly server: RegisteredServer;
     readonly connection: ServerConnection;
     readonly healthPath: string;
-    readonly vocabulary: EdgeVocabulary;
+    readonly vocabulary: EdgeMetadataCodec;
     readonly timeoutMs: number;
 }
 
 /** What a server said when it was asked. */
-export interface LoadAnswer {
+export interface LoadProbeSuccess {
     readonly type: "told";
     readonly offer: ServerStatus;
-    readonly signs: AnswerSigns;
+    readonly metadata: ResponseMetadata;
 }
 
 /** Why a server told nothing; `otherServer` where another one answered. */
-export interface LoadSilence {
+export interface LoadProbeFailure {
     readonly type: "untold";
     readonly reason: Exclude<ServerContactResult, "heard"> | "otherServer";
 }
@@ -39,7 +39,7 @@
  * @param input - whom to ask
  * @returns what it said, or why it said nothing in time
  */
-export function askServer(input: AskInput): Promise<LoadAnswer | LoadSilence> {
+export function probeServerLoad(input: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
     return new Promise(resolve => {
         const handler = new AskHandler(input, resolve);
         input.connection.dispatch({ method: "GET", path: input.healthPath }, handler);
@@ -47,14 +47,14 @@
 }
 
 class AskHandler implements Dispatcher.DispatchHandler {
-    readonly #input: AskInput;
-    readonly #resolve: (answer: LoadAnswer | LoadSilence) => void;
+    readonly #input: LoadProbeOptions;
+    readonly #resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void;
     readonly #timer: NodeJS.Timeout;
     #controller: Dispatcher.DispatchController | undefined;
-    #answer: LoadAnswer | LoadSilence = { type: "untold", reason: "lost" };
+    #answer: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
     #settled = false;
 
-    constructor(input: AskInput, resolve: (answer: LoadAnswer | LoadSilence) => void) {
+    constructor(input: LoadProbeOptions, resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void) {
         this.#input = input;
         this.#resolve = resolve;
         // After a long turn of the event loop its timers come before what has been received meanwhile. Taken for silent then,
@@ -70,7 +70,7 @@
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-        this.#input.connection.onAnswer();
+        this.#input.connection.onResponse();
         this.#answer = this.#read(status, readRawHeaders(controller.rawHeaders));
     }
 
@@ -83,7 +83,7 @@
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-        this.#settle({ type: "untold", reason: findContactEnd(err) });
+        this.#settle({ type: "untold", reason: classifyConnectionError(err) });
     }
 
     #giveUp(): void {
@@ -94,9 +94,9 @@
         this.#controller?.abort(new Error("no answer in time"));
     }
 
-    #read(status: number, headers: RawHeaders): LoadAnswer | LoadSilence {
+    #read(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
         const { server, vocabulary } = this.#input;
-        const signs = vocabulary.readAnswer(status, headers);
+        const signs = vocabulary.readResponse(status, headers);
         if (signs.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
         }
@@ -108,10 +108,10 @@
             healthy: status === okStatus,
             coldRemainingMs: signs.coldRemainingMs,
         };
-        return { type: "told", offer, signs };
+        return { type: "told", offer, metadata: signs };
     }
 
-    #settle(answer: LoadAnswer | LoadSilence): void {
+    #settle(answer: LoadProbeSuccess | LoadProbeFailure): void {
         if (this.#settled) {
             return;
         }
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -3,20 +3,20 @@
 import { type ServerContactResult } from "@galenaglade/reachability";
 import { type Readable } from "node:stream";
 import { type Dispatcher } from "undici";
-import { type AnswerReader, type AnswerSigns } from "../vocabulary.js";
-import { findContactEnd } from "./contactEnds.js";
-import { readRawHeaders } from "./rawHeaders.js";
+import { type ResponseMetadataReader, type ResponseMetadata } from "../metadataCodec.js";
+import { classifyConnectionError } from "./classifyConnectionError.js";
+import { readRawHeaders } from "./readRawHeaders.js";
 import { type ServerConnection } from "./serverConnection.js";
 
 /** The head of a backend server's answer. */
-export interface AnswerHead {
+export interface ResponseHead {
     readonly status: number;
     readonly headers: RawHeaders;
-    readonly signs: AnswerSigns;
+    readonly metadata: ResponseMetadata;
 }
 
 /** A backend server's whole answer. */
-export interface HeldAnswer extends AnswerHead {
+export interface BufferedResponse extends ResponseHead {
     readonly body: Buffer;
     /**
      * Whether the server ended it by closing the connection. A server that crashes closes it too, so nobody can tell
@@ -26,39 +26,39 @@
 }
 
 /** Gets the bytes of an answer that is too large to be held. */
-export abstract class AnswerSink {
+export abstract class ResponseSink {
     /** @returns whether more may come at once; otherwise `resume` is called when it may */
     abstract write(chunk: Buffer, resume: () => void): boolean;
 }
 
 /** One send of one request. */
-export interface SendInput {
+export interface SendOptions {
     readonly connection: ServerConnection;
     /** Whether no request was sent on the connection before, so that a request turned away on it can only be this one. */
-    readonly firstRequest: boolean;
+    readonly isFirstRequest: boolean;
     readonly method: string;
     readonly path: string;
     readonly headers: string[];
     readonly body: Buffer | Readable | undefined;
     readonly idempotent: boolean;
     readonly requestId: string | undefined;
-    readonly vocabulary: AnswerReader;
-    readonly heldBytes: number;
+    readonly metadataReader: ResponseMetadataReader;
+    readonly maxBufferedBytes: number;
     /** Asked in the turn in which the first byte is written. */
     readonly mayWrite: () => boolean;
     /** Asked once an answer is too large to be held. @returns where its bytes go, or `undefined` to give it up */
-    readonly openSink: (head: AnswerHead) => AnswerSink | undefined;
+    readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
 /** How a send ended. */
 export interface SendResult {
     readonly end: SendEnd;
     /** The whole answer, where it was held. */
-    readonly answer: HeldAnswer | undefined;
+    readonly response: BufferedResponse | undefined;
     /** Whether a sink was opened, so that the caller has had a part of the answer. */
     readonly streamed: boolean;
     /** What the answer's head says, where it had one. */
-    readonly signs: AnswerSigns | undefined;
+    readonly metadata: ResponseMetadata | undefined;
     readonly detail: string;
     /** What it says of the link to the server; `undefined` for nothing. */
     readonly contact: ServerContactResult | undefined;
@@ -81,7 +81,7 @@
  *
  * @param input - what goes where
  */
-export function sendRequest(input: SendInput): Send {
+export function sendRequest(input: SendOptions): Send {
     let handler: SendHandler | undefined;
     const result = new Promise<SendResult>(resolve => {
         handler = new SendHandler(input, resolve);
@@ -97,7 +97,7 @@
 }
 
 class SendHandler implements Dispatcher.DispatchHandler {
-    readonly #input: SendInput;
+    readonly #input: SendOptions;
     readonly #resolve: (result: SendResult) => void;
     readonly #startedAtMs = performance.now();
     readonly #chunks: Buffer[] = [];
@@ -105,12 +105,12 @@
     #controller: Dispatcher.DispatchController | undefined;
     #written = false;
     #refused = false;
-    #head: AnswerHead | undefined;
+    #head: ResponseHead | undefined;
     #contact: ServerContactResult | undefined;
-    #sink: AnswerSink | undefined;
+    #sink: ResponseSink | undefined;
     #settled = false;
 
-    constructor(input: SendInput, resolve: (result: SendResult) => void) {
+    constructor(input: SendOptions, resolve: (result: SendResult) => void) {
         this.#input = input;
         this.#resolve = resolve;
     }
@@ -129,12 +129,12 @@
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
         this.#contact = "heard";
-        this.#input.connection.onAnswer();
+        this.#input.connection.onResponse();
         if (status < 200) {
             return;
         }
         const headers = readRawHeaders(controller.rawHeaders);
-        this.#head = { status, headers, signs: this.#input.vocabulary.readAnswer(status, headers) };
+        this.#head = { status, headers, metadata: this.#input.metadataReader.readResponse(status, headers) };
     }
 
     onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
@@ -144,7 +144,7 @@
         if (this.#sink === undefined) {
             this.#chunks.push(chunk);
             this.#heldBytes += chunk.length;
-            if (this.#heldBytes > this.#input.heldBytes) {
+            if (this.#heldBytes > this.#input.maxBufferedBytes) {
                 this.#openSink(controller, this.#head);
             }
             return;
@@ -173,7 +173,7 @@
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
         if (!this.#refused) {
             // Bytes that are no answer came from the other side all the same.
-            this.#contact ??= isParserError(err) ? "heard" : findContactEnd(err);
+            this.#contact ??= isParserError(err) ? "heard" : classifyConnectionError(err);
         }
         if (this.#written) {
             this.#settle(
@@ -198,11 +198,11 @@
     }
 
     /** An answer of which something is wrong is nobody's: it may be the end of another one, or half of this. */
-    #findFault({ status, headers, signs }: AnswerHead): UnknownRunReason | undefined {
-        const { requestId, firstRequest, connection } = this.#input;
+    #findFault({ status, headers, metadata }: ResponseHead): UnknownRunReason | undefined {
+        const { requestId, isFirstRequest, connection } = this.#input;
         // A server that turns a request away may not have read who it is; as the first one here it can mean no other.
-        const anonymous = signs.requestId === undefined && firstRequest && signs.notRun;
-        if (signs.requestId !== requestId && !anonymous) {
+        const anonymous = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
+        if (metadata.requestId !== requestId && !anonymous) {
             return "otherRequestsAnswer";
         }
         if (findHeader(headers, "content-encoding") !== undefined) {
@@ -211,10 +211,10 @@
         if (isEndedByClose(this.#input.method, status, headers) && connection.socketFailed) {
             return "cutShort";
         }
-        return status < 300 && !signs.signed ? "notSigned" : undefined;
+        return status < 300 && !metadata.signed ? "notSigned" : undefined;
     }
 
-    #openSink(controller: Dispatcher.DispatchController, head: AnswerHead): void {
+    #openSink(controller: Dispatcher.DispatchController, head: ResponseHead): void {
         const sink = this.#findFault(head) === undefined ? this.#input.openSink(head) : undefined;
         if (sink === undefined) {
             this.#settle({ type: "unknown", reason: "cutShort" }, "the answer is too large to be held, and not wanted");
@@ -226,7 +226,7 @@
         this.#chunks.length = 0;
     }
 
-    #pass(controller: Dispatcher.DispatchController, sink: AnswerSink, chunk: Buffer): void {
+    #pass(controller: Dispatcher.DispatchController, sink: ResponseSink, chunk: Buffer): void {
         if (!sink.write(chunk, () => controller.resume())) {
             controller.pause();
         }
@@ -240,7 +240,7 @@
         const held = this.#head !== undefined && this.#sink === undefined && end.type === "answered";
         this.#resolve({
             end,
-            answer: held && this.#head !== undefined
+            response: held && this.#head !== undefined
                 ? {
                     ...this.#head,
                     body: Buffer.concat(this.#chunks),
@@ -248,7 +248,7 @@
                 }
                 : undefined,
             streamed: this.#sink !== undefined,
-            signs: this.#head?.signs,
+            metadata: this.#head?.metadata,
             detail,
             contact: this.#contact,
             tookMs: performance.now() - this.#startedAtMs,
@@ -263,11 +263,11 @@
         && findHeader(headers, "transfer-encoding") === undefined;
 }
 
-function findNotRun({ status, signs }: AnswerHead): NotRunReason | undefined {
+function findNotRun({ status, metadata }: ResponseHead): NotRunReason | undefined {
     if (status === misdirectedStatus) {
         return "otherServer";
     }
-    return signs.notRun ? "turnedAway" : undefined;
+    return metadata.notRun ? "turnedAway" : undefined;
 }
 
 function findLoss(err: Error): UnknownRunReason {
--- a/packages/edge/src/backends/serverConnection.ts
+++ b/packages/edge/src/backends/serverConnection.ts
@@ -1,8 +1,8 @@
 import { type ServerAddress } from "@galenaglade/fleet-state";
 import { type Socket } from "node:net";
 import { Client, type Dispatcher } from "undici";
-import { idleConnectionMs } from "../constants.js";
-import { type ServerLinks } from "./serverLinks.js";
+import { idleConnectionTimeoutMs } from "../constants.js";
+import { type ServerConnector } from "./serverConnector.js";
 
 /** One connection to one backend server, reopened when it is used after it was closed. Carries one request at a time. */
 export class ServerConnection {
@@ -16,17 +16,17 @@
      * @param address - of the server
      * @param links - open its sockets
      */
-    constructor(address: ServerAddress, links: ServerLinks) {
+    constructor(address: ServerAddress, links: ServerConnector) {
         this.address = address;
         this.#client = new Client(`http://${address.host}:${address.port}`, {
             pipelining: 1,
-            keepAliveTimeout: idleConnectionMs,
-            keepAliveMaxTimeout: idleConnectionMs,
+            keepAliveTimeout: idleConnectionTimeoutMs,
+            keepAliveMaxTimeout: idleConnectionTimeoutMs,
             // Each request has a deadline of its own.
             headersTimeout: 0,
             bodyTimeout: 0,
             connect: (_options, callback) => {
-                links.open(address, opened => {
+                links.connect(address, opened => {
                     if (opened instanceof Error) {
                         callback(opened, null);
                         return;
@@ -51,12 +51,12 @@
     }
 
     /** Whether an answer has come on it: what fails then says nothing of new connections. */
-    get isProved(): boolean {
+    get hasResponded(): boolean {
         return this.#isProved;
     }
 
     /** An answer has come on it. */
-    onAnswer(): void {
+    onResponse(): void {
         this.#isProved = true;
     }
 
--- a/packages/edge/src/backends/serverConnections.ts
+++ b/packages/edge/src/backends/serverConnectionPool.ts
@@ -1,7 +1,7 @@
 import { type ServerAddress } from "@galenaglade/fleet-state";
-import { heardLatelyMs, idleConnectionsPerServer, quietMs } from "../constants.js";
+import { recentProbeMs, maxIdleConnectionsPerServer, minQuietMs } from "../constants.js";
 import { ServerConnection } from "./serverConnection.js";
-import { DirectLinks, type ServerLinks } from "./serverLinks.js";
+import { DirectConnector, type ServerConnector } from "./serverConnector.js";
 
 /** What a connection is given back after. */
 export interface ConnectionUse {
@@ -18,24 +18,24 @@
 }
 
 /** Kept connections to backend servers, by server. */
-export class ServerConnections {
-    readonly #links: ServerLinks;
+export class ServerConnectionPool {
+    readonly #links: ServerConnector;
     readonly #idle = new Map<string, IdleConnection[]>();
     readonly #requestAtMs = new WeakMap<ServerConnection, number>();
     #opened = 0;
 
     /** @param links - open the sockets */
-    constructor(links: ServerLinks = new DirectLinks()) {
+    constructor(links: ServerConnector = new DirectConnector()) {
         this.#links = links;
     }
 
     /** Connections opened so far, first uses of kept ones included. */
-    get opened(): number {
+    get openedCount(): number {
         return this.#opened;
     }
 
     /** @returns a connection that waits for work, the one that was used last, or a new one */
-    take(serverId: string, address: ServerAddress): ServerConnection {
+    acquire(serverId: string, address: ServerAddress): ServerConnection {
         return this.#takeWhere(serverId, address, () => true) ?? this.open(address);
     }
 
@@ -46,11 +46,11 @@
      *
      * @returns such a connection, or a new one
      */
-    takeQuiet(serverId: string, address: ServerAddress, nowMs: number): ServerConnection {
+    acquireQuiet(serverId: string, address: ServerAddress, nowMs: number): ServerConnection {
         const quiet = this.#takeWhere(
             serverId,
             address,
-            ({ heardAtMs, requestAtMs }) => nowMs - heardAtMs <= heardLatelyMs && nowMs - requestAtMs >= quietMs,
+            ({ heardAtMs, requestAtMs }) => nowMs - heardAtMs <= recentProbeMs && nowMs - requestAtMs >= minQuietMs,
         );
         return quiet ?? this.open(address);
     }
@@ -73,7 +73,7 @@
         }
         const idle = this.#idle.get(serverId) ?? [];
         this.#idle.set(serverId, idle);
-        if (idle.length >= idleConnectionsPerServer) {
+        if (idle.length >= maxIdleConnectionsPerServer) {
             connection.destroy();
             return;
         }
--- a/packages/edge/src/backends/serverLinks.ts
+++ b/packages/edge/src/backends/serverConnector.ts
@@ -4,19 +4,19 @@
 import { connectTimeoutMs } from "../constants.js";
 
 /** Told of an opened socket, or why there is none. */
-export type OnLinkOpened = (opened: Socket | Error) => void;
+export type OnConnected = (opened: Socket | Error) => void;
 
 /** Opens sockets to backend servers. */
-export abstract class ServerLinks {
+export abstract class ServerConnector {
     /**
      * @param address - of the server
      * @param onOpened - called once
      */
-    abstract open(address: ServerAddress, onOpened: OnLinkOpened): void;
+    abstract connect(address: ServerAddress, onOpened: OnConnected): void;
 }
 
 /** Opens them as the host's network has it. */
-export class DirectLinks extends ServerLinks {
+export class DirectConnector extends ServerConnector {
     readonly #connect: buildConnector.connector;
     readonly #localAddress: string | undefined;
 
@@ -30,7 +30,7 @@
         this.#connect = buildConnector({ timeout: timeoutMs });
     }
 
-    override open({ host, port }: ServerAddress, onOpened: OnLinkOpened): void {
+    override connect({ host, port }: ServerAddress, onOpened: OnConnected): void {
         const localAddress = this.#localAddress;
         const options = {
             hostname: host,
--- a/packages/edge/src/backends/serverChecks.ts
+++ b/packages/edge/src/backends/serverLivenessChecker.ts
@@ -1,24 +1,24 @@
 import { type RegisteredServer, type ServerAddress } from "@galenaglade/fleet-state";
-import { DirectLinks, type ServerLinks } from "./serverLinks.js";
+import { DirectConnector, type ServerConnector } from "./serverConnector.js";
 
 /** What a check of a backend server found: nobody listens there any more, somebody does, or neither is known. */
-export type ServerState = "ended" | "listening" | "unknown";
+export type ServerLiveness = "ended" | "listening" | "unknown";
 
 /**
  * Checks whether backend servers that lost a request have ended. A connection is opened and closed and nothing is sent, so that a
  * server that is merely full isn't asked for more.
  */
-export class ServerChecks {
-    readonly #links: ServerLinks;
-    readonly #underWay = new Map<string, Promise<ServerState>>();
+export class ServerLivenessChecker {
+    readonly #links: ServerConnector;
+    readonly #underWay = new Map<string, Promise<ServerLiveness>>();
 
     /** @param links - open the sockets */
-    constructor(links: ServerLinks = new DirectLinks()) {
+    constructor(links: ServerConnector = new DirectConnector()) {
         this.#links = links;
     }
 
     /** @returns the state of a server; requests that were lost together share one check */
-    check({ id, address }: RegisteredServer): Promise<ServerState> {
+    check({ id, address }: RegisteredServer): Promise<ServerLiveness> {
         const known = this.#underWay.get(id);
         if (known !== undefined) {
             return known;
@@ -29,9 +29,9 @@
     }
 }
 
-function tryConnect(address: ServerAddress, links: ServerLinks): Promise<ServerState> {
+function tryConnect(address: ServerAddress, links: ServerConnector): Promise<ServerLiveness> {
     return new Promise(resolve => {
-        links.open(address, opened => {
+        links.connect(address, opened => {
             if (opened instanceof Error) {
                 const { code } = opened as NodeJS.ErrnoException;
                 resolve(code === "ECONNREFUSED" ? "ended" : "unknown");
--- a/packages/edge/src/callers/answerWriter.ts
+++ b/packages/edge/src/callers/answerWriter.ts
@@ -1,6 +1,6 @@
 import { cutCaller, keepEndToEnd } from "@galenaglade/http-parts";
 import { type ServerResponse } from "node:http";
-import { type AnswerHead, AnswerSink, type HeldAnswer } from "../backends/sendRequest.js";
+import { type ResponseHead, ResponseSink, type BufferedResponse } from "../backends/sendRequest.js";
 import { handoverHeader } from "../handover/handoverMessages.js";
 
 const noContentStatus = 204;
@@ -14,7 +14,7 @@
  * @param answer - as the server gave it
  * @param close - whether the caller's connection ends with it
  */
-export function writeAnswer(res: ServerResponse, method: string, answer: HeldAnswer, close: boolean): void {
+export function writeAnswer(res: ServerResponse, method: string, answer: BufferedResponse, close: boolean): void {
     const { status, headers, body } = answer;
     const hasBody = method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus;
     const kept = keepEndToEnd(
@@ -36,10 +36,10 @@
 }
 
 /** Passes a large answer on as it comes. */
-export class CallerSink extends AnswerSink {
+export class CallerSink extends ResponseSink {
     readonly #res: ServerResponse;
 
-    constructor(res: ServerResponse, head: AnswerHead, close: boolean) {
+    constructor(res: ServerResponse, head: ResponseHead, close: boolean) {
         super();
         this.#res = res;
         const kept = keepEndToEnd(head.headers, name => name === handoverHeader);
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -10,12 +10,12 @@
 import { HandoverHandler, refuseHandover } from "../handover/handoverServer.js";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type Either, Left } from "purify-ts";
-import { heldBodyBytes } from "../constants.js";
+import { maxBufferedBodyBytes } from "../constants.js";
 import { type EdgeRequest, resolveEdgeRequest } from "../requests/edgeRequest.js";
 import { Exchange } from "../requests/exchange.js";
 import { type ExchangeEnd } from "../requests/exchangeAnswers.js";
 import { callerGone, cutoffReached, type ExchangeParts } from "../requests/exchangeParts.js";
-import { type HeldAnswer } from "../backends/sendRequest.js";
+import { type BufferedResponse } from "../backends/sendRequest.js";
 import { CallerSink, writeAnswer } from "./answerWriter.js";
 import { type FirstReading } from "../state/firstReading.js";
 import { isSurelyCurrent } from "../state/surelyCurrent.js";
@@ -154,7 +154,7 @@
             const limits = {
                 bodyBytes: request.bodyBytes,
                 maximumBytes: request.maximumBodyBytes,
-                heldBytes: heldBodyBytes,
+                heldBytes: maxBufferedBodyBytes,
             };
             const body = await readRequestBody(limits, req, abort.signal);
             if (body.isLeft()) {
@@ -220,7 +220,7 @@
 
     #answer(
         request: EdgeRequest,
-        answer: HeldAnswer,
+        answer: BufferedResponse,
         answeredBy: string | undefined,
         req: IncomingMessage,
         res: ServerResponse,
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -12,24 +12,24 @@
 import { GatewayRollouts } from "@galenaglade/rollout";
 import { createRandomSource } from "@galenaglade/routing";
 import { type Logger, type Metrics } from "@galenaglade/telemetry";
-import { ServerChecks } from "./backends/serverChecks.js";
-import { ServerConnections } from "./backends/serverConnections.js";
-import { DirectLinks, type ServerLinks } from "./backends/serverLinks.js";
+import { ServerLivenessChecker } from "./backends/serverLivenessChecker.js";
+import { ServerConnectionPool } from "./backends/serverConnectionPool.js";
+import { DirectConnector, type ServerConnector } from "./backends/serverConnector.js";
 import { CallerConnections } from "./callers/callerConnections.js";
 import { EdgeHandler } from "./callers/edgeHandler.js";
 import { StartGate } from "./callers/startGate.js";
 import { createMetricsServer, createReadinessServer, type Readiness } from "./callers/readinessServer.js";
 import {
-    balancerNoticesMs,
+    balancerDetectionMs,
     connectTimeoutMs,
-    helperConnectTimeoutMs,
+    handoverConnectTimeoutMs,
     initialKeepAliveMs,
-    maximumCallerConnections,
-    maximumHeadBytes,
+    maxCallerConnections,
+    maxRequestHeadBytes,
     requestTimeoutMs,
-    stopListeningShare,
+    stopAcceptShare,
     stopMarginMs,
-    stopTickMs,
+    stopPollPeriodMs,
 } from "./constants.js";
 import { HandoverServer } from "./handover/handoverServer.js";
 import { VersionSeen } from "./handover/versionSeen.js";
@@ -53,21 +53,21 @@
 import { EdgeLog } from "./telemetry/edgeLog.js";
 import { EdgeMetrics } from "./telemetry/edgeMetrics.js";
 import { StartTimeline } from "./telemetry/startTimeline.js";
-import { type EdgeVocabulary } from "./vocabulary.js";
+import { type EdgeMetadataCodec } from "./metadataCodec.js";
 
 /** What an edge process is told and given. */
-export interface EdgeParts {
+export interface EdgeOptions {
     readonly settings: ResolvedEdgeSettings;
     readonly store: KeyValueStore;
     readonly codec: StateCodec;
-    readonly vocabulary: EdgeVocabulary;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly logger: Logger;
     readonly metrics: Metrics;
     /** Seed of all random choices. */
     readonly seed: number;
     readonly clock?: Clock;
     /** Opens sockets to backend servers; directly unless it is given. */
-    readonly links?: ServerLinks;
+    readonly connector?: ServerConnector;
 }
 
 /** A running edge process. */
@@ -84,8 +84,8 @@
  * @param parts - what it is told and given
  * @returns a process that is not started yet
  */
-export function createEdge(parts: EdgeParts): Edge {
-    const { settings, store, codec, vocabulary } = parts;
+export function createEdge(parts: EdgeOptions): Edge {
+    const { settings, store, codec, metadataCodec } = parts;
     const { name, availabilityZone } = settings;
     const clock = parts.clock ?? systemClock;
     const random = createRandomSource(parts.seed);
@@ -95,8 +95,8 @@
     const timeline = new StartTimeline(log);
     timeline.reach("programLoaded");
     const firstReading = new FirstReading(clock, () => timeline.reach("stateRead"));
-    const links = parts.links ?? new DirectLinks(connectTimeoutMs, settings.servers.connectFrom);
-    const connections = new ServerConnections(links);
+    const links = parts.connector ?? new DirectConnector(connectTimeoutMs, settings.servers.connectFrom);
+    const connections = new ServerConnectionPool(links);
     const callers = new CallerConnections();
     const { ratio, slack, windowSeconds } = settings.repeats;
     const budget = new RepeatBudget({ ratio, slack, windowMs: windowSeconds * 1_000 }, clock.monotonicMs());
@@ -112,7 +112,7 @@
         name,
         availabilityZone,
         view,
-        probe: new LoadProbe({ view, board, notes, connections, vocabulary, clock, metrics }),
+        probe: new LoadProbe({ view, board, notes, connections, vocabulary: metadataCodec, clock, metrics }),
         peers: new ReachClient(),
         clock,
         random,
@@ -126,7 +126,7 @@
         },
         onRestored: (service, servers) => board.onConnectivityRestored(service, servers.map(({ id }) => id)),
     });
-    const peerConnections = new ServerConnections(new DirectLinks(helperConnectTimeoutMs));
+    const peerConnections = new ServerConnectionPool(new DirectConnector(handoverConnectTimeoutMs));
     const placer = new Placer({
         view,
         availabilityZone,
@@ -134,7 +134,7 @@
         notes,
         connections,
         reach,
-        vocabulary,
+        vocabulary: metadataCodec,
         clock,
         metrics,
         timeline,
@@ -174,13 +174,13 @@
         connections,
         peerConnections,
         versionSeen: new VersionSeen(),
-        checks: new ServerChecks(links),
+        checks: new ServerLivenessChecker(links),
         reach,
         crashes,
         limits,
         budget,
         rollouts,
-        vocabulary,
+        vocabulary: metadataCodec,
         log,
         metrics,
         timeline,
@@ -190,8 +190,8 @@
         endsAtMs: () => endsAtMs,
     });
     const callerServer = createCallerServer({
-        maximumConnections: maximumCallerConnections,
-        maximumHeaderBytes: maximumHeadBytes,
+        maximumConnections: maxCallerConnections,
+        maximumHeaderBytes: maxRequestHeadBytes,
         requestTimeoutMs,
         keepAliveMs: initialKeepAliveMs,
     }, (req, res) => handler.handle(req, res));
@@ -204,7 +204,7 @@
             ? { ready: false, reason: "no configuration yet" }
             : { ready: true, reason: "ready" };
     };
-    const readinessServer = createReadinessServer(vocabulary.readinessPath, readiness);
+    const readinessServer = createReadinessServer(metadataCodec.readinessPath, readiness);
     const metricsServer = createMetricsServer(() => parts.metrics.render());
 
     const onChange = (): void => {
@@ -259,7 +259,7 @@
         metrics,
         isStopping: () => endsAtMs !== undefined,
     });
-    const peerServer = createPeerServer({ relay: relayServer, inbox: rolloutSync, reach, handovers });
+    const peerServer = createPeerServer({ relay: relayServer, inbox: rolloutSync, reachability: reach, handovers });
 
     const stop = async (): Promise<void> => {
         const beganAtMs = clock.monotonicMs();
@@ -272,10 +272,10 @@
         limits.beginStop();
         registration.stop();
         // Callers that the balancer still sends are served, not refused, until it has noticed.
-        await sleep(Math.max(Math.min(balancerNoticesMs, graceMs * stopListeningShare), 0));
+        await sleep(Math.max(Math.min(balancerDetectionMs, graceMs * stopAcceptShare), 0));
         callers.closeIdle(callerServer);
         while (callers.unanswered > 0 && clock.monotonicMs() < lastMs + stopMarginMs / 2) {
-            await sleep(stopTickMs);
+            await sleep(stopPollPeriodMs);
         }
         sync.stop();
         rolloutSync.stop();
--- a/packages/edge/src/edgeProcess.ts
+++ b/packages/edge/src/edgeProcess.ts
@@ -3,18 +3,18 @@
 import { createJsonLogger, createMetrics } from "@galenaglade/telemetry";
 import murmurHash from "imurmurhash";
 import { createWriteStream, readFileSync } from "node:fs";
-import { logBufferBytes } from "./constants.js";
+import { maxLogBufferBytes } from "./constants.js";
 import { createEdge } from "./edge.js";
 import { resolveEdgeSettings, type ResolvedEdgeSettings } from "./settings.js";
 import { type StateCodec } from "./stateCodec.js";
 import { BoundedOutput } from "./telemetry/boundedOutput.js";
-import { type EdgeVocabulary } from "./vocabulary.js";
+import { type EdgeMetadataCodec } from "./metadataCodec.js";
 
 /** What ties an edge process to the system that it runs on. */
-export interface EdgeBinding {
+export interface EdgeProcessOptions {
     /** Path of the settings file. */
     readonly settingsPath: string;
-    readonly vocabulary: EdgeVocabulary;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly codec: StateCodec;
     readonly createStore: (settings: ResolvedEdgeSettings) => KeyValueStore;
 }
@@ -29,12 +29,15 @@
  *
  * @param binding - what ties it to its system
  */
-export async function runEdge(binding: EdgeBinding): Promise<void> {
+export async function runEdge(binding: EdgeProcessOptions): Promise<void> {
     const settings = loadSettings(binding.settingsPath);
     if (settings === undefined) {
         process.exit(badSettingsExitCode);
     }
-    const output = new BoundedOutput(createWriteStream("", { fd: standardOutput, autoClose: false }), logBufferBytes);
+    const output = new BoundedOutput(
+        createWriteStream("", { fd: standardOutput, autoClose: false }),
+        maxLogBufferBytes,
+    );
     const logger = createJsonLogger({
         process: settings.name,
         level: settings.logging.level,
@@ -44,7 +47,7 @@
         settings,
         store: binding.createStore(settings),
         codec: binding.codec,
-        vocabulary: binding.vocabulary,
+        metadataCodec: binding.metadataCodec,
         logger,
         metrics: createMetrics("galenaglade-edge"),
         // Different on every host and in every life, without the time that loading a source of secrets takes.
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -3,9 +3,9 @@
 import { type RequestBody } from "@galenaglade/http-parts";
 import { type SendEnd } from "@galenaglade/placement";
 import { type LogFields } from "@galenaglade/telemetry";
-import { type AnswerHead, type AnswerSink } from "../backends/sendRequest.js";
+import { type ResponseHead, type ResponseSink } from "../backends/sendRequest.js";
 import { type ServerConnection } from "../backends/serverConnection.js";
-import { heldAnswerBytes, mostHelpersTried } from "../constants.js";
+import { maxBufferedResponseBytes, maxHandoverAttempts } from "../constants.js";
 import { type EdgeRequest } from "../requests/edgeRequest.js";
 import { describeEnd } from "../requests/exchangeAnswers.js";
 import { type ExchangeParts } from "../requests/exchangeParts.js";
@@ -18,7 +18,7 @@
     readonly request: EdgeRequest;
     readonly body: RequestBody;
     readonly mayWrite: () => boolean;
-    readonly openSink: (head: AnswerHead) => AnswerSink | undefined;
+    readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
 /** A request that was handed to another gateway. */
@@ -42,7 +42,7 @@
     get isAllowed(): boolean {
         const { handedOverBy, rules } = this.#input.request;
         const { view } = this.#input.parts;
-        return handedOverBy === undefined && this.#tried.size < mostHelpersTried
+        return handedOverBy === undefined && this.#tried.size < maxHandoverAttempts
             && view.configurationInForce?.services.has(rules.name) === true;
     }
 
@@ -87,7 +87,7 @@
         this.#runsGiven += runs - 1;
         const end = reach.helpers.trackRequest(helper.name);
         const connection = route.idempotent
-            ? peerConnections.take(helper.name, helper.peerAddress)
+            ? peerConnections.acquire(helper.name, helper.peerAddress)
             : peerConnections.open(helper.peerAddress);
         const handover = handOver({
             connection,
@@ -98,7 +98,7 @@
             idempotent: route.idempotent,
             requestId,
             vocabulary,
-            heldBytes: heldAnswerBytes,
+            heldBytes: maxBufferedResponseBytes,
             mayWrite,
             openSink,
         });
@@ -159,12 +159,18 @@
     }
 
     /** A server's word in an answer that this gateway passes on binds it as well. */
-    #note(serverId: string | undefined, { signs, tookMs }: HandoverResult, nowMs: number): void {
+    #note(serverId: string | undefined, { metadata, tookMs }: HandoverResult, nowMs: number): void {
         const { notes, view } = this.#input.parts;
         const { requestId, rules } = this.#input.request;
         const server = view.readyServers(rules.name, nowMs).find(({ id }) => id === serverId);
-        if (server !== undefined && signs !== undefined) {
-            notes.note({ server, signs, source: { answered: "request", sentAtMs: nowMs - tookMs }, requestId, nowMs });
+        if (server !== undefined && metadata !== undefined) {
+            notes.note({
+                server,
+                signs: metadata,
+                source: { answered: "request", sentAtMs: nowMs - tookMs },
+                requestId,
+                nowMs,
+            });
         }
     }
 
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -1,8 +1,8 @@
 import { type Failure, createFailure } from "@galenaglade/errors";
 import { findHeader, keepEndToEnd, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
-import { type AnswerHead, type AnswerSink, sendRequest, type SendResult } from "../backends/sendRequest.js";
+import { type ResponseHead, type ResponseSink, sendRequest, type SendResult } from "../backends/sendRequest.js";
 import { type ServerConnection } from "../backends/serverConnection.js";
-import { type AnswerSigns, AnswerReader } from "../vocabulary.js";
+import { type ResponseMetadata, ResponseMetadataReader } from "../metadataCodec.js";
 import {
     handoverHeader,
     type HandoverOrder,
@@ -22,11 +22,11 @@
     readonly body: RequestBody;
     readonly idempotent: boolean;
     readonly requestId: string | undefined;
-    readonly vocabulary: AnswerReader;
+    readonly vocabulary: ResponseMetadataReader;
     readonly heldBytes: number;
     /** Asked in the turn in which the first byte is written. */
     readonly mayWrite: () => boolean;
-    readonly openSink: (head: AnswerHead) => AnswerSink | undefined;
+    readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
 /** What became of it, in the terms of a send to a server. */
@@ -54,7 +54,7 @@
     const { connection, order, method, headers, body, idempotent, requestId, heldBytes, mayWrite } = input;
     const send = sendRequest({
         connection,
-        firstRequest: true,
+        isFirstRequest: true,
         method,
         path: handoverPath,
         headers: [
@@ -65,8 +65,8 @@
         body: body.open(),
         idempotent,
         requestId,
-        vocabulary: reader,
-        heldBytes,
+        metadataReader: reader,
+        maxBufferedBytes: heldBytes,
         mayWrite,
         openSink: head => reader.verdict?.type === "answered" ? input.openSink(strip(head)) : undefined,
     });
@@ -74,7 +74,7 @@
 }
 
 /** Reads a server's answer that another gateway passes on, or that gateway's own. */
-class HandoverReader extends AnswerReader {
+class HandoverReader extends ResponseMetadataReader {
     readonly #input: HandoverInput;
     verdict: HandoverVerdict | undefined;
 
@@ -83,10 +83,10 @@
         this.#input = input;
     }
 
-    override readAnswer(status: number, headers: RawHeaders): AnswerSigns {
+    override readResponse(status: number, headers: RawHeaders): ResponseMetadata {
         this.verdict = readHandoverVerdict(findHeader(headers, handoverHeader));
         if (this.verdict?.type === "answered") {
-            return this.#input.vocabulary.readAnswer(status, headers);
+            return this.#input.vocabulary.readResponse(status, headers);
         }
         return {
             requestId: this.#input.requestId,
@@ -97,9 +97,9 @@
             load: undefined,
             coldRemainingMs: 0,
             limit: { type: "none" },
-            rest: { type: "none" },
+            backoff: { type: "none" },
             leaving: false,
-            unknown: [],
+            unknownHeaders: [],
         };
     }
 }
@@ -109,12 +109,12 @@
         const { kind, detail, notRun, retryAfterSeconds } = verdict;
         const failure = createFailure(kind, detail, retryAfterSeconds === undefined ? {} : { retryAfterSeconds });
         const end = notRun ? result.end : { type: "unknown", reason: "connectionLost" } as const;
-        return { ...result, end, answer: undefined, verdict, failure };
+        return { ...result, end, response: undefined, verdict, failure };
     }
-    const { answer } = result;
-    return { ...result, answer: answer && { ...answer, ...strip(answer) }, verdict, failure: undefined };
+    const { response } = result;
+    return { ...result, response: response && { ...response, ...strip(response) }, verdict, failure: undefined };
 }
 
-function strip(head: AnswerHead): AnswerHead {
+function strip(head: ResponseHead): ResponseHead {
     return { ...head, headers: keepEndToEnd(head.headers, name => name === handoverHeader) };
 }
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -2,7 +2,7 @@
 import { findHeader } from "@galenaglade/http-parts";
 import { type Clock } from "@galenaglade/http-parts";
 import { type IncomingMessage, type ServerResponse } from "node:http";
-import { mostHandedOver } from "../constants.js";
+import { maxIncomingHandovers } from "../constants.js";
 import { type ServerReach } from "../reach/serverReach.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
@@ -74,7 +74,7 @@
         if (isStopping()) {
             return "stopping";
         }
-        if (this.#underWay >= mostHandedOver) {
+        if (this.#underWay >= maxIncomingHandovers) {
             return "busy";
         }
         if ((view.configurationInForce?.configuration.version ?? -1) < version) {
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -57,7 +57,7 @@
         this.#pauses = new PauseDetector(clock);
         this.#limiter = new RateLimiter({
             name,
-            life,
+            incarnation: life,
             random: () => random.next(),
             startedAtMs: clock.monotonicMs(),
             tolerance,
@@ -71,7 +71,7 @@
         const active = workspaces.some(({ limit }) => limit !== undefined);
         if (active && !this.#isOpen) {
             this.#isOpen = true;
-            this.#parts.metrics.observeLimits(() => this.#limiter.describe(this.#parts.clock.monotonicMs()));
+            this.#parts.metrics.observeLimits(() => this.#limiter.snapshot(this.#parts.clock.monotonicMs()));
             void this.#open();
         }
         if (!this.#isOpen) {
@@ -180,7 +180,7 @@
     /** What a host that stood still believes of others' shares is as old as the time that it missed. */
     #checkPause(): void {
         if (this.#pauses.check() !== undefined) {
-            this.#carryOut(this.#limiter.onPaused(this.#parts.clock.monotonicMs()));
+            this.#carryOut(this.#limiter.onSuspended(this.#parts.clock.monotonicMs()));
         }
     }
 
@@ -194,7 +194,7 @@
             this.#waiting.delete(command.requestId);
             decide?.(command.decision);
         }
-        for (const { type, ...change } of this.#limiter.takeChanges()) {
+        for (const { type, ...change } of this.#limiter.drainChanges()) {
             this.#parts.log.log("info", type, change);
         }
         this.#schedule();
--- a/packages/edge/src/vocabulary.ts
+++ b/packages/edge/src/metadataCodec.ts
@@ -3,7 +3,7 @@
 import { type CallerKey } from "@galenaglade/workspaces";
 
 /** What a caller's request says of itself, besides what HTTP says. */
-export interface RequestSigns {
+export interface RequestMetadata {
     /** Names this try of the caller's; `undefined` where it sent none. */
     readonly requestId: string | undefined;
     /** How long the caller waits; `undefined` where it doesn't say, or not in numbers. */
@@ -20,14 +20,14 @@
     | { readonly type: "workspace"; readonly name: string; };
 
 /** What the gateway adds to a request for a backend server. */
-export interface ForwardSigns {
+export interface ForwardMetadata {
     readonly serverId: string;
     readonly remainingMs: number;
     readonly identity: ForwardIdentity;
 }
 
 /** What a backend server's answer says of itself, besides what HTTP says. */
-export interface AnswerSigns {
+export interface ResponseMetadata {
     /** The request that it answers. */
     readonly requestId: string | undefined;
     /** Whether it bears the server's proof that the body is its own. */
@@ -41,25 +41,25 @@
     /** Requests a second that it takes from all gateways together. */
     readonly limit: ParsedLimit;
     /** How long the server wants nothing from this gateway. */
-    readonly rest: ParsedBackoff;
+    readonly backoff: ParsedBackoff;
     /** Whether the server says that it leaves. */
     readonly leaving: boolean;
     /** Headers that say something which nobody here understands. */
-    readonly unknown: readonly string[];
+    readonly unknownHeaders: readonly string[];
 }
 
 /** Reads what answers say of themselves. */
-export abstract class AnswerReader {
+export abstract class ResponseMetadataReader {
     /** @returns what a backend server's answer says, to a request or to a question for its load */
-    abstract readAnswer(status: number, headers: RawHeaders): AnswerSigns;
+    abstract readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 }
 
 /** The names that callers and backend servers use for what the product needs to know of them. */
-export abstract class EdgeVocabulary extends AnswerReader {
+export abstract class EdgeMetadataCodec extends ResponseMetadataReader {
     /** Path on which the balancer asks for readiness. */
     abstract readonly readinessPath: string;
     /** @returns what the headers of a caller's request say */
-    abstract readRequest(headers: RawHeaders): RequestSigns;
+    abstract readRequest(headers: RawHeaders): RequestMetadata;
     /** @returns names and values in turn, for a backend server */
-    abstract resolveForwardHeaders(headers: RawHeaders, signs: ForwardSigns): string[];
+    abstract createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[];
 }
--- a/packages/edge/src/peerServer.ts
+++ b/packages/edge/src/peerServer.ts
@@ -1,5 +1,5 @@
 import { createServer, type Server } from "node:http";
-import { mostHandoverHeadBytes } from "./constants.js";
+import { maxHandoverHeadBytes } from "./constants.js";
 import { handoverPath } from "./handover/handoverMessages.js";
 import { type HandoverServer } from "./handover/handoverServer.js";
 import { reachPath } from "./reach/reachMessages.js";
@@ -9,13 +9,13 @@
 import { type RelayServer } from "./state/relayServer.js";
 
 /** What answers other gateways. */
-export interface PeerServerParts {
+export interface PeerServerDeps {
     /** Answers questions for changes of the store. */
     readonly relay: RelayServer;
     /** Takes reports on roll-outs. */
     readonly inbox: EvidenceInbox;
     /** Says whether servers are reached. */
-    readonly reach: ReachFeed;
+    readonly reachability: ReachFeed;
     /** Takes requests. */
     readonly handovers: HandoverServer;
 }
@@ -26,14 +26,14 @@
  * @param parts - what answers them
  * @returns a server that doesn't listen yet
  */
-export function createPeerServer({ relay, inbox, reach, handovers }: PeerServerParts): Server {
-    return createServer({ maxHeaderSize: mostHandoverHeadBytes, noDelay: true }, (req, res) => {
+export function createPeerServer({ relay, inbox, reachability, handovers }: PeerServerDeps): Server {
+    return createServer({ maxHeaderSize: maxHandoverHeadBytes, noDelay: true }, (req, res) => {
         const path = req.url?.split("?")[0];
         if (path === handoverPath) {
             handovers.handle(req, res);
         }
         else if (path === reachPath) {
-            void handleReach(reach, req, res);
+            void handleReach(reachability, req, res);
         }
         else if (req.method === "POST" && req.url === evidencePath) {
             handleEvidence(inbox, req, res);
--- a/packages/edge/src/quarantine/crashReports.ts
+++ b/packages/edge/src/quarantine/crashReports.ts
@@ -3,7 +3,7 @@
 import { type KeyValueStore } from "@galenaglade/platform";
 import { type Crash, CrashLedger, type ContentStatus } from "@galenaglade/quarantine";
 import { type RandomSource } from "@galenaglade/routing";
-import { firstStorePauseMs, longestStorePauseMs, rewriteSpreadMs } from "../constants.js";
+import { initialStoreBackoffMs, maxStoreBackoffMs, rewriteSpreadMs } from "../constants.js";
 import { type ExchangeContent } from "../requests/exchangeContent.js";
 import { type StateCodec } from "../stateCodec.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
@@ -142,7 +142,7 @@
                 continue;
             }
             this.#mustWrite = true;
-            const limitMs = Math.min(longestStorePauseMs, firstStorePauseMs * 2 ** failures);
+            const limitMs = Math.min(maxStoreBackoffMs, initialStoreBackoffMs * 2 ** failures);
             failures++;
             await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
         }
--- a/packages/edge/src/quarantine/requestGuard.ts
+++ b/packages/edge/src/quarantine/requestGuard.ts
@@ -1,7 +1,7 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type SendEnd } from "@galenaglade/placement";
 import { singleSendStrikeThreshold, type ContentStatus } from "@galenaglade/quarantine";
-import { type ServerState } from "../backends/serverChecks.js";
+import { type ServerLiveness } from "../backends/serverLivenessChecker.js";
 import { type ExchangeContent } from "../requests/exchangeContent.js";
 import { type CrashReports } from "./crashReports.js";
 
@@ -65,7 +65,7 @@
     }
 
     /** A server lost the request. @param state - what became of the server */
-    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerState, mark: number): void {
+    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, mark: number): void {
         if (state === "ended") {
             this.#reports.onCrash({
                 contentId: this.#content.contentId,
--- a/packages/edge/src/reach/reachClient.ts
+++ b/packages/edge/src/reach/reachClient.ts
@@ -1,7 +1,7 @@
 import { type ServerAddress } from "@galenaglade/fleet-state";
 import { parseJson } from "@galenaglade/http-parts";
 import { Client } from "undici";
-import { reachConnectTimeoutMs, reachTimeoutMs } from "../constants.js";
+import { reachabilityConnectTimeoutMs, reachabilityQueryTimeoutMs } from "../constants.js";
 import { reachAnswer, type ReachAnswer, reachPath, reachServiceParameter, reachStatus } from "./reachMessages.js";
 
 /** Asks other gateways whether they reach a service. */
@@ -13,13 +13,13 @@
 /** Asks over a connection of its own for each question: they are rare. */
 export class ReachClient extends PeerReach {
     override async ask({ host, port }: ServerAddress, service: string): Promise<ReachAnswer | undefined> {
-        const client = new Client(`http://${host}:${port}`, { connect: { timeout: reachConnectTimeoutMs } });
+        const client = new Client(`http://${host}:${port}`, { connect: { timeout: reachabilityConnectTimeoutMs } });
         try {
             const { statusCode, body } = await client.request({
                 method: "GET",
                 path: reachPath,
                 query: { [reachServiceParameter]: service },
-                signal: AbortSignal.timeout(reachTimeoutMs),
+                signal: AbortSignal.timeout(reachabilityQueryTimeoutMs),
             });
             const parsed = reachAnswer.safeParse(parseJson(await body.text()));
             return statusCode === reachStatus.told && parsed.success ? parsed.data : undefined;
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -2,12 +2,12 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { type PlacementState } from "@galenaglade/placement";
 import { type ServerContactResult } from "@galenaglade/reachability";
-import { askServer } from "../backends/askServer.js";
-import { type ServerConnections } from "../backends/serverConnections.js";
-import { reachCheckTimeoutMs } from "../constants.js";
+import { probeServerLoad } from "../backends/probeServerLoad.js";
+import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
+import { reachabilityCheckTimeoutMs } from "../constants.js";
 import { type AnswerNotes } from "../requests/answerNotes.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { type EdgeVocabulary } from "../vocabulary.js";
+import { type EdgeMetadataCodec } from "../metadataCodec.js";
 
 /** Finds out whether one backend server is reached over a new connection. */
 export abstract class ServerProbe {
@@ -19,8 +19,8 @@
     readonly view: FleetView;
     readonly board: PlacementState;
     readonly notes: AnswerNotes;
-    readonly connections: ServerConnections;
-    readonly vocabulary: EdgeVocabulary;
+    readonly connections: ServerConnectionPool;
+    readonly vocabulary: EdgeMetadataCodec;
     readonly clock: Clock;
     readonly metrics: EdgeMetrics;
 }
@@ -43,7 +43,13 @@
         const startedAtMs = clock.monotonicMs();
         const connection = connections.open(server.address);
         const { healthPath } = rules;
-        const told = await askServer({ server, connection, healthPath, vocabulary, timeoutMs: reachCheckTimeoutMs });
+        const told = await probeServerLoad({
+            server,
+            connection,
+            healthPath,
+            vocabulary,
+            timeoutMs: reachabilityCheckTimeoutMs,
+        });
         const nowMs = clock.monotonicMs();
         metrics.onAsked(told.type === "told" ? "told" : told.reason);
         if (told.type === "untold") {
@@ -52,7 +58,7 @@
         }
         connections.release(server.id, connection, { after: "question", nowMs });
         board.onProbeResponse(service, told.offer, startedAtMs);
-        notes.note({ server, signs: told.signs, source: { answered: "question", sentAtMs: startedAtMs }, nowMs });
+        notes.note({ server, signs: told.metadata, source: { answered: "question", sentAtMs: startedAtMs }, nowMs });
         return "heard";
     }
 }
--- a/packages/edge/src/reach/serverReach.ts
+++ b/packages/edge/src/reach/serverReach.ts
@@ -10,7 +10,13 @@
 } from "@galenaglade/reachability";
 import { type RandomSource } from "@galenaglade/routing";
 import { type LogFields } from "@galenaglade/telemetry";
-import { checkedServers, freshReachMs, mostInquiries, peersPerInquiry, reachCheckPeriodMs } from "../constants.js";
+import {
+    reachabilityCheckServers,
+    maxReachabilityAgeMs,
+    maxReachabilityQueries,
+    reachabilityQueryPeers,
+    reachabilityCheckPeriodMs,
+} from "../constants.js";
 import { TurnPause } from "../state/turnPause.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
@@ -117,7 +123,7 @@
         if (reach.state !== "reached") {
             return { reaches: false, named };
         }
-        const isFresh = reach.sinceLastAnswerMs(this.#nowMs()) <= freshReachMs;
+        const isFresh = reach.sinceLastAnswerMs(this.#nowMs()) <= maxReachabilityAgeMs;
         return { reaches: isFresh || await this.#check(service), named };
     }
 
@@ -190,7 +196,7 @@
         this.#pauses.set(service, pause);
         while (!this.#stopped && this.stateOf(service) !== "reached") {
             await this.#takeRound(service);
-            await pause.take(reachCheckPeriodMs);
+            await pause.take(reachabilityCheckPeriodMs);
         }
         this.#pauses.delete(service);
     }
@@ -228,7 +234,7 @@
         const { view } = this.#parts;
         const left = [...view.usableServers(service, this.#nowMs())];
         const drawn: RegisteredServer[] = [];
-        while (drawn.length < checkedServers && left.length > 0) {
+        while (drawn.length < reachabilityCheckServers && left.length > 0) {
             drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
         }
         const heard = await Promise.all(drawn.map(server => this.#checkServer(service, server)));
@@ -246,9 +252,15 @@
     async #inquire(service: string): Promise<boolean> {
         const { view } = this.#parts;
         const asked = new Set<string>();
-        for (let i = 0; i < mostInquiries; i++) {
+        for (let i = 0; i < maxReachabilityQueries; i++) {
             const gateways = view.registeredGateways();
-            const drawn = this.#helpers.choosePeersToQuery(service, gateways, asked, peersPerInquiry, this.#nowMs());
+            const drawn = this.#helpers.choosePeersToQuery(
+                service,
+                gateways,
+                asked,
+                reachabilityQueryPeers,
+                this.#nowMs(),
+            );
             if (drawn.length === 0) {
                 return false;
             }
--- a/packages/edge/src/requests/answerNotes.ts
+++ b/packages/edge/src/requests/answerNotes.ts
@@ -1,14 +1,14 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type LimitSource, type PlacementState } from "@galenaglade/placement";
-import { type ServerConnections } from "../backends/serverConnections.js";
+import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { type AnswerSigns } from "../vocabulary.js";
+import { type ResponseMetadata } from "../metadataCodec.js";
 
 /** What notes are taken with. */
 export interface AnswerNotesParts {
     readonly board: PlacementState;
-    readonly connections: ServerConnections;
+    readonly connections: ServerConnectionPool;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
 }
@@ -16,7 +16,7 @@
 /** An answer of a server, as far as it speaks of the server itself. */
 export interface ServerAnswer {
     readonly server: RegisteredServer;
-    readonly signs: AnswerSigns;
+    readonly signs: ResponseMetadata;
     readonly source: LimitSource;
     /** The request that was answered. */
     readonly requestId?: string | undefined;
@@ -66,21 +66,21 @@
     }
 
     #noteRest(answer: ServerAnswer): void {
-        const { server, signs: { rest }, nowMs } = answer;
+        const { server, signs: { backoff }, nowMs } = answer;
         const { board, log, metrics } = this.#parts;
-        if (rest.type === "none") {
+        if (backoff.type === "none") {
             return;
         }
-        metrics.onServerNotice(server.service, rest.type === "asked" ? "rest" : "malformedRest");
-        if (rest.type === "malformed") {
-            log.log("warn", "serverRest", { ...describe(answer), change: "malformed", text: rest.text });
+        metrics.onServerNotice(server.service, backoff.type === "asked" ? "rest" : "malformedRest");
+        if (backoff.type === "malformed") {
+            log.log("warn", "serverRest", { ...describe(answer), change: "malformed", text: backoff.text });
             return;
         }
-        const untilMs = board.onBackoff(server, rest.forMs, nowMs);
+        const untilMs = board.onBackoff(server, backoff.forMs, nowMs);
         log.log("info", "serverRest", {
             ...describe(answer),
             change: untilMs === undefined ? "none" : "resting",
-            forMs: rest.forMs,
+            forMs: backoff.forMs,
         });
     }
 
@@ -98,7 +98,7 @@
     }
 
     #noteUnknown(answer: ServerAnswer): void {
-        for (const header of answer.signs.unknown) {
+        for (const header of answer.signs.unknownHeaders) {
             this.#parts.metrics.onServerNotice(answer.server.service, "unknownHeader");
             if (!this.#unknownNames.has(header) && this.#unknownNames.size < mostUnknownNames) {
                 this.#unknownNames.add(header);
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -3,10 +3,10 @@
 import { type RawHeaders } from "@galenaglade/http-parts";
 import { pickDestination } from "@galenaglade/placement";
 import { type RandomSource } from "@galenaglade/routing";
-import { type Admission, authenticate, type RejectionReason } from "@galenaglade/workspaces";
+import { type CallerIdentity, authenticate, type RejectionReason } from "@galenaglade/workspaces";
 import { type Either, Left, Right } from "purify-ts";
 import { type HandoverOrder } from "../handover/handoverMessages.js";
-import { type EdgeVocabulary, type ForwardIdentity } from "../vocabulary.js";
+import { type EdgeMetadataCodec, type ForwardIdentity } from "../metadataCodec.js";
 
 /** What the gateway reads from a request's head. */
 export interface RequestHead {
@@ -28,7 +28,7 @@
     readonly requestId: string | undefined;
     readonly route: Route;
     /** On whose behalf it is made; holds a secret and is never logged. */
-    readonly admission: Admission;
+    readonly admission: CallerIdentity;
     /** Rank; 0 goes first. Its workspace's goes before its route's. */
     readonly rank: number;
     readonly rules: ServiceRules;
@@ -57,7 +57,7 @@
 export function resolveEdgeRequest(
     head: RequestHead,
     inForce: ConfigurationInForce,
-    vocabulary: EdgeVocabulary,
+    vocabulary: EdgeMetadataCodec,
     random: RandomSource,
     nowMs: number,
 ): Either<Failure, EdgeRequest> {
@@ -119,7 +119,7 @@
 }
 
 /** @returns what a backend server is told of a request's caller */
-export function resolveIdentity(admission: Admission): ForwardIdentity {
+export function resolveIdentity(admission: CallerIdentity): ForwardIdentity {
     return admission.type === "known" ? { type: "workspace", name: admission.workspace.name } : admission;
 }
 
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -9,13 +9,13 @@
     type SendEnd,
 } from "@galenaglade/placement";
 import {
-    type AnswerHead,
-    type AnswerSink,
-    type HeldAnswer,
+    type ResponseHead,
+    type ResponseSink,
+    type BufferedResponse,
     sendRequest,
     type SendResult,
 } from "../backends/sendRequest.js";
-import { heldAnswerBytes } from "../constants.js";
+import { maxBufferedResponseBytes } from "../constants.js";
 import { type ServerConnection } from "../backends/serverConnection.js";
 import { type ReachabilityState } from "@galenaglade/reachability";
 import { type LogFields } from "@galenaglade/telemetry";
@@ -42,7 +42,7 @@
     readonly #request: EdgeRequest;
     readonly #body: RequestBody;
     readonly #signal: AbortSignal;
-    readonly #openSink: (head: AnswerHead) => AnswerSink;
+    readonly #openSink: (head: ResponseHead) => ResponseSink;
     readonly #onSent: () => void;
     readonly #underWay = new Set<SendUnderWay>();
     /** Sends whose end was not looked at yet: one may end while a place for another is looked for. */
@@ -55,7 +55,7 @@
     readonly #guard: RequestGuard;
     readonly #outcomes: SendOutcomes;
     readonly #handover: ExchangeHandover;
-    #fallback: HeldAnswer | undefined;
+    #fallback: BufferedResponse | undefined;
     #streaming = false;
     #answeredBy: string | undefined;
     /** Whether the caller's answer is there, so that what is still under way was beaten to it. */
@@ -74,7 +74,7 @@
         request: EdgeRequest,
         body: RequestBody,
         signal: AbortSignal,
-        openSink: (head: AnswerHead) => AnswerSink,
+        openSink: (head: ResponseHead) => ResponseSink,
         onSent: () => void = () => undefined,
     ) {
         this.#parts = parts;
@@ -178,19 +178,19 @@
     async #onEnded(ended: EndedSend): Promise<ExchangeEnd | undefined> {
         const { underWay, result } = ended;
         this.#unread.delete(underWay);
-        const { end, answer } = result;
+        const { end, response } = result;
         if (result.streamed) {
             return { type: "streamed", whole: end.type === "answered" };
         }
         const mayGoOn = this.#mayTryAgain();
-        if (answer !== undefined && end.type === "answered") {
+        if (response !== undefined && end.type === "answered") {
             this.#answeredBy = underWay.to === "server" ? underWay.place.server.id : undefined;
-            if (!isServerError(end) && !answer.endedByClose) {
-                return { type: "answered", answer };
+            if (!isServerError(end) && !response.endedByClose) {
+                return { type: "answered", answer: response };
             }
             // The server's own failure is an answer, and so is one that may be cut short; kept for the case that no other
             // server does better.
-            this.#fallback = answer;
+            this.#fallback = response;
         }
         if (mayGoOn && await this.#tryAgain(ended)) {
             return undefined;
@@ -372,15 +372,15 @@
         this.#placement.onSend(server.id);
         rollouts.onSend(server);
         const connection = route.idempotent
-            ? connections.take(server.id, server.address)
-            : connections.takeQuiet(server.id, server.address, clock.monotonicMs());
-        const isNewConnection = !connection.isProved;
+            ? connections.acquire(server.id, server.address)
+            : connections.acquireQuiet(server.id, server.address, clock.monotonicMs());
+        const isNewConnection = !connection.hasResponded;
         const send = sendRequest({
             connection,
-            firstRequest: connections.isFirstRequest(connection),
+            isFirstRequest: connections.isFirstRequest(connection),
             method,
             path: url,
-            headers: vocabulary.resolveForwardHeaders(headers, {
+            headers: vocabulary.createForwardHeaders(headers, {
                 serverId: server.id,
                 remainingMs: Math.max(1, Math.floor(cutoffMs - clock.monotonicMs())),
                 identity: resolveIdentity(this.#request.admission),
@@ -388,8 +388,8 @@
             body: this.#body.open(),
             idempotent: route.idempotent,
             requestId,
-            vocabulary,
-            heldBytes: heldAnswerBytes,
+            metadataReader: vocabulary,
+            maxBufferedBytes: maxBufferedResponseBytes,
             mayWrite: () =>
                 this.#mayWrite() && view.isUsable(server.id, clock.monotonicMs())
                 && board.exclusionOf(server, clock.monotonicMs()) === undefined,
@@ -425,7 +425,7 @@
         this.#outcomes.note({ place, purpose, isNewConnection, mark, result, beaten: this.#answered });
     }
 
-    #beginStream(head: AnswerHead, serverId: string | undefined): AnswerSink | undefined {
+    #beginStream(head: ResponseHead, serverId: string | undefined): ResponseSink | undefined {
         if (this.#streaming || this.#signal.aborted) {
             return undefined;
         }
--- a/packages/edge/src/requests/exchangeAnswers.ts
+++ b/packages/edge/src/requests/exchangeAnswers.ts
@@ -3,7 +3,7 @@
 import { type KeyChange } from "@galenaglade/workspaces";
 import { type Decision } from "@galenaglade/rate-limit";
 import { type RandomSource } from "@galenaglade/routing";
-import { type HeldAnswer } from "../backends/sendRequest.js";
+import { type BufferedResponse } from "../backends/sendRequest.js";
 import { type EdgeRequest } from "./edgeRequest.js";
 import { type NoPlace } from "./placer.js";
 
@@ -11,7 +11,7 @@
 
 /** What the caller gets. */
 export type ExchangeEnd =
-    | { readonly type: "answered"; readonly answer: HeldAnswer; }
+    | { readonly type: "answered"; readonly answer: BufferedResponse; }
     /** The sink got it, whole or broken off. */
     | { readonly type: "streamed"; readonly whole: boolean; }
     | { readonly type: "failed"; readonly failure: Failure; };
@@ -66,7 +66,7 @@
     }
 
     /** All tries have failed. */
-    allFailed(ends: readonly SendEnd[], fallback: HeldAnswer | undefined): ExchangeEnd {
+    allFailed(ends: readonly SendEnd[], fallback: BufferedResponse | undefined): ExchangeEnd {
         if (fallback !== undefined) {
             return { type: "answered", answer: fallback };
         }
@@ -77,7 +77,7 @@
     }
 
     /** The time is over, or nobody waits any more. @param underWay - sends that have not ended */
-    outOfTime(ends: readonly SendEnd[], underWay: number, fallback: HeldAnswer | undefined): ExchangeEnd {
+    outOfTime(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeEnd {
         if (fallback !== undefined) {
             return { type: "answered", answer: fallback };
         }
--- a/packages/edge/src/requests/exchangeWorkspace.ts
+++ b/packages/edge/src/requests/exchangeWorkspace.ts
@@ -46,7 +46,10 @@
         const { limits, log, metrics } = this.#parts;
         const workspace = admission.workspace.name;
         const holdMs = Math.min(mostHeldMs, this.#request.route.objectiveMs * heldShare);
-        const decision = await limits.admit({ workspace, ...limit, configVersion: version, holdMs }, this.#signal);
+        const decision = await limits.admit(
+            { workspace, ...limit, configVersion: version, decisionTimeoutMs: holdMs },
+            this.#signal,
+        );
         if (decision === undefined) {
             return "abandoned";
         }
--- a/packages/edge/src/requests/loadInquiry.ts
+++ b/packages/edge/src/requests/loadInquiry.ts
@@ -2,28 +2,28 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { isGood, type PlacementState, scoreServer, type ServerStatus } from "@galenaglade/placement";
 import { type ServerContactResult } from "@galenaglade/reachability";
-import { askServer, type LoadAnswer, type LoadSilence } from "../backends/askServer.js";
-import { type ServerConnections } from "../backends/serverConnections.js";
+import { probeServerLoad, type LoadProbeSuccess, type LoadProbeFailure } from "../backends/probeServerLoad.js";
+import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
 import { type ServerReach } from "../reach/serverReach.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StartTimeline } from "../telemetry/startTimeline.js";
-import { type EdgeVocabulary } from "../vocabulary.js";
+import { type EdgeMetadataCodec } from "../metadataCodec.js";
 import { type AnswerNotes } from "./answerNotes.js";
 
 /** What questions are asked with. */
 export interface LoadInquiryParts {
     readonly board: PlacementState;
     readonly notes: AnswerNotes;
-    readonly connections: ServerConnections;
+    readonly connections: ServerConnectionPool;
     readonly reach: Pick<ServerReach, "onContact">;
-    readonly vocabulary: EdgeVocabulary;
+    readonly vocabulary: EdgeMetadataCodec;
     readonly clock: Clock;
     readonly metrics: EdgeMetrics;
     readonly timeline: StartTimeline;
 }
 
 /** How questions of one request ended, by end. */
-export type AskEnds = Map<"told" | LoadSilence["reason"], number>;
+export type AskEnds = Map<"told" | LoadProbeFailure["reason"], number>;
 
 /** Asks backend servers for their load, and lets the board know what they said. */
 export class LoadInquiry {
@@ -81,9 +81,9 @@
         const { board, notes, connections, reach, vocabulary, clock, metrics, timeline } = this.#parts;
         timeline.reach("firstProbe");
         const askedAtMs = clock.monotonicMs();
-        const connection = connections.take(server.id, server.address);
-        const isNewConnection = !connection.isProved;
-        const told = await askServer({ server, connection, healthPath: rules.healthPath, vocabulary, timeoutMs });
+        const connection = connections.acquire(server.id, server.address);
+        const isNewConnection = !connection.hasResponded;
+        const told = await probeServerLoad({ server, connection, healthPath: rules.healthPath, vocabulary, timeoutMs });
         const end = told.type === "told" ? "told" : told.reason;
         ends.set(end, (ends.get(end) ?? 0) + 1);
         metrics.onAsked(end);
@@ -103,7 +103,7 @@
         connections.release(server.id, connection, { after: "question", nowMs: clock.monotonicMs() });
         board.onProbeResponse(rules.name, told.offer, askedAtMs);
         const source = { answered: "question", sentAtMs: askedAtMs } as const;
-        notes.note({ server, signs: told.signs, source, nowMs: clock.monotonicMs() });
+        notes.note({ server, signs: told.metadata, source, nowMs: clock.monotonicMs() });
         return told.offer;
     }
 
@@ -123,7 +123,7 @@
 }
 
 /** Whoever answers, the way there and back works. */
-function findAskContact(told: LoadAnswer | LoadSilence): ServerContactResult {
+function findAskContact(told: LoadProbeSuccess | LoadProbeFailure): ServerContactResult {
     return told.type === "told" || told.reason === "otherServer" ? "heard" : told.reason;
 }
 
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -10,7 +10,7 @@
     ServerSearch,
 } from "@galenaglade/placement";
 import { type ServerReach } from "../reach/serverReach.js";
-import { askTimeoutMs, longestAskTimeoutMs } from "../constants.js";
+import { loadProbeTimeoutMs, maxLoadProbeTimeoutMs } from "../constants.js";
 import { type AskEnds, LoadInquiry, type LoadInquiryParts } from "./loadInquiry.js";
 
 /** What the placer works with. */
@@ -81,7 +81,7 @@
             const step = search.step(sight);
             switch (step.type) {
                 case "ask": {
-                    const timeoutMs = Math.min(longestAskTimeoutMs, askTimeoutMs * 2 ** step.round);
+                    const timeoutMs = Math.min(maxLoadProbeTimeoutMs, loadProbeTimeoutMs * 2 ** step.round);
                     input.trace.asked += step.servers.length;
                     input.trace.offers += await this.#inquiry.ask(
                         input.rules,
--- a/packages/edge/src/requests/sendOutcomes.ts
+++ b/packages/edge/src/requests/sendOutcomes.ts
@@ -1,8 +1,8 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { countsAsServerFailure, isPossibleServerCrash } from "@galenaglade/placement";
 import { type SendResult } from "../backends/sendRequest.js";
-import { type ServerState } from "../backends/serverChecks.js";
-import { leastWitnesses, mostWitnesses } from "../constants.js";
+import { type ServerLiveness } from "../backends/serverLivenessChecker.js";
+import { minComparisonServers, maxComparisonServers } from "../constants.js";
 import { type RequestGuard } from "../quarantine/requestGuard.js";
 import { type EdgeRequest } from "./edgeRequest.js";
 import { describeEnd } from "./exchangeAnswers.js";
@@ -48,7 +48,7 @@
     note(outcome: SendOutcome): void {
         const { board, clock, metrics, reach, rollouts } = this.#parts;
         const { place: { server, score }, purpose, isNewConnection, mark, result, beaten } = outcome;
-        const { end, answer, tookMs } = result;
+        const { end, response, tookMs } = result;
         const { rules: { name: service }, route } = this.#request;
         const nowMs = clock.monotonicMs();
         const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
@@ -75,22 +75,22 @@
             }
         }
         this.#noteServer(server, result, nowMs);
-        const load = answer?.signs.load;
+        const load = response?.metadata.load;
         if (load !== undefined) {
             board.onLoadReport(service, server, load, nowMs);
         }
     }
 
     /** An answer of another server that has the address now says nothing of this one. */
-    #noteServer(server: RegisteredServer, { end, signs, streamed, tookMs }: SendResult, nowMs: number): void {
+    #noteServer(server: RegisteredServer, { end, metadata, streamed, tookMs }: SendResult, nowMs: number): void {
         // The head of an answer that broke off later was sound, and its caller has it.
         const isOwn = streamed || end.type === "answered" || (end.type === "notRun" && end.reason === "turnedAway");
-        if (signs === undefined || !isOwn || (signs.serverId ?? server.id) !== server.id) {
+        if (metadata === undefined || !isOwn || (metadata.serverId ?? server.id) !== server.id) {
             return;
         }
         this.#parts.notes.note({
             server,
-            signs,
+            signs: metadata,
             source: { answered: "request", sentAtMs: nowMs - tookMs },
             requestId: this.#request.requestId,
             nowMs,
@@ -101,7 +101,7 @@
      * A server that refuses connections has ended, unless other servers refuse them as well: then this host's links may be what fails,
      * and a crash would be reported to the whole fleet that never was.
      */
-    async #checkServer(server: RegisteredServer): Promise<ServerState> {
+    async #checkServer(server: RegisteredServer): Promise<ServerLiveness> {
         const { checks, clock, random, view } = this.#parts;
         const state = await checks.check(server);
         if (state !== "ended") {
@@ -109,10 +109,10 @@
         }
         const others = view.usableServers(server.service, clock.monotonicMs()).filter(({ id }) => id !== server.id);
         const witnesses: RegisteredServer[] = [];
-        while (witnesses.length < mostWitnesses && others.length > 0) {
+        while (witnesses.length < maxComparisonServers && others.length > 0) {
             witnesses.push(...others.splice(Math.floor(random.next() * others.length), 1));
         }
-        if (witnesses.length < leastWitnesses) {
+        if (witnesses.length < minComparisonServers) {
             return state;
         }
         const states = await Promise.all(witnesses.map(witness => checks.check(witness)));
--- a/packages/edge/src/rollout/evidenceClient.ts
+++ b/packages/edge/src/rollout/evidenceClient.ts
@@ -3,7 +3,7 @@
 import { type EvidenceReport } from "@galenaglade/rollout";
 import { type Either, Left, Right } from "purify-ts";
 import { Client } from "undici";
-import { reportTimeoutMs } from "../constants.js";
+import { rolloutReportTimeoutMs } from "../constants.js";
 import { type EvidenceAnswer, evidenceAnswer, evidencePath, evidenceStatus } from "./rolloutMessages.js";
 
 /** Reports to coordinators, over one kept connection to each. */
@@ -13,7 +13,8 @@
     /** @returns the coordinator's answer, or why there is none */
     async report(address: ServerAddress, report: EvidenceReport): Promise<Either<Failure, EvidenceAnswer>> {
         const origin = `http://${address.host}:${address.port}`;
-        const client = this.#clients.get(origin) ?? new Client(origin, { connect: { timeout: reportTimeoutMs } });
+        const client = this.#clients.get(origin)
+            ?? new Client(origin, { connect: { timeout: rolloutReportTimeoutMs } });
         this.#clients.set(origin, client);
         try {
             const res = await client.request({
@@ -21,7 +22,7 @@
                 path: evidencePath,
                 headers: { "content-type": "application/json" },
                 body: JSON.stringify(report),
-                signal: AbortSignal.timeout(reportTimeoutMs),
+                signal: AbortSignal.timeout(rolloutReportTimeoutMs),
             });
             const text = await res.body.text();
             return res.statusCode === evidenceStatus.taken
--- a/packages/edge/src/rollout/evidenceServer.ts
+++ b/packages/edge/src/rollout/evidenceServer.ts
@@ -1,7 +1,7 @@
 import { parseJson } from "@galenaglade/http-parts";
 import { type EvidenceReport } from "@galenaglade/rollout";
 import { type IncomingMessage, type ServerResponse } from "node:http";
-import { mostReportBytes } from "../constants.js";
+import { maxRolloutReportBytes } from "../constants.js";
 import { type EvidenceAnswer, evidenceReport, evidenceStatus } from "./rolloutMessages.js";
 
 /** Takes reports as a roll-out's coordinator. */
@@ -22,7 +22,7 @@
     let bytes = 0;
     req.on("data", (chunk: Buffer) => {
         bytes += chunk.length;
-        if (bytes > mostReportBytes) {
+        if (bytes > maxRolloutReportBytes) {
             send(res, evidenceStatus.tooLarge, undefined);
             req.destroy();
             return;
--- a/packages/edge/src/rollout/rolloutSync.ts
+++ b/packages/edge/src/rollout/rolloutSync.ts
@@ -10,7 +10,7 @@
     RolloutParticipant,
 } from "@galenaglade/rollout";
 import { type RandomSource } from "@galenaglade/routing";
-import { rewriteSpreadMs, rolloutTickMs } from "../constants.js";
+import { rewriteSpreadMs, rolloutCheckPeriodMs } from "../constants.js";
 import { type StateCodec } from "../stateCodec.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
@@ -46,7 +46,7 @@
     }
 
     start(): void {
-        this.#timer = setInterval(() => this.#tick(), rolloutTickMs);
+        this.#timer = setInterval(() => this.#tick(), rolloutCheckPeriodMs);
     }
 
     stop(): void {
@@ -84,7 +84,7 @@
                 continue;
             }
             const key = codec.rolloutStatusKey(service);
-            const value = codec.renderRolloutStatus(status);
+            const value = codec.encodeRolloutStatus(status);
             const asked = await store.compareAndSwap({ key, expectedRevision: statusRevision, value });
             const current = asked.map(outcome => outcome.swapped ? undefined : outcome.current).orDefault(undefined);
             const item = current && codec.decode(current);
@@ -142,7 +142,7 @@
         const written = await store.compareAndSwap({
             key: codec.rolloutStatusKey(status.service),
             expectedRevision,
-            value: codec.renderRolloutStatus(status),
+            value: codec.encodeRolloutStatus(status),
         });
         const revision = written.caseOf({
             Left: ({ kind, detail }) => {
--- a/packages/edge/src/state/outageInquiry.ts
+++ b/packages/edge/src/state/outageInquiry.ts
@@ -1,7 +1,7 @@
 import { type FleetView } from "@galenaglade/fleet-state";
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { type RandomSource } from "@galenaglade/routing";
-import { inquiryPauseMs, inquiryPeers } from "../constants.js";
+import { outageQueryDelayMs, outageQueryPeers } from "../constants.js";
 import { type PeerChanges } from "./relayClient.js";
 
 /** What an inquiry works with. */
@@ -34,7 +34,7 @@
         }
         this.#isUnderWay = true;
         while (this.#parts.view.hasLapsedServers(this.#parts.clock.monotonicMs()) && !await this.#ask()) {
-            await sleep(inquiryPauseMs);
+            await sleep(outageQueryDelayMs);
         }
         this.#isUnderWay = false;
     }
@@ -44,7 +44,7 @@
         const { name, view, clock, peers } = this.#parts;
         const others = view.registeredGateways().filter(gateway => gateway.name !== name);
         const answers = await Promise.all(
-            this.#draw(others, inquiryPeers).map(async ({ peerAddress: address }) => {
+            this.#draw(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
                 const heard = await peers.askContact(address);
                 heard.ifRight(forMs => view.onPeerStoreContact(forMs, clock.monotonicMs()));
                 return heard.isRight();
--- a/packages/edge/src/state/pauseDetector.ts
+++ b/packages/edge/src/state/pauseDetector.ts
@@ -1,5 +1,5 @@
 import { type Clock } from "@galenaglade/http-parts";
-import { hostPauseMs } from "../constants.js";
+import { hostPauseThresholdMs } from "../constants.js";
 
 /**
  * Notices that this host stood still: its steady clock stood still with it, and its time of day went on. Setting the time
@@ -19,7 +19,7 @@
         const skewMs = this.#readSkew();
         const stoodMs = skewMs - this.#skewMs;
         this.#skewMs = skewMs;
-        return Math.abs(stoodMs) > hostPauseMs ? stoodMs : undefined;
+        return Math.abs(stoodMs) > hostPauseThresholdMs ? stoodMs : undefined;
     }
 
     #readSkew(): number {
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -4,11 +4,11 @@
 import { type KeyValueStore } from "@galenaglade/platform";
 import { type RandomSource } from "@galenaglade/routing";
 import {
-    expiryTickMs,
-    longestRegistrationPauseMs,
-    longestStorePauseMs,
+    expiryCheckPeriodMs,
+    maxRegistrationBackoffMs,
+    maxStoreBackoffMs,
     registrationTtlMs,
-    renewalsPerLife,
+    renewalsPerTtl,
     rewriteSpreadMs,
 } from "../constants.js";
 import { type StateCodec } from "../stateCodec.js";
@@ -30,7 +30,7 @@
     readonly metrics: EdgeMetrics;
 }
 
-const renewalMs = registrationTtlMs / renewalsPerLife;
+const renewalMs = registrationTtlMs / renewalsPerTtl;
 
 /**
  * Keeps this gateway's registration in the store, under a lease. The others deal out shares by the number of
@@ -73,14 +73,14 @@
 
     async #run(): Promise<void> {
         while (!this.#stopped && !this.#parts.view.hasSynced) {
-            await sleep(expiryTickMs);
+            await sleep(expiryCheckPeriodMs);
         }
         let failures = 0;
         while (!this.#stopped) {
             const { term } = this.#parts.view;
             const registered = await this.#adopt() || await this.#register();
             if (!registered) {
-                const limitMs = Math.min(longestRegistrationPauseMs, longestStorePauseMs * 2 ** failures);
+                const limitMs = Math.min(maxRegistrationBackoffMs, maxStoreBackoffMs * 2 ** failures);
                 failures++;
                 await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
                 continue;
--- a/packages/edge/src/state/relayClient.ts
+++ b/packages/edge/src/state/relayClient.ts
@@ -3,7 +3,7 @@
 import { parseJson } from "@galenaglade/http-parts";
 import { type Either, Left, Right } from "purify-ts";
 import { Client } from "undici";
-import { catchUpTimeoutMs, relaySlackMs, relayWaitMs } from "../constants.js";
+import { catchUpTimeoutMs, relayLongPollGraceMs, relayLongPollMs } from "../constants.js";
 import {
     contactAnswer,
     contactPath,
@@ -46,7 +46,7 @@
     #origin = "";
 
     override async ask({ address, afterRevision, waits, signal }: RelayRequest): Promise<Either<Failure, RelayAnswer>> {
-        const waitMs = waits ? relayWaitMs : 0;
+        const waitMs = waits ? relayLongPollMs : 0;
         const timeout = AbortSignal.timeout(resolveRelayTimeoutMs(waits));
         try {
             const res = await this.#connect(address).request({
@@ -99,7 +99,7 @@
 
 /** @returns how long an answer is waited for, in milliseconds */
 export function resolveRelayTimeoutMs(waits: boolean): number {
-    return waits ? relayWaitMs + relaySlackMs : catchUpTimeoutMs;
+    return waits ? relayLongPollMs + relayLongPollGraceMs : catchUpTimeoutMs;
 }
 
 /** @returns what a peer's answer says, or why it says nothing */
--- a/packages/edge/src/state/relayServer.ts
+++ b/packages/edge/src/state/relayServer.ts
@@ -1,6 +1,6 @@
 import { type MirroredChanges } from "@galenaglade/fleet-state";
 import { type IncomingMessage, type ServerResponse } from "node:http";
-import { largestPassedOnBytes, relayWaitMs } from "../constants.js";
+import { maxRelayedChangesBytes, relayLongPollMs } from "../constants.js";
 import { contactPath, type RelayAnswer, relayPath, relayQuery, relayStatus } from "./relayMessages.js";
 
 /** What a gateway tells of the store. */
@@ -74,7 +74,7 @@
             return;
         }
         this.#teller.onAsked(afterRevision);
-        const untilMs = this.#teller.reachesStore ? Math.min(waitMs, relayWaitMs) : firstAnswerMs;
+        const untilMs = this.#teller.reachesStore ? Math.min(waitMs, relayLongPollMs) : firstAnswerMs;
         const waiting: Waiting = {
             res,
             afterRevision,
@@ -147,7 +147,7 @@
     for (const { key, value } of changed) {
         length += key.length + value.length;
     }
-    return length > largestPassedOnBytes;
+    return length > maxRelayedChangesBytes;
 }
 
 function send(res: ServerResponse, status: number, body: string): void {
--- a/packages/edge/src/state/stateReading.ts
+++ b/packages/edge/src/state/stateReading.ts
@@ -33,7 +33,7 @@
     const read = await store.list(codec.prefix, entries => {
         const lastKey = entries.at(-1)?.key;
         const soFar = decode(entries);
-        if (lastKey !== undefined && codec.isPastOperator(lastKey)) {
+        if (lastKey !== undefined && codec.isAfterOperatorKeys(lastKey)) {
             onOperatorRead(soFar);
         }
     });
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -13,16 +13,16 @@
 import { type WatchEvents } from "@galenaglade/platform";
 import { type LogFields } from "@galenaglade/telemetry";
 import {
-    expiryTickMs,
-    firstWatchPauseMs,
-    largestPassedOnBytes,
-    ownReadingMs,
-    storeCheckMs,
-    shortestProbePeriodMs,
+    expiryCheckPeriodMs,
+    initialWatchDelayMs,
+    maxRelayedChangesBytes,
+    directWatchMs,
+    watchCheckPeriodMs,
+    minStoreProbePeriodMs,
     storeProbeTimeoutMs,
-    watchPauseMs,
-    watchSlackMs,
-    watchWaitMs,
+    watchBatchDelayMs,
+    watchLongPollGraceMs,
+    watchLongPollMs,
 } from "../constants.js";
 import { OutageInquiry } from "./outageInquiry.js";
 import { RelayFeed } from "./relayServer.js";
@@ -79,8 +79,8 @@
 
     start(): void {
         this.#timers = [
-            setInterval(() => this.#tick(), expiryTickMs),
-            setInterval(() => void this.#checkWatch(), storeCheckMs),
+            setInterval(() => this.#tick(), expiryCheckPeriodMs),
+            setInterval(() => void this.#checkWatch(), watchCheckPeriodMs),
         ];
         void this.#run();
     }
@@ -129,7 +129,7 @@
         if (!this.reachesStore && (isFirst || this.#source === "peer")) {
             this.#turnNow();
         }
-        if (this.#contact.doubt === "lost" && nowMs - this.#contact.failedAtMs >= shortestProbePeriodMs) {
+        if (this.#contact.doubt === "lost" && nowMs - this.#contact.failedAtMs >= minStoreProbePeriodMs) {
             // Whoever asks may have just found the store again.
             this.#pause.end();
         }
@@ -228,7 +228,7 @@
                 this.#parts.onChanged();
                 firstReading.onRead();
                 // When a whole fleet starts, each registration would be a change of its own for every gateway.
-                return isFirst && view.registeredGateways().length === 0 ? firstWatchPauseMs : 0;
+                return isFirst && view.registeredGateways().length === 0 ? initialWatchDelayMs : 0;
             },
         });
     }
@@ -261,7 +261,7 @@
         const { store, codec } = this.#parts;
         const startedAtMs = this.#now();
         // While nobody knows whether the store is reached, a watch that waits would say so seconds later.
-        const wait = this.#confirmed ? { waitMs: watchWaitMs, slackMs: watchSlackMs } : { waitMs: 0 };
+        const wait = this.#confirmed ? { waitMs: watchLongPollMs, slackMs: watchLongPollGraceMs } : { waitMs: 0 };
         const { signal } = this.#turn;
         this.#watchingSinceMs = startedAtMs;
         let answeredAtMs: number | undefined;
@@ -295,8 +295,8 @@
                 this.#learn(events);
                 this.#sources.onCaughtUp();
                 // A store that answers a watch at once without changes must not be asked in a tight loop.
-                const cameEarly = wait.waitMs > 0 && this.#now() - startedAtMs < watchPauseMs;
-                return cameEarly || hasChanges(events) ? watchPauseMs : 0;
+                const cameEarly = wait.waitMs > 0 && this.#now() - startedAtMs < watchBatchDelayMs;
+                return cameEarly || hasChanges(events) ? watchBatchDelayMs : 0;
             },
         });
     }
@@ -305,7 +305,7 @@
     #onArriving(bytes: number): void {
         this.#watchingSinceMs = undefined;
         // What arrives is longer than what is passed on: the store encodes its values.
-        if (bytes > 2 * largestPassedOnBytes && !this.#isReadingLarge) {
+        if (bytes > 2 * maxRelayedChangesBytes && !this.#isReadingLarge) {
             this.#isReadingLarge = true;
             this.#parts.onChanged();
         }
@@ -333,7 +333,7 @@
                 metrics.onRelayRequest(failure.kind);
                 if (failure.kind === "bodyTooLarge") {
                     log.log("info", "changeNotPassedOn", { peer: peer.name, afterRevision });
-                    this.#sources.onChangeNotRelayed(this.#now(), ownReadingMs);
+                    this.#sources.onChangeNotRelayed(this.#now(), directWatchMs);
                     return 0;
                 }
                 this.#contact.onRelayLost(this.#now());
--- a/packages/edge/src/state/storeContact.ts
+++ b/packages/edge/src/state/storeContact.ts
@@ -2,7 +2,7 @@
 import { type FleetView } from "@galenaglade/fleet-state";
 import { type Clock } from "@galenaglade/http-parts";
 import { type RandomSource } from "@galenaglade/routing";
-import { firstStorePauseMs, storeProbePeriodMs } from "../constants.js";
+import { initialStoreBackoffMs, storeProbePeriodMs } from "../constants.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type RelayAnswer } from "./relayMessages.js";
@@ -94,7 +94,7 @@
             log.log("warn", "storeLost", { call, kind: failure.kind, detail: failure.detail });
         }
         const nowMs = clock.monotonicMs();
-        const growingMs = firstStorePauseMs * 2 ** this.#failures * (1 + random.next()) / 2;
+        const growingMs = initialStoreBackoffMs * 2 ** this.#failures * (1 + random.next()) / 2;
         this.#failures++;
         this.#failedAtMs = nowMs;
         this.#doubt = "lost";
--- a/packages/edge/src/state/surelyCurrent.ts
+++ b/packages/edge/src/state/surelyCurrent.ts
@@ -1,5 +1,5 @@
 import { type FleetView } from "@galenaglade/fleet-state";
-import { surelyCurrentMs } from "../constants.js";
+import { maxNotFoundStalenessMs } from "../constants.js";
 
 /**
  * @param view - what is believed of the fleet
@@ -7,5 +7,5 @@
  * @returns whether a route or a key that isn't known here doesn't exist: any that was added before it had to be in force by now is known
  */
 export function isSurelyCurrent(view: FleetView, nowMs: number): boolean {
-    return nowMs - view.currentAsOfMs <= surelyCurrentMs;
+    return nowMs - view.currentAsOfMs <= maxNotFoundStalenessMs;
 }
--- a/packages/edge/src/state/watchCheck.ts
+++ b/packages/edge/src/state/watchCheck.ts
@@ -1,7 +1,7 @@
 import { type FleetView } from "@galenaglade/fleet-state";
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { type LogFields } from "@galenaglade/telemetry";
-import { storeCheckTimeoutMs, watchLagMs } from "../constants.js";
+import { watchCheckTimeoutMs, maxWatchLagMs } from "../constants.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StoreContact } from "./storeContact.js";
 import { type StorePeek } from "./storePeek.js";
@@ -39,7 +39,7 @@
     async run(): Promise<LogFields | undefined> {
         const { peek, contact, view, clock, metrics } = this.#parts;
         const startedAtMs = clock.monotonicMs();
-        const peeked = await peek.revision(storeCheckTimeoutMs);
+        const peeked = await peek.revision(watchCheckTimeoutMs);
         return await peeked.caseOf<Promise<LogFields | undefined> | LogFields | undefined>({
             Left: ({ kind }) => {
                 metrics.onStoreCall("check", kind);
@@ -64,7 +64,7 @@
         if (sentAtMs === undefined || sentAtMs > checkedAtMs || revision <= afterRevision) {
             return undefined;
         }
-        await sleep(watchLagMs);
+        await sleep(maxWatchLagMs);
         const after = state();
         return after.sentAtMs === sentAtMs
             ? {
--- a/packages/edge/src/stateCodec.ts
+++ b/packages/edge/src/stateCodec.ts
@@ -12,9 +12,9 @@
     /** Where the status of a service's roll-out stands. */
     abstract rolloutStatusKey(service: string): string;
     /** @returns the value of a roll-out's status */
-    abstract renderRolloutStatus(status: RolloutStatus): string;
+    abstract encodeRolloutStatus(status: RolloutStatus): string;
     /** Where a gateway reports on requests under which servers ended. */
     abstract crashReportKey(gateway: string): string;
     /** @returns whether all of the operator's keys come before a key, in the store's order */
-    abstract isPastOperator(key: string): boolean;
+    abstract isAfterOperatorKeys(key: string): boolean;
 }
--- a/packages/edge/src/telemetry/edgeLog.ts
+++ b/packages/edge/src/telemetry/edgeLog.ts
@@ -1,5 +1,5 @@
 import { type LogFields, type Logger, type LogLevel } from "@galenaglade/telemetry";
-import { logLinesPerSecond } from "../constants.js";
+import { maxLogLinesPerSecond } from "../constants.js";
 
 /** Every event that an edge process logs. */
 export type EdgeEvent =
@@ -90,7 +90,7 @@
             budget.lines = 0;
             budget.leftOut = 0;
         }
-        if (budget.lines >= logLinesPerSecond) {
+        if (budget.lines >= maxLogLinesPerSecond) {
             budget.leftOut++;
             return false;
         }
--- a/packages/edge/src/telemetry/edgeMetrics.ts
+++ b/packages/edge/src/telemetry/edgeMetrics.ts
@@ -1,4 +1,4 @@
-import { type LimiterDescription } from "@galenaglade/rate-limit";
+import { type LimiterSnapshot } from "@galenaglade/rate-limit";
 import { type Metrics } from "@galenaglade/telemetry";
 
 /** Workspaces that are counted by name; further ones are counted together, so that names can't fill the memory. */
@@ -113,7 +113,7 @@
     }
 
     /** @param describe - says what this gateway keeps of the workspaces' limits */
-    observeLimits(describe: () => LimiterDescription): void {
+    observeLimits(describe: () => LimiterSnapshot): void {
         const shares = this.#meter.createObservableGauge("galenaglade.limit_shares_held", {
             description: "part of each limit that other gateways have delegated to this one, by group of workspaces",
         });
--- a/packages/rateLimit/src/__tests__/allocator.test.ts
+++ b/packages/rateLimit/src/__tests__/allocator.test.ts
@@ -2,24 +2,24 @@
 import { test } from "node:test";
 import { Allocator } from "../allocator.js";
 import { leaseMs } from "../constants.js";
-import { type AnswerMessage, type AskMessage, protocolVersion } from "../messages.js";
+import { type LimitResponseMessage, type LimitRequestMessage, protocolVersion } from "../messages.js";
 
 /** One host that talks to one allocator. */
 class Talk {
     readonly allocator: Allocator;
     #seq = 0;
 
-    constructor(allocator = new Allocator({ name: "a", life: "a1", group: 0 }, 0)) {
+    constructor(allocator = new Allocator({ name: "a", incarnation: "a1", group: 0 }, 0)) {
         this.allocator = allocator;
     }
 
-    create(more: Partial<AskMessage> = {}): AskMessage {
+    create(more: Partial<LimitRequestMessage> = {}): LimitRequestMessage {
         const fixed = { v: protocolVersion, type: "ask", sender: "h", life: "h1", group: 0, share: 1 } as const;
         return { ...fixed, seq: this.#seq++, entries: [], ...more };
     }
 
-    ask(nowMs: number, more: Partial<AskMessage> = {}): AnswerMessage | undefined {
-        return this.allocator.onAsk(this.create(more), nowMs);
+    ask(nowMs: number, more: Partial<LimitRequestMessage> = {}): LimitResponseMessage | undefined {
+        return this.allocator.onRequest(this.create(more), nowMs);
     }
 
     /** Tokens that the allocator grants of ten. */
@@ -54,7 +54,7 @@
 test("times of a former life, as after a suspension, bring no share", () => {
     const talk = new Talk();
     talk.ask(0, { echo: { life: "a1", atMs: 0 } });
-    talk.allocator.onPaused("a1.1", 10);
+    talk.allocator.onSuspended("a1.1", 10);
     assert.equal(talk.allocator.sharesHeld, 0);
     talk.ask(20, { echo: { life: "a1", atMs: 5 } });
     assert.equal(talk.allocator.sharesHeld, 0);
@@ -66,11 +66,11 @@
     const entry = { workspace: "w", perSecond: 100, burst: 9, configVersion: 1, wanted: 5, givenBack: 0 };
     talk.ask(0, { echo });
     const ask = talk.create({ echo: { life: "a1", atMs: 900 }, entries: [entry] });
-    const first = talk.allocator.onAsk(ask, 900);
+    const first = talk.allocator.onRequest(ask, 900);
     assert.equal(first?.entries[0]?.granted, 5);
-    assert.deepEqual(talk.allocator.onAsk(ask, 901), { ...first, atMs: 901 });
-    assert.equal(talk.allocator.describe()[0]?.granted, 5);
-    assert.equal(talk.allocator.onAsk(older, 902), undefined);
+    assert.deepEqual(talk.allocator.onRequest(ask, 901), { ...first, atMs: 901 });
+    assert.equal(talk.allocator.snapshot()[0]?.granted, 5);
+    assert.equal(talk.allocator.onRequest(older, 902), undefined);
 });
 
 // A process that was restarted may delegate to another allocator; a late message of the old one would count the share twice.
@@ -92,17 +92,17 @@
     assert.equal(talk.take(4_000), 10);
     assert.equal(talk.take(4_001, { givenBack: 100 }), 10);
     talk.ask(4_002, { share: 0.1, echo: { life: "a1", atMs: 4_002 } });
-    assert.equal(talk.allocator.describe()[0]?.capacity, 1.35);
-    assert.ok((talk.allocator.describe()[0]?.level ?? 9) <= 1.35);
+    assert.equal(talk.allocator.snapshot()[0]?.capacity, 1.35);
+    assert.ok((talk.allocator.snapshot()[0]?.level ?? 9) <= 1.35);
 });
 
 test("the limit of the highest configuration version is in force, whichever host speaks last", () => {
     const talk = new Talk();
     talk.take(0, { configVersion: 2, perSecond: 5 });
     talk.take(1, { configVersion: 1, perSecond: 50 });
-    assert.equal(talk.allocator.describe()[0]?.perSecond, 5);
+    assert.equal(talk.allocator.snapshot()[0]?.perSecond, 5);
     talk.take(2, { configVersion: 3, perSecond: 7 });
-    assert.equal(talk.allocator.describe()[0]?.perSecond, 7);
+    assert.equal(talk.allocator.snapshot()[0]?.perSecond, 7);
 });
 
 test("callers over the limit are told times one after the other, three seconds at most", () => {
@@ -121,7 +121,7 @@
 test("an allocator that leaves drops its shares before it says so, and holds none again", () => {
     const talk = new Talk();
     talk.ask(0, { echo: { life: "a1", atMs: 0 } });
-    assert.deepEqual(talk.allocator.leave(5).map(({ to, message }) => [to, message.leaving]), [["h", true]]);
+    assert.deepEqual(talk.allocator.releaseShares(5).map(({ to, message }) => [to, message.leaving]), [["h", true]]);
     assert.equal(talk.ask(6, { echo: { life: "a1", atMs: 6 } })?.leaving, true);
     assert.equal(talk.allocator.sharesHeld, 0);
 });
--- a/packages/rateLimit/src/__tests__/isolatedSlots.test.ts
+++ b/packages/rateLimit/src/__tests__/isolatedSlots.test.ts
@@ -21,7 +21,7 @@
                 for (let nowMs = 0; nowMs <= 5_000; nowMs += 500) {
                     // The clock of the day is set in between, which must not repeat a slot.
                     const wallMs = 1e12 + nowMs + (nowMs > 2_000 ? step : 0);
-                    while (slots.take(rule, 0, nowMs, wallMs)) {
+                    while (slots.tryTake(rule, 0, nowMs, wallMs)) {
                         admitted++;
                     }
                 }
@@ -35,10 +35,10 @@
 test("a host that doesn't count admits nothing, and unused slots are kept for no longer than a burst", () => {
     const slots = new IsolatedSlots("a");
     const rule = { workspace: "w", perSecond: 100, burst: 20, configVersion: 1 };
-    assert.equal(slots.take(rule, -1e6, 0, 1e9), false);
+    assert.equal(slots.tryTake(rule, -1e6, 0, 1e9), false);
     slots.onRoster(["a"], -1e6);
     let admitted = 0;
-    while (slots.take(rule, -1e6, 0, 1e9)) {
+    while (slots.tryTake(rule, -1e6, 0, 1e9)) {
         admitted++;
     }
     assert.ok(admitted === 20 || admitted === 21, `${admitted} at once`);
--- a/packages/rateLimit/src/__tests__/support/weighedWays.ts
+++ b/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
@@ -1,6 +1,6 @@
 import { findOwners } from "@galenaglade/fleet-state";
-import { type Command, type LimitRule, protocolVersion, readLimitMessage, type TokenRequest } from "../../index.js";
-import { type Limiter } from "./limitWorld.js";
+import { type Command, type LimitRule, protocolVersion, parseLimitMessage, type TokenRequest } from "../../index.js";
+import { type Limiter } from "./limitSimulation.js";
 
 const none: readonly Command[] = [];
 
@@ -64,7 +64,7 @@
 }
 
 /** Every host has 1/N of each limit, and a bucket of its own. */
-export class EqualShares extends WeighedWay {
+export class EqualShareLimiter extends WeighedWay {
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
@@ -74,7 +74,7 @@
 }
 
 /** The first host of the ranks grants all tokens; the next one does while that doesn't answer. */
-export class SingleOwner extends WeighedWay {
+export class SingleOwnerLimiter extends WeighedWay {
     readonly #waiting = new Map<number, { readonly request: TokenRequest; readonly atMs: number; tried: number; }>();
     #lost = new Map<string, number>();
     #requests = 0;
@@ -86,7 +86,7 @@
     }
 
     override onMessage(from: string, json: unknown, nowMs: number): readonly Command[] {
-        const message = readLimitMessage(json);
+        const message = parseLimitMessage(json);
         const entry = message?.type === "ask" ? message.entries[0] : undefined;
         if (message?.type === "ask" && entry !== undefined) {
             const granted = this.take(entry, 1, nowMs) ? 1 : 0;
--- a/packages/rateLimit/src/__tests__/support/limitWorld.ts
+++ b/packages/rateLimit/src/__tests__/support/limitSimulation.ts
@@ -19,7 +19,7 @@
     monotonicMs = 0;
     wallMs = 0;
     tickAtMs = Infinity;
-    lives = 0;
+    incarnations = 0;
     /** Callers that wait for a decision. */
     readonly callers = new Map<number, (decision: Decision) => void>();
 
@@ -29,37 +29,37 @@
 }
 
 /** A request that was decided. */
-export interface Outcome {
+export interface DecisionOutcome {
     readonly atMs: number;
     readonly type: Decision["type"];
 }
 
 /** Hosts with rate limiters on a network that loses, delays, doubles and cuts off, in virtual time. */
-export class LimitWorld {
+export class LimitSimulation {
     readonly queue = new EventQueue();
     readonly hosts: readonly SimulatedHost[];
-    readonly outcomes: Outcome[] = [];
+    readonly outcomes: DecisionOutcome[] = [];
     readonly random: RandomSource;
     /** Whether a datagram gets through now. */
-    connects: (from: string, to: string) => boolean = () => true;
-    loss = 0;
+    isConnected: (from: string, to: string) => boolean = () => true;
+    packetLossRate = 0;
     /** Most time that a datagram is under way. */
-    delayMs: (from: string, to: string) => number = () => 3;
-    givenBackShare = 0;
+    maxDelayMs: (from: string, to: string) => number = () => 3;
+    givenBackRate = 0;
     /** Requests of callers that were refused to the end. */
-    lost = 0;
-    sent = 0;
+    refusedCallers = 0;
+    sentMessages = 0;
     sentBytes = 0;
-    countsBytes = false;
+    isCountingBytes = false;
     /** Part of the datagrams that come twice. */
-    doubled = 0;
+    duplicationRate = 0;
     readonly #create: (name: string, life: string, startedAtMs: number) => Limiter;
     readonly #byName: ReadonlyMap<string, SimulatedHost>;
 
     constructor(hosts: number, random: RandomSource, create?: (name: string) => Limiter) {
         this.random = random;
         this.#create = create ?? ((name, life, startedAtMs) => {
-            const limiter = new RateLimiter({ name, life, random: () => random.next(), startedAtMs });
+            const limiter = new RateLimiter({ name, incarnation: life, random: () => random.next(), startedAtMs });
             limiter.setActive(true, startedAtMs);
             return limiter;
         });
@@ -76,7 +76,7 @@
     /** A process starts; its program was loaded for some time before. */
     start(host: SimulatedHost, loadedMs = 0): void {
         const nowMs = this.#nowOf(host);
-        host.limiter = this.#create(host.name, `${host.name}:${++host.lives}`, nowMs - loadedMs);
+        host.limiter = this.#create(host.name, `${host.name}:${++host.incarnations}`, nowMs - loadedMs);
         host.tickAtMs = Infinity;
         host.inbox = undefined;
         this.setRoster(host, host.roster);
@@ -85,7 +85,7 @@
     crash(host: SimulatedHost): void {
         host.limiter = undefined;
         host.inbox = undefined;
-        this.lost += host.callers.size;
+        this.refusedCallers += host.callers.size;
         host.callers.clear();
     }
 
@@ -114,7 +114,7 @@
         });
     }
 
-    request(host: SimulatedHost): void {
+    requestToken(host: SimulatedHost): void {
         const { rule } = host;
         if (host.inbox === undefined && rule !== undefined) {
             this.#act(host, limiter => limiter.request(rule, this.#nowOf(host), this.#wallOf(host)).commands);
@@ -126,7 +126,7 @@
     }
 
     /** A caller asks a host that runs, and another one where it is refused, after the time that it is told. */
-    call(retries: number): void {
+    sendCallerRequest(retries: number): void {
         const hosts = this.hosts.filter(({ limiter, inbox }) => limiter !== undefined && inbox === undefined);
         const host = hosts[this.random.below(hosts.length)];
         if (host?.rule === undefined || host.limiter === undefined) {
@@ -140,10 +140,10 @@
                     return;
                 }
                 if (retries > 0) {
-                    this.queue.schedule(decision.retryAfterMs, () => this.call(retries - 1));
+                    this.queue.schedule(decision.retryAfterMs, () => this.sendCallerRequest(retries - 1));
                 }
                 else {
-                    this.lost++;
+                    this.refusedCallers++;
                 }
             });
             return commands;
@@ -151,7 +151,7 @@
     }
 
     /** Outcomes of one kind from a time on. */
-    count(type: Decision["type"], fromMs = 0): number {
+    countOutcomes(type: Decision["type"], fromMs = 0): number {
         return this.outcomes.filter(outcome => outcome.type === type && outcome.atMs >= fromMs).length;
     }
 
@@ -197,12 +197,12 @@
     }
 
     #send(from: string, to: string, message: LimitMessage): void {
-        this.sent++;
-        this.sentBytes += this.countsBytes ? Buffer.byteLength(JSON.stringify(message)) : 0;
-        const copies = this.random.next() < this.doubled ? 2 : 1;
+        this.sentMessages++;
+        this.sentBytes += this.isCountingBytes ? Buffer.byteLength(JSON.stringify(message)) : 0;
+        const copies = this.random.next() < this.duplicationRate ? 2 : 1;
         for (let i = 0; i < copies; i++) {
-            if (this.connects(from, to) && this.random.next() >= this.loss) {
-                const delayMs = this.delayMs(from, to) * (0.5 + this.random.next() / 2);
+            if (this.isConnected(from, to) && this.random.next() >= this.packetLossRate) {
+                const delayMs = this.maxDelayMs(from, to) * (0.5 + this.random.next() / 2);
                 this.queue.schedule(delayMs, () => this.#receive(from, to, message));
             }
         }
@@ -219,7 +219,7 @@
     }
 
     #onDecision(limiter: Limiter, decision: Decision): void {
-        if (decision.type === "admitted" && this.random.next() < this.givenBackShare) {
+        if (decision.type === "admitted" && this.random.next() < this.givenBackRate) {
             limiter.giveBack(decision.token);
             return;
         }
@@ -228,7 +228,7 @@
 }
 
 /** What the limits in force allow a workspace in a window of five seconds. */
-export function allowedInWindow({ perSecond, burst }: Pick<TokenRequest, "perSecond" | "burst">): number {
+export function maxRequestsInWindow({ perSecond, burst }: Pick<TokenRequest, "perSecond" | "burst">): number {
     return 1.1 * (5 * perSecond + burst) + 20;
 }
 
@@ -237,7 +237,7 @@
  * @param allowed - in the window that begins at a time
  * @returns the most that any window of five seconds admits, as a part of what it may
  */
-export function findWorstWindow(admittedMs: readonly number[], allowed: (fromMs: number) => number): number {
+export function findMaxWindowUsage(admittedMs: readonly number[], allowed: (fromMs: number) => number): number {
     let worst = 0;
     let end = 0;
     for (const [i, fromMs] of admittedMs.entries()) {
--- a/packages/rateLimit/src/__tests__/support/loads.ts
+++ b/packages/rateLimit/src/__tests__/support/loads.ts
@@ -1,8 +1,8 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { type Limiter, LimitWorld } from "./limitWorld.js";
+import { type Limiter, LimitSimulation } from "./limitSimulation.js";
 
 /** A fleet that has just been started. */
-export interface FleetShape {
+export interface FleetOptions {
     readonly hosts: number;
     readonly perSecond: number;
     readonly burst?: number;
@@ -21,34 +21,39 @@
 }
 
 /** @returns a fleet whose hosts started within half a second */
-export function createFleet({ hosts, perSecond, burst = perSecond, seed, holdMs, create }: FleetShape): LimitWorld {
-    const world = new LimitWorld(hosts, createRandomSource(seed + 1), create);
+export function createFleet(
+    { hosts, perSecond, burst = perSecond, seed, holdMs, create }: FleetOptions,
+): LimitSimulation {
+    const world = new LimitSimulation(hosts, createRandomSource(seed + 1), create);
     for (const host of world.hosts) {
-        host.rule = { workspace: `workspace ${seed}`, perSecond, burst, configVersion: 1, holdMs };
+        host.rule = { workspace: `workspace ${seed}`, perSecond, burst, configVersion: 1, decisionTimeoutMs: holdMs };
         world.queue.schedule(world.random.next() * 500, () => world.start(host, 300));
     }
     return world;
 }
 
 /** @returns how many requests are offered, at random times */
-export function offerSteadily(world: LimitWorld, { perSecond, fromMs, untilMs, retries = 0 }: OfferedLoad): number {
+export function offerPoissonLoad(
+    world: LimitSimulation,
+    { perSecond, fromMs, untilMs, retries = 0 }: OfferedLoad,
+): number {
     const random = createRandomSource(99);
     let offered = 0;
     for (let atMs = fromMs; atMs < untilMs; atMs -= Math.log(1 - random.next()) * 1_000 / perSecond) {
-        world.queue.schedule(atMs, () => world.call(retries));
+        world.queue.schedule(atMs, () => world.sendCallerRequest(retries));
         offered++;
     }
     return offered;
 }
 
 /** @returns how many requests are offered: all that a token bucket allows, at once after pauses of different length */
-export function offerExactly(world: LimitWorld, load: OfferedLoad & { readonly burst: number; }): number {
+export function offerLoadAtLimit(world: LimitSimulation, load: OfferedLoad & { readonly burst: number; }): number {
     const random = createRandomSource(7);
     let level = load.burst;
     let offered = 0;
     for (let atMs = load.fromMs; atMs < load.untilMs;) {
         for (; level >= 1; level--) {
-            world.queue.schedule(atMs, () => world.call(0));
+            world.queue.schedule(atMs, () => world.sendCallerRequest(0));
             offered++;
         }
         const pauseMs = (random.next() < 0.2 ? random.next() * 3_000 : 10) + 1_000 / load.perSecond * random.next();
