--- a/packages/rateLimit/src/__tests__/support/drawnRun.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -1,14 +1,20 @@
 import { findOwners } from "@galenaglade/fleet-state";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import { groupOf, type TokenRequest } from "../../index.js";
-import { allowedInWindow, findWorstWindow, type Limiter, LimitWorld, type SimulatedHost } from "./limitWorld.js";
+import {
+    maxRequestsInWindow,
+    findMaxWindowUsage,
+    type Limiter,
+    LimitSimulation,
+    type SimulatedHost,
+} from "./limitSimulation.js";
 
 const endMs = 15_000;
 const usualSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
 
 /** One workspace that asks for more than its limit, on a fleet to which things happen; all of it drawn from a seed. */
-export class DrawnRun {
-    readonly world: LimitWorld;
+export class RandomScenario {
+    readonly simulation: LimitSimulation;
     readonly log: string[] = [];
     readonly #random: RandomSource;
     readonly #rules: readonly { readonly rule: TokenRequest; fromMs: number; untilMs: number; }[];
@@ -21,18 +27,18 @@
         const random = this.#random = createRandomSource(Math.imul(seed, 0x9e37_79b1));
         const isLarge = random.next() < 0.01;
         const hosts = this.#pick(isLarge ? [131, 312] : usualSizes);
-        this.world = new LimitWorld(hosts, random, create);
-        this.world.connects = (from, to) => !this.#cuts.some(cut => cut(from, to));
-        this.world.delayMs = (from, to) => Math.max(2, ...this.#delays.map(delay => delay(from, to)));
-        this.world.loss = this.#pick([0, 0, 0.025, 0.025, 0.2]);
-        this.world.doubled = 0.01;
-        this.world.givenBackShare = this.#pick([0, 0, 0.1]);
+        this.simulation = new LimitSimulation(hosts, random, create);
+        this.simulation.isConnected = (from, to) => !this.#cuts.some(cut => cut(from, to));
+        this.simulation.maxDelayMs = (from, to) => Math.max(2, ...this.#delays.map(delay => delay(from, to)));
+        this.simulation.packetLossRate = this.#pick([0, 0, 0.025, 0.025, 0.2]);
+        this.simulation.duplicationRate = 0.01;
+        this.simulation.givenBackRate = this.#pick([0, 0, 0.1]);
         const first = this.#drawRule(1);
         this.#rules = [
             { rule: first, fromMs: 0, untilMs: endMs },
             { rule: this.#drawRule(2, first), fromMs: Infinity, untilMs: endMs },
         ];
-        this.log.push(`${hosts} hosts, ${JSON.stringify(first)}, loss ${this.world.loss}`);
+        this.log.push(`${hosts} hosts, ${JSON.stringify(first)}, loss ${this.simulation.packetLossRate}`);
         this.#startAll(first);
         for (let i = 0; i < 1 + random.below(6); i++) {
             this.#at(2_000 + random.next() * 9_000, () => this.#disturb());
@@ -41,13 +47,13 @@
     }
 
     /** @returns the most that any window admitted, as a part of what it may */
-    play(): number {
-        this.world.run(endMs);
-        const admitted = this.world.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
-        return findWorstWindow(admitted, fromMs => {
+    run(): number {
+        this.simulation.run(endMs);
+        const admitted = this.simulation.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
+        return findMaxWindowUsage(admitted, fromMs => {
             const inForce = this.#rules.filter(each => each.fromMs <= fromMs + 5_000 && each.untilMs > fromMs);
             // Around a change the larger limit holds, as a whole: the rule knows no rate of one with the burst of the other.
-            return Math.max(...inForce.map(({ rule }) => allowedInWindow(rule)));
+            return Math.max(...inForce.map(({ rule }) => maxRequestsInWindow(rule)));
         });
     }
 
@@ -56,7 +62,7 @@
     }
 
     #at(atMs: number, run: () => void): void {
-        this.world.queue.schedule(atMs - this.world.queue.nowMs, run);
+        this.simulation.queue.schedule(atMs - this.simulation.queue.nowMs, run);
     }
 
     #drawRule(configVersion: number, before?: TokenRequest): TokenRequest {
@@ -75,15 +81,15 @@
 
     #startAll(rule: TokenRequest): void {
         const withinMs = this.#pick([0, 500, 3_000]);
-        for (const host of this.world.hosts) {
+        for (const host of this.simulation.hosts) {
             host.rule = rule;
-            this.#at(this.#random.next() * withinMs, () => this.world.start(host, this.#random.next() * 500));
+            this.#at(this.#random.next() * withinMs, () => this.simulation.start(host, this.#random.next() * 500));
         }
     }
 
     /** Floods at all hosts or at some: all the time, or after a pause in which buckets fill. */
     #drawLoad({ perSecond, burst }: TokenRequest): void {
-        const { hosts } = this.world;
+        const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
         for (let atMs = this.#pick([1_000, 5_000, 9_000]); atMs < endMs;) {
             const some = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
@@ -92,7 +98,7 @@
             for (let i = 0; i < count; i++) {
                 // The burst comes at once.
                 const afterMs = i < burst ? 0 : this.#random.next() * floodMs;
-                this.#at(atMs + afterMs, () => this.world.request(this.#pick(some)));
+                this.#at(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
             }
             atMs += floodMs + this.#random.next() * pauseMs;
         }
@@ -116,7 +122,7 @@
 
     /** Allocators fail as often as all other hosts, or most runs would show nothing. */
     #victims(): readonly SimulatedHost[] {
-        const { hosts } = this.world;
+        const { hosts } = this.simulation;
         const ranked = this.#ranked();
         const part = this.#pick([0.1, 0.33, 0.55, 1]);
         return this.#random.next() < 0.5
@@ -125,7 +131,7 @@
     }
 
     #ranked(): readonly string[] {
-        const names = this.world.hosts.map(({ name }) => name);
+        const names = this.simulation.hosts.map(({ name }) => name);
         return findOwners(`rate limits ${groupOf(this.#rules[0]?.rule.workspace ?? "")}`, names, 6);
     }
 
@@ -133,29 +139,29 @@
         const names = hosts === undefined
             ? ""
             : ` (${hosts.length}: ${hosts.slice(0, 4).map(({ name }) => name).join(" ")})`;
-        this.log.push(`${this.world.queue.nowMs.toFixed(0)} ms: ${text}${names}`);
+        this.log.push(`${this.simulation.queue.nowMs.toFixed(0)} ms: ${text}${names}`);
     }
 
     #restart(victims: readonly SimulatedHost[], afterMs: number, noticeMs = 0): void {
         this.#note(`restart after ${afterMs.toFixed(0)} ms, with notice ${noticeMs.toFixed(0)} ms`, victims);
         for (const host of victims) {
             if (noticeMs > 0) {
-                this.world.stop(host);
+                this.simulation.stop(host);
             }
-            this.#at(this.world.queue.nowMs + noticeMs, () => this.world.crash(host));
-            const startMs = this.world.queue.nowMs + noticeMs + afterMs + this.#random.next() * 200;
-            this.#at(startMs, () => this.world.start(host, Math.min(afterMs, this.#random.next() * 500)));
+            this.#at(this.simulation.queue.nowMs + noticeMs, () => this.simulation.crash(host));
+            const startMs = this.simulation.queue.nowMs + noticeMs + afterMs + this.#random.next() * 200;
+            this.#at(startMs, () => this.simulation.start(host, Math.min(afterMs, this.#random.next() * 500)));
         }
     }
 
     #suspend(victims: readonly SimulatedHost[], forMs: number, stopsClock: boolean): void {
         this.#note(`suspended for ${forMs.toFixed(0)} ms, clock ${stopsClock ? "stops" : "runs"}`, victims);
-        victims.forEach(host => this.world.suspend(host, forMs, stopsClock));
+        victims.forEach(host => this.simulation.suspend(host, forMs, stopsClock));
     }
 
     #cut(forMs: number): void {
         const kind = this.#pick(["both", "oneWay", "bridge", "each"]);
-        const sideOf = new Map(this.world.hosts.map(({ name }) => [name, this.#random.below(3)]));
+        const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.below(3)]));
         this.#note(`cut ${kind} for ${forMs.toFixed(0)} ms`);
         const cuts: Record<string, (from: number, to: number) => boolean> = {
             both: (from, to) => (from === 0) !== (to === 0),
@@ -166,31 +172,31 @@
         const cut = (from: string, to: string): boolean =>
             from !== to && cuts[kind]?.(sideOf.get(from) ?? 0, sideOf.get(to) ?? 0) === true;
         this.#cuts.push(cut);
-        this.#at(this.world.queue.nowMs + forMs, () => this.#cuts.splice(this.#cuts.indexOf(cut), 1));
+        this.#at(this.simulation.queue.nowMs + forMs, () => this.#cuts.splice(this.#cuts.indexOf(cut), 1));
     }
 
     /** One rank after the other loses all others, with a host or none on its side. */
     #cutInTurn(everyMs: number): void {
         this.#note(`ranks cut off every ${everyMs.toFixed(0)} ms`);
-        const { hosts } = this.world;
+        const { hosts } = this.simulation;
         for (const [i, rank] of this.#ranked().slice(0, 4).entries()) {
             const side = new Set([rank, this.#pick(hosts).name]);
             const cut = (from: string, to: string): boolean => side.has(from) !== side.has(to);
-            this.#at(this.world.queue.nowMs + i * everyMs, () => this.#cuts.push(cut));
+            this.#at(this.simulation.queue.nowMs + i * everyMs, () => this.#cuts.push(cut));
         }
-        this.#at(this.world.queue.nowMs + 5 * everyMs, () => this.#cuts.splice(0));
+        this.#at(this.simulation.queue.nowMs + 5 * everyMs, () => this.#cuts.splice(0));
     }
 
     #delay(forMs: number): void {
         const [mostMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
-        const slow = new Set(this.world.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
+        const slow = new Set(this.simulation.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
         this.#note(`up to ${mostMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
         // The way to the first rank alone, or to all.
         const target = this.#random.next() < 0.6 ? this.#ranked()[0] : undefined;
         const delay = (from: string, to: string): number =>
             slow.has(from) && (target === undefined || target === to) ? mostMs : 0;
         this.#delays.push(delay);
-        this.#at(this.world.queue.nowMs + forMs, () => this.#delays.splice(this.#delays.indexOf(delay), 1));
+        this.#at(this.simulation.queue.nowMs + forMs, () => this.#delays.splice(this.#delays.indexOf(delay), 1));
     }
 
     #changeRule(withinMs: number): void {
@@ -199,16 +205,16 @@
             return;
         }
         this.#note(`limit changes within ${withinMs.toFixed(0)} ms to ${JSON.stringify(second.rule)}`);
-        second.fromMs = this.world.queue.nowMs;
+        second.fromMs = this.simulation.queue.nowMs;
         first.untilMs = second.fromMs + withinMs;
-        for (const host of this.world.hosts) {
+        for (const host of this.simulation.hosts) {
             this.#at(second.fromMs + this.#random.next() * withinMs, () => host.rule = second.rule);
         }
     }
 
     /** A few hosts more or less, of which some hosts hear later: as many as the tolerance covers. */
     #changeRosters(withinMs: number): void {
-        const { hosts } = this.world;
+        const { hosts } = this.simulation;
         const count = Math.floor(hosts.length * 0.05);
         const names = hosts.map(({ name }) => name);
         const roster = this.#random.next() < 0.5
@@ -216,7 +222,10 @@
             : [...names, ...names.slice(0, count).map(name => `new-${name}`)];
         this.#note(`roster of ${roster.length} within ${withinMs.toFixed(0)} ms`);
         for (const host of hosts) {
-            this.#at(this.world.queue.nowMs + this.#random.next() * withinMs, () => this.world.setRoster(host, roster));
+            this.#at(
+                this.simulation.queue.nowMs + this.#random.next() * withinMs,
+                () => this.simulation.setRoster(host, roster),
+            );
         }
     }
 
--- a/packages/rateLimit/src/allocator.ts
+++ b/packages/rateLimit/src/allocator.ts
@@ -1,7 +1,12 @@
-import { creditEveryMs, forgetMs, leaseMs, mostDescribedWorkspaces, shareCreditMs } from "./constants.js";
-import { capacityOf, LimitBucket } from "./limitBucket.js";
-import { type AnswerMessage, type AskMessage, type GrantEntry, protocolVersion } from "./messages.js";
-import { type WorkspaceDescription } from "./model.js";
+import { shareCreditPeriodMs, idleExpiryMs, leaseMs, maxSnapshotWorkspaces, shareCreditMs } from "./constants.js";
+import { bucketCapacity, LimitBucket } from "./limitBucket.js";
+import {
+    type LimitResponseMessage,
+    type LimitRequestMessage,
+    type LimitResponseEntry,
+    protocolVersion,
+} from "./messages.js";
+import { type WorkspaceSnapshot } from "./model.js";
 import { ShareHistory } from "./shareHistory.js";
 
 /** A host that asks this allocator. */
@@ -11,7 +16,7 @@
     readonly formerLife: string | undefined;
     seq: number;
     /** The answer to the latest message, for its retransmissions. */
-    entries: GrantEntry[];
+    entries: LimitResponseEntry[];
     share: number;
     leaseEndMs: number;
     heardAtMs: number;
@@ -21,7 +26,7 @@
 /** What an allocator is. */
 export interface AllocatorOptions {
     readonly name: string;
-    readonly life: string;
+    readonly incarnation: string;
     readonly group: number;
 }
 
@@ -38,12 +43,12 @@
     #nextLeaseEndMs = Infinity;
     #nextForgetMs: number;
 
-    constructor({ name, life, group }: AllocatorOptions, nowMs: number) {
+    constructor({ name, incarnation, group }: AllocatorOptions, nowMs: number) {
         this.#name = name;
-        this.#life = life;
+        this.#life = incarnation;
         this.#group = group;
         this.#history = new ShareHistory(nowMs);
-        this.#nextForgetMs = nowMs + forgetMs;
+        this.#nextForgetMs = nowMs + idleExpiryMs;
     }
 
     /** Sum of the shares held. */
@@ -57,7 +62,7 @@
     }
 
     /** @returns the answer to a message; `undefined` where a later one has been answered */
-    onAsk(ask: AskMessage, nowMs: number): AnswerMessage | undefined {
+    onRequest(ask: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
         this.advance(nowMs);
         const delegator = this.#find(ask);
         if (delegator === undefined || ask.seq < delegator.seq) {
@@ -104,13 +109,13 @@
      * This host was suspended, for a time that its clock doesn't show: leases have ended that still seem to run, and messages from before wait
      * in the socket. Under another life, none of them brings a share.
      */
-    onPaused(life: string, nowMs: number): void {
+    onSuspended(life: string, nowMs: number): void {
         this.#life = life;
         this.#dropShares(nowMs);
     }
 
     /** Gives up all shares for good. @returns what tells their hosts */
-    leave(nowMs: number): readonly { readonly to: string; readonly message: AnswerMessage; }[] {
+    releaseShares(nowMs: number): readonly { readonly to: string; readonly message: LimitResponseMessage; }[] {
         this.advance(nowMs);
         const told = [...this.#delegators].filter(([, { share }]) => share > 0);
         this.#isLeaving = true;
@@ -122,21 +127,21 @@
     }
 
     /** @returns the workspaces that were asked for last; bounded */
-    describe(): readonly WorkspaceDescription[] {
+    snapshot(): readonly WorkspaceSnapshot[] {
         return [...this.#buckets]
-            .sort(([, a], [, b]) => b.usedAtMs - a.usedAtMs)
-            .slice(0, mostDescribedWorkspaces)
+            .sort(([, a], [, b]) => b.lastUsedAtMs - a.lastUsedAtMs)
+            .slice(0, maxSnapshotWorkspaces)
             .map(([workspace, { rule, level, granted, refused }]) => ({
                 workspace,
                 perSecond: rule.perSecond,
                 level,
-                capacity: capacityOf(rule, this.#history.sum),
+                capacity: bucketCapacity(rule, this.#history.sum),
                 granted,
                 refused,
             }));
     }
 
-    #find({ sender, life }: AskMessage): Delegator | undefined {
+    #find({ sender, life }: LimitRequestMessage): Delegator | undefined {
         const known = this.#delegators.get(sender);
         if (known?.life === life) {
             return known;
@@ -166,7 +171,7 @@
      * The lease ends by this allocator's clock and a time that it gave out itself, so that neither a slow network nor a suspended process
      * makes it longer. A message without such a time brings no share: it may have been under way for long.
      */
-    #hold(delegator: Delegator, { echo, share }: AskMessage, nowMs: number): void {
+    #hold(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
         const leaseEndMs = echo?.life === this.#life ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
         const before = delegator.share;
         delegator.share = leaseEndMs > nowMs ? share : 0;
@@ -176,17 +181,17 @@
             return;
         }
         this.#onShares();
-        if (before === 0 && nowMs - delegator.creditedAtMs >= creditEveryMs) {
+        if (before === 0 && nowMs - delegator.creditedAtMs >= shareCreditPeriodMs) {
             delegator.creditedAtMs = nowMs;
-            this.#history.credit(delegator.share * shareCreditMs);
+            this.#history.addCredit(delegator.share * shareCreditMs);
         }
     }
 
-    #grant({ entries }: AskMessage, nowMs: number): GrantEntry[] {
+    #grant({ entries }: LimitRequestMessage, nowMs: number): LimitResponseEntry[] {
         return entries.map(({ wanted, givenBack, ...rule }) => {
             const bucket = this.#buckets.get(rule.workspace) ?? new LimitBucket(rule, this.#history, nowMs);
             this.#buckets.set(rule.workspace, bucket);
-            bucket.onRule(rule, this.#history);
+            bucket.updateRule(rule, this.#history);
             return bucket.take(wanted, givenBack, this.#history, nowMs);
         });
     }
@@ -198,13 +203,13 @@
             sum += share;
         }
         this.#updateBuckets();
-        this.#history.change(sum);
+        this.#history.setSum(sum);
         this.#updateBuckets();
     }
 
     #updateBuckets(): void {
         for (const bucket of this.#buckets.values()) {
-            bucket.update(this.#history);
+            bucket.refill(this.#history);
         }
     }
 
@@ -221,26 +226,26 @@
         if (nowMs < this.#nextForgetMs) {
             return;
         }
-        this.#nextForgetMs = nowMs + forgetMs;
+        this.#nextForgetMs = nowMs + idleExpiryMs;
         for (const [name, { heardAtMs }] of this.#delegators) {
-            if (nowMs - heardAtMs >= forgetMs) {
+            if (nowMs - heardAtMs >= idleExpiryMs) {
                 this.#delegators.delete(name);
             }
         }
         for (const [workspace, bucket] of this.#buckets) {
-            bucket.update(this.#history);
-            const isFull = bucket.level >= capacityOf(bucket.rule, this.#history.sum);
-            if (nowMs - bucket.usedAtMs >= forgetMs && isFull) {
+            bucket.refill(this.#history);
+            const isFull = bucket.level >= bucketCapacity(bucket.rule, this.#history.sum);
+            if (nowMs - bucket.lastUsedAtMs >= idleExpiryMs && isFull) {
                 this.#buckets.delete(workspace);
             }
         }
     }
 
     #createAnswer(
-        { life, seq }: Pick<AskMessage, "life" | "seq">,
-        entries: GrantEntry[],
+        { life, seq }: Pick<LimitRequestMessage, "life" | "seq">,
+        entries: LimitResponseEntry[],
         nowMs: number,
-    ): AnswerMessage {
+    ): LimitResponseMessage {
         return {
             v: protocolVersion,
             type: "answer",
--- a/packages/rateLimit/src/allocatorLink.ts
+++ b/packages/rateLimit/src/allocatorSession.ts
@@ -1,43 +1,48 @@
 import {
-    giveUpMs,
-    lateTickMs,
+    allocatorTimeoutMs,
+    lateTickThresholdMs,
     leaseMarginMs,
     leaseMs,
-    mostEntries,
-    mostMessageBytes,
-    retransmitMs,
+    maxMessageEntries,
+    maxMessageBytes,
+    retransmitPeriodMs,
 } from "./constants.js";
-import { type AnswerMessage, type AskEntry, type AskMessage, protocolVersion } from "./messages.js";
+import {
+    type LimitResponseMessage,
+    type LimitRequestEntry,
+    type LimitRequestMessage,
+    protocolVersion,
+} from "./messages.js";
 import { type LimitRule } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
 /** A message under way, and the requests that each of its entries asks for. */
 interface SentMessage {
-    readonly message: AskMessage;
+    readonly message: LimitRequestMessage;
     readonly requests: readonly (readonly PendingRequest[])[];
     readonly firstMs: number;
 }
 
 /** What is the same in all messages of a link. */
-export interface LinkOptions {
+export interface AllocatorSessionOptions {
     readonly allocator: string;
     readonly name: string;
-    readonly life: string;
+    readonly incarnation: string;
     readonly group: number;
     /** Numbers that rise over all links of the process: a link that is made anew must not repeat one. */
     readonly nextSeq: () => number;
 }
 
 /** The entries of an answer with the requests that they decide. */
-export type AnsweredEntry = AnswerMessage["entries"][number] & { readonly requests: readonly PendingRequest[]; };
+export type DecidedEntry = LimitResponseMessage["entries"][number] & { readonly requests: readonly PendingRequest[]; };
 
 /** One host's conversation with one allocator of one group: at most one message is under way. */
-export class AllocatorLink {
+export class AllocatorSession {
     /** Until when the allocator may count this host's share, by this host's clock. */
-    heldUntilMs = -Infinity;
+    shareLeaseEndMs = -Infinity;
     /** The share was taken back and the allocator hasn't confirmed it. */
     isReleasing = false;
-    readonly #options: LinkOptions;
+    readonly #options: AllocatorSessionOptions;
     #echo: { readonly life: string; readonly atMs: number; } | undefined;
     #echoReceivedMs = -Infinity;
     #sent: SentMessage | undefined;
@@ -48,7 +53,7 @@
     #wasPutOff = false;
     readonly #givenBack = new Map<string, { readonly rule: LimitRule; readonly count: number; }>();
 
-    constructor(options: LinkOptions) {
+    constructor(options: AllocatorSessionOptions) {
         this.#options = options;
     }
 
@@ -57,57 +62,57 @@
     }
 
     /** Whether the allocator has answered, so that tokens can be asked for. */
-    get isKnown(): boolean {
+    get hasResponded(): boolean {
         return this.#echo !== undefined;
     }
 
     /** Share that the allocator has been told with its own time. */
-    get sentShare(): number {
+    get delegatedShare(): number {
         return this.#sentShare;
     }
 
     /** When a message was last sent. */
-    get sentMs(): number {
+    get lastSentAtMs(): number {
         return this.#sentMs;
     }
 
-    get isUnderWay(): boolean {
+    get hasMessageInFlight(): boolean {
         return this.#sent !== undefined;
     }
 
     /** Whether tokens have been asked for and not answered. */
-    get isAsking(): boolean {
+    get isAwaitingTokens(): boolean {
         return this.#sent !== undefined && this.#sent.requests.some(requests => requests.length > 0);
     }
 
     /** When the allocator has to be given up, if nothing comes. */
-    get giveUpAtMs(): number {
-        return (this.#unansweredSinceMs ?? Infinity) + giveUpMs;
+    get timeoutAtMs(): number {
+        return (this.#unansweredSinceMs ?? Infinity) + allocatorTimeoutMs;
     }
 
     /** @returns whether the allocator has to be given up */
-    isLost(nowMs: number): boolean {
-        if (nowMs < this.giveUpAtMs) {
+    isTimedOut(nowMs: number): boolean {
+        if (nowMs < this.timeoutAtMs) {
             return false;
         }
         // Where this host itself stood still, the answer may wait in its socket: one more retransmission time lets it be read.
-        if (!this.#wasPutOff && nowMs - this.giveUpAtMs > lateTickMs) {
+        if (!this.#wasPutOff && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
             this.#wasPutOff = true;
-            this.#unansweredSinceMs = nowMs - giveUpMs + retransmitMs;
+            this.#unansweredSinceMs = nowMs - allocatorTimeoutMs + retransmitPeriodMs;
             return false;
         }
         return true;
     }
 
     /** The allocator is the current one from now on: what it left unanswered before doesn't count against it. */
-    begin(nowMs: number): void {
+    activate(nowMs: number): void {
         this.isReleasing = false;
         this.#wasPutOff = false;
         this.#unansweredSinceMs = this.#sent === undefined ? undefined : nowMs;
     }
 
     /** @returns requests that were asked for and are not answered */
-    unanswered(): readonly PendingRequest[] {
+    unansweredRequests(): readonly PendingRequest[] {
         return this.#sent?.requests.flat() ?? [];
     }
 
@@ -122,14 +127,14 @@
      * @param requests - taken from its front, as many as a message holds
      * @returns a new message; the one before is no longer waited for
      */
-    ask(share: number, requests: PendingRequest[], nowMs: number): AskMessage {
+    createMessage(share: number, requests: PendingRequest[], nowMs: number): LimitRequestMessage {
         const { entries, taken } = this.#createEntries(requests);
-        const { name, life, group, nextSeq } = this.#options;
-        const message: AskMessage = {
+        const { name, incarnation, group, nextSeq } = this.#options;
+        const message: LimitRequestMessage = {
             v: protocolVersion,
             type: "ask",
             sender: name,
-            life,
+            life: incarnation,
             seq: nextSeq(),
             group,
             share,
@@ -141,19 +146,19 @@
         this.#unansweredSinceMs ??= nowMs;
         this.#sentShare = this.#echo === undefined ? 0 : share;
         if (this.#sentShare > 0) {
-            this.heldUntilMs = Math.max(this.heldUntilMs, this.#echoReceivedMs + leaseMs + leaseMarginMs);
+            this.shareLeaseEndMs = Math.max(this.shareLeaseEndMs, this.#echoReceivedMs + leaseMs + leaseMarginMs);
         }
         return message;
     }
 
     /** @returns the message under way, to be sent again */
-    repeat(nowMs: number): AskMessage | undefined {
+    retransmit(nowMs: number): LimitRequestMessage | undefined {
         this.#sentMs = nowMs;
         return this.#sent?.message;
     }
 
     /** @returns what an answer decides; `undefined` where it answers nothing that is waited for */
-    onAnswer(answer: AnswerMessage, nowMs: number): readonly AnsweredEntry[] | undefined {
+    onResponse(answer: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
         const sent = this.#sent;
         if (answer.leaving === true) {
             return this.#onLeaving(answer);
@@ -167,7 +172,7 @@
         const isNewLife = this.#echo !== undefined && this.#echo.life !== answer.life;
         if (isNewLife || sent.message.share === 0) {
             // The allocator has dropped what it held for its life before, or has confirmed that it holds nothing.
-            this.heldUntilMs = -Infinity;
+            this.shareLeaseEndMs = -Infinity;
             this.#sentShare = 0;
         }
         this.#echo = { life: answer.life, atMs: answer.atMs };
@@ -175,11 +180,11 @@
         return answer.entries.map((entry, i) => ({ ...entry, requests: sent.requests[i] ?? [] }));
     }
 
-    #onLeaving(answer: AnswerMessage): readonly AnsweredEntry[] | undefined {
+    #onLeaving(answer: LimitResponseMessage): readonly DecidedEntry[] | undefined {
         if (this.#echo !== undefined && answer.life !== this.#echo.life) {
             return undefined;
         }
-        this.heldUntilMs = -Infinity;
+        this.shareLeaseEndMs = -Infinity;
         this.#sentShare = 0;
         this.#sent = undefined;
         this.#echo = undefined;
@@ -188,12 +193,12 @@
 
     #createEntries(
         requests: PendingRequest[],
-    ): { readonly entries: AskEntry[]; readonly taken: readonly (readonly PendingRequest[])[]; } {
+    ): { readonly entries: LimitRequestEntry[]; readonly taken: readonly (readonly PendingRequest[])[]; } {
         const wanted = new Map<string, PendingRequest[]>();
         let bytes = emptyMessageBytes + byteLength(this.#options.name);
         const fits = (rule: LimitRule): boolean => {
             const size = byteLength(rule.workspace) + entryBytes;
-            if (wanted.size > 0 && (bytes + size > mostMessageBytes || wanted.size >= mostEntries)) {
+            if (wanted.size > 0 && (bytes + size > maxMessageBytes || wanted.size >= maxMessageEntries)) {
                 return false;
             }
             bytes += size;
@@ -222,7 +227,7 @@
         return { entries, taken: [...wanted.values()] };
     }
 
-    #createEntry(workspace: string, requests: readonly PendingRequest[]): AskEntry {
+    #createEntry(workspace: string, requests: readonly PendingRequest[]): LimitRequestEntry {
         const back = this.#givenBack.get(workspace);
         this.#givenBack.delete(workspace);
         const rules = requests.map(({ rule }) => rule);
--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -1,42 +1,42 @@
 import { findOwners } from "@galenaglade/fleet-state";
-import { AllocatorLink, type AnsweredEntry } from "./allocatorLink.js";
+import { AllocatorSession, type DecidedEntry } from "./allocatorSession.js";
 import {
-    betterProbeMs,
-    heartbeatMs,
-    isolatedProbeMs,
-    isolatedRetryMs,
+    failbackProbePeriodMs,
+    heartbeatPeriodMs,
+    isolatedProbePeriodMs,
+    isolatedRetryAfterMs,
     leaseMarginMs,
     leaseMs,
-    noSharesRetryMs,
-    rankCount,
-    retransmitMs,
-    returnAfterMs,
-    returnUnknownAfterMs,
+    noSharesRetryAfterMs,
+    allocatorCandidateCount,
+    retransmitPeriodMs,
+    failbackDelayMs,
+    unknownFailbackDelayMs,
     shareUnits,
-    startProbeMs,
+    startupProbePeriodMs,
 } from "./constants.js";
 import { type IsolatedSlots } from "./isolatedSlots.js";
-import { type AnswerMessage, type AskMessage } from "./messages.js";
-import { type Decision, type GroupDescription, type LimitChange, type Token } from "./model.js";
+import { type LimitResponseMessage, type LimitRequestMessage } from "./messages.js";
+import { type Decision, type GroupSnapshot, type LimitChange, type Token } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
 /** What a delegation decides and sends. */
 export interface DelegationOutput {
-    send(to: string, message: AskMessage): void;
+    send(to: string, message: LimitRequestMessage): void;
     decide(request: PendingRequest, decision: Decision): void;
-    note(change: LimitChange): void;
+    logChange(change: LimitChange): void;
 }
 
 /** What a delegation works with. */
 export interface DelegationOptions {
     readonly name: string;
-    readonly life: string;
+    readonly incarnation: string;
     readonly group: number;
     readonly nextSeq: () => number;
     readonly slots: IsolatedSlots;
     readonly startedAtMs: number;
     /** Lengthens a retry time at random. */
-    readonly jitter: (retryAfterMs: number) => number;
+    readonly addJitter: (retryAfterMs: number) => number;
     readonly output: DelegationOutput;
 }
 
@@ -48,14 +48,14 @@
  */
 export class Delegation {
     readonly #options: DelegationOptions;
-    readonly #links = new Map<string, AllocatorLink>();
+    readonly #links = new Map<string, AllocatorSession>();
     /** Hosts that may be the allocator, best first. */
     #ranked: readonly string[] = [];
     /** This host's part of each limit. */
     #part = 0;
-    #current: AllocatorLink | undefined;
+    #current: AllocatorSession | undefined;
     /** A better rank that has answered, to be used when no tokens are being asked for. */
-    #better: AllocatorLink | undefined;
+    #better: AllocatorSession | undefined;
     readonly #leftAtMs = new Map<string, number>();
     /** Until when an allocator may hold the share of this host's process before. */
     #formerUntilMs: number;
@@ -74,7 +74,7 @@
 
     /** Names of all hosts that count. */
     onRoster(names: readonly string[], nowMs: number): void {
-        this.#ranked = findOwners(`rate limits ${this.#options.group}`, names, rankCount);
+        this.#ranked = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
         this.#part = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
         for (const name of this.#leftAtMs.keys()) {
             if (!names.includes(name)) {
@@ -86,7 +86,7 @@
         }
     }
 
-    request(request: PendingRequest): void {
+    enqueue(request: PendingRequest): void {
         this.#waiting.push(request);
         this.#open.add(request);
     }
@@ -101,16 +101,16 @@
     /** Nothing is asked any more: the configuration has no limits. */
     refuseAll(nowMs: number): void {
         for (const request of this.#open) {
-            this.#refuse(request, isolatedRetryMs);
+            this.#refuse(request, isolatedRetryAfterMs);
         }
-        this.expire(nowMs);
+        this.expireRequests(nowMs);
     }
 
     /** @returns whether the answer was one that is waited for */
-    onAnswer(answer: AnswerMessage, nowMs: number): boolean {
+    onResponse(answer: LimitResponseMessage, nowMs: number): boolean {
         const link = this.#links.get(answer.sender);
-        const unanswered = link?.unanswered() ?? [];
-        const entries = link?.onAnswer(answer, nowMs);
+        const unanswered = link?.unansweredRequests() ?? [];
+        const entries = link?.onResponse(answer, nowMs);
         if (link === undefined || entries === undefined) {
             return false;
         }
@@ -129,9 +129,9 @@
     /** Does what is due. */
     advance(nowMs: number, wallMs: number): void {
         this.#endStart(nowMs);
-        this.expire(nowMs);
-        if (this.#current?.isLost(nowMs) === true) {
-            this.#leave(this.#current, this.#current.unanswered(), "unanswered", nowMs);
+        this.expireRequests(nowMs);
+        if (this.#current?.isTimedOut(nowMs) === true) {
+            this.#leave(this.#current, this.#current.unansweredRequests(), "unanswered", nowMs);
         }
         this.#moveToBetter(nowMs);
         this.#probe(nowMs);
@@ -140,13 +140,13 @@
     }
 
     /** @returns when something is due next */
-    dueAtMs(nowMs: number): number {
+    nextDueAtMs(nowMs: number): number {
         let due = Infinity;
         for (const { deadlineMs } of this.#open) {
             due = Math.min(due, deadlineMs);
         }
-        for (const { isOpen, notBeforeMs } of this.#waiting) {
-            if (isOpen && notBeforeMs > nowMs) {
+        for (const { isPending, notBeforeMs } of this.#waiting) {
+            if (isPending && notBeforeMs > nowMs) {
                 due = Math.min(due, notBeforeMs);
             }
         }
@@ -155,8 +155,8 @@
         }
         const current = this.#current;
         if (current !== undefined) {
-            const nextMs = current.sentMs + (current.isUnderWay ? retransmitMs : heartbeatMs);
-            due = Math.min(due, nextMs, current.giveUpAtMs);
+            const nextMs = current.lastSentAtMs + (current.hasMessageInFlight ? retransmitPeriodMs : heartbeatPeriodMs);
+            due = Math.min(due, nextMs, current.timeoutAtMs);
             if (this.#share(nowMs) === 0 && this.#part > 0) {
                 due = Math.min(due, Math.max(nowMs, this.#freeAtMs(nowMs)));
             }
@@ -165,16 +165,16 @@
     }
 
     /** State for metrics. */
-    describe(): Omit<GroupDescription, "sharesHeld" | "delegators"> {
+    snapshot(): Omit<GroupSnapshot, "sharesHeld" | "delegators"> {
         const current = this.#current;
-        const state = current === undefined ? "isolated" : current.sentShare > 0 ? "delegating" : "waiting";
+        const state = current === undefined ? "isolated" : current.delegatedShare > 0 ? "delegating" : "waiting";
         return { group: this.#options.group, allocator: current?.allocator, state };
     }
 
     /** The allocator, other than the current one, that may still hold the share. */
-    #holder(nowMs: number): AllocatorLink | undefined {
+    #holder(nowMs: number): AllocatorSession | undefined {
         for (const link of this.#links.values()) {
-            if (link !== this.#current && link.heldUntilMs > nowMs) {
+            if (link !== this.#current && link.shareLeaseEndMs > nowMs) {
                 return link;
             }
         }
@@ -183,7 +183,7 @@
 
     /** @returns when the share can be given to the current allocator, or used for slots */
     #freeAtMs(nowMs: number): number {
-        const heldUntilMs = this.#holder(nowMs)?.heldUntilMs ?? -Infinity;
+        const heldUntilMs = this.#holder(nowMs)?.shareLeaseEndMs ?? -Infinity;
         return Math.max(this.#formerUntilMs, heldUntilMs);
     }
 
@@ -200,68 +200,68 @@
         }
     }
 
-    expire(nowMs: number): void {
+    expireRequests(nowMs: number): void {
         for (const request of this.#open) {
-            if (!request.isOpen) {
+            if (!request.isPending) {
                 this.#open.delete(request);
             }
             else if (nowMs >= request.deadlineMs) {
-                this.#refuse(request, Math.max(noSharesRetryMs / 2, this.#freeAtMs(nowMs) - nowMs));
+                this.#refuse(request, Math.max(noSharesRetryAfterMs / 2, this.#freeAtMs(nowMs) - nowMs));
             }
         }
-        this.#waiting = this.#waiting.filter(({ isOpen }) => isOpen);
+        this.#waiting = this.#waiting.filter(({ isPending }) => isPending);
     }
 
     /** An allocator does not answer, or ends. */
-    #leave(link: AllocatorLink, unanswered: readonly PendingRequest[], reason: string, nowMs: number): void {
+    #leave(link: AllocatorSession, unanswered: readonly PendingRequest[], reason: string, nowMs: number): void {
         const { group, output } = this.#options;
-        const wasKnown = link.isKnown || reason === "leaving";
-        this.#leftAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - returnAfterMs + returnUnknownAfterMs);
+        const wasKnown = link.hasResponded || reason === "leaving";
+        this.#leftAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
         if (this.#better === link) {
             this.#better = undefined;
         }
         if (link !== this.#current) {
             return;
         }
-        output.note({ type: "allocatorLost", group, allocator: link.allocator, reason });
+        output.logChange({ type: "allocatorLost", group, allocator: link.allocator, reason });
         this.#askAgain(unanswered);
         this.#current = undefined;
         this.#choose(nowMs);
     }
 
     #askAgain(requests: readonly PendingRequest[]): void {
-        this.#waiting.unshift(...requests.filter(({ isOpen }) => isOpen));
+        this.#waiting.unshift(...requests.filter(({ isPending }) => isPending));
     }
 
     #choose(nowMs: number): void {
         const name = this.#ranked.find(each => this.#isUsable(each, nowMs));
         if (name === undefined) {
             this.#ownSinceMs = Math.max(nowMs, this.#freeAtMs(nowMs));
-            this.#options.output.note({ type: "isolated", group: this.#options.group });
+            this.#options.output.logChange({ type: "isolated", group: this.#options.group });
             return;
         }
         this.#use(this.#linkTo(name), nowMs);
     }
 
-    #use(link: AllocatorLink, nowMs: number): void {
-        this.#askAgain(this.#current?.unanswered() ?? []);
+    #use(link: AllocatorSession, nowMs: number): void {
+        this.#askAgain(this.#current?.unansweredRequests() ?? []);
         this.#current = link;
-        link.begin(nowMs);
+        link.activate(nowMs);
         const { group, output } = this.#options;
         const rank = this.#ranked.indexOf(link.allocator);
-        output.note({ type: "allocatorChosen", group, allocator: link.allocator, rank });
+        output.logChange({ type: "allocatorChosen", group, allocator: link.allocator, rank });
     }
 
     #isUsable(name: string, nowMs: number): boolean {
-        return nowMs - (this.#leftAtMs.get(name) ?? -Infinity) >= returnAfterMs;
+        return nowMs - (this.#leftAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
     }
 
     /** An allocator has answered that isn't the current one. */
-    #follow(link: AllocatorLink, nowMs: number): void {
+    #follow(link: AllocatorSession, nowMs: number): void {
         if (link === this.#current) {
             return;
         }
-        const isHolder = link.heldUntilMs > nowMs && !link.isReleasing;
+        const isHolder = link.shareLeaseEndMs > nowMs && !link.isReleasing;
         if (isHolder || (this.#current === undefined && !link.isReleasing)) {
             // Late, but it still has this host's share.
             this.#use(link, nowMs);
@@ -279,7 +279,7 @@
 
     #moveToBetter(nowMs: number): void {
         const [former, better] = [this.#current, this.#better];
-        if (better === undefined || former === undefined || former.isAsking) {
+        if (better === undefined || former === undefined || former.isAwaitingTokens) {
             return;
         }
         this.#better = undefined;
@@ -287,9 +287,9 @@
             return;
         }
         this.#use(better, nowMs);
-        if (former.heldUntilMs > nowMs) {
+        if (former.shareLeaseEndMs > nowMs) {
             former.isReleasing = true;
-            this.#send(former, former.ask(0, [], nowMs));
+            this.#send(former, former.createMessage(0, [], nowMs));
         }
     }
 
@@ -304,21 +304,21 @@
 
     #probeAtMs(name: string, nowMs: number): number {
         const link = this.#links.get(name);
-        const sentMs = link?.sentMs ?? -Infinity;
-        if (link !== undefined && link.heldUntilMs > nowMs) {
-            return sentMs + retransmitMs;
+        const sentMs = link?.lastSentAtMs ?? -Infinity;
+        if (link !== undefined && link.shareLeaseEndMs > nowMs) {
+            return sentMs + retransmitPeriodMs;
         }
         if (!this.#ranked.includes(name)) {
             return Infinity;
         }
         if (this.#formerUntilMs > nowMs && !this.#greeted.has(name)) {
-            return sentMs + startProbeMs;
+            return sentMs + startupProbePeriodMs;
         }
         if (this.#current === undefined) {
-            return sentMs + isolatedProbeMs;
+            return sentMs + isolatedProbePeriodMs;
         }
         const leftAtMs = this.#leftAtMs.get(name) ?? -Infinity;
-        return this.#isBetter(name) ? Math.max(sentMs + betterProbeMs, leftAtMs + returnAfterMs) : Infinity;
+        return this.#isBetter(name) ? Math.max(sentMs + failbackProbePeriodMs, leftAtMs + failbackDelayMs) : Infinity;
     }
 
     #probe(nowMs: number): void {
@@ -327,8 +327,8 @@
             if (atMs <= nowMs) {
                 const link = this.#linkTo(name);
                 // One that may still hold the share is reminded of the same message, which makes its lease no longer.
-                const repeated = link.heldUntilMs > nowMs ? link.repeat(nowMs) : undefined;
-                this.#send(link, repeated ?? link.ask(0, [], nowMs));
+                const repeated = link.shareLeaseEndMs > nowMs ? link.retransmit(nowMs) : undefined;
+                this.#send(link, repeated ?? link.createMessage(0, [], nowMs));
             }
             else if (atMs === Infinity && name !== this.#better?.allocator) {
                 this.#links.delete(name);
@@ -338,30 +338,33 @@
 
     #ask(nowMs: number): void {
         const current = this.#current;
-        if (current === undefined || current.isAsking) {
-            if (current !== undefined && nowMs - current.sentMs >= retransmitMs) {
-                this.#send(current, current.repeat(nowMs));
+        if (current === undefined || current.isAwaitingTokens) {
+            if (current !== undefined && nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
+                this.#send(current, current.retransmit(nowMs));
             }
             return;
         }
         const share = this.#share(nowMs);
-        const ready = current.isKnown ? this.#takeReady(nowMs) : [];
+        const ready = current.hasResponded ? this.#takeReady(nowMs) : [];
         if (ready.length > 0) {
-            this.#send(current, current.ask(share, ready, nowMs));
+            this.#send(current, current.createMessage(share, ready, nowMs));
             this.#waiting.unshift(...ready);
         }
-        else if (current.isUnderWay) {
-            if (nowMs - current.sentMs >= retransmitMs) {
-                this.#send(current, current.repeat(nowMs));
+        else if (current.hasMessageInFlight) {
+            if (nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
+                this.#send(current, current.retransmit(nowMs));
             }
         }
-        else if (nowMs - current.sentMs >= heartbeatMs || (share > 0 && current.sentShare === 0 && current.isKnown)) {
-            this.#send(current, current.ask(share, [], nowMs));
+        else if (
+            nowMs - current.lastSentAtMs >= heartbeatPeriodMs
+            || (share > 0 && current.delegatedShare === 0 && current.hasResponded)
+        ) {
+            this.#send(current, current.createMessage(share, [], nowMs));
         }
     }
 
     #takeReady(nowMs: number): PendingRequest[] {
-        const ready = this.#waiting.filter(({ isOpen, notBeforeMs }) => isOpen && notBeforeMs <= nowMs);
+        const ready = this.#waiting.filter(({ isPending, notBeforeMs }) => isPending && notBeforeMs <= nowMs);
         if (ready.length > 0) {
             this.#waiting = this.#waiting.filter(({ notBeforeMs }) => notBeforeMs > nowMs);
         }
@@ -378,25 +381,25 @@
             if (freeAtMs > nowMs) {
                 this.#holdOrRefuse(request, freeAtMs - nowMs, nowMs);
             }
-            else if (this.#options.slots.take(request.rule, this.#ownSinceMs, nowMs, wallMs)) {
+            else if (this.#options.slots.tryTake(request.rule, this.#ownSinceMs, nowMs, wallMs)) {
                 const token = { rule: request.rule, grantedBy: undefined };
                 this.#decide(request, { type: "admitted", token, plentiful: false });
             }
             else {
-                this.#refuse(request, isolatedRetryMs);
+                this.#refuse(request, isolatedRetryAfterMs);
             }
         }
     }
 
     #settle(
-        link: AllocatorLink,
-        { granted, retryAfterMs, plentiful, over, requests }: AnsweredEntry,
+        link: AllocatorSession,
+        { granted, retryAfterMs, plentiful, over, requests }: DecidedEntry,
         nowMs: number,
     ): void {
         let left = granted;
         let refused = 0;
         for (const request of requests) {
-            if (!request.isOpen) {
+            if (!request.isPending) {
                 continue;
             }
             const { rule } = request;
@@ -407,7 +410,7 @@
             }
             else if (over) {
                 refused++;
-                this.#decide(request, { type: "overLimit", retryAfterMs: this.#options.jitter(waitMs) });
+                this.#decide(request, { type: "overLimit", retryAfterMs: this.#options.addJitter(waitMs) });
             }
             else {
                 refused++;
@@ -431,23 +434,24 @@
     }
 
     #refuse(request: PendingRequest, retryAfterMs: number): void {
-        this.#decide(request, { type: "unsure", retryAfterMs: this.#options.jitter(retryAfterMs) });
+        this.#decide(request, { type: "unsure", retryAfterMs: this.#options.addJitter(retryAfterMs) });
     }
 
     #decide(request: PendingRequest, decision: Decision): void {
-        request.isOpen = false;
+        request.isPending = false;
         this.#open.delete(request);
         this.#options.output.decide(request, decision);
     }
 
-    #linkTo(name: string): AllocatorLink {
-        const { name: self, life, group, nextSeq } = this.#options;
-        const link = this.#links.get(name) ?? new AllocatorLink({ allocator: name, name: self, life, group, nextSeq });
+    #linkTo(name: string): AllocatorSession {
+        const { name: self, incarnation, group, nextSeq } = this.#options;
+        const link = this.#links.get(name)
+            ?? new AllocatorSession({ allocator: name, name: self, incarnation, group, nextSeq });
         this.#links.set(name, link);
         return link;
     }
 
-    #send(link: AllocatorLink, message: AskMessage | undefined): void {
+    #send(link: AllocatorSession, message: LimitRequestMessage | undefined): void {
         if (message !== undefined) {
             this.#options.output.send(link.allocator, message);
         }
--- a/packages/rateLimit/src/isolatedSlots.ts
+++ b/packages/rateLimit/src/isolatedSlots.ts
@@ -1,5 +1,5 @@
 import { RendezvousRanks } from "@galenaglade/fleet-state";
-import { leastSlotsKept } from "./constants.js";
+import { minRetainedSlots } from "./constants.js";
 import { type LimitRule } from "./model.js";
 
 const oneSecondMs = 1_000;
@@ -37,7 +37,7 @@
     }
 
     /** The monotonic clock may have stood still. */
-    onPaused(nowMs: number): void {
+    onSuspended(nowMs: number): void {
         this.#offsetMs = undefined;
         this.#rosterAtMs = nowMs;
     }
@@ -47,7 +47,7 @@
      * @param sinceMs - since when the host has its share to itself: earlier slots were the allocator's
      * @returns whether a slot was free for the request
      */
-    take(rule: LimitRule, sinceMs: number, nowMs: number, wallMs: number): boolean {
+    tryTake(rule: LimitRule, sinceMs: number, nowMs: number, wallMs: number): boolean {
         if (!this.#isCounted) {
             return false;
         }
@@ -55,7 +55,7 @@
         const periodMs = this.#hosts.length / rule.perSecond * oneSecondMs;
         const phaseMs = this.#ranks.rankOf(rule.workspace) / rule.perSecond * oneSecondMs;
         // All hosts together keep as many slots as a full bucket would keep tokens.
-        const validMs = Math.max(rule.burst, leastSlotsKept) / rule.perSecond * oneSecondMs;
+        const validMs = Math.max(rule.burst, minRetainedSlots) / rule.perSecond * oneSecondMs;
         const usedMs = this.#usedMs.get(rule.workspace) ?? -Infinity;
         const afterMs = Math.max(nowMs - validMs, sinceMs, this.#rosterAtMs, usedMs) + offsetMs;
         const index = Math.floor((afterMs - phaseMs) / periodMs) + 1;
--- a/packages/rateLimit/src/messages.ts
+++ b/packages/rateLimit/src/messages.ts
@@ -59,18 +59,18 @@
 const limitMessage = z.discriminatedUnion("type", [ask, answer]);
 
 /** One workspace in a token request. */
-export type AskEntry = Readonly<z.infer<typeof askEntry>>;
+export type LimitRequestEntry = Readonly<z.infer<typeof askEntry>>;
 /** The answer to one entry. */
-export type GrantEntry = Readonly<z.infer<typeof grantEntry>>;
+export type LimitResponseEntry = Readonly<z.infer<typeof grantEntry>>;
 /** A token request; without entries a heartbeat. */
-export type AskMessage = Readonly<z.infer<typeof ask>>;
+export type LimitRequestMessage = Readonly<z.infer<typeof ask>>;
 /** What the allocator answers. */
-export type AnswerMessage = Readonly<z.infer<typeof answer>>;
+export type LimitResponseMessage = Readonly<z.infer<typeof answer>>;
 /** A datagram between two hosts. */
-export type LimitMessage = AskMessage | AnswerMessage;
+export type LimitMessage = LimitRequestMessage | LimitResponseMessage;
 
 /** @returns the message, if it is one */
-export function readLimitMessage(json: unknown): LimitMessage | undefined {
+export function parseLimitMessage(json: unknown): LimitMessage | undefined {
     const read = limitMessage.safeParse(json);
     return read.success ? read.data : undefined;
 }
--- a/packages/rateLimit/src/model.ts
+++ b/packages/rateLimit/src/model.ts
@@ -14,7 +14,7 @@
 /** A request that needs a token. */
 export interface TokenRequest extends LimitRule {
     /** How long the request can wait for its decision, in milliseconds; by default {@link defaultHoldMs}. */
-    readonly holdMs?: number | undefined;
+    readonly decisionTimeoutMs?: number | undefined;
 }
 
 /** A token that was granted; to be given back if its request never ran. */
@@ -51,7 +51,7 @@
     | { readonly type: "sharesHeld"; readonly group: number; readonly shares: number; readonly hosts: number; };
 
 /** One group of workspaces, for metrics. */
-export interface GroupDescription {
+export interface GroupSnapshot {
     readonly group: number;
     /** Whom this host asks; `undefined` while it asks nobody. */
     readonly allocator: string | undefined;
@@ -63,7 +63,7 @@
 }
 
 /** A workspace whose tokens this host allocates, for metrics. */
-export interface WorkspaceDescription {
+export interface WorkspaceSnapshot {
     readonly workspace: string;
     readonly perSecond: number;
     readonly level: number;
@@ -74,10 +74,10 @@
 }
 
 /** State for metrics; bounded. */
-export interface LimiterDescription {
-    readonly groups: readonly GroupDescription[];
+export interface LimiterSnapshot {
+    readonly groups: readonly GroupSnapshot[];
     /** The busiest {@link mostDescribedWorkspaces}. */
-    readonly workspaces: readonly WorkspaceDescription[];
+    readonly workspaces: readonly WorkspaceSnapshot[];
     readonly messagesSent: number;
     /** Messages that could not be read or were out of date. */
     readonly messagesIgnored: number;
--- a/packages/rateLimit/src/pendingRequest.ts
+++ b/packages/rateLimit/src/pendingRequest.ts
@@ -1,4 +1,4 @@
-import { defaultHoldMs } from "./constants.js";
+import { defaultDecisionTimeoutMs } from "./constants.js";
 import { type LimitRule, type TokenRequest } from "./model.js";
 
 /** A request that waits for its decision. */
@@ -9,13 +9,13 @@
     /** When it may be asked for again. */
     notBeforeMs: number;
     /** Whether its caller still waits for a decision. */
-    isOpen = true;
+    isPending = true;
 
     constructor(id: number, request: TokenRequest, nowMs: number) {
-        const { workspace, perSecond, burst, configVersion, holdMs = defaultHoldMs } = request;
+        const { workspace, perSecond, burst, configVersion, decisionTimeoutMs = defaultDecisionTimeoutMs } = request;
         this.id = id;
         this.rule = { workspace, perSecond, burst, configVersion };
-        this.deadlineMs = nowMs + holdMs;
+        this.deadlineMs = nowMs + decisionTimeoutMs;
         this.notBeforeMs = nowMs;
     }
 }
--- a/packages/rateLimit/src/rateLimiter.ts
+++ b/packages/rateLimit/src/rateLimiter.ts
@@ -2,21 +2,21 @@
 import { defaultTolerance, type LimitTolerance, resolveAdmittedRate } from "./admittedRate.js";
 import { Allocator } from "./allocator.js";
 import {
-    clockJumpMs,
+    suspensionThresholdMs,
     groupCount,
-    isolatedRetryMs,
-    mostChanges,
-    mostDescribedWorkspaces,
+    isolatedRetryAfterMs,
+    maxPendingChanges,
+    maxSnapshotWorkspaces,
     retryJitter,
 } from "./constants.js";
 import { Delegation } from "./delegation.js";
 import { IsolatedSlots } from "./isolatedSlots.js";
-import { type LimitMessage, readLimitMessage } from "./messages.js";
+import { type LimitMessage, parseLimitMessage } from "./messages.js";
 import {
     type Command,
     type Decision,
     type LimitChange,
-    type LimiterDescription,
+    type LimiterSnapshot,
     type Token,
     type TokenRequest,
 } from "./model.js";
@@ -27,7 +27,7 @@
     /** As in the host's registration. */
     readonly name: string;
     /** Random id of this process lifetime, up to 48 characters. */
-    readonly life: string;
+    readonly incarnation: string;
     /** Seeded source of numbers from 0 to below 1. */
     readonly random: () => number;
     /** When the process was started, on the monotonic clock of all `nowMs`; not after the construction. */
@@ -69,28 +69,28 @@
     #ignored = 0;
 
     /** @param options - who the host is */
-    constructor({ name, life, random, startedAtMs, tolerance = defaultTolerance }: RateLimiterOptions) {
+    constructor({ name, incarnation, random, startedAtMs, tolerance = defaultTolerance }: RateLimiterOptions) {
         this.#tolerance = tolerance;
         this.#name = name;
-        this.#life = life;
+        this.#life = incarnation;
         this.#random = random;
         this.#slots = new IsolatedSlots(name);
         this.#groups = Array.from({ length: groupCount }, (_, group) => ({
             delegation: new Delegation({
                 name,
-                life,
+                incarnation,
                 group,
                 startedAtMs,
                 nextSeq: () => this.#messages++,
                 slots: this.#slots,
-                jitter: retryAfterMs => this.#jitter(retryAfterMs),
+                addJitter: retryAfterMs => this.#jitter(retryAfterMs),
                 output: {
                     send: (to, message) => this.#send(to, message),
                     decide: (request, decision) => this.#decide(request, decision),
-                    note: change => this.#note(change),
+                    logChange: change => this.#note(change),
                 },
             }),
-            allocator: new Allocator({ name, life, group }, startedAtMs),
+            allocator: new Allocator({ name, incarnation, group }, startedAtMs),
             sharesNoted: 0,
         }));
     }
@@ -106,11 +106,11 @@
         const pending = new PendingRequest(this.#requests++, { ...request, perSecond }, nowMs);
         const group = this.#groups[groupOf(request.workspace)];
         if (!this.#isActive || group === undefined) {
-            this.#decide(pending, { type: "unsure", retryAfterMs: this.#jitter(isolatedRetryMs) });
+            this.#decide(pending, { type: "unsure", retryAfterMs: this.#jitter(isolatedRetryAfterMs) });
             return { requestId: pending.id, commands: this.#takeCommands() };
         }
         this.#open.set(pending.id, pending);
-        group.delegation.request(pending);
+        group.delegation.enqueue(pending);
         return { requestId: pending.id, commands: this.#run([group], nowMs) };
     }
 
@@ -118,7 +118,7 @@
     cancel(requestId: number): void {
         const pending = this.#open.get(requestId);
         if (pending !== undefined) {
-            pending.isOpen = false;
+            pending.isPending = false;
             this.#open.delete(requestId);
         }
     }
@@ -131,7 +131,7 @@
     /** A datagram has come, as parsed JSON. `from` is the host that the datagram's address belongs to. */
     onMessage(from: string, json: unknown, nowMs: number, wallMs: number): readonly Command[] {
         this.#checkClocks(nowMs, wallMs);
-        const message = readLimitMessage(json);
+        const message = parseLimitMessage(json);
         const group = message === undefined ? undefined : this.#groups[message.group];
         if (message === undefined || group === undefined || message.sender !== from) {
             this.#ignored++;
@@ -139,7 +139,7 @@
         }
         if (this.#isActive) {
             // What is overdue goes first: an answer that waited while this process stood still grants nothing.
-            group.delegation.expire(nowMs);
+            group.delegation.expireRequests(nowMs);
         }
         this.#receive(group, message, nowMs);
         return message.type === "ask" ? this.#takeCommands() : this.#run([group], nowMs);
@@ -185,7 +185,7 @@
         if (!this.#isActive) {
             return undefined;
         }
-        const dueAtMs = Math.min(...this.#groups.map(({ delegation }) => delegation.dueAtMs(nowMs)));
+        const dueAtMs = Math.min(...this.#groups.map(({ delegation }) => delegation.nextDueAtMs(nowMs)));
         return dueAtMs === Infinity ? undefined : Math.max(0, dueAtMs - nowMs);
     }
 
@@ -193,11 +193,11 @@
      * The process's host was suspended, with its monotonic clock. Also found by the clocks that other methods are given; to be called
      * before any message that waited meanwhile.
      */
-    onPaused(nowMs: number): readonly Command[] {
+    onSuspended(nowMs: number): readonly Command[] {
         this.#pauses++;
-        this.#slots.onPaused(nowMs);
+        this.#slots.onSuspended(nowMs);
         for (const { allocator } of this.#groups) {
-            allocator.onPaused(`${this.#life}.${this.#pauses}`, nowMs);
+            allocator.onSuspended(`${this.#life}.${this.#pauses}`, nowMs);
         }
         return [];
     }
@@ -205,7 +205,7 @@
     /** The process is about to end as planned: the shares that it holds go elsewhere. It may go on asking for tokens. */
     stop(nowMs: number): readonly Command[] {
         for (const { allocator } of this.#groups) {
-            for (const { to, message } of allocator.leave(nowMs)) {
+            for (const { to, message } of allocator.releaseShares(nowMs)) {
                 this.#send(to, message);
             }
         }
@@ -213,20 +213,20 @@
     }
 
     /** @returns changes since the last call, for the log; bounded */
-    takeChanges(): readonly LimitChange[] {
+    drainChanges(): readonly LimitChange[] {
         return this.#changes.splice(0);
     }
 
     /** @returns the present state, for metrics */
-    describe(nowMs: number): LimiterDescription {
+    snapshot(nowMs: number): LimiterSnapshot {
         this.#groups.forEach(({ allocator }) => allocator.advance(nowMs));
         return {
             groups: this.#groups.map(({ delegation, allocator }) => ({
-                ...delegation.describe(),
+                ...delegation.snapshot(),
                 sharesHeld: allocator.sharesHeld,
                 delegators: allocator.delegators,
             })),
-            workspaces: this.#groups.flatMap(({ allocator }) => allocator.describe()).slice(0, mostDescribedWorkspaces),
+            workspaces: this.#groups.flatMap(({ allocator }) => allocator.snapshot()).slice(0, maxSnapshotWorkspaces),
             messagesSent: this.#sent,
             messagesIgnored: this.#ignored,
         };
@@ -235,15 +235,15 @@
     /** The time of day runs ahead where the host was suspended. A step of that clock looks the same, and is rare. */
     #checkClocks(nowMs: number, wallMs: number): void {
         const offsetMs = wallMs - nowMs;
-        if (this.#wallOffsetMs !== undefined && offsetMs - this.#wallOffsetMs > clockJumpMs) {
-            this.onPaused(nowMs);
+        if (this.#wallOffsetMs !== undefined && offsetMs - this.#wallOffsetMs > suspensionThresholdMs) {
+            this.onSuspended(nowMs);
         }
         this.#wallOffsetMs = offsetMs;
     }
 
     #receive(group: Group, message: LimitMessage, nowMs: number): void {
         if (message.type === "ask") {
-            const answer = group.allocator.onAsk(message, nowMs);
+            const answer = group.allocator.onRequest(message, nowMs);
             if (answer === undefined) {
                 this.#ignored++;
             }
@@ -251,7 +251,7 @@
                 this.#send(message.sender, answer);
             }
         }
-        else if (message.askerLife !== this.#life || !group.delegation.onAnswer(message, nowMs)) {
+        else if (message.askerLife !== this.#life || !group.delegation.onResponse(message, nowMs)) {
             this.#ignored++;
         }
     }
@@ -289,7 +289,7 @@
     }
 
     #note(change: LimitChange): void {
-        if (this.#changes.length < mostChanges) {
+        if (this.#changes.length < maxPendingChanges) {
             this.#changes.push(change);
         }
     }
--- a/packages/rateLimit/src/shareHistory.ts
+++ b/packages/rateLimit/src/shareHistory.ts
@@ -1,4 +1,4 @@
-import { rememberedChanges } from "./constants.js";
+import { maxShareChanges } from "./constants.js";
 
 /** A change of the shares, at the integral over time that was reached then. */
 interface ShareChange {
@@ -36,16 +36,16 @@
     }
 
     /** The shares add up to something else from now on. */
-    change(sum: number): void {
+    setSum(sum: number): void {
         this.#sum = Math.min(1, sum);
         this.#changes.push({ integralMs: this.#integralMs, sum: this.#sum });
-        if (this.#changes.length > rememberedChanges) {
+        if (this.#changes.length > maxShareChanges) {
             this.#changes.shift();
         }
     }
 
     /** Counts shares as held for some time more. */
-    credit(integralMs: number): void {
+    addCredit(integralMs: number): void {
         this.#integralMs += integralMs;
     }
 
--- a/packages/workspaces/src/__tests__/workspaces.test.ts
+++ b/packages/workspaces/src/__tests__/workspaces.test.ts
@@ -50,11 +50,11 @@
 
 // Guards against a key that two workspaces share: whose requests they are could not be told.
 test("faulty workspaces are named, and their keys are not", () => {
-    assert.equal(WorkspaceDirectory.check([north, south]), undefined);
-    assert.equal(WorkspaceDirectory.check([{ name: "twice", keys: ["a", "a"] }]), undefined);
+    assert.equal(WorkspaceDirectory.findFault([north, south]), undefined);
+    assert.equal(WorkspaceDirectory.findFault([{ name: "twice", keys: ["a", "a"] }]), undefined);
     assert.equal(
-        WorkspaceDirectory.check([north, { name: "east", keys: ["k-north-1"] }]),
+        WorkspaceDirectory.findFault([north, { name: "east", keys: ["k-north-1"] }]),
         "workspaces north and east hold the same key",
     );
-    assert.equal(WorkspaceDirectory.check([south, south]), "workspace south is defined twice");
+    assert.equal(WorkspaceDirectory.findFault([south, south]), "workspace south is defined twice");
 });
--- a/packages/workspaces/src/authenticate.ts
+++ b/packages/workspaces/src/authenticate.ts
@@ -5,7 +5,7 @@
 export type RejectionReason = "noKey" | "malformedKey" | "unknownKey";
 
 /** What a request's key says of its caller. */
-export type Admission =
+export type CallerIdentity =
     /** The configuration has no workspaces, so that nobody is asked for a key. */
     | { readonly type: "unchecked"; }
     /** A route that is open to everyone, and no key that is known. */
@@ -24,7 +24,7 @@
     callerKey: CallerKey,
     directory: WorkspaceDirectory | undefined,
     isOpen: boolean,
-): Admission | RejectionReason {
+): CallerIdentity | RejectionReason {
     if (directory === undefined) {
         return { type: "unchecked" };
     }
@@ -51,7 +51,10 @@
  * @param directory - workspaces in force now
  * @returns what keeps the request from being sent on the same caller's behalf; `undefined` where nothing does
  */
-export function findKeyChange(admission: Admission, directory: WorkspaceDirectory | undefined): KeyChange | undefined {
+export function findKeyChange(
+    admission: CallerIdentity,
+    directory: WorkspaceDirectory | undefined,
+): KeyChange | undefined {
     if (directory === undefined || admission.type === "anonymous") {
         return undefined;
     }
--- a/packages/workspaces/src/index.ts
+++ b/packages/workspaces/src/index.ts
@@ -1,4 +1,10 @@
 /** Which workspace a caller's request belongs to, by the caller's key. */
-export { type Admission, authenticate, findKeyChange, type KeyChange, type RejectionReason } from "./authenticate.js";
+export {
+    type CallerIdentity,
+    authenticate,
+    findKeyChange,
+    type KeyChange,
+    type RejectionReason,
+} from "./authenticate.js";
 export { type CallerKey, type RequestLimit, type Workspace } from "./model.js";
 export { WorkspaceDirectory } from "./workspaceDirectory.js";
--- a/packages/workspaces/src/workspaceDirectory.ts
+++ b/packages/workspaces/src/workspaceDirectory.ts
@@ -5,7 +5,7 @@
     readonly #byKey = new Map<string, Workspace>();
     readonly #byName = new Map<string, Workspace>();
 
-    /** @param workspaces - with unique names and keys; see {@link WorkspaceDirectory.check} */
+    /** @param workspaces - with unique names and keys; see {@link WorkspaceDirectory.findFault} */
     constructor(workspaces: readonly Workspace[]) {
         for (const workspace of workspaces) {
             this.#byName.set(workspace.name, workspace);
@@ -21,7 +21,7 @@
      * @param workspaces - as read
      * @returns what is wrong with them, without any key; `undefined` where they are sound
      */
-    static check(workspaces: readonly Workspace[]): string | undefined {
+    static findFault(workspaces: readonly Workspace[]): string | undefined {
         const holders = new Map<string, string>();
         const names = new Set<string>();
         for (const { name, keys } of workspaces) {
