--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -4,10 +4,10 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import { CutFleet } from "./support/cutFleet.js";
-import { type HelperConduct, type HelperStandIn, startHelper } from "./support/helperStandIn.js";
+import { type FakeGatewayBehavior, type FakeGateway, startFakeGateway } from "./support/fakeGateway.js";
 import { eventually, renderSignedResponse } from "./support/testEdge.js";
 
-const busy: HelperConduct = {
+const busy: FakeGatewayBehavior = {
     type: "verdict",
     status: "503 Busy",
     verdict: { type: "refused", reason: "busy", named: [] },
@@ -16,12 +16,12 @@
 /** One gateway that is cut off from its servers, beside stand-ins for other gateways. */
 async function startCutGateway(
     t: TestContext,
-    ...conducts: readonly HelperConduct[]
-): Promise<{ readonly fleet: CutFleet; readonly helpers: readonly HelperStandIn[]; }> {
+    ...conducts: readonly FakeGatewayBehavior[]
+): Promise<{ readonly fleet: CutFleet; readonly helpers: readonly FakeGateway[]; }> {
     const fleet = await CutFleet.start(t, 1);
-    const helpers: HelperStandIn[] = [];
+    const helpers: FakeGateway[] = [];
     for (const i of conducts.keys()) {
-        helpers.push(await startHelper(t, fleet.store, `helper-${i}`, busy));
+        helpers.push(await startFakeGateway(t, fleet.store, `helper-${i}`, busy));
     }
     const { logs } = fleet.edgeOf(0);
     await eventually(
@@ -37,7 +37,7 @@
         const helper = helpers[i];
         assert.ok(helper, "it was started");
         helper.requests.length = 0;
-        helper.conduct = conduct;
+        helper.behavior = conduct;
     });
     return { fleet, helpers };
 }
@@ -45,7 +45,7 @@
 /** From a gateway's start until requests don't take turns any more, in milliseconds. */
 const startTurnsMs = 4_000;
 
-const answered: HelperConduct = { type: "answer", body: "from a helper" };
+const answered: FakeGatewayBehavior = { type: "answer", body: "from a helper" };
 
 // Guards against a request that runs twice: whoever lost the answer can't know that it hasn't run.
 test("a non-idempotent request whose helper is lost isn't sent again, nor said not to have run", async t => {
@@ -57,7 +57,7 @@
 
 // Guards against callers who lose their answers with the helper although another one has time to run the request.
 test("an idempotent request whose helper is lost goes to another one", async t => {
-    const loseFirst: HelperConduct = { type: "loseFirst", lost: new Set() };
+    const loseFirst: FakeGatewayBehavior = { type: "loseFirst", lost: new Set() };
     const { fleet, helpers } = await startCutGateway(t, loseFirst, loseFirst);
     assert.equal((await fleet.send(0)).status, 200);
     assert.deepEqual(helpers.map(({ requests }) => requests.length), [1, 1]);
@@ -69,7 +69,7 @@
     const waiting = fleet.send(0);
     await eventually(() => helpers.some(({ requests }) => requests.length > 0), "it was handed over");
     for (const helper of helpers) {
-        helper.conduct = answered;
+        helper.behavior = answered;
     }
     assert.equal((await waiting).status, 200);
 });
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -9,8 +9,8 @@
 import { Worker } from "node:worker_threads";
 import { probeServerLoad } from "../backends/probeServerLoad.js";
 import { ServerConnectionPool } from "../backends/serverConnectionPool.js";
-import { AnswerNotes } from "../requests/answerNotes.js";
-import { LoadInquiry } from "../requests/loadInquiry.js";
+import { ResponseMetadataRecorder } from "../requests/responseMetadataRecorder.js";
+import { PlacementProber } from "../requests/placementProber.js";
 import { EdgeLog } from "../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { StartTimeline } from "../telemetry/startTimeline.js";
@@ -33,7 +33,7 @@
     };
 }
 
-function createInquiry(t: TestContext): { readonly inquiry: LoadInquiry; readonly board: PlacementState; } {
+function createInquiry(t: TestContext): { readonly inquiry: PlacementProber; readonly board: PlacementState; } {
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
     const board = new PlacementState({
@@ -45,14 +45,14 @@
     });
     const metrics = new EdgeMetrics(createMetrics("test"));
     const log = new EdgeLog(createJsonLogger({ process: "test", level: "error", write: () => undefined }), () => 0);
-    const notes = new AnswerNotes({ board, connections, log, metrics });
+    const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
     return {
-        inquiry: new LoadInquiry({
+        inquiry: new PlacementProber({
             board,
-            notes,
+            metadataRecorder: notes,
             connections,
-            reach: { onContact: () => undefined },
-            vocabulary,
+            reachability: { onContact: () => undefined },
+            metadataCodec: vocabulary,
             clock: systemClock,
             metrics,
             timeline: new StartTimeline(log),
@@ -69,7 +69,7 @@
     const { inquiry } = createInquiry(t);
     const servers = [createServer("silent", silent.raw.port), createServer("good", good.raw.port)];
     const beganAtMs = performance.now();
-    assert.equal(await inquiry.ask(rules, servers, 20_000), 1);
+    assert.equal(await inquiry.probe(rules, servers, 20_000), 1);
     assert.ok(performance.now() - beganAtMs < 10_000);
 });
 
@@ -80,7 +80,7 @@
     silent.load = undefined;
     const { inquiry, board } = createInquiry(t);
     const servers = [createServer("silent", silent.raw.port), createServer("full", full.raw.port)];
-    assert.equal(await inquiry.ask(rules, servers, 200), 1);
+    assert.equal(await inquiry.probe(rules, servers, 200), 1);
     const nowMs = systemClock.monotonicMs();
     assert.ok(board.suspects.isSuspect("silent", nowMs));
     assert.ok(!board.suspects.isSuspect("full", nowMs));
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { deadlyPath, deadlyReturnPath, DyingServers } from "./support/dyingServers.js";
+import { crashPath, crashReturnPath, CrashingServers } from "./support/crashingServers.js";
 import { LinkedStore } from "./support/linkedStore.js";
 import { MemoryStore } from "./support/memoryStore.js";
 import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
@@ -12,7 +12,7 @@
 
 interface DyingFleet {
     readonly store: MemoryStore;
-    readonly servers: DyingServers;
+    readonly servers: CrashingServers;
     readonly edges: readonly TestEdge[];
     readonly links: readonly LinkedStore[];
 }
@@ -25,7 +25,7 @@
 ): Promise<DyingFleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    const dying = new DyingServers(t, store);
+    const dying = new CrashingServers(t, store);
     for (let i = 0; i < servers; i++) {
         await dying.start();
     }
@@ -51,7 +51,7 @@
     for (let i = 0; performance.now() < untilMs; i++) {
         const edge = edges[i % edges.length];
         assert.ok(edge);
-        sent.push(servers.send(edge, deadlyPath));
+        sent.push(servers.send(edge, crashPath));
         await sleep(everyMs);
     }
     await Promise.all(sent);
@@ -85,12 +85,12 @@
 test("a quarantined request gets a final answer of its own kind at once, and its log names the crashes behind it", async t => {
     const fleet = await startDyingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.ended;
+    const endedBefore = fleet.servers.crashCount;
     const edge = at(fleet.edges, 1);
-    const got = await fleet.servers.send(edge, deadlyPath);
+    const got = await fleet.servers.send(edge, crashPath);
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers["retry-after"]) > 60);
-    assert.equal(fleet.servers.ended, endedBefore);
+    assert.equal(fleet.servers.crashCount, endedBefore);
     const failed = edge.logs.findLast(line => line["message"] === "requestFailed");
     const judged = edge.logs.findLast(line => line["message"] === "contentJudged");
     assert.equal(failed?.["kind"], "queryOfDeath");
@@ -102,15 +102,15 @@
 test("a gateway that has just started keeps a known deadly request from its servers", async t => {
     const fleet = await startDyingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.ended;
+    const endedBefore = fleet.servers.crashCount;
     await at(fleet.edges, 0).stop();
     const restarted = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-0" });
     const added = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-new" });
     for (const edge of [restarted, added]) {
         await waitUntilReady(edge);
-        assert.equal((await fleet.servers.send(edge, deadlyPath)).status, 503);
+        assert.equal((await fleet.servers.send(edge, crashPath)).status, 503);
     }
-    assert.equal(fleet.servers.ended, endedBefore);
+    assert.equal(fleet.servers.crashCount, endedBefore);
 });
 
 test("a gateway that was cut off from the store knows a deadly request soon after it is back", async t => {
@@ -123,9 +123,9 @@
     const backAtMs = performance.now();
     await eventually(() => away.logs.some(line => line["state"] === "quarantined"), "the gateway knows the request");
     assert.ok(performance.now() - backAtMs <= bounds.settleMs);
-    const endedBefore = fleet.servers.ended;
-    assert.equal((await fleet.servers.send(away, deadlyPath)).status, 503);
-    assert.equal(fleet.servers.ended, endedBefore);
+    const endedBefore = fleet.servers.crashCount;
+    assert.equal((await fleet.servers.send(away, crashPath)).status, 503);
+    assert.equal(fleet.servers.crashCount, endedBefore);
 });
 
 // Without the store a gateway hears of no other's crashes; its own must be enough, and reach the others once the store is back.
@@ -135,10 +135,10 @@
     const [first, second] = fleet.edges;
     assert.ok(first && second);
     for (let i = 0; i < 4; i++) {
-        await fleet.servers.send(first, deadlyPath);
+        await fleet.servers.send(first, crashPath);
         await sleep(200);
     }
-    assert.equal((await fleet.servers.send(first, deadlyPath)).status, 503);
+    assert.equal((await fleet.servers.send(first, crashPath)).status, 503);
     fleet.store.down = false;
     await eventually(() => second.logs.some(line => line["state"] === "quarantined"), "the other gateway knows it");
 });
@@ -146,17 +146,17 @@
 test("a non-idempotent request that ends its servers is kept from them as well, and runs once at most", async t => {
     const fleet = await startDyingFleet(t, 2);
     for (let i = 0; i < 5; i++) {
-        await fleet.servers.send(at(fleet.edges, i % 2), deadlyReturnPath, "filed");
+        await fleet.servers.send(at(fleet.edges, i % 2), crashReturnPath, "filed");
         await sleep(300);
     }
     await eventually(
         () => fleet.edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
         "the gateways know the request",
     );
-    const endedBefore = fleet.servers.ended;
-    const refused = await fleet.servers.send(at(fleet.edges, 0), deadlyReturnPath, "filed");
+    const endedBefore = fleet.servers.crashCount;
+    const refused = await fleet.servers.send(at(fleet.edges, 0), crashReturnPath, "filed");
     assert.equal(refused.status, 503);
-    assert.equal(fleet.servers.ended, endedBefore);
+    assert.equal(fleet.servers.crashCount, endedBefore);
     assert.equal((await fleet.servers.send(at(fleet.edges, 0), "/returns/x", "filed")).status, 200);
     assert.deepEqual(checkAtMostOnce(fleet.servers.history), []);
     assert.deepEqual(checkTruthfulDidRun(fleet.servers.history), []);
@@ -166,10 +166,10 @@
 test("a quarantined request is tried once soon, and served again where it ends no server any more", async t => {
     const fleet = await startDyingFleet(t, 2, { firstTrialSeconds: 1 });
     await whenQuarantined(fleet);
-    fleet.servers.isDeadly = false;
+    fleet.servers.crashesEnabled = false;
     await eventually(
         async () =>
-            (await Promise.all(fleet.edges.map(edge => fleet.servers.send(edge, deadlyPath)))).every(got =>
+            (await Promise.all(fleet.edges.map(edge => fleet.servers.send(edge, crashPath)))).every(got =>
                 got.status === 200
             ),
         "the request is served by both gateways",
--- a/packages/edge/src/__tests__/startTimeline.test.ts
+++ b/packages/edge/src/__tests__/startTimeline.test.ts
@@ -13,16 +13,16 @@
     };
     const log = new EdgeLog({ error: write, warn: write, info: write, debug: write }, () => 0);
     let sinceStartMs = 200;
-    const timeline = new StartTimeline(log, () => ({ sinceStartMs, processorMs: sinceStartMs / 2 }));
-    timeline.reach("programLoaded");
+    const timeline = new StartTimeline(log, () => ({ uptimeMs: sinceStartMs, cpuMs: sinceStartMs / 2 }));
+    timeline.record("programLoaded");
     sinceStartMs = 300;
-    timeline.reach("firstProbe");
+    timeline.record("firstProbe");
     sinceStartMs = 400;
-    timeline.reach("firstProbe");
+    timeline.record("firstProbe");
     assert.deepEqual(lines, []);
-    timeline.reach("firstAnswer");
-    timeline.reach("firstSend");
-    timeline.reach("firstAnswer");
+    timeline.record("firstAnswer");
+    timeline.record("firstSend");
+    timeline.record("firstAnswer");
     assert.deepEqual(lines, [["startTimeline", {
         programLoadedMs: 200,
         programLoadedProcessorMs: 100,
--- a/packages/edge/src/__tests__/startGate.test.ts
+++ b/packages/edge/src/__tests__/startupGate.test.ts
@@ -2,7 +2,7 @@
 import { type StartupRequest } from "@galenaglade/placement";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { StartGate } from "../callers/startGate.js";
+import { StartupGate } from "../callers/startupGate.js";
 
 const late: StartupRequest = {
     arrivedAtMs: 0,
@@ -14,11 +14,11 @@
 
 // Right after a stop of all hosts a request waits for its turn while its time runs out. Held on, its caller would get no answer at all.
 test("a request whose time is over while it waits for its turn goes on at once, and takes nobody's turn", async () => {
-    const gate = new StartGate(systemClock);
-    const first = await gate.enter(late, new AbortController().signal);
+    const gate = new StartupGate(systemClock);
+    const first = await gate.acquire(late, new AbortController().signal);
     const abort = new AbortController();
-    const second = gate.enter(late, abort.signal);
-    const third = gate.enter(late, new AbortController().signal);
+    const second = gate.acquire(late, abort.signal);
+    const third = gate.acquire(late, new AbortController().signal);
     abort.abort();
     (await second).onEnded();
     let begun = false;
@@ -30,7 +30,7 @@
 });
 
 test("a request whose time is over before it comes doesn't wait", async () => {
-    const gate = new StartGate(systemClock);
-    await gate.enter(late, new AbortController().signal);
-    await gate.enter(late, AbortSignal.abort());
+    const gate = new StartupGate(systemClock);
+    await gate.acquire(late, new AbortController().signal);
+    await gate.acquire(late, AbortSignal.abort());
 });
--- a/packages/edge/src/__tests__/support/dyingServers.ts
+++ b/packages/edge/src/__tests__/support/crashingServers.ts
@@ -16,13 +16,13 @@
 const backAfterMs = 400;
 
 /** Paths under which a request ends the server that runs it. */
-export const deadlyPath = "/tables/deadly";
-export const deadlyReturnPath = "/returns/deadly";
+export const crashPath = "/tables/deadly";
+export const crashReturnPath = "/returns/deadly";
 
 /** Backend servers that end under the deadly path and are replaced, and the history of what callers sent and servers ran. */
-export class DyingServers extends RecordedServers {
+export class CrashingServers extends RecordedServers {
     /** Whether the deadly paths end servers. */
-    isDeadly = true;
+    crashesEnabled = true;
     #started = 0;
     #stopped = false;
 
@@ -34,7 +34,7 @@
     }
 
     /** Servers that have ended. */
-    get ended(): number {
+    get crashCount(): number {
         return this.history.filter(({ type }) => type === "serverCrashed").length;
     }
 
@@ -43,7 +43,7 @@
         const id = `server-${++this.#started}`;
         const backend = await startBackend(this.t, id, req => {
             this.recordStarted(id, req);
-            if (this.isDeadly && (req.path === deadlyPath || req.path === deadlyReturnPath)) {
+            if (this.crashesEnabled && (req.path === crashPath || req.path === crashReturnPath)) {
                 void this.#end(id, req, () => backend.raw.stop());
                 return;
             }
--- a/packages/edge/src/__tests__/support/helperStandIn.ts
+++ b/packages/edge/src/__tests__/support/fakeGateway.ts
@@ -4,7 +4,7 @@
 import { renderSignedResponse } from "./testEdge.js";
 
 /** What a stand-in for another gateway does with a request that is handed to it. */
-export type HelperConduct =
+export type FakeGatewayBehavior =
     | { readonly type: "answer"; readonly body: string; }
     /** Runs it, and the connection is lost before the answer. */
     | { readonly type: "lose"; }
@@ -17,20 +17,20 @@
     | { readonly type: "unknownPath"; };
 
 /** A stand-in for another gateway, so that a test decides over each of its answers. */
-export interface HelperStandIn {
+export interface FakeGateway {
     readonly name: string;
     /** Requests that were handed to it. */
     readonly requests: RawRequest[];
-    conduct: HelperConduct;
+    behavior: FakeGatewayBehavior;
 }
 
 /** Starts one and registers it. It says that it reaches every service. */
-export async function startHelper(
+export async function startFakeGateway(
     t: TestContext,
     store: MemoryStore,
     name: string,
-    conduct: HelperConduct,
-): Promise<HelperStandIn> {
+    conduct: FakeGatewayBehavior,
+): Promise<FakeGateway> {
     const requests: RawRequest[] = [];
     const raw = await startRawBackend(t, req => {
         if (req.path.startsWith("/reach")) {
@@ -43,9 +43,9 @@
             return;
         }
         requests.push(req);
-        act(req, helper.conduct);
+        act(req, helper.behavior);
     });
-    const helper: HelperStandIn = { name, requests, conduct };
+    const helper: FakeGateway = { name, requests, behavior: conduct };
     store.put(
         `gateways/${name}`,
         JSON.stringify({ availabilityZone: "north", peers: `127.0.0.1:${raw.port}` }),
@@ -53,7 +53,7 @@
     return helper;
 }
 
-function act(req: RawRequest, conduct: HelperConduct): void {
+function act(req: RawRequest, conduct: FakeGatewayBehavior): void {
     switch (conduct.type) {
         case "answer": {
             const verdict = JSON.stringify({ type: "answered", version: 1 });
--- a/packages/edge/src/callers/callerConnections.ts
+++ b/packages/edge/src/callers/callerConnections.ts
@@ -51,7 +51,7 @@
     }
 
     /** @returns whether the connection ends with this answer, which is about to be written */
-    endsWith(req: IncomingMessage): boolean {
+    closeIfDraining(req: IncomingMessage): boolean {
         const state = this.#states.get(req.socket);
         if (!this.#stopping || state === undefined || state.latest !== req) {
             return false;
@@ -65,7 +65,7 @@
      *
      * @returns whether it ends with it
      */
-    endWith(req: IncomingMessage): boolean {
+    closeIfLast(req: IncomingMessage): boolean {
         const state = this.#states.get(req.socket);
         if (state === undefined || state.latest !== req || state.unanswered > 1) {
             return false;
@@ -75,7 +75,7 @@
     }
 
     /** From now on connections end with the last answer that is due on them. */
-    beginStop(): void {
+    beginDrain(): void {
         this.#stopping = true;
     }
 
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -3,8 +3,8 @@
 import { drawRetryAfterSeconds, type StartupRequest } from "@galenaglade/placement";
 import {
     handoverHeader,
-    type HandoverOrder,
-    type HandoverVerdict,
+    type HandoverMetadata,
+    type HandoverOutcome,
     renderHandoverHeader,
 } from "../handover/handoverMessages.js";
 import { HandoverHandler, refuseHandover } from "../handover/handoverServer.js";
@@ -13,42 +13,42 @@
 import { maxBufferedBodyBytes } from "../constants.js";
 import { type EdgeRequest, resolveEdgeRequest } from "../requests/edgeRequest.js";
 import { Exchange } from "../requests/exchange.js";
-import { type ExchangeEnd } from "../requests/exchangeAnswers.js";
-import { callerGone, cutoffReached, type ExchangeParts } from "../requests/exchangeParts.js";
+import { type ExchangeResult } from "../requests/localReplies.js";
+import { callerGone, cutoffReached, type ExchangeDeps } from "../requests/exchangeDeps.js";
 import { type BufferedResponse } from "../backends/sendRequest.js";
-import { CallerSink, writeAnswer } from "./answerWriter.js";
+import { CallerSink, writeResponse } from "./responseWriter.js";
 import { type FirstReading } from "../state/firstReading.js";
 import { isSurelyCurrent } from "../state/surelyCurrent.js";
 import { type CallerConnections } from "./callerConnections.js";
-import { type StartGate } from "./startGate.js";
+import { type StartupGate } from "./startupGate.js";
 
 /** What the handler works with. */
-export interface EdgeHandlerParts extends ExchangeParts {
-    readonly callers: CallerConnections;
+export interface EdgeHandlerDeps extends ExchangeDeps {
+    readonly callerConnections: CallerConnections;
     readonly firstReading: FirstReading;
-    readonly startGate: StartGate;
+    readonly startGate: StartupGate;
     /** When this process will be killed; requests get their last answer before it. */
-    readonly endsAtMs: () => number | undefined;
+    readonly stopDeadlineMs: () => number | undefined;
 }
 
 /** Takes each caller's request from its arrival to its one final answer. */
 export class EdgeHandler extends HandoverHandler {
-    readonly #parts: EdgeHandlerParts;
+    readonly #parts: EdgeHandlerDeps;
     /** What other gateways said of the requests that they handed over. */
-    readonly #orders = new WeakMap<ServerResponse, HandoverOrder>();
+    readonly #orders = new WeakMap<ServerResponse, HandoverMetadata>();
 
-    constructor(parts: EdgeHandlerParts) {
+    constructor(parts: EdgeHandlerDeps) {
         super();
         this.#parts = parts;
     }
 
     /** Handles one request; never throws. */
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { callers, clock, view, timeline } = this.#parts;
-        if (!callers.onRequest(req, res)) {
+        const { callerConnections, clock, view, timeline } = this.#parts;
+        if (!callerConnections.onRequest(req, res)) {
             return;
         }
-        timeline.reach("firstCaller");
+        timeline.record("firstCaller");
         const arrivedAtMs = clock.monotonicMs();
         if (view.configurationInForce === undefined) {
             void this.#holdUnread(req, res, arrivedAtMs);
@@ -57,9 +57,9 @@
         this.#take(req, res, arrivedAtMs);
     }
 
-    override handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverOrder): void {
-        const { callers, clock } = this.#parts;
-        if (!callers.onRequest(req, res)) {
+    override handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void {
+        const { callerConnections, clock } = this.#parts;
+        if (!callerConnections.onRequest(req, res)) {
             return;
         }
         this.#orders.set(res, order);
@@ -68,8 +68,8 @@
 
     /** The fleet is not known yet: the request waits for the reading that is under way, its time running on. */
     async #holdUnread(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): Promise<void> {
-        const { log, firstReading, vocabulary } = this.#parts;
-        const { requestId, patienceMs } = vocabulary.readRequest(req.rawHeaders);
+        const { log, firstReading, metadataCodec } = this.#parts;
+        const { requestId, patienceMs } = metadataCodec.readRequest(req.rawHeaders);
         const admission = firstReading.admit(patienceMs);
         if (admission.type === "hold") {
             log.log("info", "heldAtStart", { requestId, patienceMs, forAtMostMs: Math.round(admission.forMs) });
@@ -105,10 +105,10 @@
 
     #understand(
         req: IncomingMessage,
-        order: HandoverOrder | undefined,
+        order: HandoverMetadata | undefined,
         nowMs: number,
     ): Either<Failure, EdgeRequest> {
-        const { view, vocabulary, random } = this.#parts;
+        const { view, metadataCodec, random } = this.#parts;
         const { configurationInForce } = view;
         if (configurationInForce === undefined) {
             const retryAfterSeconds = drawRetryAfterSeconds("unread", 0, random);
@@ -123,7 +123,7 @@
             order,
             bodyBytes: resolveBodyBytes(req),
         };
-        return resolveEdgeRequest(head, configurationInForce, vocabulary, random, nowMs).mapLeft(failure =>
+        return resolveEdgeRequest(head, configurationInForce, metadataCodec, random, nowMs).mapLeft(failure =>
             this.#doubtAbsence(failure, nowMs)
         );
     }
@@ -140,9 +140,9 @@
     }
 
     async #serve(request: EdgeRequest, req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const { clock, endsAtMs } = this.#parts;
+        const { clock, stopDeadlineMs } = this.#parts;
         const abort = new AbortController();
-        const cutoffMs = Math.min(request.cutoffMs, endsAtMs() ?? Infinity);
+        const cutoffMs = Math.min(request.cutoffMs, stopDeadlineMs() ?? Infinity);
         const timer = setTimeout(() => abort.abort(cutoffReached), Math.max(0, cutoffMs - clock.monotonicMs()));
         // A caller that is gone wants no answer: the backend server's slot is worth more to the others.
         res.once("close", () => {
@@ -177,27 +177,29 @@
         req: IncomingMessage,
         res: ServerResponse,
     ): Promise<void> {
-        const { callers, timeline, startGate } = this.#parts;
-        const pass = startGate.isOn ? await startGate.enter(this.#describeStart(request, req), signal) : undefined;
+        const { callerConnections, timeline, startGate } = this.#parts;
+        const pass = startGate.isActive
+            ? await startGate.acquire(this.#describeStart(request, req), signal)
+            : undefined;
         let sink: CallerSink | undefined;
         const exchange = new Exchange(this.#parts, request, body, signal, head => {
-            this.#markAnswered(res, request, exchange.answeredBy);
-            sink = new CallerSink(res, head, callers.endsWith(req));
+            this.#markAnswered(res, request, exchange.respondingServerId);
+            sink = new CallerSink(res, head, callerConnections.closeIfDraining(req));
             return sink;
         }, () => pass?.onSent());
         const end = this.#doubtEnd(await exchange.run().finally(() => pass?.onEnded()));
         switch (end.type) {
             case "answered":
-                this.#answer(request, end.answer, exchange.answeredBy, req, res);
+                this.#answer(request, end.response, exchange.respondingServerId, req, res);
                 break;
             case "streamed":
-                sink?.end(end.whole);
+                sink?.end(end.complete);
                 break;
             case "failed":
                 this.#fail(req, res, end.failure);
         }
         if (end.type !== "failed") {
-            timeline.reach("firstAnswer");
+            timeline.record("firstAnswer");
         }
         this.#report(request, req, end, exchange, signal);
     }
@@ -206,13 +208,13 @@
         return {
             arrivedAtMs,
             objectiveMs: route.objectiveMs,
-            patienceMs: this.#parts.vocabulary.readRequest(req.rawHeaders).patienceMs,
+            patienceMs: this.#parts.metadataCodec.readRequest(req.rawHeaders).patienceMs,
             route: route.name,
             typicalLatencyMs: this.#parts.board.typicalLatency.of(rules.name, route.objectiveMs),
         };
     }
 
-    #doubtEnd(end: ExchangeEnd): ExchangeEnd {
+    #doubtEnd(end: ExchangeResult): ExchangeResult {
         return end.type === "failed"
             ? { type: "failed", failure: this.#doubtAbsence(end.failure, this.#parts.clock.monotonicMs()) }
             : end;
@@ -225,17 +227,17 @@
         req: IncomingMessage,
         res: ServerResponse,
     ): void {
-        const { callers } = this.#parts;
+        const { callerConnections } = this.#parts;
         if (res.destroyed) {
             return;
         }
         // An answer that ends with its connection would take the answers behind it away.
-        if (answer.endedByClose && !callers.endWith(req)) {
+        if (answer.endedByClose && !callerConnections.closeIfLast(req)) {
             this.#fail(req, res, createFailure("truncatedAnswer", "the answer may be cut short"));
             return;
         }
         this.#markAnswered(res, request, answeredBy);
-        writeAnswer(res, request.method, answer, callers.endsWith(req));
+        writeResponse(res, request.method, answer, callerConnections.closeIfDraining(req));
     }
 
     #markAnswered(res: ServerResponse, { version }: EdgeRequest, server: string | undefined): void {
@@ -257,17 +259,17 @@
                 detail,
                 notRun: didRun === "no",
                 ...(retryAfterSeconds === undefined ? {} : { retryAfterSeconds }),
-                unreached: this.#parts.reach.stateOf(order.service) !== "reached",
+                unreached: this.#parts.reachability.stateOf(order.service) !== "reached",
             });
         }
         // An unread body would be taken for the next request's head, so the connection ends unless all was read.
-        writeFailure(res, failure, undefined, this.#parts.callers.endsWith(req) || !req.complete);
+        writeFailure(res, failure, undefined, this.#parts.callerConnections.closeIfDraining(req) || !req.complete);
     }
 
     #report(
         request: EdgeRequest,
         req: IncomingMessage,
-        end: ExchangeEnd,
+        end: ExchangeResult,
         exchange: Exchange,
         signal: AbortSignal,
     ): void {
@@ -277,13 +279,13 @@
         }
         const { clock, log, metrics } = this.#parts;
         const tookMs = Math.round(clock.monotonicMs() - request.arrivedAtMs);
-        const outcome = end.type === "answered" ? String(end.answer.status) : "streamed";
+        const outcome = end.type === "answered" ? String(end.response.status) : "streamed";
         if (request.handedOverBy === undefined) {
             metrics.onRequestEnded(request.route.name, outcome, tookMs);
             this.#countWorkspace(request, tookMs <= request.route.objectiveMs ? "inTime" : "late");
         }
         else {
-            metrics.onHandoverTaken(outcome);
+            metrics.onHandoverReceived(outcome);
         }
         log.log("info", "requestEnded", {
             requestId: request.requestId,
@@ -311,7 +313,7 @@
         arrivedAtMs: number,
         more: { readonly exchange: Exchange; readonly signal: AbortSignal; } | undefined,
     ): void {
-        const { clock, log, metrics, view, vocabulary } = this.#parts;
+        const { clock, log, metrics, view, metadataCodec } = this.#parts;
         const nowMs = clock.monotonicMs();
         const { status, retryAfterSeconds } = resolveFailure(failure);
         const tookMs = Math.round(nowMs - arrivedAtMs);
@@ -319,13 +321,13 @@
             metrics.onRequestEnded(request?.route.name ?? "", failure.kind, tookMs);
         }
         else {
-            metrics.onHandoverTaken(failure.kind);
+            metrics.onHandoverReceived(failure.kind);
         }
         if (request !== undefined && request.handedOverBy === undefined) {
             this.#countWorkspace(request, failure.kind);
         }
         log.log("warn", "requestFailed", {
-            requestId: request?.requestId ?? vocabulary.readRequest(req.rawHeaders).requestId,
+            requestId: request?.requestId ?? metadataCodec.readRequest(req.rawHeaders).requestId,
             route: request?.route.name,
             service: request?.rules.name,
             workspace: request && nameWorkspace(request),
@@ -344,7 +346,7 @@
 }
 
 /** Says on an answer to another gateway what it is. */
-function mark(res: ServerResponse, verdict: HandoverVerdict): void {
+function mark(res: ServerResponse, verdict: HandoverOutcome): void {
     res.setHeader(handoverHeader, renderHandoverHeader(verdict));
 }
 
--- a/packages/edge/src/callers/answerWriter.ts
+++ b/packages/edge/src/callers/responseWriter.ts
@@ -14,7 +14,7 @@
  * @param answer - as the server gave it
  * @param close - whether the caller's connection ends with it
  */
-export function writeAnswer(res: ServerResponse, method: string, answer: BufferedResponse, close: boolean): void {
+export function writeResponse(res: ServerResponse, method: string, answer: BufferedResponse, close: boolean): void {
     const { status, headers, body } = answer;
     const hasBody = method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus;
     const kept = keepEndToEnd(
--- a/packages/edge/src/callers/startGate.ts
+++ b/packages/edge/src/callers/startupGate.ts
@@ -2,7 +2,7 @@
 import { type StartupRequest, StartupQueue, startupQueueMs } from "@galenaglade/placement";
 
 /** A request's turn, which its owner ends. */
-export interface StartPass {
+export interface StartupPermit {
     onSent(): void;
     onEnded(): void;
 }
@@ -10,7 +10,7 @@
 type Waiter = () => void;
 
 /** Has requests of the process's first seconds wait for their turn to look for a server. */
-export class StartGate {
+export class StartupGate {
     readonly #clock: Clock;
     readonly #turns: StartupQueue<Waiter>;
 
@@ -22,7 +22,7 @@
     }
 
     /** Whether requests take turns now. */
-    get isOn(): boolean {
+    get isActive(): boolean {
         return this.#turns.isActive(this.#clock.monotonicMs());
     }
 
@@ -31,7 +31,7 @@
      * @param signal - aborted when the request waits no longer
      * @returns the request's turn, once it has come or the request waits no longer
      */
-    async enter(request: StartupRequest, signal: AbortSignal): Promise<StartPass> {
+    async acquire(request: StartupRequest, signal: AbortSignal): Promise<StartupPermit> {
         let begin: Waiter = () => undefined;
         const begun = new Promise<void>(resolve => {
             begin = resolve;
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -17,7 +17,7 @@
 import { DirectConnector, type ServerConnector } from "./backends/serverConnector.js";
 import { CallerConnections } from "./callers/callerConnections.js";
 import { EdgeHandler } from "./callers/edgeHandler.js";
-import { StartGate } from "./callers/startGate.js";
+import { StartupGate } from "./callers/startupGate.js";
 import { createMetricsServer, createReadinessServer, type Readiness } from "./callers/readinessServer.js";
 import {
     balancerDetectionMs,
@@ -32,16 +32,16 @@
     stopPollPeriodMs,
 } from "./constants.js";
 import { HandoverServer } from "./handover/handoverServer.js";
-import { VersionSeen } from "./handover/versionSeen.js";
+import { ConfigVersionWatermark } from "./handover/configVersionWatermark.js";
 import { UdpPort } from "./limits/limitSocket.js";
 import { WorkspaceLimits } from "./limits/workspaceLimits.js";
 import { createPeerServer } from "./peerServer.js";
-import { CrashReports } from "./quarantine/crashReports.js";
+import { CrashReportSync } from "./quarantine/crashReportSync.js";
 import { ReachClient } from "./reach/reachClient.js";
 import { LoadProbe } from "./reach/serverProbe.js";
 import { ServerReach } from "./reach/serverReach.js";
 import { Placer } from "./requests/placer.js";
-import { AnswerNotes } from "./requests/answerNotes.js";
+import { ResponseMetadataRecorder } from "./requests/responseMetadataRecorder.js";
 import { RolloutSync } from "./rollout/rolloutSync.js";
 import { type ResolvedEdgeSettings } from "./settings.js";
 import { FirstReading } from "./state/firstReading.js";
@@ -93,8 +93,8 @@
     const metrics = new EdgeMetrics(parts.metrics);
     const view = new FleetView();
     const timeline = new StartTimeline(log);
-    timeline.reach("programLoaded");
-    const firstReading = new FirstReading(clock, () => timeline.reach("stateRead"));
+    timeline.record("programLoaded");
+    const firstReading = new FirstReading(clock, () => timeline.record("stateRead"));
     const links = parts.connector ?? new DirectConnector(connectTimeoutMs, settings.servers.connectFrom);
     const connections = new ServerConnectionPool(links);
     const callers = new CallerConnections();
@@ -107,7 +107,7 @@
         probesPerServerAndSecond: settings.asking.perServerAndSecond,
         startedAtMs: clock.monotonicMs(),
     });
-    const notes = new AnswerNotes({ board, connections, log, metrics });
+    const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
     const reach = new ServerReach({
         name,
         availabilityZone,
@@ -131,10 +131,10 @@
         view,
         availabilityZone,
         board,
-        notes,
+        metadataRecorder: notes,
         connections,
-        reach,
-        vocabulary: metadataCodec,
+        reachability: reach,
+        metadataCodec: metadataCodec,
         clock,
         metrics,
         timeline,
@@ -148,7 +148,7 @@
     });
     const { firstTrialSeconds, secondTrialSeconds } = settings.quarantine;
     const trialAfterMs = [firstTrialSeconds, secondTrialSeconds].map(seconds => seconds * 1_000);
-    const crashes = new CrashReports({ name, trialAfterMs, view, store, codec, clock, random, log, metrics });
+    const crashes = new CrashReportSync({ name, trialAfterMs, view, store, codec, clock, random, log, metrics });
     const peers = settings.listen.peers === undefined ? undefined : parseAddress(settings.listen.peers);
     const limits = new WorkspaceLimits({
         name,
@@ -170,24 +170,24 @@
         random,
         placer,
         board,
-        notes,
+        metadataRecorder: notes,
         connections,
         peerConnections,
-        versionSeen: new VersionSeen(),
+        configVersionWatermark: new ConfigVersionWatermark(),
         checks: new ServerLivenessChecker(links),
-        reach,
-        crashes,
+        reachability: reach,
+        crashReports: crashes,
         limits,
-        budget,
+        repeatBudget: budget,
         rollouts,
-        vocabulary: metadataCodec,
+        metadataCodec: metadataCodec,
         log,
         metrics,
         timeline,
-        callers,
+        callerConnections: callers,
         firstReading,
-        startGate: new StartGate(clock),
-        endsAtMs: () => endsAtMs,
+        startGate: new StartupGate(clock),
+        stopDeadlineMs: () => endsAtMs,
     });
     const callerServer = createCallerServer({
         maximumConnections: maxCallerConnections,
@@ -252,7 +252,7 @@
     const rolloutSync = new RolloutSync({ name, view, rollouts, store, codec, clock, random, log, metrics });
     const handovers = new HandoverServer({
         view,
-        reach,
+        reachability: reach,
         handler,
         clock,
         log,
@@ -267,7 +267,7 @@
         const lastMs = beganAtMs + graceMs - stopMarginMs;
         endsAtMs = lastMs;
         log.log("info", "stopping", { unanswered: callers.unanswered, graceMs });
-        callers.beginStop();
+        callers.beginDrain();
         relayServer.stop();
         limits.beginStop();
         registration.stop();
@@ -303,7 +303,7 @@
             await listen(readinessServer, parseAddress(settings.listen.readiness));
             await listen(metricsServer, parseAddress(settings.listen.metrics));
             await listen(callerServer, parseAddress(settings.listen.callers));
-            timeline.reach("portsOpen");
+            timeline.record("portsOpen");
             log.log("info", "started", { name, availabilityZone, callers: settings.listen.callers });
         },
         stop,
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -7,14 +7,14 @@
 import { type ServerConnection } from "../backends/serverConnection.js";
 import { maxBufferedResponseBytes, maxHandoverAttempts } from "../constants.js";
 import { type EdgeRequest } from "../requests/edgeRequest.js";
-import { describeEnd } from "../requests/exchangeAnswers.js";
-import { type ExchangeParts } from "../requests/exchangeParts.js";
-import { type HandoverOrder } from "./handoverMessages.js";
+import { describeSendEnd } from "../requests/localReplies.js";
+import { type ExchangeDeps } from "../requests/exchangeDeps.js";
+import { type HandoverMetadata } from "./handoverMessages.js";
 import { type Handover, handOver, type HandoverResult } from "./handoverSend.js";
 
 /** What a handover of one request needs of it. */
 export interface ExchangeHandoverInput {
-    readonly parts: ExchangeParts;
+    readonly deps: ExchangeDeps;
     readonly request: EdgeRequest;
     readonly body: RequestBody;
     readonly mayWrite: () => boolean;
@@ -41,7 +41,7 @@
     /** Whether the request may go to another gateway: one that came from another gateway goes no further. */
     get isAllowed(): boolean {
         const { handedOverBy, rules } = this.#input.request;
-        const { view } = this.#input.parts;
+        const { view } = this.#input.deps;
         return handedOverBy === undefined && this.#tried.size < maxHandoverAttempts
             && view.configurationInForce?.services.has(rules.name) === true;
     }
@@ -57,14 +57,14 @@
     }
 
     /** Servers on which gateways may have run the request beyond one for each. */
-    get furtherRuns(): number {
+    get extraRuns(): number {
         return this.#runsGiven;
     }
 
     /** @returns a gateway that has not had the request */
-    choose(): RegisteredGateway | undefined {
-        const { parts, request } = this.#input;
-        return this.isAllowed ? parts.reach.chooseHelper(request.rules.name, this.#tried) : undefined;
+    chooseGateway(): RegisteredGateway | undefined {
+        const { deps, request } = this.#input;
+        return this.isAllowed ? deps.reachability.chooseHelper(request.rules.name, this.#tried) : undefined;
     }
 
     describe(): LogFields {
@@ -78,26 +78,26 @@
      * @param runsLeft - servers on which the request may still run
      */
     start(helper: RegisteredGateway, runsLeft: number): StartedHandover {
-        const { parts, request, body, mayWrite, openSink } = this.#input;
-        const { peerConnections, vocabulary, reach } = parts;
+        const { deps, request, body, mayWrite, openSink } = this.#input;
+        const { peerConnections, metadataCodec, reachability } = deps;
         const { route, requestId, method, headers } = request;
         this.#tried.add(helper.name);
         // One run is kept back, in case that gateway is lost with the request.
         const runs = route.idempotent ? Math.max(1, runsLeft - 1) : Math.max(1, runsLeft);
         this.#runsGiven += runs - 1;
-        const end = reach.helpers.trackRequest(helper.name);
+        const end = reachability.helpers.trackRequest(helper.name);
         const connection = route.idempotent
             ? peerConnections.acquire(helper.name, helper.peerAddress)
             : peerConnections.open(helper.peerAddress);
         const handover = handOver({
             connection,
-            order: this.#createOrder(runs),
+            metadata: this.#createOrder(runs),
             method,
             headers,
             body,
             idempotent: route.idempotent,
             requestId,
-            vocabulary,
+            metadataReader: metadataCodec,
             heldBytes: maxBufferedResponseBytes,
             mayWrite,
             openSink,
@@ -110,8 +110,8 @@
         return { handover, result };
     }
 
-    #createOrder(runs: number): HandoverOrder {
-        const { parts: { name, clock, view, versionSeen }, request } = this.#input;
+    #createOrder(runs: number): HandoverMetadata {
+        const { deps: { name, clock, view, configVersionWatermark }, request } = this.#input;
         const { url, rules, arrivedAtMs, cutoffMs, callerAddress } = request;
         const nowMs = clock.monotonicMs();
         return {
@@ -119,7 +119,7 @@
             target: url,
             service: rules.name,
             // A caller that was served by a version is not to be served by an older one.
-            version: versionSeen.atLeast(view.configurationInForce?.configuration.version ?? 0),
+            version: configVersionWatermark.max(view.configurationInForce?.configuration.version ?? 0),
             ageMs: Math.max(0, nowMs - arrivedAtMs),
             remainingMs: cutoffMs - nowMs,
             runs,
@@ -128,10 +128,10 @@
     }
 
     #onEnded(helper: RegisteredGateway, connection: ServerConnection, runs: number, ended: HandoverResult): void {
-        const { peerConnections, clock, log, metrics, versionSeen } = this.#input.parts;
+        const { peerConnections, clock, log, metrics, configVersionWatermark } = this.#input.deps;
         const { requestId, rules: { name: service } } = this.#input.request;
         const nowMs = clock.monotonicMs();
-        const { end, verdict, failure } = ended;
+        const { end, outcome: verdict, failure } = ended;
         if (verdict === undefined && end.type !== "notRun") {
             connection.destroy();
         }
@@ -142,7 +142,7 @@
             this.#runsGiven -= runs - 1;
         }
         if (verdict?.type === "answered") {
-            versionSeen.onSeen(verdict.version);
+            configVersionWatermark.advance(verdict.version);
             this.#note(verdict.server, ended, nowMs);
         }
         this.#failure = failure ?? this.#failure;
@@ -160,13 +160,13 @@
 
     /** A server's word in an answer that this gateway passes on binds it as well. */
     #note(serverId: string | undefined, { metadata, tookMs }: HandoverResult, nowMs: number): void {
-        const { notes, view } = this.#input.parts;
+        const { metadataRecorder, view } = this.#input.deps;
         const { requestId, rules } = this.#input.request;
         const server = view.readyServers(rules.name, nowMs).find(({ id }) => id === serverId);
         if (server !== undefined && metadata !== undefined) {
-            notes.note({
+            metadataRecorder.record({
                 server,
-                signs: metadata,
+                metadata: metadata,
                 source: { answered: "request", sentAtMs: nowMs - tookMs },
                 requestId,
                 nowMs,
@@ -175,8 +175,8 @@
     }
 
     /** What became of the request says whether that gateway reaches the service. */
-    #learn(helper: string, { end, verdict }: HandoverResult, nowMs: number): void {
-        const { reach: { helpers } } = this.#input.parts;
+    #learn(helper: string, { end, outcome: verdict }: HandoverResult, nowMs: number): void {
+        const { reachability: { helpers } } = this.#input.deps;
         const service = this.#input.request.rules.name;
         if (verdict === undefined) {
             if (end.type !== "abandoned") {
@@ -203,19 +203,19 @@
 }
 
 /** @returns whether nothing was sent to any server: the same request to another gateway is no repeat */
-export function hasReachedNoServer({ end, verdict }: HandoverResult): boolean {
+export function hasReachedNoServer({ end, outcome: verdict }: HandoverResult): boolean {
     return end.type === "notRun" && (verdict?.type !== "failed" || verdict.unreached);
 }
 
 function describeOutcome(
-    { end, verdict }: { readonly end: SendEnd; readonly verdict: HandoverResult["verdict"]; },
+    { end, outcome: handoverOutcome }: { readonly end: SendEnd; readonly outcome: HandoverResult["outcome"]; },
 ): string {
-    switch (verdict?.type) {
+    switch (handoverOutcome?.type) {
         case "refused":
-            return `refused: ${verdict.reason}`;
+            return `refused: ${handoverOutcome.reason}`;
         case "failed":
-            return `failed: ${verdict.kind}`;
+            return `failed: ${handoverOutcome.kind}`;
         default:
-            return describeEnd(end);
+            return describeSendEnd(end);
     }
 }
--- a/packages/edge/src/handover/handoverMessages.ts
+++ b/packages/edge/src/handover/handoverMessages.ts
@@ -10,7 +10,7 @@
 export const handoverHeader = "galenaglade-handover";
 
 /** What the gateway that hands a request over says of it. */
-export const handoverOrder = z.object({
+export const handoverMetadataSchema = z.object({
     /** Name of that gateway, as in its registration. */
     from: z.string(),
     /** Path and query as its caller sent them. */
@@ -30,10 +30,10 @@
 });
 
 /** What the gateway that hands a request over says of it. */
-export type HandoverOrder = DeepReadonly<z.output<typeof handoverOrder>>;
+export type HandoverMetadata = DeepReadonly<z.output<typeof handoverMetadataSchema>>;
 
 /** Why a gateway takes no request of another one; it has done nothing with it then. */
-export const handoverRefusals = [
+export const handoverRefusalReasons = [
     "malformed",
     "notRegistered",
     "busy",
@@ -44,12 +44,12 @@
 ] as const;
 
 /** What the gateway that a request was handed to says with its answer. */
-export const handoverVerdict = z.discriminatedUnion("type", [
+export const handoverOutcomeSchema = z.discriminatedUnion("type", [
     /** The answer is a server's. */
     z.object({ type: z.literal("answered"), version: z.number(), server: z.string().optional() }),
     z.object({
         type: z.literal("refused"),
-        reason: z.enum(handoverRefusals),
+        reason: z.enum(handoverRefusalReasons),
         /** Gateways that reach the service, as far as is known. */
         named: z.array(z.string().max(256)).max(16),
     }),
@@ -67,10 +67,10 @@
 ]);
 
 /** What the gateway that a request was handed to says with its answer. */
-export type HandoverVerdict = DeepReadonly<z.output<typeof handoverVerdict>>;
+export type HandoverOutcome = DeepReadonly<z.output<typeof handoverOutcomeSchema>>;
 
 /** @returns the value of the header */
-export function renderHandoverHeader(value: HandoverOrder | HandoverVerdict): string {
+export function renderHandoverHeader(value: HandoverMetadata | HandoverOutcome): string {
     return JSON.stringify(value).replace(
         /[^\x20-\x7e]/g,
         char => `\\u${char.charCodeAt(0).toString(16).padStart(4, "0")}`,
@@ -78,13 +78,13 @@
 }
 
 /** @returns what the header of a request says; `undefined` where it can't be read */
-export function readHandoverOrder(value: string | undefined): HandoverOrder | undefined {
-    const parsed = handoverOrder.safeParse(parseJson(value ?? ""));
+export function parseHandoverMetadata(value: string | undefined): HandoverMetadata | undefined {
+    const parsed = handoverMetadataSchema.safeParse(parseJson(value ?? ""));
     return parsed.success && parsed.data.target.startsWith("/") ? parsed.data : undefined;
 }
 
 /** @returns what the header of an answer says; `undefined` where it can't be read, or the answer isn't a gateway's */
-export function readHandoverVerdict(value: string | undefined): HandoverVerdict | undefined {
-    const parsed = handoverVerdict.safeParse(parseJson(value ?? ""));
+export function parseHandoverOutcome(value: string | undefined): HandoverOutcome | undefined {
+    const parsed = handoverOutcomeSchema.safeParse(parseJson(value ?? ""));
     return parsed.success ? parsed.data : undefined;
 }
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -5,24 +5,24 @@
 import { type ResponseMetadata, ResponseMetadataReader } from "../metadataCodec.js";
 import {
     handoverHeader,
-    type HandoverOrder,
+    type HandoverMetadata,
     handoverPath,
-    type HandoverVerdict,
-    readHandoverVerdict,
+    type HandoverOutcome,
+    parseHandoverOutcome,
     renderHandoverHeader,
 } from "./handoverMessages.js";
 
 /** One request that is handed to another gateway. */
 export interface HandoverInput {
     readonly connection: ServerConnection;
-    readonly order: HandoverOrder;
+    readonly metadata: HandoverMetadata;
     readonly method: string;
     /** As the caller sent them. */
     readonly headers: RawHeaders;
     readonly body: RequestBody;
     readonly idempotent: boolean;
     readonly requestId: string | undefined;
-    readonly vocabulary: ResponseMetadataReader;
+    readonly metadataReader: ResponseMetadataReader;
     readonly heldBytes: number;
     /** Asked in the turn in which the first byte is written. */
     readonly mayWrite: () => boolean;
@@ -32,7 +32,7 @@
 /** What became of it, in the terms of a send to a server. */
 export interface HandoverResult extends SendResult {
     /** What the other gateway said; `undefined` where it said nothing. */
-    readonly verdict: HandoverVerdict | undefined;
+    readonly outcome: HandoverOutcome | undefined;
     /** Why no server's answer came of it, where the other gateway tried. */
     readonly failure: Failure | undefined;
 }
@@ -51,7 +51,7 @@
  */
 export function handOver(input: HandoverInput): Handover {
     const reader = new HandoverReader(input);
-    const { connection, order, method, headers, body, idempotent, requestId, heldBytes, mayWrite } = input;
+    const { connection, metadata, method, headers, body, idempotent, requestId, heldBytes, mayWrite } = input;
     const send = sendRequest({
         connection,
         isFirstRequest: true,
@@ -60,7 +60,7 @@
         headers: [
             ...keepEndToEnd(headers, name => name === handoverHeader),
             handoverHeader,
-            renderHandoverHeader(order),
+            renderHandoverHeader(metadata),
         ],
         body: body.open(),
         idempotent,
@@ -76,7 +76,7 @@
 /** Reads a server's answer that another gateway passes on, or that gateway's own. */
 class HandoverReader extends ResponseMetadataReader {
     readonly #input: HandoverInput;
-    verdict: HandoverVerdict | undefined;
+    verdict: HandoverOutcome | undefined;
 
     constructor(input: HandoverInput) {
         super();
@@ -84,9 +84,9 @@
     }
 
     override readResponse(status: number, headers: RawHeaders): ResponseMetadata {
-        this.verdict = readHandoverVerdict(findHeader(headers, handoverHeader));
+        this.verdict = parseHandoverOutcome(findHeader(headers, handoverHeader));
         if (this.verdict?.type === "answered") {
-            return this.#input.vocabulary.readResponse(status, headers);
+            return this.#input.metadataReader.readResponse(status, headers);
         }
         return {
             requestId: this.#input.requestId,
@@ -104,15 +104,20 @@
     }
 }
 
-function resolveResult(result: SendResult, verdict: HandoverVerdict | undefined): HandoverResult {
+function resolveResult(result: SendResult, verdict: HandoverOutcome | undefined): HandoverResult {
     if (verdict?.type === "failed" && result.end.type !== "abandoned") {
         const { kind, detail, notRun, retryAfterSeconds } = verdict;
         const failure = createFailure(kind, detail, retryAfterSeconds === undefined ? {} : { retryAfterSeconds });
         const end = notRun ? result.end : { type: "unknown", reason: "connectionLost" } as const;
-        return { ...result, end, response: undefined, verdict, failure };
+        return { ...result, end, response: undefined, outcome: verdict, failure };
     }
     const { response } = result;
-    return { ...result, response: response && { ...response, ...strip(response) }, verdict, failure: undefined };
+    return {
+        ...result,
+        response: response && { ...response, ...strip(response) },
+        outcome: verdict,
+        failure: undefined,
+    };
 }
 
 function strip(head: ResponseHead): ResponseHead {
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -8,24 +8,24 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import {
     handoverHeader,
-    type HandoverOrder,
-    type handoverRefusals,
-    readHandoverOrder,
+    type HandoverMetadata,
+    type handoverRefusalReasons,
+    parseHandoverMetadata,
     renderHandoverHeader,
 } from "./handoverMessages.js";
 
-type Refusal = typeof handoverRefusals[number];
+type Refusal = typeof handoverRefusalReasons[number];
 
 /** Takes requests that other gateways hand over. */
 export abstract class HandoverHandler {
     /** Handles one; never throws. */
-    abstract handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverOrder): void;
+    abstract handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void;
 }
 
 /** What the server works with. */
-export interface HandoverServerParts {
+export interface HandoverServerDeps {
     readonly view: FleetView;
-    readonly reach: ServerReach;
+    readonly reachability: ServerReach;
     readonly handler: HandoverHandler;
     readonly clock: Clock;
     readonly log: EdgeLog;
@@ -45,29 +45,29 @@
 
 /** Admits requests of other gateways: of registered ones, while this gateway can do for them what they can't. */
 export class HandoverServer {
-    readonly #parts: HandoverServerParts;
+    readonly #parts: HandoverServerDeps;
     #underWay = 0;
 
-    constructor(parts: HandoverServerParts) {
+    constructor(parts: HandoverServerDeps) {
         this.#parts = parts;
     }
 
     handle(req: IncomingMessage, res: ServerResponse): void {
         const { handler, metrics } = this.#parts;
-        const order = readHandoverOrder(findHeader(req.rawHeaders, handoverHeader));
+        const order = parseHandoverMetadata(findHeader(req.rawHeaders, handoverHeader));
         const refusal = order === undefined ? "malformed" : this.#findRefusal(req, order);
         if (order === undefined || refusal !== undefined) {
             this.#refuse(req, res, order, refusal ?? "malformed");
             return;
         }
-        metrics.onHandoverTaken("taken");
+        metrics.onHandoverReceived("taken");
         this.#underWay++;
         res.once("close", () => this.#underWay--);
         handler.handleHandover(req, res, order);
     }
 
-    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverOrder): Refusal | undefined {
-        const { view, reach, isStopping } = this.#parts;
+    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverMetadata): Refusal | undefined {
+        const { view, reachability, isStopping } = this.#parts;
         if (!this.#isRegistered(from, req.socket.remoteAddress ?? "")) {
             return "notRegistered";
         }
@@ -80,7 +80,7 @@
         if ((view.configurationInForce?.configuration.version ?? -1) < version) {
             return "behind";
         }
-        return reach.stateOf(service) === "reached" ? undefined : "unreached";
+        return reachability.stateOf(service) === "reached" ? undefined : "unreached";
     }
 
     /** Whoever isn't a gateway of this fleet gets no request past the limits that gateways keep. */
@@ -91,16 +91,16 @@
         );
     }
 
-    #refuse(req: IncomingMessage, res: ServerResponse, order: HandoverOrder | undefined, reason: Refusal): void {
-        const { log, metrics, reach, clock } = this.#parts;
-        metrics.onHandoverTaken(reason);
+    #refuse(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata | undefined, reason: Refusal): void {
+        const { log, metrics, reachability, clock } = this.#parts;
+        metrics.onHandoverReceived(reason);
         log.log(reason === "malformed" || reason === "notRegistered" ? "warn" : "info", "handoverRefused", {
             from: order?.from,
             address: req.socket.remoteAddress,
             service: order?.service,
             reason,
         });
-        const named = order === undefined ? [] : reach.helpers.suggest(order.service, clock.monotonicMs());
+        const named = order === undefined ? [] : reachability.helpers.suggest(order.service, clock.monotonicMs());
         refuseHandover(req, res, reason, named);
     }
 }
--- a/packages/edge/src/quarantine/crashReports.ts
+++ b/packages/edge/src/quarantine/crashReportSync.ts
@@ -4,13 +4,13 @@
 import { type Crash, CrashLedger, type ContentStatus } from "@galenaglade/quarantine";
 import { type RandomSource } from "@galenaglade/routing";
 import { initialStoreBackoffMs, maxStoreBackoffMs, rewriteSpreadMs } from "../constants.js";
-import { type ExchangeContent } from "../requests/exchangeContent.js";
+import { type LazyContentId } from "../requests/lazyContentId.js";
 import { type StateCodec } from "../stateCodec.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 
 /** What reports on crashes are kept with. */
-export interface CrashReportsParts {
+export interface CrashReportSyncDeps {
     /** Of this gateway, as in its registration. */
     readonly name: string;
     /** How long after its latest strike a quarantined request is tried, for each trial. */
@@ -25,8 +25,8 @@
 }
 
 /** Keeps the ledger of requests under which servers ended in step with the store: this gateway's report and the others'. */
-export class CrashReports {
-    readonly #parts: CrashReportsParts;
+export class CrashReportSync {
+    readonly #parts: CrashReportSyncDeps;
     readonly #ledger: CrashLedger;
     #adopted = false;
     #changesSeen = 0;
@@ -38,7 +38,7 @@
     /** The store's term in which it was last written or read. */
     #term = 0;
 
-    constructor(parts: CrashReportsParts) {
+    constructor(parts: CrashReportSyncDeps) {
         this.#parts = parts;
         this.#ledger = new CrashLedger(parts.name, parts.trialAfterMs);
     }
@@ -80,17 +80,17 @@
     }
 
     /** @returns what is known now */
-    mark(): number {
+    ledgerVersion(): number {
         return this.#ledger.version();
     }
 
     /** @returns whether something is known of a request's content */
-    knows(content: ExchangeContent): boolean {
+    mayHaveRecord(content: LazyContentId): boolean {
         return !this.#ledger.isEmpty && this.#ledger.mayHaveRecord(content.headId);
     }
 
     /** @returns what may be done with a request now */
-    judge(contentId: string): ContentStatus {
+    checkContent(contentId: string): ContentStatus {
         const { view, clock } = this.#parts;
         return this.#ledger.checkContent(contentId, {
             gateways: view.gatewayNames(clock.monotonicMs()),
@@ -176,7 +176,7 @@
         for (const { contentId, state, strikes, generations } of this.#ledger.takeChanges()) {
             const sinceStoreMs = Math.round(clock.monotonicMs() - view.lastStoreContactMs);
             log.log("warn", "contentJudged", { contentId, state, strikes, generations, sinceStoreMs });
-            metrics.onContentJudged(state);
+            metrics.onContentStateChanged(state);
         }
     }
 }
--- a/packages/edge/src/quarantine/requestGuard.ts
+++ b/packages/edge/src/quarantine/quarantineGuard.ts
@@ -2,18 +2,18 @@
 import { type SendEnd } from "@galenaglade/placement";
 import { singleSendStrikeThreshold, type ContentStatus } from "@galenaglade/quarantine";
 import { type ServerLiveness } from "../backends/serverLivenessChecker.js";
-import { type ExchangeContent } from "../requests/exchangeContent.js";
-import { type CrashReports } from "./crashReports.js";
+import { type LazyContentId } from "../requests/lazyContentId.js";
+import { type CrashReportSync } from "./crashReportSync.js";
 
 const firstErrorStatus = 500;
 
 /** Keeps one request from servers where requests with its content have ended servers before, and reports what comes of its sends. */
-export class RequestGuard {
-    readonly #reports: CrashReports;
-    readonly #content: ExchangeContent;
+export class QuarantineGuard {
+    readonly #reports: CrashReportSync;
+    readonly #content: LazyContentId;
     #endTrial: (() => void) | undefined;
 
-    constructor(reports: CrashReports, content: ExchangeContent) {
+    constructor(reports: CrashReportSync, content: LazyContentId) {
         this.#reports = reports;
         this.#content = content;
     }
@@ -49,13 +49,13 @@
     }
 
     /** @returns whether what became of a lost server decides over the next send */
-    get mustAwaitCheck(): boolean {
+    get mustAwaitLivenessCheck(): boolean {
         return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
     }
 
     /** What is known as a send begins. */
-    mark(): number {
-        return this.#reports.mark();
+    ledgerVersion(): number {
+        return this.#reports.ledgerVersion();
     }
 
     onSendEnded(end: SendEnd, mark: number): void {
@@ -82,14 +82,14 @@
     }
 
     #isKnown(): boolean {
-        return this.#reports.knows(this.#content);
+        return this.#reports.mayHaveRecord(this.#content);
     }
 
     #judge(): ContentStatus | undefined {
         if (!this.#isKnown()) {
             return undefined;
         }
-        const verdict = this.#reports.judge(this.#content.contentId);
+        const verdict = this.#reports.checkContent(this.#content.contentId);
         return verdict.state === "clear" ? undefined : verdict;
     }
 }
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -5,7 +5,7 @@
 import { probeServerLoad } from "../backends/probeServerLoad.js";
 import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
 import { reachabilityCheckTimeoutMs } from "../constants.js";
-import { type AnswerNotes } from "../requests/answerNotes.js";
+import { type ResponseMetadataRecorder } from "../requests/responseMetadataRecorder.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
 
@@ -18,7 +18,7 @@
 export interface LoadProbeParts {
     readonly view: FleetView;
     readonly board: PlacementState;
-    readonly notes: AnswerNotes;
+    readonly notes: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
     readonly vocabulary: EdgeMetadataCodec;
     readonly clock: Clock;
@@ -51,14 +51,19 @@
             timeoutMs: reachabilityCheckTimeoutMs,
         });
         const nowMs = clock.monotonicMs();
-        metrics.onAsked(told.type === "told" ? "told" : told.reason);
+        metrics.onLoadProbed(told.type === "told" ? "told" : told.reason);
         if (told.type === "untold") {
             connection.destroy();
             return told.reason === "otherServer" ? "heard" : told.reason;
         }
         connections.release(server.id, connection, { after: "question", nowMs });
         board.onProbeResponse(service, told.offer, startedAtMs);
-        notes.note({ server, signs: told.metadata, source: { answered: "question", sentAtMs: startedAtMs }, nowMs });
+        notes.record({
+            server,
+            metadata: told.metadata,
+            source: { answered: "question", sentAtMs: startedAtMs },
+            nowMs,
+        });
         return "heard";
     }
 }
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -5,7 +5,7 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type CallerIdentity, authenticate, type RejectionReason } from "@galenaglade/workspaces";
 import { type Either, Left, Right } from "purify-ts";
-import { type HandoverOrder } from "../handover/handoverMessages.js";
+import { type HandoverMetadata } from "../handover/handoverMessages.js";
 import { type EdgeMetadataCodec, type ForwardIdentity } from "../metadataCodec.js";
 
 /** What the gateway reads from a request's head. */
@@ -18,7 +18,7 @@
     /** Address of the connection that it came on. */
     readonly callerAddress: string;
     /** Where another gateway handed it over: what that one said of it. */
-    readonly order?: HandoverOrder | undefined;
+    readonly handover?: HandoverMetadata | undefined;
     /** Declared length of the body; `undefined` where it is sent in chunks. */
     readonly bodyBytes: number | undefined;
 }
@@ -30,7 +30,7 @@
     /** On whose behalf it is made; holds a secret and is never logged. */
     readonly admission: CallerIdentity;
     /** Rank; 0 goes first. Its workspace's goes before its route's. */
-    readonly rank: number;
+    readonly priority: number;
     readonly rules: ServiceRules;
     /** Version of the configuration that it was understood by. */
     readonly version: number;
@@ -80,35 +80,35 @@
     if (head.bodyBytes !== undefined && head.bodyBytes > limits.maximumBodyBytes) {
         return Left(createFailure("bodyTooLarge", `at most ${limits.maximumBodyBytes} bytes are taken`));
     }
-    const service = findOrdered(route, head.order) ?? pickDestination(route, random);
+    const service = findOrdered(route, head.handover) ?? pickDestination(route, random);
     const rules = service === undefined ? undefined : inForce.services.get(service);
     if (rules === undefined) {
         return Left(createFailure("noBackendServer", `route ${route.name} leads to no service`));
     }
-    const times = resolveTimes(head.order, patienceMs ?? route.timeoutMs, route.timeoutMs, nowMs);
+    const times = resolveTimes(head.handover, patienceMs ?? route.timeoutMs, route.timeoutMs, nowMs);
     return Right({
         ...head,
         requestId,
-        route: head.order === undefined
+        route: head.handover === undefined
             ? route
-            : { ...route, maximumRuns: Math.min(route.maximumRuns, head.order.runs) },
+            : { ...route, maximumRuns: Math.min(route.maximumRuns, head.handover.runs) },
         admission,
-        rank: (admission.type === "known" ? admission.workspace.priority : undefined) ?? route.priority,
+        priority: (admission.type === "known" ? admission.workspace.priority : undefined) ?? route.priority,
         rules,
         version,
         maximumBodyBytes: limits.maximumBodyBytes,
-        handedOverBy: head.order?.from,
+        handedOverBy: head.handover?.from,
         ...times,
     });
 }
 
 /** A request keeps the service that it was drawn to, or the shares of a route's destinations would be dealt twice. */
-function findOrdered({ destinations }: Route, order: HandoverOrder | undefined): string | undefined {
+function findOrdered({ destinations }: Route, order: HandoverMetadata | undefined): string | undefined {
     return destinations.find(({ service, weight }) => service === order?.service && weight > 0)?.service;
 }
 
 function resolveTimes(
-    order: HandoverOrder | undefined,
+    order: HandoverMetadata | undefined,
     patienceMs: number,
     timeoutMs: number,
     nowMs: number,
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -1,6 +1,6 @@
 import { type RegisteredGateway } from "@galenaglade/fleet-state";
 import { type RequestBody } from "@galenaglade/http-parts";
-import { RequestGuard } from "../quarantine/requestGuard.js";
+import { QuarantineGuard } from "../quarantine/quarantineGuard.js";
 import {
     hedgeAfterShare,
     isServerError,
@@ -22,38 +22,38 @@
 import { ExchangeHandover, hasReachedNoServer } from "../handover/exchangeHandover.js";
 import { awaitFirst } from "./awaitFirst.js";
 import { type EdgeRequest, resolveIdentity } from "./edgeRequest.js";
-import { describeEnd, ExchangeAnswers, type ExchangeEnd } from "./exchangeAnswers.js";
-import { callerGone, type ExchangeParts } from "./exchangeParts.js";
-import { ExchangeContent } from "./exchangeContent.js";
-import { ExchangeWorkspace } from "./exchangeWorkspace.js";
-import { ExchangePlacement, type Purpose } from "./exchangePlacement.js";
-import { type NoPlace, type Place } from "./placer.js";
-import { SendOutcomes } from "./sendOutcomes.js";
-import { type EndedSend, type GatewaySend, nameReceiver, type ServerSend, type SendUnderWay } from "./sendUnderWay.js";
+import { describeSendEnd, LocalReplies, type ExchangeResult } from "./localReplies.js";
+import { callerGone, type ExchangeDeps } from "./exchangeDeps.js";
+import { LazyContentId } from "./lazyContentId.js";
+import { WorkspaceGuard } from "./workspaceGuard.js";
+import { ExchangePlacement, type SendPurpose } from "./exchangePlacement.js";
+import { type PlacementFailure, type Placement } from "./placer.js";
+import { SendResultHandler } from "./sendResultHandler.js";
+import { type FinishedSend, type GatewaySend, receiverName, type ServerSend, type PendingSend } from "./pendingSend.js";
 
 /** Where a request goes next. */
 type Target =
-    | { readonly type: "server"; readonly place: Place; }
+    | { readonly type: "server"; readonly place: Placement; }
     | { readonly type: "gateway"; readonly helper: RegisteredGateway; };
 
 /** Takes one request to its one end: finds servers, sends, repeats where that is allowed, and gives up in time. */
 export class Exchange {
-    readonly #parts: ExchangeParts;
+    readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #body: RequestBody;
     readonly #signal: AbortSignal;
     readonly #openSink: (head: ResponseHead) => ResponseSink;
     readonly #onSent: () => void;
-    readonly #underWay = new Set<SendUnderWay>();
+    readonly #underWay = new Set<PendingSend>();
     /** Sends whose end was not looked at yet: one may end while a place for another is looked for. */
-    readonly #unread = new Set<SendUnderWay>();
+    readonly #unread = new Set<PendingSend>();
     readonly #ends: SendEnd[] = [];
-    readonly #answers: ExchangeAnswers;
-    readonly #workspace: ExchangeWorkspace;
+    readonly #answers: LocalReplies;
+    readonly #workspace: WorkspaceGuard;
     readonly #placement: ExchangePlacement;
-    readonly #content: ExchangeContent;
-    readonly #guard: RequestGuard;
-    readonly #outcomes: SendOutcomes;
+    readonly #content: LazyContentId;
+    readonly #guard: QuarantineGuard;
+    readonly #outcomes: SendResultHandler;
     readonly #handover: ExchangeHandover;
     #fallback: BufferedResponse | undefined;
     #streaming = false;
@@ -70,7 +70,7 @@
      * @param onSent - called with each send
      */
     constructor(
-        parts: ExchangeParts,
+        parts: ExchangeDeps,
         request: EdgeRequest,
         body: RequestBody,
         signal: AbortSignal,
@@ -79,16 +79,16 @@
     ) {
         this.#parts = parts;
         this.#request = request;
-        this.#answers = new ExchangeAnswers(request, parts.board.typicalLatency, parts.random);
+        this.#answers = new LocalReplies(request, parts.board.typicalLatency, parts.random);
         this.#body = body;
         this.#signal = signal;
-        this.#workspace = new ExchangeWorkspace(parts, request, signal);
+        this.#workspace = new WorkspaceGuard(parts, request, signal);
         this.#placement = new ExchangePlacement(parts, request, signal);
-        this.#content = new ExchangeContent(request, body);
-        this.#guard = new RequestGuard(parts.crashes, this.#content);
-        this.#outcomes = new SendOutcomes(parts, request, this.#content, this.#guard);
+        this.#content = new LazyContentId(request, body);
+        this.#guard = new QuarantineGuard(parts.crashReports, this.#content);
+        this.#outcomes = new SendResultHandler(parts, request, this.#content, this.#guard);
         this.#handover = new ExchangeHandover({
-            parts,
+            deps: parts,
             request,
             body,
             mayWrite: () => this.#mayWrite(),
@@ -99,7 +99,7 @@
     }
 
     /** The backend server whose answer the caller gets, where one of this gateway's own sends brought it. */
-    get answeredBy(): string | undefined {
+    get respondingServerId(): string | undefined {
         return this.#answeredBy;
     }
 
@@ -109,17 +109,17 @@
             ...this.#placement.describe(),
             ...this.#handover.describe(),
             handedOverBy: this.#request.handedOverBy,
-            contentId: this.#content.knownId,
-            sends: this.#ends.map(end => end.type === "answered" ? String(end.status) : describeEnd(end)).join(","),
+            contentId: this.#content.computedContentId,
+            sends: this.#ends.map(end => end.type === "answered" ? String(end.status) : describeSendEnd(end)).join(","),
         };
     }
 
     /** @returns what the caller gets; never fails */
-    async run(): Promise<ExchangeEnd> {
-        const { budget, board } = this.#parts;
-        const { rules, rank, handedOverBy } = this.#request;
+    async run(): Promise<ExchangeResult> {
+        const { repeatBudget, board } = this.#parts;
+        const { rules, priority, handedOverBy } = this.#request;
         if (handedOverBy === undefined) {
-            budget.onRequest(rules.name, this.#nowMs());
+            repeatBudget.onRequest(rules.name, this.#nowMs());
         }
         if (!this.#guard.admit()) {
             return this.#finish(this.#answers.quarantined(this.#guard.retryAfterMs ?? 0));
@@ -128,16 +128,18 @@
             // The gateway that took the request from its caller has admitted it.
             const refused = handedOverBy === undefined ? await this.#workspace.admit() : undefined;
             if (refused !== undefined) {
-                return this.#finish(refused === "abandoned" ? this.#resolveAborted() : this.#answers.limited(refused));
+                return this.#finish(
+                    refused === "abandoned" ? this.#resolveAborted() : this.#answers.rateLimited(refused),
+                );
             }
             // Requests beyond a limit need no room, and don't count as more urgent ones.
-            board.onRequest(rules.name, rank, this.#nowMs());
+            board.onRequest(rules.name, priority, this.#nowMs());
             const target = await this.#findTarget("first");
             if (typeof target === "string") {
                 return this.#finish(
                     target === "abandoned"
                         ? this.#resolveAborted()
-                        : this.#answers.noPlace(target, this.#restingForMs()),
+                        : this.#answers.placementFailed(target, this.#restingForMs()),
                 );
             }
             if (this.#workspace.keyChange !== undefined) {
@@ -153,7 +155,7 @@
     }
 
     /** Follows the sends under way until one of them, or none, has the caller's answer. */
-    async #follow(): Promise<ExchangeEnd> {
+    async #follow(): Promise<ExchangeResult> {
         const hedge = this.#request.route.idempotent && this.#body.repeatable ? this.#hedgeTime() : undefined;
         let hedged = hedge === undefined;
         while (this.#unread.size > 0) {
@@ -175,18 +177,18 @@
     }
 
     /** @returns what the caller gets, or `undefined` where another send may still bring it */
-    async #onEnded(ended: EndedSend): Promise<ExchangeEnd | undefined> {
+    async #onEnded(ended: FinishedSend): Promise<ExchangeResult | undefined> {
         const { underWay, result } = ended;
         this.#unread.delete(underWay);
         const { end, response } = result;
         if (result.streamed) {
-            return { type: "streamed", whole: end.type === "answered" };
+            return { type: "streamed", complete: end.type === "answered" };
         }
         const mayGoOn = this.#mayTryAgain();
         if (response !== undefined && end.type === "answered") {
             this.#answeredBy = underWay.to === "server" ? underWay.place.server.id : undefined;
             if (!isServerError(end) && !response.endedByClose) {
-                return { type: "answered", answer: response };
+                return { type: "answered", response: response };
             }
             // The server's own failure is an answer, and so is one that may be cut short; kept for the case that no other
             // server does better.
@@ -198,7 +200,7 @@
         return this.#unread.size > 0 ? undefined : this.#resolveFailed();
     }
 
-    #resolveFailed(): ExchangeEnd {
+    #resolveFailed(): ExchangeResult {
         const { retryAfterMs } = this.#guard;
         const restingForMs = this.#restingForMs();
         const hasNotRun = this.#fallback === undefined && this.#ends.every(({ type }) => type === "notRun");
@@ -210,24 +212,24 @@
             return this.#answers.quarantined(retryAfterMs);
         }
         if (hasNotRun && restingForMs !== undefined) {
-            return this.#answers.noPlace("resting", restingForMs);
+            return this.#answers.placementFailed("resting", restingForMs);
         }
         const { failure, wasTried } = this.#handover;
         if (this.#fallback === undefined && failure !== undefined) {
             return { type: "failed", failure };
         }
         return hasNotRun && wasTried
-            ? this.#answers.noPlace("unreached")
-            : this.#answers.allFailed(this.#ends, this.#fallback);
+            ? this.#answers.placementFailed("unreached")
+            : this.#answers.allSendsFailed(this.#ends, this.#fallback);
     }
 
-    async #tryAgain(ended: EndedSend): Promise<boolean> {
+    async #tryAgain(ended: FinishedSend): Promise<boolean> {
         const { underWay: failed, result } = ended;
         if (this.#signal.aborted || this.#workspace.isKeyChanged()) {
             return false;
         }
-        const { budget, log } = this.#parts;
-        if (result.end.type !== "notRun" && !this.#workspace.isPlentiful) {
+        const { repeatBudget, log } = this.#parts;
+        if (result.end.type !== "notRun" && !this.#workspace.allowsExtraRuns) {
             return false;
         }
         if (!await this.#isAllowedAgain(result.end)) {
@@ -240,10 +242,10 @@
         const target = await this.#findTarget("retry");
         log.log("info", "retry", {
             requestId: this.#request.requestId,
-            after: describeEnd(result.end),
-            from: nameReceiver(failed),
+            after: describeSendEnd(result.end),
+            from: receiverName(failed),
             to: nameTarget(target),
-            budgetLeft: budget.remaining(this.#request.rules.name, this.#gateways(), this.#nowMs()),
+            budgetLeft: repeatBudget.remaining(this.#request.rules.name, this.#gateways(), this.#nowMs()),
         });
         if (typeof target === "string" || this.#workspace.isKeyChanged()) {
             return false;
@@ -253,15 +255,15 @@
     }
 
     /** @returns a server, or another gateway where this host doesn't reach any */
-    async #findTarget(purpose: Purpose): Promise<Target | NoPlace> {
-        const { reach } = this.#parts;
+    async #findTarget(purpose: SendPurpose): Promise<Target | PlacementFailure> {
+        const { reachability } = this.#parts;
         const service = this.#request.rules.name;
         if (this.#handover.isAllowed && await this.#whenSettled() !== "reached") {
             const helper = this.#chooseHelper();
             if (helper !== undefined) {
                 return { type: "gateway", helper };
             }
-            if (!reach.takeOwnTry(service)) {
+            if (!reachability.takeOwnTry(service)) {
                 return "unreached";
             }
         }
@@ -277,22 +279,22 @@
 
     /** @returns whether this host reaches the service, once that is known or the request's time is over */
     async #whenSettled(): Promise<ReachabilityState> {
-        const { reach } = this.#parts;
+        const { reachability } = this.#parts;
         const service = this.#request.rules.name;
-        await awaitFirst([reach.whenSettled(service)], this.#signal, undefined);
-        return reach.stateOf(service);
+        await awaitFirst([reachability.whenSettled(service)], this.#signal, undefined);
+        return reachability.stateOf(service);
     }
 
     /** @returns a gateway that reaches the service, as far as is known */
     #chooseHelper(): RegisteredGateway | undefined {
-        const { reach } = this.#parts;
+        const { reachability } = this.#parts;
         const service = this.#request.rules.name;
-        if (reach.stateOf(service) !== "lost") {
+        if (reachability.stateOf(service) !== "lost") {
             return undefined;
         }
-        const helper = this.#handover.choose();
+        const helper = this.#handover.chooseGateway();
         if (helper === undefined && this.#handover.isAllowed) {
-            reach.onNoHelper(service);
+            reachability.onNoHelper(service);
         }
         return helper;
     }
@@ -302,8 +304,8 @@
         if (!isPossibleServerCrash(end)) {
             return this.#guard.maySend();
         }
-        if (this.#guard.mustAwaitCheck) {
-            await this.#outcomes.whenChecked();
+        if (this.#guard.mustAwaitLivenessCheck) {
+            await this.#outcomes.whenLivenessChecked();
         }
         return this.#guard.mayRetry();
     }
@@ -317,7 +319,7 @@
         if (typeof target === "string") {
             return;
         }
-        const isNeeded = this.#workspace.isPlentiful && !this.#signal.aborted
+        const isNeeded = this.#workspace.allowsExtraRuns && !this.#signal.aborted
             && this.#underWay.size >= this.#unread.size;
         if (!isNeeded || this.#workspace.isKeyChanged() || !this.#guard.mayHedge()) {
             return;
@@ -329,7 +331,7 @@
         this.#sendTo(target, "hedge");
     }
 
-    #sendTo(target: Target, purpose: Purpose): void {
+    #sendTo(target: Target, purpose: SendPurpose): void {
         if (target.type === "server") {
             this.#send(target.place, purpose);
             return;
@@ -339,12 +341,12 @@
 
     #handTo(helper: RegisteredGateway): void {
         const { timeline } = this.#parts;
-        timeline.reach("firstSend");
+        timeline.record("firstSend");
         const { handover, result } = this.#handover.start(helper, this.#runsLeft());
         const underWay: GatewaySend = {
             to: "gateway",
             send: handover,
-            helper,
+            gateway: helper,
             ended: result.then(ended => {
                 this.#underWay.delete(underWay);
                 this.#ends.push(ended.end);
@@ -354,7 +356,7 @@
         this.#begin(underWay);
     }
 
-    #begin(underWay: SendUnderWay): void {
+    #begin(underWay: PendingSend): void {
         this.#underWay.add(underWay);
         this.#unread.add(underWay);
         this.#onSent();
@@ -364,11 +366,11 @@
         return !this.#signal.aborted && this.#workspace.keyChange === undefined && this.#guard.maySend();
     }
 
-    #send(place: Place, purpose: Purpose): void {
-        const { vocabulary, connections, clock, view, board, rollouts, timeline } = this.#parts;
+    #send(place: Placement, purpose: SendPurpose): void {
+        const { metadataCodec, connections, clock, view, board, rollouts, timeline } = this.#parts;
         const { method, url, headers, route, requestId, cutoffMs } = this.#request;
         const { server } = place;
-        timeline.reach("firstSend");
+        timeline.record("firstSend");
         this.#placement.onSend(server.id);
         rollouts.onSend(server);
         const connection = route.idempotent
@@ -380,7 +382,7 @@
             isFirstRequest: connections.isFirstRequest(connection),
             method,
             path: url,
-            headers: vocabulary.createForwardHeaders(headers, {
+            headers: metadataCodec.createForwardHeaders(headers, {
                 serverId: server.id,
                 remainingMs: Math.max(1, Math.floor(cutoffMs - clock.monotonicMs())),
                 identity: resolveIdentity(this.#request.admission),
@@ -388,7 +390,7 @@
             body: this.#body.open(),
             idempotent: route.idempotent,
             requestId,
-            metadataReader: vocabulary,
+            metadataReader: metadataCodec,
             maxBufferedBytes: maxBufferedResponseBytes,
             mayWrite: () =>
                 this.#mayWrite() && view.isUsable(server.id, clock.monotonicMs())
@@ -401,7 +403,7 @@
             place,
             purpose,
             isNewConnection,
-            mark: this.#guard.mark(),
+            ledgerVersion: this.#guard.ledgerVersion(),
             ended: send.result.then(result => {
                 this.#onSendEnded(underWay, connection, result);
                 return { type: "server" as const, underWay, result };
@@ -412,7 +414,7 @@
 
     #onSendEnded(underWay: ServerSend, connection: ServerConnection, result: SendResult): void {
         const { connections, clock } = this.#parts;
-        const { place, purpose, isNewConnection, mark } = underWay;
+        const { place, purpose, isNewConnection, ledgerVersion } = underWay;
         this.#underWay.delete(underWay);
         this.#ends.push(result.end);
         if (result.end.type === "unknown") {
@@ -422,7 +424,14 @@
         else {
             connections.release(place.server.id, connection, { after: "request", nowMs: clock.monotonicMs() });
         }
-        this.#outcomes.note({ place, purpose, isNewConnection, mark, result, beaten: this.#answered });
+        this.#outcomes.onSendEnded({
+            place,
+            purpose,
+            isNewConnection,
+            ledgerVersion,
+            result,
+            superseded: this.#answered,
+        });
     }
 
     #beginStream(head: ResponseHead, serverId: string | undefined): ResponseSink | undefined {
@@ -435,7 +444,7 @@
     }
 
     /** Waits for the next send to end, the time to hedge, or the end of all patience. */
-    #awaitNext(hedgeAtMs: number | undefined): Promise<EndedSend | "late" | "aborted"> {
+    #awaitNext(hedgeAtMs: number | undefined): Promise<FinishedSend | "late" | "aborted"> {
         const lateAfterMs = hedgeAtMs === undefined ? undefined : Math.max(0, hedgeAtMs - this.#nowMs());
         return awaitFirst([...this.#unread].map(({ ended }) => ended), this.#signal, lateAfterMs);
     }
@@ -448,7 +457,7 @@
         return isRetryAllowed({
             idempotent: this.#request.route.idempotent,
             isBodyReplayable: this.#body.repeatable,
-            maximumRuns: this.#request.route.maximumRuns - this.#handover.furtherRuns,
+            maximumRuns: this.#request.route.maximumRuns - this.#handover.extraRuns,
             ends: this.#ends,
             inFlight: this.#underWay.size,
         });
@@ -457,16 +466,16 @@
     /** Servers on which the request may still run. */
     #runsLeft(): number {
         const possibleRuns = this.#underWay.size + this.#ends.filter(({ type }) => type !== "notRun").length;
-        return this.#request.route.maximumRuns - this.#handover.furtherRuns - possibleRuns;
+        return this.#request.route.maximumRuns - this.#handover.extraRuns - possibleRuns;
     }
 
     #takeRepeat(purpose: "retry" | "hedge"): boolean {
-        return this.#parts.budget.take(this.#request.rules.name, purpose, this.#gateways(), this.#nowMs());
+        return this.#parts.repeatBudget.take(this.#request.rules.name, purpose, this.#gateways(), this.#nowMs());
     }
 
     /** Until the first server of the service ends its rest, where all of them rest. */
     #restingForMs(): number | undefined {
-        return this.#parts.placer.restingForMs(this.#request.rules.name);
+        return this.#parts.placer.backoffRemainingMs(this.#request.rules.name);
     }
 
     #gateways(): number {
@@ -481,7 +490,7 @@
      * Ends whatever is still under way: its answer would be nobody's. A non-idempotent request whose caller left goes on:
      * cut off, nobody would ever know whether it ran.
      */
-    #finish(end: ExchangeEnd): ExchangeEnd {
+    #finish(end: ExchangeResult): ExchangeResult {
         if (!this.#request.route.idempotent && this.#signal.reason === callerGone) {
             return end;
         }
@@ -493,13 +502,13 @@
     }
 
     /** The time is over, or nobody waits any more. */
-    #resolveAborted(): ExchangeEnd {
-        return this.#answers.outOfTime(this.#ends, this.#underWay.size, this.#fallback);
+    #resolveAborted(): ExchangeResult {
+        return this.#answers.timedOut(this.#ends, this.#underWay.size, this.#fallback);
     }
 }
 
 /** @returns whether a send may have come to a server */
-function hasReachedServer(ended: EndedSend): boolean {
+function hasReachedServer(ended: FinishedSend): boolean {
     if (ended.type === "gateway") {
         return !hasReachedNoServer(ended.result);
     }
@@ -507,7 +516,7 @@
     return !(end.type === "notRun" && (end.reason === "connectFailed" || end.reason === "notSent"));
 }
 
-function nameTarget(target: Target | NoPlace): string {
+function nameTarget(target: Target | PlacementFailure): string {
     if (typeof target === "string") {
         return target;
     }
--- a/packages/edge/src/requests/exchangeParts.ts
+++ b/packages/edge/src/requests/exchangeDeps.ts
@@ -3,17 +3,17 @@
 import { type PlacementState, type RepeatBudget } from "@galenaglade/placement";
 import { type GatewayRollouts } from "@galenaglade/rollout";
 import { type RandomSource } from "@galenaglade/routing";
-import { type VersionSeen } from "../handover/versionSeen.js";
+import { type ConfigVersionWatermark } from "../handover/configVersionWatermark.js";
 import { type ServerReach } from "../reach/serverReach.js";
 import { type ServerLivenessChecker } from "../backends/serverLivenessChecker.js";
 import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
-import { type CrashReports } from "../quarantine/crashReports.js";
+import { type CrashReportSync } from "../quarantine/crashReportSync.js";
 import { type WorkspaceLimits } from "../limits/workspaceLimits.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StartTimeline } from "../telemetry/startTimeline.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
-import { type AnswerNotes } from "./answerNotes.js";
+import { type ResponseMetadataRecorder } from "./responseMetadataRecorder.js";
 import { type Placer } from "./placer.js";
 
 /** Why an exchange's signal is aborted: the caller has closed its connection. */
@@ -23,7 +23,7 @@
 export const cutoffReached = "cutoffReached";
 
 /** What exchanges work with. */
-export interface ExchangeParts {
+export interface ExchangeDeps {
     /** Of this gateway, as in its registration. */
     readonly name: string;
     readonly view: FleetView;
@@ -31,18 +31,18 @@
     readonly random: RandomSource;
     readonly placer: Placer;
     readonly board: PlacementState;
-    readonly notes: AnswerNotes;
+    readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
     /** To other gateways, by their names. */
     readonly peerConnections: ServerConnectionPool;
-    readonly versionSeen: VersionSeen;
+    readonly configVersionWatermark: ConfigVersionWatermark;
     readonly checks: ServerLivenessChecker;
-    readonly reach: ServerReach;
-    readonly crashes: CrashReports;
+    readonly reachability: ServerReach;
+    readonly crashReports: CrashReportSync;
     readonly limits: WorkspaceLimits;
-    readonly budget: RepeatBudget;
+    readonly repeatBudget: RepeatBudget;
     readonly rollouts: GatewayRollouts;
-    readonly vocabulary: EdgeMetadataCodec;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
     readonly timeline: StartTimeline;
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -1,15 +1,15 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type LogFields } from "@galenaglade/telemetry";
 import { type EdgeRequest } from "./edgeRequest.js";
-import { type ExchangeParts } from "./exchangeParts.js";
-import { type NoPlace, type Place, type SearchTrace } from "./placer.js";
+import { type ExchangeDeps } from "./exchangeDeps.js";
+import { type PlacementFailure, type Placement, type SearchTrace } from "./placer.js";
 
 /** What a server is looked for. */
-export type Purpose = "first" | "retry" | "hedge";
+export type SendPurpose = "first" | "retry" | "hedge";
 
 /** Finds the servers for all sends of one request. */
 export class ExchangePlacement {
-    readonly #parts: ExchangeParts;
+    readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #signal: AbortSignal;
     readonly #triedServers = new Set<string>();
@@ -17,7 +17,7 @@
         usable: 0,
         asked: 0,
         offers: 0,
-        ends: new Map(),
+        probeEnds: new Map(),
         restingForMs: undefined,
     };
     #placedAfterMs: number | undefined;
@@ -27,14 +27,14 @@
     /** The version on trial to which the first send went. */
     #trialVersion: string | undefined;
 
-    constructor(parts: ExchangeParts, request: EdgeRequest, signal: AbortSignal) {
+    constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
         this.#parts = parts;
         this.#request = request;
         this.#signal = signal;
     }
 
     /** @returns where the next send goes, a server that was not tried before unless there is no other */
-    async place(purpose: Purpose): Promise<Place | NoPlace> {
+    async place(purpose: SendPurpose): Promise<Placement | PlacementFailure> {
         const trial = purpose === "first" ? await this.#placeTrial() : undefined;
         const found = trial ?? await this.#search(purpose === "hedge");
         if (purpose === "first") {
@@ -50,10 +50,10 @@
 
     /** How servers were found, for the log. */
     describe(): LogFields {
-        const { ends, ...trace } = this.#trace;
+        const { probeEnds, ...trace } = this.#trace;
         return {
             ...trace,
-            untold: [...ends].filter(([end]) => end !== "told").map(([end, count]) => `${end}:${count}`).join(","),
+            untold: [...probeEnds].filter(([end]) => end !== "told").map(([end, count]) => `${end}:${count}`).join(","),
             placed: this.#firstReason,
             servers: [...this.#triedServers].join(","),
             trialVersion: this.#trialVersion,
@@ -63,7 +63,7 @@
     }
 
     /** @returns a server of a version on trial, where this request is to go to one and one is good right now */
-    async #placeTrial(): Promise<Place | undefined> {
+    async #placeTrial(): Promise<Placement | undefined> {
         const { rollouts } = this.#parts;
         const service = this.#request.rules.name;
         for (const among of rollouts.trialServerGroups(service, this.#parts.clock.monotonicMs())) {
@@ -77,12 +77,12 @@
         return undefined;
     }
 
-    #search(onlyGood: boolean, among?: readonly RegisteredServer[]): Promise<Place | NoPlace> {
-        const { rules, route, rank, arrivedAtMs, cutoffMs } = this.#request;
+    #search(onlyGood: boolean, among?: readonly RegisteredServer[]): Promise<Placement | PlacementFailure> {
+        const { rules, route, priority, arrivedAtMs, cutoffMs } = this.#request;
         return this.#parts.placer.place({
             rules,
             objectiveMs: route.objectiveMs,
-            priority: rank,
+            priority,
             arrivedAtMs,
             cutoffMs,
             triedServers: this.#triedServers,
@@ -90,11 +90,11 @@
             mayHandOver: this.#request.handedOverBy === undefined,
             onlyGood,
             trace: this.#trace,
-            ...(among === undefined ? {} : { among }),
+            ...(among === undefined ? {} : { candidates: among }),
         });
     }
 
-    #onFirst(found: Place | NoPlace): void {
+    #onFirst(found: Placement | PlacementFailure): void {
         const { metrics, clock } = this.#parts;
         this.#firstReason = typeof found === "string" ? found : found.reason;
         this.#offerAgeMs = typeof found === "string" ? undefined : Math.round(found.ageMs);
--- a/packages/edge/src/requests/exchangeContent.ts
+++ b/packages/edge/src/requests/lazyContentId.ts
@@ -3,7 +3,7 @@
 import { type EdgeRequest } from "./edgeRequest.js";
 
 /** What one request asks of a server, by name. Made when it is asked for: most requests never need it. */
-export class ExchangeContent {
+export class LazyContentId {
     readonly #request: EdgeRequest;
     readonly #body: RequestBody;
     #headId: string | undefined;
@@ -26,7 +26,7 @@
     }
 
     /** The content id, where something needed it. */
-    get knownId(): string | undefined {
+    get computedContentId(): string | undefined {
         return this.#contentId;
     }
 }
--- a/packages/edge/src/requests/exchangeAnswers.ts
+++ b/packages/edge/src/requests/localReplies.ts
@@ -5,19 +5,19 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type BufferedResponse } from "../backends/sendRequest.js";
 import { type EdgeRequest } from "./edgeRequest.js";
-import { type NoPlace } from "./placer.js";
+import { type PlacementFailure } from "./placer.js";
 
 const oneSecondMs = 1_000;
 
 /** What the caller gets. */
-export type ExchangeEnd =
-    | { readonly type: "answered"; readonly answer: BufferedResponse; }
+export type ExchangeResult =
+    | { readonly type: "answered"; readonly response: BufferedResponse; }
     /** The sink got it, whole or broken off. */
-    | { readonly type: "streamed"; readonly whole: boolean; }
+    | { readonly type: "streamed"; readonly complete: boolean; }
     | { readonly type: "failed"; readonly failure: Failure; };
 
 /** Chooses what the caller of one request gets where no server's answer is at hand, and when it should come back. */
-export class ExchangeAnswers {
+export class LocalReplies {
     readonly #request: EdgeRequest;
     readonly #work: TypicalLatency;
     readonly #random: RandomSource;
@@ -29,7 +29,7 @@
     }
 
     /** No server was found. @param restingForMs - until the first one ends its rest, where all of them rest */
-    noPlace(reason: Exclude<NoPlace, "abandoned">, restingForMs = 0): ExchangeEnd {
+    placementFailed(reason: Exclude<PlacementFailure, "abandoned">, restingForMs = 0): ExchangeResult {
         if (reason === "resting") {
             return this.#refuse("overloaded", reason, "resting", restingForMs);
         }
@@ -39,7 +39,7 @@
     }
 
     /** Servers have ended under requests with this content. @param retryAfterMs - when one more may be sent, from now */
-    quarantined(retryAfterMs: number): ExchangeEnd {
+    quarantined(retryAfterMs: number): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs / oneSecondMs);
         const failure = createFailure("queryOfDeath", "requests with this content ended their servers", {
             retryAfterSeconds,
@@ -48,7 +48,7 @@
     }
 
     /** The caller's key was revoked or moved while the request waited. One that was moved is good for another try. */
-    keyChanged(change: KeyChange): ExchangeEnd {
+    keyChanged(change: KeyChange): ExchangeResult {
         const retryAfterSeconds = drawRetryAfterSeconds("turnedAway", 0, this.#random);
         const failure = change === "revoked"
             ? createFailure("unauthenticated", "the request's key was revoked")
@@ -57,7 +57,7 @@
     }
 
     /** The limit of the caller's workspace keeps the request back. */
-    limited({ type, retryAfterMs }: Exclude<Decision, { readonly type: "admitted"; }>): ExchangeEnd {
+    rateLimited({ type, retryAfterMs }: Exclude<Decision, { readonly type: "admitted"; }>): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs) / oneSecondMs;
         const failure = type === "overLimit"
             ? createFailure("workspaceOverLimit", "the workspace is over its limit", { retryAfterSeconds })
@@ -66,9 +66,9 @@
     }
 
     /** All tries have failed. */
-    allFailed(ends: readonly SendEnd[], fallback: BufferedResponse | undefined): ExchangeEnd {
+    allSendsFailed(ends: readonly SendEnd[], fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
-            return { type: "answered", answer: fallback };
+            return { type: "answered", response: fallback };
         }
         if (ends.every(end => end.type === "notRun")) {
             return this.#refuse("backendShed", describeEnds(ends), "turnedAway");
@@ -77,9 +77,9 @@
     }
 
     /** The time is over, or nobody waits any more. @param underWay - sends that have not ended */
-    outOfTime(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeEnd {
+    timedOut(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
-            return { type: "answered", answer: fallback };
+            return { type: "answered", response: fallback };
         }
         if (underWay === 0 && ends.every(end => end.type === "notRun")) {
             return this.#refuse("overloaded", "no server could be found in time", "full");
@@ -92,7 +92,7 @@
         detail: string,
         cause: Parameters<typeof drawRetryAfterSeconds>[0],
         notBeforeMs = 0,
-    ): ExchangeEnd {
+    ): ExchangeResult {
         const { rules, route } = this.#request;
         const typicalMs = this.#work.of(rules.name, route.objectiveMs);
         const comeBackSeconds = drawRetryAfterSeconds(cause, typicalMs, this.#random);
@@ -102,7 +102,7 @@
 }
 
 /** @returns how a send ended, in a word for logs and metrics */
-export function describeEnd(end: SendEnd): string {
+export function describeSendEnd(end: SendEnd): string {
     switch (end.type) {
         case "answered":
             return `answered ${end.status}`;
@@ -114,5 +114,5 @@
 }
 
 function describeEnds(ends: readonly SendEnd[]): string {
-    return ends.length === 0 ? "no answer" : ends.map(describeEnd).join(", ");
+    return ends.length === 0 ? "no answer" : ends.map(describeSendEnd).join(", ");
 }
--- a/packages/edge/src/requests/loadInquiry.ts
+++ b/packages/edge/src/requests/placementProber.ts
@@ -8,28 +8,28 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StartTimeline } from "../telemetry/startTimeline.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
-import { type AnswerNotes } from "./answerNotes.js";
+import { type ResponseMetadataRecorder } from "./responseMetadataRecorder.js";
 
 /** What questions are asked with. */
-export interface LoadInquiryParts {
+export interface PlacementProberDeps {
     readonly board: PlacementState;
-    readonly notes: AnswerNotes;
+    readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
-    readonly reach: Pick<ServerReach, "onContact">;
-    readonly vocabulary: EdgeMetadataCodec;
+    readonly reachability: Pick<ServerReach, "onContact">;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly clock: Clock;
     readonly metrics: EdgeMetrics;
     readonly timeline: StartTimeline;
 }
 
 /** How questions of one request ended, by end. */
-export type AskEnds = Map<"told" | LoadProbeFailure["reason"], number>;
+export type ProbeEndCounts = Map<"told" | LoadProbeFailure["reason"], number>;
 
 /** Asks backend servers for their load, and lets the board know what they said. */
-export class LoadInquiry {
-    readonly #parts: LoadInquiryParts;
+export class PlacementProber {
+    readonly #parts: PlacementProberDeps;
 
-    constructor(parts: LoadInquiryParts) {
+    constructor(parts: PlacementProberDeps) {
         this.#parts = parts;
     }
 
@@ -43,11 +43,11 @@
      * @param ends - counts how each question ended
      * @returns how many have answered once one of them is good, or all have ended
      */
-    ask(
+    probe(
         rules: ServiceRules,
         servers: readonly RegisteredServer[],
         timeoutMs: number,
-        ends: AskEnds = new Map(),
+        ends: ProbeEndCounts = new Map(),
     ): Promise<number> {
         return new Promise(resolve => {
             const silent: RegisteredServer[] = [];
@@ -76,18 +76,25 @@
         rules: ServiceRules,
         server: RegisteredServer,
         timeoutMs: number,
-        ends: AskEnds,
+        ends: ProbeEndCounts,
     ): Promise<ServerStatus | undefined> {
-        const { board, notes, connections, reach, vocabulary, clock, metrics, timeline } = this.#parts;
-        timeline.reach("firstProbe");
+        const { board, metadataRecorder, connections, reachability, metadataCodec, clock, metrics, timeline } =
+            this.#parts;
+        timeline.record("firstProbe");
         const askedAtMs = clock.monotonicMs();
         const connection = connections.acquire(server.id, server.address);
         const isNewConnection = !connection.hasResponded;
-        const told = await probeServerLoad({ server, connection, healthPath: rules.healthPath, vocabulary, timeoutMs });
+        const told = await probeServerLoad({
+            server,
+            connection,
+            healthPath: rules.healthPath,
+            vocabulary: metadataCodec,
+            timeoutMs,
+        });
         const end = told.type === "told" ? "told" : told.reason;
         ends.set(end, (ends.get(end) ?? 0) + 1);
-        metrics.onAsked(end);
-        reach.onContact({
+        metrics.onLoadProbed(end);
+        reachability.onContact({
             service: rules.name,
             serverId: server.id,
             isNewConnection,
@@ -99,11 +106,11 @@
             connection.destroy();
             return undefined;
         }
-        timeline.reach("firstProbeAnswered");
+        timeline.record("firstProbeAnswered");
         connections.release(server.id, connection, { after: "question", nowMs: clock.monotonicMs() });
         board.onProbeResponse(rules.name, told.offer, askedAtMs);
         const source = { answered: "question", sentAtMs: askedAtMs } as const;
-        notes.note({ server, signs: told.metadata, source, nowMs: clock.monotonicMs() });
+        metadataRecorder.record({ server, metadata: told.metadata, source, nowMs: clock.monotonicMs() });
         return told.offer;
     }
 
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -11,11 +11,11 @@
 } from "@galenaglade/placement";
 import { type ServerReach } from "../reach/serverReach.js";
 import { loadProbeTimeoutMs, maxLoadProbeTimeoutMs } from "../constants.js";
-import { type AskEnds, LoadInquiry, type LoadInquiryParts } from "./loadInquiry.js";
+import { type ProbeEndCounts, PlacementProber, type PlacementProberDeps } from "./placementProber.js";
 
 /** What the placer works with. */
-export interface PlacerParts extends LoadInquiryParts {
-    readonly reach: Pick<ServerReach, "onContact" | "stateOf">;
+export interface PlacerDeps extends PlacementProberDeps {
+    readonly reachability: Pick<ServerReach, "onContact" | "stateOf">;
     readonly view: FleetView;
     /** This gateway's own. */
     readonly availabilityZone: string;
@@ -31,11 +31,11 @@
     /** Counted up while the search goes on. */
     readonly trace: SearchTrace;
     /** The only servers to look at; `undefined` for all that may be given any work. */
-    readonly among?: readonly RegisteredServer[];
+    readonly candidates?: readonly RegisteredServer[];
 }
 
 /** Why no server was found. */
-export type NoPlace =
+export type PlacementFailure =
     | NoServerReason
     | "abandoned"
     /** Neither this gateway nor another one reaches any server. */
@@ -50,32 +50,32 @@
     /** Answers to them, up to the one that decided. */
     offers: number;
     /** How questions ended so far. */
-    readonly ends: AskEnds;
+    readonly probeEnds: ProbeEndCounts;
     /** Until the first server ends its rest, where nothing else keeps the request from being sent. */
     restingForMs: number | undefined;
 }
 
 /** Where a request goes. */
-export type Place = SearchStep & { readonly type: "send"; };
+export type Placement = SearchStep & { readonly type: "send"; };
 
 /** Finds a backend server for a request: carries out what its search wants to be asked, and waits when it wants to wait. */
 export class Placer {
-    readonly #parts: PlacerParts;
-    readonly #inquiry: LoadInquiry;
+    readonly #parts: PlacerDeps;
+    readonly #inquiry: PlacementProber;
 
-    constructor(parts: PlacerParts) {
+    constructor(parts: PlacerDeps) {
         this.#parts = parts;
-        this.#inquiry = new LoadInquiry(parts);
+        this.#inquiry = new PlacementProber(parts);
     }
 
     /** @returns where the request goes */
-    async place(input: PlaceInput): Promise<Place | NoPlace> {
+    async place(input: PlaceInput): Promise<Placement | PlacementFailure> {
         const search = new ServerSearch(this.#parts.board, input);
         while (!input.signal.aborted) {
-            if (this.#parts.reach.stateOf(input.rules.name) === "lost" && input.mayHandOver) {
+            if (this.#parts.reachability.stateOf(input.rules.name) === "lost" && input.mayHandOver) {
                 return "noOffer";
             }
-            const sight = this.#look(input.rules.name, input.among);
+            const sight = this.#look(input.rules.name, input.candidates);
             input.trace.usable = sight.usable.length;
             input.trace.restingForMs = sight.restingForMs;
             const step = search.step(sight);
@@ -83,11 +83,11 @@
                 case "ask": {
                     const timeoutMs = Math.min(maxLoadProbeTimeoutMs, loadProbeTimeoutMs * 2 ** step.round);
                     input.trace.asked += step.servers.length;
-                    input.trace.offers += await this.#inquiry.ask(
+                    input.trace.offers += await this.#inquiry.probe(
                         input.rules,
                         step.servers,
                         timeoutMs,
-                        input.trace.ends,
+                        input.trace.probeEnds,
                     );
                     break;
                 }
@@ -104,7 +104,7 @@
     }
 
     /** @returns until the first server of a service ends its rest, where all that might be used rest */
-    restingForMs(service: string): number | undefined {
+    backoffRemainingMs(service: string): number | undefined {
         return this.#look(service, undefined).restingForMs;
     }
 
--- a/packages/edge/src/requests/answerNotes.ts
+++ b/packages/edge/src/requests/responseMetadataRecorder.ts
@@ -6,7 +6,7 @@
 import { type ResponseMetadata } from "../metadataCodec.js";
 
 /** What notes are taken with. */
-export interface AnswerNotesParts {
+export interface ResponseMetadataRecorderDeps {
     readonly board: PlacementState;
     readonly connections: ServerConnectionPool;
     readonly log: EdgeLog;
@@ -14,9 +14,9 @@
 }
 
 /** An answer of a server, as far as it speaks of the server itself. */
-export interface ServerAnswer {
+export interface ServerResponseMetadata {
     readonly server: RegisteredServer;
-    readonly signs: ResponseMetadata;
+    readonly metadata: ResponseMetadata;
     readonly source: LimitSource;
     /** The request that was answered. */
     readonly requestId?: string | undefined;
@@ -30,23 +30,23 @@
  * Reads what servers say of themselves in their answers, in one place for answers to requests and to questions: lets the board know, and
  * logs what changes.
  */
-export class AnswerNotes {
-    readonly #parts: AnswerNotesParts;
+export class ResponseMetadataRecorder {
+    readonly #parts: ResponseMetadataRecorderDeps;
     readonly #unknownNames = new Set<string>();
 
-    constructor(parts: AnswerNotesParts) {
+    constructor(parts: ResponseMetadataRecorderDeps) {
         this.#parts = parts;
     }
 
-    note(answer: ServerAnswer): void {
+    record(answer: ServerResponseMetadata): void {
         this.#noteLimit(answer);
         this.#noteRest(answer);
         this.#noteLeaving(answer);
         this.#noteUnknown(answer);
     }
 
-    #noteLimit(answer: ServerAnswer): void {
-        const { server, signs: { limit, signed }, source, nowMs } = answer;
+    #noteLimit(answer: ServerResponseMetadata): void {
+        const { server, metadata: { limit, signed }, source, nowMs } = answer;
         const { board, log, metrics } = this.#parts;
         if (limit.type === "malformed") {
             metrics.onServerLimit(server.service, "malformed");
@@ -65,8 +65,8 @@
         }
     }
 
-    #noteRest(answer: ServerAnswer): void {
-        const { server, signs: { backoff }, nowMs } = answer;
+    #noteRest(answer: ServerResponseMetadata): void {
+        const { server, metadata: { backoff }, nowMs } = answer;
         const { board, log, metrics } = this.#parts;
         if (backoff.type === "none") {
             return;
@@ -84,10 +84,10 @@
         });
     }
 
-    #noteLeaving(answer: ServerAnswer): void {
-        const { server, signs } = answer;
+    #noteLeaving(answer: ServerResponseMetadata): void {
+        const { server, metadata } = answer;
         const { board, connections, log, metrics } = this.#parts;
-        if (!signs.leaving) {
+        if (!metadata.leaving) {
             return;
         }
         metrics.onServerNotice(server.service, "leaving");
@@ -97,8 +97,8 @@
         }
     }
 
-    #noteUnknown(answer: ServerAnswer): void {
-        for (const header of answer.signs.unknownHeaders) {
+    #noteUnknown(answer: ServerResponseMetadata): void {
+        for (const header of answer.metadata.unknownHeaders) {
             this.#parts.metrics.onServerNotice(answer.server.service, "unknownHeader");
             if (!this.#unknownNames.has(header) && this.#unknownNames.size < mostUnknownNames) {
                 this.#unknownNames.add(header);
@@ -108,6 +108,6 @@
     }
 }
 
-function describe({ requestId, source, server }: ServerAnswer): Readonly<Record<string, string | undefined>> {
+function describe({ requestId, source, server }: ServerResponseMetadata): Readonly<Record<string, string | undefined>> {
     return { requestId, answered: source.answered, service: server.service, server: server.id };
 }
--- a/packages/edge/src/requests/sendOutcomes.ts
+++ b/packages/edge/src/requests/sendResultHandler.ts
@@ -3,37 +3,37 @@
 import { type SendResult } from "../backends/sendRequest.js";
 import { type ServerLiveness } from "../backends/serverLivenessChecker.js";
 import { minComparisonServers, maxComparisonServers } from "../constants.js";
-import { type RequestGuard } from "../quarantine/requestGuard.js";
+import { type QuarantineGuard } from "../quarantine/quarantineGuard.js";
 import { type EdgeRequest } from "./edgeRequest.js";
-import { describeEnd } from "./exchangeAnswers.js";
-import { type ExchangeContent } from "./exchangeContent.js";
-import { type ExchangeParts } from "./exchangeParts.js";
-import { type Purpose } from "./exchangePlacement.js";
-import { type Place } from "./placer.js";
+import { describeSendEnd } from "./localReplies.js";
+import { type LazyContentId } from "./lazyContentId.js";
+import { type ExchangeDeps } from "./exchangeDeps.js";
+import { type SendPurpose } from "./exchangePlacement.js";
+import { type Placement } from "./placer.js";
 
 /** One send that has ended. */
-export interface SendOutcome {
-    readonly place: Place;
-    readonly purpose: Purpose;
+export interface ServerSendResult {
+    readonly place: Placement;
+    readonly purpose: SendPurpose;
     /** Whether nothing had been heard on its connection before. */
     readonly isNewConnection: boolean;
     /** What was known of crashes when it began. */
-    readonly mark: number;
+    readonly ledgerVersion: number;
     readonly result: SendResult;
     /** Whether the caller's answer had come from another send. */
-    readonly beaten: boolean;
+    readonly superseded: boolean;
 }
 
 /** Learns from the ends of one request's sends: for the gateway's belief of servers and contents, its log and its metrics. */
-export class SendOutcomes {
-    readonly #parts: ExchangeParts;
+export class SendResultHandler {
+    readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
-    readonly #content: ExchangeContent;
-    readonly #guard: RequestGuard;
+    readonly #content: LazyContentId;
+    readonly #guard: QuarantineGuard;
     /** Checks of servers that lost the request. */
     readonly #checks: Promise<void>[] = [];
 
-    constructor(parts: ExchangeParts, request: EdgeRequest, content: ExchangeContent, guard: RequestGuard) {
+    constructor(parts: ExchangeDeps, request: EdgeRequest, content: LazyContentId, guard: QuarantineGuard) {
         this.#parts = parts;
         this.#request = request;
         this.#content = content;
@@ -41,26 +41,27 @@
     }
 
     /** Settles once it is known what became of all servers that lost the request. */
-    async whenChecked(): Promise<void> {
+    async whenLivenessChecked(): Promise<void> {
         await Promise.all(this.#checks);
     }
 
-    note(outcome: SendOutcome): void {
-        const { board, clock, metrics, reach, rollouts } = this.#parts;
-        const { place: { server, score }, purpose, isNewConnection, mark, result, beaten } = outcome;
+    onSendEnded(outcome: ServerSendResult): void {
+        const { board, clock, metrics, reachability, rollouts } = this.#parts;
+        const { place: { server, score }, purpose, isNewConnection, ledgerVersion, result, superseded } = outcome;
         const { end, response, tookMs } = result;
         const { rules: { name: service }, route } = this.#request;
         const nowMs = clock.monotonicMs();
         const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
-        const trial = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten };
+        const trial = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten: superseded };
         // What fails on this host's links says nothing of a version.
-        const isEvidence = purpose === "first" && (end.type === "answered" || reach.stateOf(service) === "reached");
+        const isEvidence = purpose === "first"
+            && (end.type === "answered" || reachability.stateOf(service) === "reached");
         rollouts.onSendEnded(server, route.name, isEvidence ? trial : undefined);
-        metrics.onSendEnded(service, purpose, describeEnd(end));
-        this.#guard.onSendEnded(end, mark);
+        metrics.onSendEnded(service, purpose, describeSendEnd(end));
+        this.#guard.onSendEnded(end, ledgerVersion);
         if (result.contact !== undefined) {
             const startedAtMs = nowMs - tookMs;
-            reach.onContact({ service, serverId: server.id, isNewConnection, end: result.contact, startedAtMs });
+            reachability.onContact({ service, serverId: server.id, isNewConnection, end: result.contact, startedAtMs });
         }
         if (isPossibleServerCrash(end)) {
             this.#checks.push(this.#checkLost(outcome));
@@ -88,9 +89,9 @@
         if (metadata === undefined || !isOwn || (metadata.serverId ?? server.id) !== server.id) {
             return;
         }
-        this.#parts.notes.note({
+        this.#parts.metadataRecorder.record({
             server,
-            signs: metadata,
+            metadata: metadata,
             source: { answered: "request", sentAtMs: nowMs - tookMs },
             requestId: this.#request.requestId,
             nowMs,
@@ -120,13 +121,13 @@
     }
 
     /** Tells servers that ended with a request from those that lost only its connection. */
-    async #checkLost({ place: { server }, mark, result: { tookMs } }: SendOutcome): Promise<void> {
+    async #checkLost({ place: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult): Promise<void> {
         const { clock, log, metrics } = this.#parts;
         const { requestId, rules, route, callerAddress } = this.#request;
         const lostAtMs = clock.monotonicMs();
         const state = await this.#checkServer(server);
         metrics.onSendLost(rules.name, state);
-        this.#guard.onServerLost(server, state, mark);
+        this.#guard.onServerLost(server, state, ledgerVersion);
         log.log("warn", "sendLost", {
             requestId,
             contentId: this.#content.contentId,
--- a/packages/edge/src/requests/exchangeWorkspace.ts
+++ b/packages/edge/src/requests/workspaceGuard.ts
@@ -2,21 +2,21 @@
 import { type SendEnd } from "@galenaglade/placement";
 import { findKeyChange, type KeyChange } from "@galenaglade/workspaces";
 import { type EdgeRequest } from "./edgeRequest.js";
-import { type ExchangeParts } from "./exchangeParts.js";
+import { type ExchangeDeps } from "./exchangeDeps.js";
 
 /** Time for which a request waits where the allocator of its workspace was lost, as a share of its objective and at most, in milliseconds. */
 const heldShare = 0.5;
 const mostHeldMs = 1_500;
 
 /** Keeps one request to what its workspace may do: a key that is still held, and a limit that holds for all gateways together. */
-export class ExchangeWorkspace {
-    readonly #parts: ExchangeParts;
+export class WorkspaceGuard {
+    readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #signal: AbortSignal;
     #token: Token | undefined;
     #plentiful = true;
 
-    constructor(parts: ExchangeParts, request: EdgeRequest, signal: AbortSignal) {
+    constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
         this.#parts = parts;
         this.#request = request;
         this.#signal = signal;
@@ -32,7 +32,7 @@
     }
 
     /** Whether the workspace has room for runs beyond the first: a hedge, or a retry of what may have run. */
-    get isPlentiful(): boolean {
+    get allowsExtraRuns(): boolean {
         return this.#plentiful;
     }
 
--- a/packages/edge/src/telemetry/edgeLog.ts
+++ b/packages/edge/src/telemetry/edgeLog.ts
@@ -2,7 +2,7 @@
 import { maxLogLinesPerSecond } from "../constants.js";
 
 /** Every event that an edge process logs. */
-export type EdgeEvent =
+export type EdgeLogEvent =
     | "started"
     | "startTimeline"
     | "stopping"
@@ -65,20 +65,20 @@
 export class EdgeLog {
     readonly #logger: Logger;
     readonly #nowMs: () => number;
-    readonly #budgets = new Map<EdgeEvent, Budget>();
+    readonly #budgets = new Map<EdgeLogEvent, Budget>();
 
     constructor(logger: Logger, nowMs: () => number) {
         this.#logger = logger;
         this.#nowMs = nowMs;
     }
 
-    log(level: LogLevel, event: EdgeEvent, fields: LogFields): void {
+    log(level: LogLevel, event: EdgeLogEvent, fields: LogFields): void {
         if (this.#take(event)) {
             this.#logger[level](event, fields);
         }
     }
 
-    #take(event: EdgeEvent): boolean {
+    #take(event: EdgeLogEvent): boolean {
         const second = Math.floor(this.#nowMs() / oneSecondMs);
         const budget = this.#budgets.get(event) ?? { second, lines: 0, leftOut: 0 };
         this.#budgets.set(event, budget);
--- a/packages/edge/src/telemetry/edgeMetrics.ts
+++ b/packages/edge/src/telemetry/edgeMetrics.ts
@@ -92,7 +92,7 @@
         this.#lostSends.add(1, { service, state });
     }
 
-    onContentJudged(state: string): void {
+    onContentStateChanged(state: string): void {
         this.#contents.add(1, { state });
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** @param end - `told`, or why the server told nothing */
-    onAsked(end: string): void {
+    onLoadProbed(end: string): void {
         this.#asks.add(1, { end });
     }
 
@@ -151,7 +151,7 @@
         this.#handovers.add(1, { service, end });
     }
 
-    onHandoverTaken(outcome: string): void {
+    onHandoverReceived(outcome: string): void {
         this.#handoversTaken.add(1, { outcome });
     }
 
--- a/packages/edge/src/telemetry/startTimeline.ts
+++ b/packages/edge/src/telemetry/startTimeline.ts
@@ -14,9 +14,9 @@
 /** Elapsed and processor time of a process. */
 export interface ProcessTimes {
     /** Since the process began. */
-    readonly sinceStartMs: number;
+    readonly uptimeMs: number;
     /** Used by all of its threads since then. */
-    readonly processorMs: number;
+    readonly cpuMs: number;
 }
 
 /**
@@ -39,7 +39,7 @@
     }
 
     /** A phase was reached; only its first time counts. */
-    reach(phase: StartPhase): void {
+    record(phase: StartPhase): void {
         if (this.#ended || this.#phases.has(phase)) {
             return;
         }
@@ -52,9 +52,9 @@
 
     #describe(): Readonly<Record<string, number>> {
         const fields: Record<string, number> = {};
-        for (const [phase, { sinceStartMs, processorMs }] of this.#phases) {
-            fields[`${phase}Ms`] = Math.round(sinceStartMs);
-            fields[`${phase}ProcessorMs`] = Math.round(processorMs);
+        for (const [phase, { uptimeMs, cpuMs }] of this.#phases) {
+            fields[`${phase}Ms`] = Math.round(uptimeMs);
+            fields[`${phase}ProcessorMs`] = Math.round(cpuMs);
         }
         return fields;
     }
@@ -62,5 +62,5 @@
 
 function readProcessTimes(): ProcessTimes {
     const { user, system } = process.cpuUsage();
-    return { sinceStartMs: performance.now(), processorMs: (user + system) / 1_000 };
+    return { uptimeMs: performance.now(), cpuMs: (user + system) / 1_000 };
 }
