--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -3,7 +3,7 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import { CutFleet } from "./support/cutFleet.js";
+import { FaultyLinkFleet } from "./support/faultyLinkFleet.js";
 import { type FakeGatewayBehavior, type FakeGateway, startFakeGateway } from "./support/fakeGateway.js";
 import { eventually, renderSignedResponse } from "./support/testEdge.js";
 
@@ -17,8 +17,8 @@
 async function startCutGateway(
     t: TestContext,
     ...conducts: readonly FakeGatewayBehavior[]
-): Promise<{ readonly fleet: CutFleet; readonly helpers: readonly FakeGateway[]; }> {
-    const fleet = await CutFleet.start(t, 1);
+): Promise<{ readonly fleet: FaultyLinkFleet; readonly helpers: readonly FakeGateway[]; }> {
+    const fleet = await FaultyLinkFleet.start(t, 1);
     const helpers: FakeGateway[] = [];
     for (const i of conducts.keys()) {
         helpers.push(await startFakeGateway(t, fleet.store, `helper-${i}`, busy));
@@ -119,7 +119,7 @@
 
 // Guards against requests that go from host to host while none of them reaches a server.
 test("where no gateway reaches a server, requests are refused at once with a time to come back", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     // Requests wait for their turn for a while after a start.
     await sleep(startTurnsMs);
     for (let i = 0; i < 3; i++) {
@@ -140,7 +140,7 @@
 
 // Guards against gateways that take the end of all servers for a loss of their own links, and hand their callers around.
 test("where all servers have ended, no gateway hands requests over for long", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     await fleet.sendFor(300, 20);
     await Promise.all(fleet.backends.map(({ raw }) => raw.stop()));
     await fleet.sendFor(2_000, 20);
@@ -156,7 +156,7 @@
 
 // Guards against hosts that go on burdening others after their links work again.
 test("a gateway whose links work again sends its requests itself", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.cut(0, "hang");
     await fleet.sendFor(1_500, 20);
     fleet.restore(0);
@@ -169,7 +169,7 @@
 
 // Guards against links that come and go: each change of mind costs requests that are sent in vain.
 test("a gateway whose links flap changes its mind a bounded number of times, and its callers are served", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     const untilMs = performance.now() + 10_000;
     const flapping = (async () => {
         while (performance.now() < untilMs) {
@@ -190,7 +190,7 @@
 
 // Guards against half an answer that looks whole: a large one passes two gateways in pieces.
 test("a large answer comes through another gateway whole and signed, and one that breaks off isn't whole", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     const large = "x".repeat(1_500_000);
     fleet.serve = req => req.socket.write(renderSignedResponse(req, large));
     fleet.cut(0, "reset");
@@ -208,7 +208,7 @@
 
 // Guards against a body that a helper runs changed or in part.
 test("bodies of any size come through another gateway unchanged", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.serve = req =>
         req.socket.write(renderSignedResponse(req, `${req.path} ${req.body.length} ${req.body.slice(-3)}`));
     fleet.cut(0, "reset");
@@ -225,7 +225,7 @@
 
 // Guards against servers that work for callers who have left: the gateway that has the server's connection isn't theirs.
 test("a caller who leaves frees the server behind another gateway", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.cut(0, "reset");
     await fleet.sendFor(300, 20);
     let closed = 0;
@@ -244,7 +244,7 @@
 
 // Guards against requests that anybody on the network slips past limits, keys and routes through the port of the gateways.
 test("a handover that can't be read, or isn't of a registered gateway, gets a clear answer and runs nothing", async t => {
-    const fleet = await CutFleet.start(t, 1);
+    const fleet = await FaultyLinkFleet.start(t, 1);
     const send = async (order: string | undefined): Promise<[number, string]> => {
         const headers = { "host": "survey.example", "x-id": "forged", ...(order && { "galenaglade-handover": order }) };
         const res = await request(`${fleet.edgeOf(0).peersUrl}/handover`, { method: "POST", headers, body: "filed" });
--- a/packages/edge/src/__tests__/firstReading.test.ts
+++ b/packages/edge/src/__tests__/initialSyncGate.test.ts
@@ -48,7 +48,7 @@
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
     registerServer(store, await startBackend(t, "b"));
-    store.partKeys = 2;
+    store.firstPartKeyCount = 2;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     assert.equal((await call(edge, "/tables/x")).body, "from a");
@@ -63,7 +63,7 @@
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
-    store.partKeys = 1;
+    store.firstPartKeyCount = 1;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const answer = call(edge, "/tables/x");
--- a/packages/edge/src/__tests__/surelyCurrent.test.ts
+++ b/packages/edge/src/__tests__/isStateFresh.test.ts
@@ -4,7 +4,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { StoreContact } from "../state/storeContact.js";
-import { isSurelyCurrent } from "../state/surelyCurrent.js";
+import { isStateFresh } from "../state/isStateFresh.js";
 import { EdgeLog } from "../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../telemetry/edgeMetrics.js";
 
@@ -26,18 +26,18 @@
     const view = new FleetView();
     view.markCurrentAsOf(nowMs - 2_001);
     view.onStoreContact(nowMs);
-    assert.equal(isSurelyCurrent(view, nowMs), false);
+    assert.equal(isStateFresh(view, nowMs), false);
     view.markCurrentAsOf(nowMs - 2_000);
-    assert.equal(isSurelyCurrent(view, nowMs), true);
+    assert.equal(isStateFresh(view, nowMs), true);
 });
 
 // Guards against a gateway that takes its relay's contact for the age of the relay's state.
 test("a relay's state is as old as the relay says, and of unknown age where it says nothing", () => {
     const view = new FleetView();
     const contact = createContact(view);
-    contact.onPassedOn({ ageMs: 0 });
-    contact.onPassedOn({ ageMs: 0, currentAgeMs: 2_500 });
-    assert.equal(isSurelyCurrent(view, nowMs), false);
-    contact.onPassedOn({ ageMs: 0, currentAgeMs: 1_500 });
-    assert.equal(isSurelyCurrent(view, nowMs), true);
+    contact.onRelayResponse({ ageMs: 0 });
+    contact.onRelayResponse({ ageMs: 0, currentAgeMs: 2_500 });
+    assert.equal(isStateFresh(view, nowMs), false);
+    contact.onRelayResponse({ ageMs: 0, currentAgeMs: 1_500 });
+    assert.equal(isStateFresh(view, nowMs), true);
 });
--- a/packages/edge/src/__tests__/largeChange.test.ts
+++ b/packages/edge/src/__tests__/largeChange.test.ts
@@ -4,9 +4,9 @@
 import { test } from "node:test";
 import { RelayServer, RelayFeed } from "../state/relayServer.js";
 import { WatchCheck } from "../state/watchCheck.js";
-import { readRelayAnswer } from "../state/relayClient.js";
+import { parseRelayResponse } from "../state/relayClient.js";
 import { StoreContact } from "../state/storeContact.js";
-import { StorePeek } from "../state/storePeek.js";
+import { RevisionReader } from "../state/revisionReader.js";
 import { createMetrics } from "@galenaglade/telemetry";
 import { createRandomSource } from "@galenaglade/routing";
 import { EdgeLog } from "../telemetry/edgeLog.js";
@@ -14,14 +14,14 @@
 import { MemoryStore } from "./support/memoryStore.js";
 
 class LargeFeed extends RelayFeed {
-    override readonly reachesStore = true;
+    override readonly isStoreReachable = true;
     override readonly ageMs = 0;
     override readonly currentAgeMs = 0;
     override readonly heardForMs = undefined;
-    override isReadingLarge = false;
+    override isReceivingLargeChange = false;
     changes: MirroredChanges = { revision: 1, changed: [], deleted: [] };
 
-    override onAsked(): void {
+    override onPeerRequest(): void {
         // Reads the store already.
     }
 
@@ -53,24 +53,24 @@
     const relay = new RelayServer(feed);
     const waiting = ask(relay, 600);
     assert.equal(waiting.status(), 0);
-    feed.isReadingLarge = true;
-    relay.onChange();
-    assert.equal(readRelayAnswer(waiting.status(), waiting.body()).swap().unsafeCoerce().kind, "bodyTooLarge");
-    feed.isReadingLarge = false;
+    feed.isReceivingLargeChange = true;
+    relay.onFeedChange();
+    assert.equal(parseRelayResponse(waiting.status(), waiting.body()).swap().unsafeCoerce().kind, "bodyTooLarge");
+    feed.isReceivingLargeChange = false;
     feed.changes = {
         revision: 2,
         changed: [{ key: "a", value: "x".repeat(30_000), modifiedRevision: 2 }],
         deleted: [],
     };
     const later = ask(relay, 600);
-    assert.equal(readRelayAnswer(later.status(), later.body()).swap().unsafeCoerce().kind, "bodyTooLarge");
+    assert.equal(parseRelayResponse(later.status(), later.body()).swap().unsafeCoerce().kind, "bodyTooLarge");
     feed.changes = {
         revision: 2,
         changed: [{ key: "a", value: "x".repeat(20_000), modifiedRevision: 2 }],
         deleted: [],
     };
     const small = ask(relay, 600);
-    assert.equal(readRelayAnswer(small.status(), small.body()).unsafeCoerce().changed.length, 1);
+    assert.equal(parseRelayResponse(small.status(), small.body()).unsafeCoerce().changed.length, 1);
 });
 
 // Guards against a watch that is given up for dead while its large answer arrives, again and again.
@@ -90,7 +90,7 @@
     let sentAtMs: number | undefined = clock.monotonicMs() - 100;
     const check = new WatchCheck({
         ...parts,
-        peek: new StorePeek(store, ""),
+        revisionReader: new RevisionReader(store, ""),
         contact: new StoreContact(parts),
         state: () => ({ afterRevision: 0, sentAtMs }),
     });
--- a/packages/edge/src/__tests__/cutCrashReports.test.ts
+++ b/packages/edge/src/__tests__/linkFaultCrashReports.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { CutFleet } from "./support/cutFleet.js";
+import { FaultyLinkFleet } from "./support/faultyLinkFleet.js";
 import { eventually } from "./support/testEdge.js";
 
 // Guards against a report to the whole fleet that requests end their servers, by a gateway that merely can't reach these.
 test("a gateway whose links are reset reports no crash of a server", async t => {
-    const fleet = await CutFleet.start(t, 3);
+    const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.serve = () => undefined;
     // Beside load some find no server in time; six are enough to have their content kept from all servers.
     const waiting = Array.from({ length: 18 }, () => fleet.send(0, "POST"));
--- a/packages/edge/src/__tests__/cutFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -2,9 +2,13 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { cutManners } from "./support/cutLinks.js";
-import { ReachFleet, type ReachFleetSize, type ReachGateway } from "./support/simulatedReach.js";
-import { VirtualTime } from "./support/virtualTime.js";
+import { linkFaults } from "./support/faultyLinks.js";
+import {
+    SimulatedReachFleet,
+    type SimulatedReachFleetSize,
+    type SimulatedReachGateway,
+} from "./support/simulatedReachFleet.js";
+import { VirtualClock } from "./support/virtualClock.js";
 
 /** What the users' platform allows. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
@@ -24,13 +28,13 @@
 }
 
 interface Cut {
-    readonly gateways: readonly ReachGateway[];
+    readonly gateways: readonly SimulatedReachGateway[];
     readonly lengthMs: number;
     readonly flapMs: number | undefined;
 }
 
 /** Draws which gateways are cut off: one, some, a whole zone, most or all. */
-function drawCut(fleet: ReachFleet, random: RandomSource): Cut {
+function drawCut(fleet: SimulatedReachFleet, random: RandomSource): Cut {
     const { gateways, size } = fleet;
     const kind = Math.floor(random.next() * 5);
     const share = [1 / gateways.length, 0.3, 0, 0.8, 1][kind] ?? 1;
@@ -45,12 +49,12 @@
     };
 }
 
-async function run(time: VirtualTime, seed: number, size: ReachFleetSize): Promise<Run> {
+async function run(time: VirtualClock, seed: number, size: SimulatedReachFleetSize): Promise<Run> {
     const random = createRandomSource(seed);
-    const fleet = new ReachFleet(time, random, size);
+    const fleet = new SimulatedReachFleet(time, random, size);
     fleet.start();
-    await time.pass(calmMs + random.next() * 500);
-    const manner = cutManners[Math.floor(random.next() * cutManners.length)] ?? "hang";
+    await time.advance(calmMs + random.next() * 500);
+    const manner = linkFaults[Math.floor(random.next() * linkFaults.length)] ?? "hang";
     const { gateways, lengthMs, flapMs } = drawCut(fleet, random);
     const dies = fleet.gateways.filter(() => random.next() < 0.1);
     const deadServers = Math.floor(random.next() * random.next() * size.servers * 0.4);
@@ -67,7 +71,7 @@
     if (flapMs !== undefined) {
         const flap = (): void => {
             if (time.monotonicMs() < endsAtMs) {
-                gateways.forEach(gateway => (gateway.manner = gateway.manner === undefined ? manner : undefined));
+                gateways.forEach(gateway => (gateway.fault = gateway.fault === undefined ? manner : undefined));
                 setTimeout(flap, flapMs);
             }
         };
@@ -77,7 +81,7 @@
     let samples = 0;
     const canBeHelped = fleet.gateways.some(gateway => !gateways.includes(gateway) && !dies.includes(gateway));
     while (time.monotonicMs() < endsAtMs + regainedWithinMs + 1_000) {
-        await time.pass(sampleMs);
+        await time.advance(sampleMs);
         const nowMs = time.monotonicMs();
         if (nowMs >= endsAtMs && nowMs < endsAtMs + sampleMs) {
             gateways.forEach(gateway => fleet.restore(gateway));
@@ -95,18 +99,18 @@
         }
     }
     fleet.stop();
-    await time.pass(3_000);
+    await time.advance(3_000);
     const violations = canBeHelped ? checkCutGateways(fleet.history, bounds) : [];
     time.clear();
-    return { violations, wrong, samples, handedOver: fleet.handedOver };
+    return { violations, wrong, samples, handedOver: fleet.handoverCount };
 }
 
-const small: ReachFleetSize = { gateways: 15, zones: 3, servers: 12, requestsPerSecond: 6, askEachOther: true };
+const small: SimulatedReachFleetSize = { gateways: 15, zones: 3, servers: 12, requestsPerSecond: 6, peersAnswer: true };
 const worlds = Number(process.env["CUT_WORLDS"] ?? 120);
 
 // Guards against a host that refuses its callers, or burdens others, by a wrong belief of what it reaches.
 test("callers of cut gateways are served whatever is cut, in which manner and for how long", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     const random = createRandomSource(7);
     let wrong = 0;
     let samples = 0;
@@ -127,7 +131,7 @@
 // Guards against fleets in which those that are cut off find none of the few that aren't.
 for (const [gateways, seeds] of [[131, 4], [312, 2]] as const) {
     test(`callers of cut gateways are served in a fleet of ${gateways}`, async t => {
-        const time = VirtualTime.install(t);
+        const time = VirtualClock.install(t);
         for (let seed = 1; seed <= seeds; seed++) {
             const size = { ...small, gateways, servers: 60, requestsPerSecond: 3 };
             const { violations } = await run(time, seed, size);
@@ -138,10 +142,10 @@
 
 // Guards against a check that can't fail: without other gateways' word the same draws break the rule.
 test("without the word of other gateways callers of cut gateways are not served", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     let broken = 0;
     for (let seed = 1; seed <= 20; seed++) {
-        const { violations } = await run(time, seed, { ...small, askEachOther: false });
+        const { violations } = await run(time, seed, { ...small, peersAnswer: false });
         broken += violations.length;
     }
     assert.ok(broken >= 5, `${broken} of 20 runs broke the rule`);
--- a/packages/edge/src/__tests__/cutFromServers.test.ts
+++ b/packages/edge/src/__tests__/linkFaults.test.ts
@@ -1,17 +1,17 @@
 import { checkCutGateways } from "@galenaglade/history";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CutFleet } from "./support/cutFleet.js";
-import { cutManners } from "./support/cutLinks.js";
+import { FaultyLinkFleet } from "./support/faultyLinkFleet.js";
+import { linkFaults } from "./support/faultyLinks.js";
 
 /** What the users' platform allows. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 const cutMs = 5_000;
 
 // Guards against a host that takes callers for as long as it reaches no backend server, and refuses each of them.
-for (const manner of cutManners) {
+for (const manner of linkFaults) {
     test(`callers of gateways that are cut off from all servers are served like the others' (${manner})`, async t => {
-        const fleet = await CutFleet.start(t, 4);
+        const fleet = await FaultyLinkFleet.start(t, 4);
         await fleet.sendFor(500, 10);
         fleet.cut(0, manner);
         fleet.cut(1, manner);
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import { SimulatedFleet, type SimulatedGateway } from "./support/simulatedGateways.js";
 import { createConfiguration } from "./support/testEdge.js";
-import { TroubledStore } from "./support/troubledStore.js";
-import { VirtualTime } from "./support/virtualTime.js";
+import { FaultyStore } from "./support/faultyStore.js";
+import { VirtualClock } from "./support/virtualClock.js";
 
 /** What the users' platform allows from the store's answer to a server that begins to leave. */
 const allowedMs = 2_500;
@@ -72,16 +72,20 @@
 
 /** Gateways of which a third is cut off from all others and from the store. */
 class PartitionWorld {
-    readonly #time: VirtualTime;
-    readonly #store: TroubledStore;
+    readonly #time: VirtualClock;
+    readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     readonly #random: RandomSource;
     #started = 0;
 
-    constructor(time: VirtualTime, random: RandomSource, size: { readonly gateways: number; readonly zones: number; }) {
+    constructor(
+        time: VirtualClock,
+        random: RandomSource,
+        size: { readonly gateways: number; readonly zones: number; },
+    ) {
         this.#time = time;
         this.#random = random;
-        this.#store = new TroubledStore(time, random);
+        this.#store = new FaultyStore(time, random);
         this.#store.put("configuration", createConfiguration(1));
         this.#fleet = new SimulatedFleet(time, this.#store, random, size);
         for (const gateway of this.#fleet.gateways) {
@@ -93,7 +97,7 @@
     async drain(trouble: Trouble): Promise<readonly Seen[]> {
         const { drains, cutMs, troubledAfterMs, troubledMs } = trouble;
         const ids = drains.map(() => this.#startServer());
-        await this.#time.pass(serversSettleMs);
+        await this.#time.advance(serversSettleMs);
         const startMs = this.#time.monotonicMs();
         const cut = this.#cutOff(trouble.together);
         setTimeout(() => this.#reconnect(cut), cutMs);
@@ -108,7 +112,7 @@
         const lastUsableMs = new Map<string, number>();
         const untilMs = startMs + Math.max(cutMs, troubledAfterMs + troubledMs) + afterMs;
         while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.pass(sampleMs);
+            await this.#time.advance(sampleMs);
             for (const { name, view } of this.#fleet.gateways) {
                 for (const id of ids) {
                     if (view.isUsable(id, this.#time.monotonicMs())) {
@@ -136,21 +140,21 @@
      */
     async lapse({ awayMs, cutMs, together }: { awayMs: number; cutMs: number; together: boolean; }): Promise<number> {
         const ids = Array.from({ length: drainsPerTrouble }, () => this.#startServer());
-        await this.#time.pass(serversSettleMs);
+        await this.#time.advance(serversSettleMs);
         const cut = this.#cutOff(together);
         setTimeout(() => this.#reconnect(cut), cutMs);
-        this.#store.leave("silent");
+        this.#store.startFault("silent");
         setTimeout(() => {
             for (const id of ids) {
                 this.#store.delete(`servers/${id}`);
                 setTimeout(() => this.#put(id, "ready"), this.#random.next() * rewriteMs);
             }
-            this.#store.return(false);
+            this.#store.endFault(false);
         }, awayMs);
         let givenUp = 0;
         const untilMs = this.#time.monotonicMs() + Math.max(awayMs, cutMs) + afterMs;
         while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.pass(sampleMs);
+            await this.#time.advance(sampleMs);
             for (const { view } of this.#fleet.gateways) {
                 givenUp += ids.filter(id => !view.isUsable(id, this.#time.monotonicMs())).length;
             }
@@ -191,23 +195,23 @@
     #troubleStore({ troubledAfterMs, troubledMs, watches, losesHistory, staleMs }: Trouble): void {
         const store = this.#store;
         const loseHistory = (): void => {
-            store.historyFrom = losesHistory ? store.engine.revision : store.historyFrom;
+            store.compactRevision = losesHistory ? store.engine.revision : store.compactRevision;
         };
         setTimeout(() => {
-            store.staleMs = staleMs;
+            store.stalenessMs = staleMs;
             loseHistory();
             if (watches === "dead") {
                 store.silenceWatches();
             }
             else {
-                store.watched = store.engine.freeze();
+                store.watchSnapshot = store.engine.freeze();
             }
         }, troubledAfterMs);
         setTimeout(() => {
-            store.staleMs = 0;
-            store.watched = undefined;
+            store.stalenessMs = 0;
+            store.watchSnapshot = undefined;
             loseHistory();
-            store.wake();
+            store.notifyWatches();
         }, troubledAfterMs + troubledMs);
     }
 
@@ -270,7 +274,7 @@
 // store, and the missing entry for one that lapsed in it.
 for (const { lives, troubles, ...size } of sizes) {
     test(`after a cut, ${size.gateways} gateways know in time which servers leave, also those that are gone by then`, async t => {
-        const time = VirtualTime.install(t);
+        const time = VirtualClock.install(t);
         let latest: { readonly seen: Seen; readonly trouble: Trouble; readonly where: string; } | undefined;
         let count = 0;
         let overBound = 0;
@@ -279,7 +283,7 @@
             const seed = size.gateways * 10_000 + life;
             const random = createRandomSource(seed);
             const world = new PartitionWorld(time, createRandomSource(seed + 1), size);
-            await time.pass(settleMs);
+            await time.advance(settleMs);
             for (let i = 0; i < troubles; i++) {
                 const trouble = drawTrouble(random);
                 for (const seen of await world.drain(trouble)) {
@@ -307,11 +311,11 @@
 // Guards against servers that live and are given up after a real outage, because a gateway that was cut off as well, or that found the
 // store early, says that nothing was away.
 test("after an outage of the store, servers whose entries lapsed are believed by gateways that were cut off, too", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     for (let life = 0; life < 20 * more; life++) {
         const random = createRandomSource(life);
         const world = new PartitionWorld(time, createRandomSource(life), { gateways: 13, zones: 3 });
-        await time.pass(settleMs);
+        await time.advance(settleMs);
         for (let i = 0; i < 2; i++) {
             const awayMs = 3_000 + random.next() * 6_000;
             const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -3,7 +3,7 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { crashPath, crashReturnPath, CrashingServers } from "./support/crashingServers.js";
-import { LinkedStore } from "./support/linkedStore.js";
+import { StoreLink } from "./support/storeLink.js";
 import { MemoryStore } from "./support/memoryStore.js";
 import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
 
@@ -14,7 +14,7 @@
     readonly store: MemoryStore;
     readonly servers: CrashingServers;
     readonly edges: readonly TestEdge[];
-    readonly links: readonly LinkedStore[];
+    readonly links: readonly StoreLink[];
 }
 
 /** Gateways over one store, before servers that end under one path. */
@@ -30,9 +30,9 @@
         await dying.start();
     }
     const edges: TestEdge[] = [];
-    const links: LinkedStore[] = [];
+    const links: StoreLink[] = [];
     for (let i = 0; i < gateways; i++) {
-        const link = new LinkedStore(store);
+        const link = new StoreLink(store);
         links.push(link);
         edges.push(await startEdge(t, link, { ...settings, name: `edge-${i}` }));
     }
@@ -104,8 +104,8 @@
     await whenQuarantined(fleet);
     const endedBefore = fleet.servers.crashCount;
     await at(fleet.edges, 0).stop();
-    const restarted = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-0" });
-    const added = await startEdge(t, new LinkedStore(fleet.store), { name: "edge-new" });
+    const restarted = await startEdge(t, new StoreLink(fleet.store), { name: "edge-0" });
+    const added = await startEdge(t, new StoreLink(fleet.store), { name: "edge-new" });
     for (const edge of [restarted, added]) {
         await waitUntilReady(edge);
         assert.equal((await fleet.servers.send(edge, crashPath)).status, 503);
--- a/packages/edge/src/__tests__/relay.test.ts
+++ b/packages/edge/src/__tests__/relay.test.ts
@@ -3,13 +3,13 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import { LinkedStore } from "./support/linkedStore.js";
+import { StoreLink } from "./support/storeLink.js";
 import { MemoryStore } from "./support/memoryStore.js";
 import { createConfiguration, eventually, startEdge, type TestEdge, waitUntilReady } from "./support/testEdge.js";
 
 interface Member {
     readonly edge: TestEdge;
-    readonly link: LinkedStore;
+    readonly link: StoreLink;
 }
 
 interface TestFleet {
@@ -30,7 +30,7 @@
     store.put("configuration", createConfiguration(1));
     const members: Member[] = [];
     for (let i = 0; i < count; i++) {
-        const link = new LinkedStore(store);
+        const link = new StoreLink(store);
         const edge = await startEdge(t, link, { name: `edge-${i}` });
         await waitUntilReady(edge);
         members.push({ edge, link });
--- a/packages/edge/src/__tests__/contact.test.ts
+++ b/packages/edge/src/__tests__/relayContact.test.ts
@@ -3,18 +3,18 @@
 import { createServer } from "node:http";
 import { type AddressInfo } from "node:net";
 import { test, type TestContext } from "node:test";
-import { RelayClient } from "../state/relayClient.js";
+import { HttpRelayClient } from "../state/relayClient.js";
 import { RelayFeed, RelayServer } from "../state/relayServer.js";
 
 class TestFeed extends RelayFeed {
-    override readonly reachesStore = false;
+    override readonly isStoreReachable = false;
     override readonly ageMs = 0;
     override readonly currentAgeMs = undefined;
-    override readonly isReadingLarge = false;
+    override readonly isReceivingLargeChange = false;
     override heardForMs: number | undefined = 1_234;
     questions = 0;
 
-    override onAsked(): void {
+    override onPeerRequest(): void {
         this.questions++;
     }
 
@@ -37,7 +37,7 @@
 // Guards against a question that makes the gateway asked read the store: after an outage the whole fleet would watch it at once.
 test("a gateway says for how long it has heard the store, and reads nothing for it", async t => {
     const feed = new TestFeed();
-    const heard = await new RelayClient().askContact(await serve(t, feed));
+    const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
     assert.equal(heard.extract(), 1_234);
     assert.equal(feed.questions, 0);
 });
@@ -45,11 +45,11 @@
 test("a gateway that can't vouch for the store doesn't", async t => {
     const feed = new TestFeed();
     feed.heardForMs = undefined;
-    const heard = await new RelayClient().askContact(await serve(t, feed));
+    const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
     assert.ok(heard.isLeft());
 });
 
 test("a gateway that is gone vouches for nothing", async () => {
-    const heard = await new RelayClient().askContact({ host: "127.0.0.1", port: 1 });
+    const heard = await new HttpRelayClient().fetchStoreContactMs({ host: "127.0.0.1", port: 1 });
     assert.ok(heard.isLeft());
 });
--- a/packages/edge/src/__tests__/storeReturn.test.ts
+++ b/packages/edge/src/__tests__/storeOutages.test.ts
@@ -1,11 +1,11 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { isSurelyCurrent } from "../state/surelyCurrent.js";
+import { isStateFresh } from "../state/isStateFresh.js";
 import { SimulatedFleet, type SimulatedGateway } from "./support/simulatedGateways.js";
 import { createConfiguration } from "./support/testEdge.js";
-import { type Absence, TroubledStore } from "./support/troubledStore.js";
-import { VirtualTime } from "./support/virtualTime.js";
+import { type StoreFault, FaultyStore } from "./support/faultyStore.js";
+import { VirtualClock } from "./support/virtualClock.js";
 
 /** What the users' platform allows from the store's answer to the operator. */
 const inForceWithinMs = 2_000;
@@ -19,13 +19,13 @@
 const readsPerSecond = 2_000;
 const writesPerSecond = 400;
 
-const manners: readonly Absence[] = ["silent", "reset", "busy", "refusing", "slow"];
+const manners: readonly StoreFault[] = ["silent", "reset", "busy", "refusing", "slow"];
 const relayTroubles = ["none", "none", "dies", "cutOff", "returns"] as const;
 
 interface Outage {
     /** Until it begins. */
     readonly calmMs: number;
-    readonly how: Absence | "watchesSilent";
+    readonly how: StoreFault | "watchesSilent";
     readonly awayMs: number;
     readonly lapses: boolean;
     readonly losesHistory: boolean;
@@ -73,14 +73,18 @@
 
 /** Gateways over a store that is away again and again. */
 class OutageWorld {
-    readonly #time: VirtualTime;
-    readonly #store: TroubledStore;
+    readonly #time: VirtualClock;
+    readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     #version = 1;
 
-    constructor(time: VirtualTime, random: RandomSource, size: { readonly gateways: number; readonly zones: number; }) {
+    constructor(
+        time: VirtualClock,
+        random: RandomSource,
+        size: { readonly gateways: number; readonly zones: number; },
+    ) {
         this.#time = time;
-        this.#store = new TroubledStore(time, random);
+        this.#store = new FaultyStore(time, random);
         this.#putVersion(1);
         this.#fleet = new SimulatedFleet(time, this.#store, random, size);
         for (const gateway of this.#fleet.gateways) {
@@ -91,36 +95,36 @@
     /** @returns how long after its acknowledgement a version was in force with the last gateway that is well */
     async play(outage: Outage): Promise<Measured> {
         const store = this.#store;
-        await this.#time.pass(outage.calmMs);
+        await this.#time.advance(outage.calmMs);
         const relay = this.#findRelay();
-        const priceBefore = store.calls.price;
+        const priceBefore = store.calls.cost;
         const revision = store.engine.revision;
         const awayPrice = await this.#stayAway(outage, relay);
         if (outage.staleMs !== undefined) {
-            store.staleRevision = revision;
-            setTimeout(() => store.staleRevision = undefined, outage.staleMs);
+            store.pinnedReadRevision = revision;
+            setTimeout(() => store.pinnedReadRevision = undefined, outage.staleMs);
         }
         if (outage.losesHistory) {
-            store.historyFrom = store.engine.revision;
+            store.compactRevision = store.engine.revision;
         }
-        store.return(outage.lapses);
+        store.endFault(outage.lapses);
         if (outage.relay === "dies") {
-            relay?.die();
+            relay?.powerOff();
         }
         if (relay !== undefined) {
             relay.link.cut = outage.relay === "cutOff";
         }
         const returnedAtMs = this.#time.monotonicMs();
         const { reads, writes } = store.calls;
-        await this.#time.pass(outage.ackedAfterMs);
+        await this.#time.advance(outage.ackedAfterMs);
         const ackedAtMs = this.#time.monotonicMs();
         for (let i = 0; i < outage.versions; i++) {
             this.#putVersion(this.#version + 1);
         }
-        await this.#time.pass(Math.max(0, returnedAtMs + herdMs - ackedAtMs));
+        await this.#time.advance(Math.max(0, returnedAtMs + herdMs - ackedAtMs));
         const herd = { reads: store.calls.reads - reads, writes: store.calls.writes - writes, awayPrice };
         const wrongDenials = await this.#countWrongDenials(ackedAtMs);
-        const price = store.calls.price - priceBefore;
+        const price = store.calls.cost - priceBefore;
         const measured = { ...this.#findLatest(ackedAtMs), ...herd, price, wrongDenials };
         if (relay !== undefined) {
             relay.link.cut = false;
@@ -140,9 +144,9 @@
         for (let nowMs = this.#time.monotonicMs(); nowMs < untilMs; nowMs = this.#time.monotonicMs()) {
             for (const { isDead, view, inForceAtMs } of this.#fleet.gateways) {
                 const isLate = nowMs > ackedAtMs + inForceWithinMs && !inForceAtMs.has(this.#version);
-                wrong += !isDead && isLate && isSurelyCurrent(view, nowMs) ? 1 : 0;
+                wrong += !isDead && isLate && isStateFresh(view, nowMs) ? 1 : 0;
             }
-            await this.#time.pass(lookMs);
+            await this.#time.advance(lookMs);
         }
         return wrong;
     }
@@ -153,14 +157,14 @@
             this.#store.silenceWatches();
         }
         else {
-            this.#store.leave(how);
+            this.#store.startFault(how);
         }
         if (trouble === "returns" && relay !== undefined) {
             relay.link.cut = true;
         }
-        const { price } = this.#store.calls;
-        await this.#time.pass(awayMs);
-        return this.#store.calls.price - price;
+        const { cost } = this.#store.calls;
+        await this.#time.advance(awayMs);
+        return this.#store.calls.cost - cost;
     }
 
     /** A gateway that others ask, or the only one. */
@@ -205,7 +209,7 @@
 // Guards against a gateway that hears of changes too late after the store was away, because a call that was lost is still waited for.
 for (const { lives, outages, ...size } of sizes) {
     test(`after any outage of the store, changes are in force with ${size.gateways} gateways in time`, async t => {
-        const time = VirtualTime.install(t);
+        const time = VirtualClock.install(t);
         let worstMs = 0;
         let mostReads = 0;
         let awayPrice = 0;
@@ -214,7 +218,7 @@
             const seed = size.gateways * 10_000 + life;
             const random = createRandomSource(seed);
             const world = new OutageWorld(time, createRandomSource(seed), size);
-            await time.pass(settleMs);
+            await time.advance(settleMs);
             for (let i = 0; i < outages; i++) {
                 const outage = drawOutage(random);
                 const { latestMs, who, reads, writes, ...rest } = await world.play(outage);
@@ -240,11 +244,11 @@
 
 // Guards against a gateway that, as the store is found again, waits once more for two relays that are dead.
 test("dead relays are waited for once", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     const seed = 130_365;
     const random = createRandomSource(seed);
     const world = new OutageWorld(time, createRandomSource(seed), { gateways: 13, zones: 3 });
-    await time.pass(settleMs);
+    await time.advance(settleMs);
     for (let i = 0; i < 5; i++) {
         const outage = drawOutage(random);
         const { latestMs, who } = await world.play(outage);
@@ -255,11 +259,11 @@
 
 // Guards against a probe or a check that is believed where it is older than what the gateway knows.
 test("readings that are older than the outage put off no change", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     for (let life = 0; life < 10; life++) {
         const random = createRandomSource(life);
         const world = new OutageWorld(time, random, { gateways: 13, zones: 3 });
-        await time.pass(settleMs);
+        await time.advance(settleMs);
         const outage: Outage = {
             ...drawOutage(random),
             how: "silent",
@@ -290,13 +294,13 @@
 // Guards against a watch whose connection went silent, where a check that shows nothing missing rests on a reading older than the change.
 for (const { lives, outages, ...size } of staleSizes) {
     test(`a silent watch delays no change with ${size.gateways} gateways, however old cheap readings are`, async t => {
-        const time = VirtualTime.install(t);
+        const time = VirtualClock.install(t);
         let worstMs = 0;
         for (let life = 0; life < lives * more; life++) {
             const seed = size.gateways * 20_000 + life;
             const random = createRandomSource(seed);
             const world = new OutageWorld(time, createRandomSource(seed), size);
-            await time.pass(settleMs);
+            await time.advance(settleMs);
             for (let i = 0; i < outages; i++) {
                 const outage = drawStaleOutage(random);
                 const { latestMs, who } = await world.play(outage);
@@ -312,12 +316,12 @@
 
 // Guards against a 404 or 401 by a gateway that heard the store lately and can't know that the route or key isn't there.
 test("a gateway that may lack a change denies no route", async t => {
-    const time = VirtualTime.install(t);
+    const time = VirtualClock.install(t);
     const size = { gateways: 13, zones: 3 };
     for (let life = 0; life < 40 * more; life++) {
         const random = createRandomSource(size.gateways * 30_000 + life);
         const world = new OutageWorld(time, random, size);
-        await time.pass(settleMs);
+        await time.advance(settleMs);
         const outage = drawStaleOutage(random);
         const { wrongDenials, who } = await world.play(outage);
         assert.equal(wrongDenials, 0, `life ${life}: ${describe(outage, who)}`);
--- a/packages/edge/src/__tests__/storeRestored.test.ts
+++ b/packages/edge/src/__tests__/storeRestored.test.ts
@@ -4,8 +4,8 @@
 import { test } from "node:test";
 import { SimulatedFleet, type SimulatedGateway } from "./support/simulatedGateways.js";
 import { createConfiguration } from "./support/testEdge.js";
-import { type Absence, TroubledStore } from "./support/troubledStore.js";
-import { VirtualTime } from "./support/virtualTime.js";
+import { type StoreFault, FaultyStore } from "./support/faultyStore.js";
+import { VirtualClock } from "./support/virtualClock.js";
 
 /** What the users' platform allows from the store's answer. */
 const inForceWithinMs = 2_000;
@@ -26,11 +26,11 @@
 const writesPerSecond = 400;
 const serverCount = 12;
 const zones = ["zone-0", "zone-1", "zone-2"];
-const manners: readonly Absence[] = ["silent", "reset", "busy", "refusing"];
+const manners: readonly StoreFault[] = ["silent", "reset", "busy", "refusing"];
 
 /** The store is away and comes back from an older copy. */
 interface Drill {
-    readonly how: Absence;
+    readonly how: StoreFault;
     readonly awayMs: number;
     readonly copyMs: number;
     /** Changes by operators and servers in the time before. */
@@ -69,9 +69,9 @@
 
 /** Gateways, operators and servers over a store that comes back from older copies. */
 class DrillWorld {
-    readonly #time: VirtualTime;
+    readonly #time: VirtualClock;
     readonly #random: RandomSource;
-    readonly #store: TroubledStore;
+    readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     readonly #acknowledged = new Map<string, Acknowledged>();
     /** What operators and servers hold to be written, by key; `undefined` where it was deleted. */
@@ -80,10 +80,14 @@
     #returnedAtMs = -Infinity;
     #revisionOfServers = 0;
 
-    constructor(time: VirtualTime, random: RandomSource, size: { readonly gateways: number; readonly zones: number; }) {
+    constructor(
+        time: VirtualClock,
+        random: RandomSource,
+        size: { readonly gateways: number; readonly zones: number; },
+    ) {
         this.#time = time;
         this.#random = random;
-        this.#store = new TroubledStore(time, random);
+        this.#store = new FaultyStore(time, random);
         this.#putVersion();
         for (let i = 0; i < serverCount; i++) {
             this.#putServer(`s${i}`, "ready");
@@ -97,20 +101,20 @@
     async play(
         drill: Drill,
     ): Promise<{ readonly findings: readonly Finding[]; readonly reads: number; readonly writes: number; }> {
-        await this.#time.pass(4_000);
+        await this.#time.advance(4_000);
         for (let i = 0; i < drill.changes; i++) {
-            await this.#time.pass(this.#random.next() * 600);
+            await this.#time.advance(this.#random.next() * 600);
             this.#change();
         }
-        await this.#time.pass(500);
-        this.#store.leave(drill.how);
-        await this.#time.pass(drill.awayMs);
+        await this.#time.advance(500);
+        this.#store.startFault(drill.how);
+        await this.#time.advance(drill.awayMs);
         const relay = this.#findRelay();
         this.#noteUnheard(this.#time.monotonicMs());
-        const lost = this.#store.restore(drill.copyMs);
-        this.#store.return(false);
+        const lost = this.#store.restoreBackup(drill.copyMs);
+        this.#store.endFault(false);
         if (drill.relayDies) {
-            relay?.die();
+            relay?.powerOff();
         }
         const { reads, writes } = this.#store.calls;
         this.#writeAgain(lost);
@@ -124,7 +128,7 @@
             if (nowMs <= startMs + herdMs) {
                 herd = { reads: this.#store.calls.reads - reads, writes: this.#store.calls.writes - writes };
             }
-            await this.#time.pass(lookMs);
+            await this.#time.advance(lookMs);
         }
         return { findings: [...findings.values()], ...herd };
     }
@@ -271,14 +275,14 @@
 // Guards against changes that are missed, or forgotten, where the store comes back from an older copy and counts its revisions from there again.
 for (const { lives, drills, ...size } of sizes) {
     test(`where the store comes back from an older copy, ${size.gateways} gateways keep what was acknowledged`, async t => {
-        const time = VirtualTime.install(t);
+        const time = VirtualClock.install(t);
         let mostReads = 0;
         let mostWrites = 0;
         for (let life = 0; life < lives * more; life++) {
             const seed = size.gateways * 40_000 + life;
             const random = createRandomSource(seed);
             const world = new DrillWorld(time, createRandomSource(seed), size);
-            await time.pass(settleMs);
+            await time.advance(settleMs);
             for (let i = 0; i < drills; i++) {
                 const drill = drawDrill(random);
                 const { findings, reads, writes } = await world.play(drill);
--- a/packages/edge/src/__tests__/support/cutFleet.ts
+++ b/packages/edge/src/__tests__/support/faultyLinkFleet.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { CutLinks, type CutManner } from "./cutLinks.js";
+import { FaultyLinks, type LinkFault } from "./faultyLinks.js";
 import { MemoryStore } from "./memoryStore.js";
 import { RecordedServers } from "./recordedServers.js";
 import {
@@ -20,7 +20,7 @@
 const workMs = 30;
 
 /** Gateways whose links to all backend servers the test cuts, and the history of what their callers sent and got. */
-export class CutFleet extends RecordedServers {
+export class FaultyLinkFleet extends RecordedServers {
     readonly backends: TestBackend[] = [];
     /** What servers do with a request; they answer it after a while unless the test says otherwise. */
     serve: (req: RawRequest, server: string) => void = (req, server) => {
@@ -30,26 +30,26 @@
         );
     };
     #edges: readonly TestEdge[] = [];
-    #links: readonly CutLinks[] = [];
+    #links: readonly FaultyLinks[] = [];
 
     get edges(): readonly TestEdge[] {
         return this.#edges;
     }
 
     /** @returns the fleet, once its gateways know each other */
-    static async start(t: TestContext, gateways: number, servers = 4): Promise<CutFleet> {
+    static async start(t: TestContext, gateways: number, servers = 4): Promise<FaultyLinkFleet> {
         const store = new MemoryStore();
         store.put("configuration", createConfiguration(1));
-        const fleet = new CutFleet(t, store);
+        const fleet = new FaultyLinkFleet(t, store);
         for (let i = 0; i < servers; i++) {
             await fleet.#startServer(`server-${i}`);
         }
-        fleet.#links = Array.from({ length: gateways }, () => new CutLinks());
+        fleet.#links = Array.from({ length: gateways }, () => new FaultyLinks());
         fleet.#edges = await startEdges(t, store, gateways, fleet.#links);
         return fleet;
     }
 
-    linksOf(gateway: number): CutLinks {
+    linksOf(gateway: number): FaultyLinks {
         const links = this.#links[gateway];
         assert.ok(links);
         return links;
@@ -61,7 +61,7 @@
         return edge;
     }
 
-    cut(gateway: number, manner: CutManner): void {
+    cut(gateway: number, manner: LinkFault): void {
         this.record({ type: "gatewayCutFromServers", gateway: this.edgeOf(gateway).name });
         this.linksOf(gateway).cut(manner);
     }
--- a/packages/edge/src/__tests__/support/cutLinks.ts
+++ b/packages/edge/src/__tests__/support/faultyLinks.ts
@@ -5,7 +5,7 @@
 import { connectTimeoutMs } from "../../constants.js";
 
 /** What becomes of a gateway's connections to all backend servers. */
-export type CutManner =
+export type LinkFault =
     /** Nothing passes, and new connections are not answered. */
     | "hang"
     /** Open connections are reset, and new ones refused. */
@@ -19,7 +19,7 @@
     /** Nothing passes from the servers. */
     | "oneWayBack";
 
-export const cutManners: readonly CutManner[] = [
+export const linkFaults: readonly LinkFault[] = [
     "hang",
     "reset",
     "refuseNew",
@@ -34,20 +34,20 @@
 }
 
 /** Links to backend servers that a test cuts and restores. */
-export class CutLinks extends ServerConnector {
+export class FaultyLinks extends ServerConnector {
     readonly #direct = new DirectConnector();
     readonly #sockets = new Set<Socket>();
     readonly #held: HeldSocket[] = [];
-    #manner: CutManner | undefined;
+    #manner: LinkFault | undefined;
     /** Sockets opened so far. */
-    opened = 0;
+    openedCount = 0;
 
     override connect(address: ServerAddress, onOpened: OnConnected): void {
         const manner = this.#manner;
         if (manner === undefined) {
             this.#direct.connect(address, opened => {
                 if (!(opened instanceof Error)) {
-                    this.opened++;
+                    this.openedCount++;
                     this.#sockets.add(opened);
                     opened.once("close", () => this.#sockets.delete(opened));
                 }
@@ -62,7 +62,7 @@
         setImmediate(() => onOpened(createError("ECONNREFUSED", "connect")));
     }
 
-    cut(manner: CutManner): void {
+    cut(manner: LinkFault): void {
         this.#manner = manner;
         for (const socket of this.#sockets) {
             if (manner === "reset") {
--- a/packages/edge/src/__tests__/support/troubledStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -12,10 +12,10 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { KeyValueEngine } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
-import { type VirtualTime } from "./virtualTime.js";
+import { type VirtualClock } from "./virtualClock.js";
 
 /** How the store is away. */
-export type Absence = "silent" | "reset" | "busy" | "refusing" | "slow";
+export type StoreFault = "silent" | "reset" | "busy" | "refusing" | "slow";
 
 /** Whole time of a call besides a watch's wait, as the platform's client has it, in milliseconds. */
 const callTimeoutMs = 800;
@@ -25,30 +25,30 @@
 const oldestCopyMs = 40_000;
 
 /** What all gateways' calls together were. */
-export interface CallCount {
+export interface CallCounts {
     /** As the store charges them: a renewal and a reading that may be stale cost a tenth. */
-    price: number;
+    cost: number;
     writes: number;
     reads: number;
 }
 
 /** A store that several gateways share, on virtual time, with the ways in which it may be away. */
-export class TroubledStore {
+export class FaultyStore {
     #engine = new KeyValueEngine();
     /** How often the store came back from an older copy; told with each answer. */
     term = 1;
-    readonly time: VirtualTime;
+    readonly clock: VirtualClock;
     readonly random: RandomSource;
-    absence: Absence | undefined;
+    fault: StoreFault | undefined;
     /** Watches of before find that their history is gone. */
-    historyFrom = 0;
+    compactRevision = 0;
     /** What readings that may be stale tell; `undefined` while they are current. */
-    staleRevision: number | undefined;
+    pinnedReadRevision: number | undefined;
     /** How old readings that may be stale are, in milliseconds. */
-    staleMs = 0;
+    stalenessMs = 0;
     /** What watches see in place of the present state: it is held back from them. */
-    watched: KeyValueEngine | undefined;
-    readonly calls: CallCount = { price: 0, writes: 0, reads: 0 };
+    watchSnapshot: KeyValueEngine | undefined;
+    readonly calls: CallCounts = { cost: 0, writes: 0, reads: 0 };
     readonly #waiting = new Set<() => void>();
     /** The store as it was after each change of the last while, oldest first. */
     #copies: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
@@ -56,8 +56,8 @@
     /** Since when the store has had each of its latest revisions. */
     #revisions: readonly { readonly atMs: number; readonly revision: number; }[] = [];
 
-    constructor(time: VirtualTime, random: RandomSource) {
-        this.time = time;
+    constructor(time: VirtualClock, random: RandomSource) {
+        this.clock = time;
         this.random = random;
     }
 
@@ -66,9 +66,9 @@
     }
 
     /** The store goes on from what it was so long ago; what was written since is gone. @returns the keys that were written or deleted since */
-    restore(ageMs: number): readonly string[] {
+    restoreBackup(ageMs: number): readonly string[] {
         const lost = this.#engine;
-        const fromMs = this.time.monotonicMs() - ageMs;
+        const fromMs = this.clock.monotonicMs() - ageMs;
         const copy = this.#copies.findLast(({ atMs }) => atMs <= fromMs) ?? this.#copies[0];
         if (copy === undefined) {
             return [];
@@ -76,23 +76,23 @@
         this.#engine = copy.engine.copy();
         this.#copies = this.#copies.filter(({ atMs }) => atMs <= copy.atMs);
         this.term++;
-        this.wake();
-        const nowMs = this.time.monotonicMs();
+        this.notifyWatches();
+        const nowMs = this.clock.monotonicMs();
         const keys = new Set([...lost.list("", nowMs), ...copy.engine.list("", nowMs)].map(({ key }) => key));
         // Revisions of two terms say nothing of each other.
         return [...keys].filter(key => lost.get(key, nowMs)?.value !== copy.engine.get(key, nowMs)?.value);
     }
 
     /** Counts the spans in which the store was away: what waited in one of them is answered no more. */
-    get absences(): number {
+    get faultCount(): number {
         return this.#absences;
     }
 
     /** The store is away from now on. Watches that wait are cut, or go silent. */
-    leave(how: Absence): void {
-        this.absence = how;
+    startFault(how: StoreFault): void {
+        this.fault = how;
         this.#absences++;
-        this.wake();
+        this.notifyWatches();
     }
 
     /** Open connections go silent for good, and new ones work. */
@@ -101,43 +101,45 @@
     }
 
     /** The store is back; with `lapses`, all that was under lease is gone. */
-    return(lapses: boolean): void {
-        this.absence = undefined;
+    endFault(lapses: boolean): void {
+        this.fault = undefined;
         if (lapses) {
             this.engine.expire(Infinity);
         }
-        this.wake();
+        this.notifyWatches();
     }
 
     /** Writes as an operator or a server does. */
     put(key: string, value: unknown): void {
-        const current = this.engine.get(key, this.time.monotonicMs());
+        const current = this.engine.get(key, this.clock.monotonicMs());
         this.engine.compareAndSwap(
             { key, expectedRevision: current?.modifiedRevision ?? 0, value: JSON.stringify(value) },
-            this.time.monotonicMs(),
+            this.clock.monotonicMs(),
         );
-        this.wake();
+        this.notifyWatches();
     }
 
     /** Deletes a key as its holder does. */
     delete(key: string): void {
-        const current = this.engine.get(key, this.time.monotonicMs());
+        const current = this.engine.get(key, this.clock.monotonicMs());
         const expectedRevision = current?.modifiedRevision ?? 0;
-        this.engine.compareAndSwap({ key, expectedRevision, value: undefined }, this.time.monotonicMs());
-        this.wake();
+        this.engine.compareAndSwap({ key, expectedRevision, value: undefined }, this.clock.monotonicMs());
+        this.notifyWatches();
     }
 
     /** The revision that a reading tells which may be stale. */
-    get readableRevision(): number {
-        const untilMs = this.time.monotonicMs() - this.staleMs;
-        const past = this.staleMs > 0 ? this.#revisions.findLast(({ atMs }) => atMs <= untilMs)?.revision : undefined;
-        return this.staleRevision ?? past ?? this.engine.revision;
+    get staleReadRevision(): number {
+        const untilMs = this.clock.monotonicMs() - this.stalenessMs;
+        const past = this.stalenessMs > 0
+            ? this.#revisions.findLast(({ atMs }) => atMs <= untilMs)?.revision
+            : undefined;
+        return this.pinnedReadRevision ?? past ?? this.engine.revision;
     }
 
-    wake(): void {
+    notifyWatches(): void {
         const { revision } = this.engine;
         if (this.#revisions.at(-1)?.revision !== revision) {
-            const atMs = this.time.monotonicMs();
+            const atMs = this.clock.monotonicMs();
             this.#revisions = [...this.#revisions.slice(-200), { atMs, revision }];
             const kept = this.#copies.filter(copy => atMs - copy.atMs <= oldestCopyMs);
             this.#copies = [...kept, { atMs, engine: this.engine.copy() }];
@@ -155,13 +157,13 @@
 }
 
 /** One gateway's way to a troubled store. */
-export class TroubledLink extends KeyValueStore {
+export class FaultyStoreLink extends KeyValueStore {
     /** Nothing passes on this way. */
     cut = false;
-    readonly #store: TroubledStore;
+    readonly #store: FaultyStore;
     readonly #term = new StoreTerm();
 
-    constructor(store: TroubledStore) {
+    constructor(store: FaultyStore) {
         super();
         this.#store = store;
     }
@@ -187,7 +189,7 @@
     }
 
     override peekRevision(): Promise<Either<Failure, number>> {
-        return this.#call("reads", 0.1, () => Right(toPosition(this.#store.term, this.#store.readableRevision) ?? 0));
+        return this.#call("reads", 0.1, () => Right(toPosition(this.#store.term, this.#store.staleReadRevision) ?? 0));
     }
 
     override compareAndSwap(req: CompareAndSwap): Promise<Either<Failure, SwapOutcome>> {
@@ -204,7 +206,7 @@
                 { ...req, expectedRevision: revisionOf(expectedRevision), leaseId: lease?.[1] },
                 nowMs,
             );
-            this.#store.wake();
+            this.#store.notifyWatches();
             const terms = [expectedRevision > 0 ? termOf(expectedRevision) : undefined, lease && Number(lease[0])];
             if (terms.some(term => term !== undefined && term < this.#store.term)) {
                 return Left(createFailure("storeOutcomeUnknown", "in a later term"));
@@ -247,12 +249,12 @@
             return lost;
         }
         const numberAfter = revisionOf(afterRevision);
-        if (numberAfter < this.#store.historyFrom || numberAfter > this.#store.engine.revision) {
+        if (numberAfter < this.#store.compactRevision || numberAfter > this.#store.engine.revision) {
             return await this.#call("reads", 1, () => lost);
         }
         const find = (nowMs: number): WatchEvents => {
-            const { engine, watched = engine } = this.#store;
-            const { changed, deleted, revision } = watched.changesSince(prefix, numberAfter, nowMs);
+            const { engine, watchSnapshot = engine } = this.#store;
+            const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, numberAfter, nowMs);
             const position = toPosition(this.#store.term, revision) ?? 0;
             return {
                 changed: changed.map(each => this.#place(each)),
@@ -260,7 +262,7 @@
                 revision: Math.max(afterRevision, position),
             };
         };
-        const sentAtMs = this.#store.time.monotonicMs();
+        const sentAtMs = this.#store.clock.monotonicMs();
         const first = await this.#call("reads", 1, nowMs => Right(find(nowMs)), { signal, waitMs, slackMs });
         if (termOf(first.map(({ revision }) => revision).orDefault(afterRevision)) > watchedTerm) {
             return lost;
@@ -295,7 +297,7 @@
         signal: AbortSignal | undefined,
     ): Promise<Either<Failure, WatchEvents>> {
         const store = this.#store;
-        const { absences } = store;
+        const { faultCount } = store;
         return new Promise(resolve => {
             const end = (result: Either<Failure, WatchEvents>): void => {
                 forget();
@@ -303,22 +305,22 @@
                 clearTimeout(lost);
                 resolve(result);
             };
-            const isSilent = (): boolean => this.cut || store.absences !== absences;
+            const isSilent = (): boolean => this.cut || store.faultCount !== faultCount;
             const look = (): void => {
-                if (store.absence === "reset" || store.absence === "refusing") {
-                    end(this.#fail(store.absence));
+                if (store.fault === "reset" || store.fault === "refusing") {
+                    end(this.#fail(store.fault));
                     return;
                 }
-                const seen = find(store.time.monotonicMs());
+                const seen = find(store.clock.monotonicMs());
                 if (!isSilent() && seen.changed.length + seen.deleted.length > 0) {
                     end(Right(seen));
                 }
             };
             const forget = store.onChange(look);
-            const nowMs = store.time.monotonicMs();
+            const nowMs = store.clock.monotonicMs();
             const answer = setTimeout(() => {
                 if (!isSilent()) {
-                    end(Right(find(store.time.monotonicMs())));
+                    end(Right(find(store.clock.monotonicMs())));
                 }
             }, untilMs - nowMs);
             const lost = setTimeout(() => end(this.#fail("silent")), untilMs - nowMs + (slackMs ?? callTimeoutMs));
@@ -336,15 +338,15 @@
     ): Promise<Either<Failure, T>> {
         const store = this.#store;
         store.calls[kind]++;
-        store.calls.price += price;
-        const { absence } = store;
+        store.calls.cost += price;
+        const { fault } = store;
         return new Promise(resolve => {
             const settle = (result: Either<Failure, T>): void => {
                 clearTimeout(timer);
                 resolve(result);
             };
-            const isSilent = this.cut || absence === "silent";
-            const answerMs = absence === "slow" ? slowAnswerMs : usualAnswerMs;
+            const isSilent = this.cut || fault === "silent";
+            const answerMs = fault === "slow" ? slowAnswerMs : usualAnswerMs;
             const timer = isSilent
                 ? setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs)
                 : setTimeout(() => {
@@ -354,16 +356,16 @@
                     }
                     this.#term.onAnswer(store.term);
                     settle(
-                        absence === undefined || absence === "slow"
-                            ? run(store.time.monotonicMs())
-                            : this.#fail(absence),
+                        fault === undefined || fault === "slow"
+                            ? run(store.clock.monotonicMs())
+                            : this.#fail(fault),
                     );
                 }, answerMs * (0.5 + store.random.next()));
             signal?.addEventListener("abort", () => settle(this.#fail("silent")), { once: true });
         });
     }
 
-    #fail(how: Absence): Either<Failure, never> {
+    #fail(how: StoreFault): Either<Failure, never> {
         const kind = how === "silent"
             ? "storeOutcomeUnknown"
             : how === "refusing"
--- a/packages/edge/src/__tests__/support/memoryStore.ts
+++ b/packages/edge/src/__tests__/support/memoryStore.ts
@@ -21,7 +21,7 @@
     historyLost = false;
     calls = 0;
     /** Keys that a listing gives before the others, whatever becomes of these. */
-    partKeys: number | undefined;
+    firstPartKeyCount: number | undefined;
     #held: Promise<void> = Promise.resolve();
     readonly #engine = new KeyValueEngine();
     readonly #waiting = new Set<() => void>();
@@ -46,8 +46,8 @@
         prefix: string,
         onPart?: (entries: readonly KeyValue[]) => void,
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
-        if (this.partKeys !== undefined) {
-            onPart?.(this.#engine.list(prefix, performance.now()).slice(0, this.partKeys));
+        if (this.firstPartKeyCount !== undefined) {
+            onPart?.(this.#engine.list(prefix, performance.now()).slice(0, this.firstPartKeyCount));
         }
         return this.#call(() => ({
             entries: this.#engine.list(prefix, performance.now()),
--- a/packages/edge/src/__tests__/support/simulatedGateways.ts
+++ b/packages/edge/src/__tests__/support/simulatedGateways.ts
@@ -4,23 +4,23 @@
 import { createMetrics, type LogFields } from "@galenaglade/telemetry";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type Either, Left } from "purify-ts";
-import { FirstReading } from "../../state/firstReading.js";
+import { InitialSyncGate } from "../../state/initialSyncGate.js";
 import { Registration } from "../../state/registration.js";
 import {
-    PeerChanges,
-    readContactAnswer,
-    readRelayAnswer,
+    RelayClient,
+    parseContactResponse,
+    parseRelayResponse,
     type RelayRequest,
     resolveRelayTimeoutMs,
 } from "../../state/relayClient.js";
-import { contactPath, type RelayAnswer, relayPath } from "../../state/relayMessages.js";
+import { contactPath, type RelayResponse, relayPath } from "../../state/relayMessages.js";
 import { RelayServer } from "../../state/relayServer.js";
 import { StateSync } from "../../state/stateSync.js";
 import { EdgeLog } from "../../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../../telemetry/edgeMetrics.js";
 import { TestStateCodec } from "./testCodecs.js";
-import { TroubledLink, type TroubledStore } from "./troubledStore.js";
-import { type VirtualTime } from "./virtualTime.js";
+import { FaultyStoreLink, type FaultyStore } from "./faultyStore.js";
+import { type VirtualClock } from "./virtualClock.js";
 
 /** Ways between gateways, in milliseconds. */
 const hopMs = 1;
@@ -29,7 +29,7 @@
 /** Everything of one gateway that has to do with the store, over simulated ways. */
 export class SimulatedGateway {
     readonly name: string;
-    readonly link: TroubledLink;
+    readonly link: FaultyStoreLink;
     readonly view = new FleetView();
     readonly logs: Readonly<Record<string, unknown>>[] = [];
     readonly relayServer: RelayServer;
@@ -43,19 +43,19 @@
     readonly #registration: Registration;
 
     constructor(fleet: SimulatedFleet, index: number, availabilityZone: string) {
-        const { time, store } = fleet;
+        const { clock, store } = fleet;
         this.name = `gateway-${index}`;
-        this.link = new TroubledLink(store);
+        this.link = new FaultyStoreLink(store);
         const random = createRandomSource(Math.floor(fleet.random.next() * 2 ** 31));
         const write = (message: string, fields: LogFields = {}): void => {
-            this.logs.push({ atMs: time.monotonicMs(), message, ...fields });
+            this.logs.push({ atMs: clock.monotonicMs(), message, ...fields });
         };
-        const log = new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => time.monotonicMs());
+        const log = new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => clock.monotonicMs());
         const shared = {
             store: this.link,
             codec: new TestStateCodec(),
             view: this.view,
-            clock: time,
+            clock,
             random,
             log,
             metrics,
@@ -69,13 +69,13 @@
             ...shared,
             name: this.name,
             availabilityZone,
-            onChange: () => {
-                this.#onChange(time.monotonicMs());
-                this.#registration.onChange();
+            onViewChange: () => {
+                this.#onChange(clock.monotonicMs());
+                this.#registration.onViewChange();
             },
-            onChanged: () => this.relayServer.onChange(),
-            firstReading: new FirstReading(time),
-            peers: new SimulatedPeers(fleet, this),
+            onRelayFeedChange: () => this.relayServer.onFeedChange(),
+            initialSyncGate: new InitialSyncGate(clock),
+            relayClient: new SimulatedPeers(fleet, this),
         });
         this.relayServer = new RelayServer(this.#sync);
     }
@@ -86,7 +86,7 @@
     }
 
     /** Loses power. */
-    die(): void {
+    powerOff(): void {
         this.isDead = true;
         this.#sync.stop();
         this.#registration.stop();
@@ -102,18 +102,18 @@
 
 /** Gateways over one store. */
 export class SimulatedFleet {
-    readonly time: VirtualTime;
-    readonly store: TroubledStore;
+    readonly clock: VirtualClock;
+    readonly store: FaultyStore;
     readonly random: RandomSource;
     readonly gateways: readonly SimulatedGateway[];
 
     constructor(
-        time: VirtualTime,
-        store: TroubledStore,
+        time: VirtualClock,
+        store: FaultyStore,
         random: RandomSource,
         size: { readonly gateways: number; readonly zones: number; },
     ) {
-        this.time = time;
+        this.clock = time;
         this.store = store;
         this.random = random;
         this.gateways = Array.from(
@@ -124,13 +124,13 @@
 
     stop(): void {
         for (const gateway of this.gateways) {
-            gateway.die();
+            gateway.powerOff();
         }
     }
 }
 
 /** One gateway's questions to the others. */
-class SimulatedPeers extends PeerChanges {
+class SimulatedPeers extends RelayClient {
     readonly #fleet: SimulatedFleet;
     readonly #self: SimulatedGateway;
 
@@ -140,13 +140,15 @@
         this.#self = self;
     }
 
-    override ask({ address, afterRevision, waits, signal }: RelayRequest): Promise<Either<Failure, RelayAnswer>> {
-        const url = `${relayPath}?after=${afterRevision}&wait=${waits ? 600 : 0}`;
-        return this.#exchange(address, url, { timeoutMs: resolveRelayTimeoutMs(waits), signal }, readRelayAnswer);
+    override fetchChanges(
+        { address, afterRevision, longPoll, signal }: RelayRequest,
+    ): Promise<Either<Failure, RelayResponse>> {
+        const url = `${relayPath}?after=${afterRevision}&wait=${longPoll ? 600 : 0}`;
+        return this.#exchange(address, url, { timeoutMs: resolveRelayTimeoutMs(longPoll), signal }, parseRelayResponse);
     }
 
-    override askContact(address: ServerAddress): Promise<Either<Failure, number>> {
-        return this.#exchange(address, contactPath, { timeoutMs: resolveRelayTimeoutMs(false) }, readContactAnswer);
+    override fetchStoreContactMs(address: ServerAddress): Promise<Either<Failure, number>> {
+        return this.#exchange(address, contactPath, { timeoutMs: resolveRelayTimeoutMs(false) }, parseContactResponse);
     }
 
     override close(): void {
--- a/packages/edge/src/__tests__/support/simulatedReach.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -3,15 +3,15 @@
 import { type ServerContactResult } from "@galenaglade/reachability";
 import { type RandomSource } from "@galenaglade/routing";
 import { createMetrics } from "@galenaglade/telemetry";
-import { PeerReach } from "../../reach/reachClient.js";
-import { type ReachAnswer } from "../../reach/reachMessages.js";
+import { ReachabilityClient } from "../../reach/reachabilityClient.js";
+import { type ReachabilityResponse } from "../../reach/reachabilityMessages.js";
 import { ServerProbe } from "../../reach/serverProbe.js";
-import { ServerReach } from "../../reach/serverReach.js";
+import { ReachabilityMonitor } from "../../reach/reachabilityMonitor.js";
 import { EdgeLog } from "../../telemetry/edgeLog.js";
 import { EdgeMetrics } from "../../telemetry/edgeMetrics.js";
-import { type CutManner } from "./cutLinks.js";
+import { type LinkFault } from "./faultyLinks.js";
 import { createConfiguration } from "./testEdge.js";
-import { type VirtualTime } from "./virtualTime.js";
+import { type VirtualClock } from "./virtualClock.js";
 
 const service = "tables";
 const hopMs = 1;
@@ -26,62 +26,62 @@
 const metrics = new EdgeMetrics(createMetrics("test"));
 
 /** Size of a simulated fleet. */
-export interface ReachFleetSize {
+export interface SimulatedReachFleetSize {
     readonly gateways: number;
     readonly zones: number;
     readonly servers: number;
     readonly requestsPerSecond: number;
     /** Whether gateways answer each other. */
-    readonly askEachOther: boolean;
+    readonly peersAnswer: boolean;
 }
 
 /** One gateway whose links to all servers a test cuts: its real belief of what it reaches, and simulated requests. */
-export class ReachGateway {
+export class SimulatedReachGateway {
     readonly name: string;
-    readonly reach: ServerReach;
+    readonly reach: ReachabilityMonitor;
     readonly view = new FleetView();
-    manner: CutManner | undefined;
+    fault: LinkFault | undefined;
     isDead = false;
 
-    constructor(fleet: ReachFleet, index: number, availabilityZone: string) {
+    constructor(fleet: SimulatedReachFleet, index: number, availabilityZone: string) {
         this.name = `gateway-${index}`;
-        const { time, random } = fleet;
+        const { clock, random } = fleet;
         const write = (): void => undefined;
-        this.reach = new ServerReach({
+        this.reach = new ReachabilityMonitor({
             name: this.name,
             availabilityZone,
             view: this.view,
             probe: new LinkProbe(fleet, this),
-            peers: new FleetPeers(fleet),
-            clock: time,
+            reachabilityClient: new FleetPeers(fleet),
+            clock,
             random,
-            log: new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => time.monotonicMs()),
+            log: new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => clock.monotonicMs()),
             metrics,
-            onLost: () => undefined,
-            onRestored: () => undefined,
+            onLinksLost: () => undefined,
+            onLinksRestored: () => undefined,
         });
     }
 }
 
 /** Gateways of which some are cut off from all servers, on virtual time. */
-export class ReachFleet {
-    readonly time: VirtualTime;
+export class SimulatedReachFleet {
+    readonly clock: VirtualClock;
     readonly random: RandomSource;
-    readonly gateways: readonly ReachGateway[];
+    readonly gateways: readonly SimulatedReachGateway[];
     readonly history: HistoryLine[] = [];
     readonly deadServers = new Set<string>();
-    readonly size: ReachFleetSize;
+    readonly size: SimulatedReachFleetSize;
     /** Requests that other gateways had run for a gateway that is cut off. */
-    handedOver = 0;
+    handoverCount = 0;
     #requests = 0;
     #isOver = false;
 
-    constructor(time: VirtualTime, random: RandomSource, size: ReachFleetSize) {
-        this.time = time;
+    constructor(time: VirtualClock, random: RandomSource, size: SimulatedReachFleetSize) {
+        this.clock = time;
         this.random = random;
         this.size = size;
         const zoneOf = (index: number): string => `zone-${index % size.zones}`;
-        this.gateways = Array.from({ length: size.gateways }, (_, i) => new ReachGateway(this, i, zoneOf(i)));
+        this.gateways = Array.from({ length: size.gateways }, (_, i) => new SimulatedReachGateway(this, i, zoneOf(i)));
         const items = this.#createItems(zoneOf);
         for (const { view } of this.gateways) {
             view.onFullRead(items, time.monotonicMs());
@@ -113,40 +113,40 @@
         }
     }
 
-    cut(gateway: ReachGateway, manner: CutManner): void {
-        gateway.manner = manner;
+    cut(gateway: SimulatedReachGateway, manner: LinkFault): void {
+        gateway.fault = manner;
         this.#record({ type: "gatewayCutFromServers", gateway: gateway.name });
     }
 
-    restore(gateway: ReachGateway): void {
-        gateway.manner = undefined;
+    restore(gateway: SimulatedReachGateway): void {
+        gateway.fault = undefined;
         this.#record({ type: "gatewayLinksRestored", gateway: gateway.name });
     }
 
-    findGateway(port: number): ReachGateway | undefined {
+    findGateway(port: number): SimulatedReachGateway | undefined {
         return this.gateways[port];
     }
 
     /** One exchange of a gateway with a server. @returns how it ends, at its time */
     async exchange(
-        gateway: ReachGateway,
+        gateway: SimulatedReachGateway,
         server: string,
         isNew: boolean,
         timeoutMs: number,
     ): Promise<ServerContactResult> {
-        const { manner } = gateway;
-        const isSilent = this.deadServers.has(server) || manner === "hang" || manner === "oneWayOut"
-            || manner === "oneWayBack" || (manner === "silentRefuseNew" && !isNew);
+        const { fault } = gateway;
+        const isSilent = this.deadServers.has(server) || fault === "hang" || fault === "oneWayOut"
+            || fault === "oneWayBack" || (fault === "silentRefuseNew" && !isNew);
         if (isSilent) {
             await sleep(timeoutMs);
             return "silent";
         }
         await sleep(hopMs);
-        const isRefused = manner === "reset" || ((manner === "refuseNew" || manner === "silentRefuseNew") && isNew);
+        const isRefused = fault === "reset" || ((fault === "refuseNew" || fault === "silentRefuseNew") && isNew);
         return isRefused ? "refused" : "heard";
     }
 
-    async #send(gateway: ReachGateway): Promise<void> {
+    async #send(gateway: SimulatedReachGateway): Promise<void> {
         const requestId = `r${++this.#requests}`;
         const idempotent = this.random.next() < 0.6;
         this.#record({ type: "callerSent", requestId, service, idempotent, gateway: gateway.name, patienceMs });
@@ -157,14 +157,14 @@
     }
 
     /** As a request goes: to another gateway where the links are known to be lost, and else through a search for a server. */
-    async #serve(gateway: ReachGateway, needsNew: boolean): Promise<boolean> {
+    async #serve(gateway: SimulatedReachGateway, needsNew: boolean): Promise<boolean> {
         const { reach } = gateway;
         const tried = new Set<string>();
-        const untilMs = this.time.monotonicMs() + patienceMs;
-        for (let sends = 0; sends < mostSends && this.time.monotonicMs() < untilMs; sends++) {
+        const untilMs = this.clock.monotonicMs() + patienceMs;
+        for (let sends = 0; sends < mostSends && this.clock.monotonicMs() < untilMs; sends++) {
             if (await reach.whenSettled(service) !== "reached") {
                 const helper = reach.stateOf(service) === "lost" && tried.size < mostHelpers
-                    ? reach.chooseHelper(service, tried)
+                    ? reach.chooseHandoverTarget(service, tried)
                     : undefined;
                 if (helper !== undefined) {
                     tried.add(helper.name);
@@ -174,9 +174,9 @@
                     continue;
                 }
                 if (reach.stateOf(service) === "lost" && tried.size < mostHelpers) {
-                    reach.onNoHelper(service);
+                    reach.onHandoverTargetsExhausted(service);
                 }
-                if (!reach.takeOwnTry(service)) {
+                if (!reach.tryAcquireLocalAttempt(service)) {
                     return false;
                 }
             }
@@ -195,7 +195,7 @@
         return false;
     }
 
-    async #search(gateway: ReachGateway): Promise<string | undefined> {
+    async #search(gateway: SimulatedReachGateway): Promise<string | undefined> {
         for (const timeoutMs of questionMs) {
             const servers = Array.from({ length: askedAtOnce }, () => `server-${this.#draw(this.size.servers)}`);
             const ends = await Promise.all(servers.map(id => this.#contact(gateway, id, false, timeoutMs)));
@@ -209,39 +209,39 @@
     }
 
     async #contact(
-        gateway: ReachGateway,
+        gateway: SimulatedReachGateway,
         server: string,
         isNew: boolean,
         timeoutMs: number,
     ): Promise<ServerContactResult> {
-        const startedAtMs = this.time.monotonicMs();
+        const startedAtMs = this.clock.monotonicMs();
         const end = await this.exchange(gateway, server, isNew, timeoutMs);
         gateway.reach.onContact({ service, serverId: server, isNewConnection: isNew, end, startedAtMs });
         return end;
     }
 
-    async #handOver(gateway: ReachGateway, name: string, port: number): Promise<boolean> {
+    async #handOver(gateway: SimulatedReachGateway, name: string, port: number): Promise<boolean> {
         const helper = this.findGateway(port);
-        const { helpers } = gateway.reach;
+        const { handoverTargets } = gateway.reach;
         if (helper === undefined || helper.isDead) {
             await sleep(connectMs);
-            helpers.onUnresponsive(name, this.time.monotonicMs());
+            handoverTargets.onUnresponsive(name, this.clock.monotonicMs());
             return false;
         }
-        const end = helpers.trackRequest(name);
+        const end = handoverTargets.trackRequest(name);
         await sleep(hopMs);
         const reaches = helper.reach.stateOf(service) === "reached" && await this.#serveHere(helper);
         await sleep(hopMs);
         end();
-        const nowMs = this.time.monotonicMs();
-        helpers.onReachability(service, name, reaches, nowMs);
-        helpers.onSuggested(service, helper.reach.helpers.suggest(service, nowMs), nowMs);
-        this.handedOver += reaches ? 1 : 0;
+        const nowMs = this.clock.monotonicMs();
+        handoverTargets.onReachability(service, name, reaches, nowMs);
+        handoverTargets.onSuggested(service, helper.reach.handoverTargets.suggest(service, nowMs), nowMs);
+        this.handoverCount += reaches ? 1 : 0;
         return reaches;
     }
 
     /** A request of another gateway goes no further. */
-    async #serveHere(gateway: ReachGateway): Promise<boolean> {
+    async #serveHere(gateway: SimulatedReachGateway): Promise<boolean> {
         for (let sends = 0; sends < 3; sends++) {
             const server = await this.#search(gateway);
             if (server === undefined) {
@@ -280,7 +280,7 @@
     }
 
     #record(event: HistoryEvent): void {
-        this.history.push({ ...event, sequence: this.history.length, atMs: this.time.monotonicMs(), process: "" });
+        this.history.push({ ...event, sequence: this.history.length, atMs: this.clock.monotonicMs(), process: "" });
     }
 
     #draw(count: number): number {
@@ -289,10 +289,10 @@
 }
 
 class LinkProbe extends ServerProbe {
-    readonly #fleet: ReachFleet;
-    readonly #gateway: ReachGateway;
+    readonly #fleet: SimulatedReachFleet;
+    readonly #gateway: SimulatedReachGateway;
 
-    constructor(fleet: ReachFleet, gateway: ReachGateway) {
+    constructor(fleet: SimulatedReachFleet, gateway: SimulatedReachGateway) {
         super();
         this.#fleet = fleet;
         this.#gateway = gateway;
@@ -303,22 +303,25 @@
     }
 }
 
-class FleetPeers extends PeerReach {
-    readonly #fleet: ReachFleet;
+class FleetPeers extends ReachabilityClient {
+    readonly #fleet: SimulatedReachFleet;
 
-    constructor(fleet: ReachFleet) {
+    constructor(fleet: SimulatedReachFleet) {
         super();
         this.#fleet = fleet;
     }
 
-    override async ask({ port }: ServerAddress, asked: string): Promise<ReachAnswer | undefined> {
+    override async fetchReachability(
+        { port }: ServerAddress,
+        asked: string,
+    ): Promise<ReachabilityResponse | undefined> {
         const peer = this.#fleet.findGateway(port);
-        if (peer === undefined || peer.isDead || !this.#fleet.size.askEachOther) {
+        if (peer === undefined || peer.isDead || !this.#fleet.size.peersAnswer) {
             await sleep(connectMs);
             return undefined;
         }
         await sleep(hopMs);
-        const answer = await peer.reach.tell(asked);
+        const answer = await peer.reach.getReachability(asked);
         await sleep(hopMs);
         return answer;
     }
--- a/packages/edge/src/__tests__/support/linkedStore.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -12,7 +12,7 @@
 import { type MemoryStore } from "./memoryStore.js";
 
 /** One gateway's way to a store that several share. */
-export class LinkedStore extends KeyValueStore {
+export class StoreLink extends KeyValueStore {
     /** Nothing passes, and no call is answered. */
     cut = false;
     /** Calls are refused at once. */
--- a/packages/edge/src/__tests__/support/virtualTime.ts
+++ b/packages/edge/src/__tests__/support/virtualClock.ts
@@ -19,7 +19,7 @@
  * Time that passes from timer to timer, in place of the process's own: real code that sleeps and waits runs hours in seconds, and
  * the same in each run.
  */
-export class VirtualTime implements Clock {
+export class VirtualClock implements Clock {
     #nowMs = 0;
     #lastId = 0;
     #events = 0;
@@ -28,8 +28,8 @@
     readonly #heap: Timer[] = [];
 
     /** Takes the place of the process's timers until the test is over. */
-    static install(t: TestContext): VirtualTime {
-        const time = new VirtualTime();
+    static install(t: TestContext): VirtualClock {
+        const time = new VirtualClock();
         const { setTimeout, setInterval, clearTimeout, clearInterval } = globalThis;
         t.after(() => Object.assign(globalThis, { setTimeout, setInterval, clearTimeout, clearInterval }));
         const clear = (id: unknown): void => {
@@ -54,7 +54,7 @@
     }
 
     /** Lets time pass. */
-    async pass(ms: number): Promise<void> {
+    async advance(ms: number): Promise<void> {
         const untilMs = this.#nowMs + ms;
         await drainMicrotasks();
         for (let next = this.#heap[0]; next !== undefined && next.dueMs <= untilMs; next = this.#heap[0]) {
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -17,15 +17,15 @@
 import { callerGone, cutoffReached, type ExchangeDeps } from "../requests/exchangeDeps.js";
 import { type BufferedResponse } from "../backends/sendRequest.js";
 import { CallerSink, writeResponse } from "./responseWriter.js";
-import { type FirstReading } from "../state/firstReading.js";
-import { isSurelyCurrent } from "../state/surelyCurrent.js";
+import { type InitialSyncGate } from "../state/initialSyncGate.js";
+import { isStateFresh } from "../state/isStateFresh.js";
 import { type CallerConnections } from "./callerConnections.js";
 import { type StartupGate } from "./startupGate.js";
 
 /** What the handler works with. */
 export interface EdgeHandlerDeps extends ExchangeDeps {
     readonly callerConnections: CallerConnections;
-    readonly firstReading: FirstReading;
+    readonly firstReading: InitialSyncGate;
     readonly startGate: StartupGate;
     /** When this process will be killed; requests get their last answer before it. */
     readonly stopDeadlineMs: () => number | undefined;
@@ -132,7 +132,7 @@
     #doubtAbsence(failure: Failure, nowMs: number): Failure {
         const { view, random } = this.#parts;
         const claimsAbsence = failure.kind === "noSuchService" || failure.kind === "unauthenticated";
-        if (!claimsAbsence || isSurelyCurrent(view, nowMs)) {
+        if (!claimsAbsence || isStateFresh(view, nowMs)) {
             return failure;
         }
         const retryAfterSeconds = drawRetryAfterSeconds("noServer", 0, random);
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -33,19 +33,19 @@
 } from "./constants.js";
 import { HandoverServer } from "./handover/handoverServer.js";
 import { ConfigVersionWatermark } from "./handover/configVersionWatermark.js";
-import { UdpPort } from "./limits/limitSocket.js";
+import { UdpSocket } from "./limits/datagramSocket.js";
 import { WorkspaceLimits } from "./limits/workspaceLimits.js";
 import { createPeerServer } from "./peerServer.js";
 import { CrashReportSync } from "./quarantine/crashReportSync.js";
-import { ReachClient } from "./reach/reachClient.js";
+import { HttpReachabilityClient } from "./reach/reachabilityClient.js";
 import { LoadProbe } from "./reach/serverProbe.js";
-import { ServerReach } from "./reach/serverReach.js";
+import { ReachabilityMonitor } from "./reach/reachabilityMonitor.js";
 import { Placer } from "./requests/placer.js";
 import { ResponseMetadataRecorder } from "./requests/responseMetadataRecorder.js";
-import { RolloutSync } from "./rollout/rolloutSync.js";
+import { RolloutRunner } from "./rollout/rolloutRunner.js";
 import { type ResolvedEdgeSettings } from "./settings.js";
-import { FirstReading } from "./state/firstReading.js";
-import { RelayClient } from "./state/relayClient.js";
+import { InitialSyncGate } from "./state/initialSyncGate.js";
+import { HttpRelayClient } from "./state/relayClient.js";
 import { RelayServer } from "./state/relayServer.js";
 import { Registration } from "./state/registration.js";
 import { StateSync } from "./state/stateSync.js";
@@ -94,7 +94,7 @@
     const view = new FleetView();
     const timeline = new StartTimeline(log);
     timeline.record("programLoaded");
-    const firstReading = new FirstReading(clock, () => timeline.record("stateRead"));
+    const firstReading = new InitialSyncGate(clock, () => timeline.record("stateRead"));
     const links = parts.connector ?? new DirectConnector(connectTimeoutMs, settings.servers.connectFrom);
     const connections = new ServerConnectionPool(links);
     const callers = new CallerConnections();
@@ -108,23 +108,31 @@
         startedAtMs: clock.monotonicMs(),
     });
     const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
-    const reach = new ServerReach({
+    const reach = new ReachabilityMonitor({
         name,
         availabilityZone,
         view,
-        probe: new LoadProbe({ view, board, notes, connections, vocabulary: metadataCodec, clock, metrics }),
-        peers: new ReachClient(),
+        probe: new LoadProbe({
+            view,
+            board,
+            metadataRecorder: notes,
+            connections,
+            metadataCodec: metadataCodec,
+            clock,
+            metrics,
+        }),
+        reachabilityClient: new HttpReachabilityClient(),
         clock,
         random,
         log,
         metrics,
-        onLost: (servers, kind) => {
+        onLinksLost: (servers, kind) => {
             // Kept connections that nothing passes on would be used again once the links work.
             for (const { id } of kind === "all" ? servers : []) {
                 connections.closeIdle(id);
             }
         },
-        onRestored: (service, servers) => board.onConnectivityRestored(service, servers.map(({ id }) => id)),
+        onLinksRestored: (service, servers) => board.onConnectivityRestored(service, servers.map(({ id }) => id)),
     });
     const peerConnections = new ServerConnectionPool(new DirectConnector(handoverConnectTimeoutMs));
     const placer = new Placer({
@@ -153,14 +161,14 @@
     const limits = new WorkspaceLimits({
         name,
         // Short, since it stands in each datagram.
-        life: Math.trunc(clock.epochMs() + parts.seed).toString(36),
+        incarnation: Math.trunc(clock.epochMs() + parts.seed).toString(36),
         view,
         clock,
         random,
         log,
         metrics,
         tolerance: settings.workspaceLimits,
-        port: new UdpPort(peers ?? anyLoopbackPort, error => log.log("error", "unexpected", { error })),
+        socket: new UdpSocket(peers ?? anyLoopbackPort, error => log.log("error", "unexpected", { error })),
     });
     let endsAtMs: number | undefined;
     const handler = new EdgeHandler({
@@ -211,11 +219,11 @@
         const ids = new Set(view.knownServerIds());
         connections.retain(ids);
         board.retain(ids);
-        reach.onChange();
+        reach.onViewChange();
         peerConnections.retain(new Set(view.registeredGateways().map(gateway => gateway.name)));
         crashes.onChange();
-        registration.onChange();
-        limits.onChange();
+        registration.onViewChange();
+        limits.onViewChange();
         const callerLimits = view.configurationInForce?.configuration.limits;
         if (callerLimits !== undefined) {
             callerServer.headersTimeout = callerLimits.headerTimeoutMs;
@@ -243,13 +251,13 @@
         random,
         log,
         metrics,
-        onChange,
-        onChanged: () => relayServer.onChange(),
-        firstReading,
-        peers: new RelayClient(),
+        onViewChange: onChange,
+        onRelayFeedChange: () => relayServer.onFeedChange(),
+        initialSyncGate: firstReading,
+        relayClient: new HttpRelayClient(),
     });
     const relayServer = new RelayServer(sync);
-    const rolloutSync = new RolloutSync({ name, view, rollouts, store, codec, clock, random, log, metrics });
+    const rolloutSync = new RolloutRunner({ name, view, rollouts, store, codec, clock, random, log, metrics });
     const handovers = new HandoverServer({
         view,
         reachability: reach,
@@ -269,7 +277,7 @@
         log.log("info", "stopping", { unanswered: callers.unanswered, graceMs });
         callers.beginDrain();
         relayServer.stop();
-        limits.beginStop();
+        limits.beginDrain();
         registration.stop();
         // Callers that the balancer still sends are served, not refused, until it has noticed.
         await sleep(Math.max(Math.min(balancerDetectionMs, graceMs * stopAcceptShare), 0));
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -64,7 +64,7 @@
     /** @returns a gateway that has not had the request */
     chooseGateway(): RegisteredGateway | undefined {
         const { deps, request } = this.#input;
-        return this.isAllowed ? deps.reachability.chooseHelper(request.rules.name, this.#tried) : undefined;
+        return this.isAllowed ? deps.reachability.chooseHandoverTarget(request.rules.name, this.#tried) : undefined;
     }
 
     describe(): LogFields {
@@ -85,7 +85,7 @@
         // One run is kept back, in case that gateway is lost with the request.
         const runs = route.idempotent ? Math.max(1, runsLeft - 1) : Math.max(1, runsLeft);
         this.#runsGiven += runs - 1;
-        const end = reachability.helpers.trackRequest(helper.name);
+        const end = reachability.handoverTargets.trackRequest(helper.name);
         const connection = route.idempotent
             ? peerConnections.acquire(helper.name, helper.peerAddress)
             : peerConnections.open(helper.peerAddress);
@@ -176,27 +176,27 @@
 
     /** What became of the request says whether that gateway reaches the service. */
     #learn(helper: string, { end, outcome: verdict }: HandoverResult, nowMs: number): void {
-        const { reachability: { helpers } } = this.#input.deps;
+        const { reachability: { handoverTargets } } = this.#input.deps;
         const service = this.#input.request.rules.name;
         if (verdict === undefined) {
             if (end.type !== "abandoned") {
-                helpers.onUnresponsive(helper, nowMs);
+                handoverTargets.onUnresponsive(helper, nowMs);
             }
             return;
         }
         switch (verdict.type) {
             case "answered":
-                helpers.onReachability(service, helper, true, nowMs);
+                handoverTargets.onReachability(service, helper, true, nowMs);
                 break;
             case "refused":
                 if (verdict.reason !== "busy") {
-                    helpers.onReachability(service, helper, false, nowMs);
+                    handoverTargets.onReachability(service, helper, false, nowMs);
                 }
-                helpers.onSuggested(service, verdict.named, nowMs);
+                handoverTargets.onSuggested(service, verdict.named, nowMs);
                 break;
             case "failed":
                 if (verdict.unreached) {
-                    helpers.onReachability(service, helper, false, nowMs);
+                    handoverTargets.onReachability(service, helper, false, nowMs);
                 }
         }
     }
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -3,7 +3,7 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { maxIncomingHandovers } from "../constants.js";
-import { type ServerReach } from "../reach/serverReach.js";
+import { type ReachabilityMonitor } from "../reach/reachabilityMonitor.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import {
@@ -25,7 +25,7 @@
 /** What the server works with. */
 export interface HandoverServerDeps {
     readonly view: FleetView;
-    readonly reachability: ServerReach;
+    readonly reachability: ReachabilityMonitor;
     readonly handler: HandoverHandler;
     readonly clock: Clock;
     readonly log: EdgeLog;
@@ -100,7 +100,9 @@
             service: order?.service,
             reason,
         });
-        const named = order === undefined ? [] : reachability.helpers.suggest(order.service, clock.monotonicMs());
+        const named = order === undefined
+            ? []
+            : reachability.handoverTargets.suggest(order.service, clock.monotonicMs());
         refuseHandover(req, res, reason, named);
     }
 }
--- a/packages/edge/src/limits/limitSocket.ts
+++ b/packages/edge/src/limits/datagramSocket.ts
@@ -5,7 +5,7 @@
 export type DatagramHandler = (text: string, from: ListenAddress) => void;
 
 /** Sends and receives datagrams between gateways; tests have one of their own. */
-export abstract class DatagramPort {
+export abstract class DatagramSocket {
     /** Begins to receive. @returns once it listens */
     abstract open(onDatagram: DatagramHandler): Promise<void>;
     /** Sends without waiting; a datagram that can't be sent is lost like any other. */
@@ -14,7 +14,7 @@
 }
 
 /** A UDP socket on one address. */
-export class UdpPort extends DatagramPort {
+export class UdpSocket extends DatagramSocket {
     readonly #address: ListenAddress;
     readonly #onError: (error: string) => void;
     #socket: Socket | undefined;
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -12,21 +12,21 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { PauseDetector } from "../state/pauseDetector.js";
-import { type DatagramPort } from "./limitSocket.js";
+import { HostPauseDetector } from "../state/hostPauseDetector.js";
+import { type DatagramSocket } from "./datagramSocket.js";
 
 /** What the limits of workspaces are kept with. */
-export interface WorkspaceLimitsParts {
+export interface WorkspaceLimitsDeps {
     /** Of this gateway, as in its registration. */
     readonly name: string;
     /** Unique to this life of the process. */
-    readonly life: string;
+    readonly incarnation: string;
     readonly view: FleetView;
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
-    readonly port: DatagramPort;
+    readonly socket: DatagramSocket;
     readonly tolerance: LimitTolerance;
 }
 
@@ -38,9 +38,9 @@
 
 /** Keeps the limits of workspaces with the other gateways: the decisions of `RateLimiter` with its sockets and timers. */
 export class WorkspaceLimits {
-    readonly #parts: WorkspaceLimitsParts;
+    readonly #parts: WorkspaceLimitsDeps;
     readonly #limiter: RateLimiter;
-    readonly #pauses: PauseDetector;
+    readonly #pauses: HostPauseDetector;
     readonly #waiting = new Map<number, (decision: Decision) => void>();
     readonly #addresses = new Map<string, ListenAddress>();
     readonly #unregistered = new Map<string, ListenAddress>();
@@ -51,13 +51,13 @@
     #timer: NodeJS.Timeout | undefined;
     #dueAtMs = Infinity;
 
-    constructor(parts: WorkspaceLimitsParts) {
-        const { name, life, random, clock, tolerance } = parts;
+    constructor(parts: WorkspaceLimitsDeps) {
+        const { name, incarnation, random, clock, tolerance } = parts;
         this.#parts = parts;
-        this.#pauses = new PauseDetector(clock);
+        this.#pauses = new HostPauseDetector(clock);
         this.#limiter = new RateLimiter({
             name,
-            incarnation: life,
+            incarnation,
             random: () => random.next(),
             startedAtMs: clock.monotonicMs(),
             tolerance,
@@ -65,7 +65,7 @@
     }
 
     /** What the fleet's state says has changed: the gateways, or whether there are limits. */
-    onChange(): void {
+    onViewChange(): void {
         const { view, clock } = this.#parts;
         const workspaces = view.configurationInForce?.configuration.workspaces ?? [];
         const active = workspaces.some(({ limit }) => limit !== undefined);
@@ -118,7 +118,7 @@
     }
 
     /** This process is about to end: whoever asks it goes to another gateway. */
-    beginStop(): void {
+    beginDrain(): void {
         if (this.#isOpen) {
             this.#carryOut(this.#limiter.stop(this.#parts.clock.monotonicMs()));
         }
@@ -127,13 +127,13 @@
     stop(): void {
         this.#isStopped = true;
         clearTimeout(this.#timer);
-        this.#parts.port.close();
+        this.#parts.socket.close();
     }
 
     async #open(): Promise<void> {
-        const { port, log } = this.#parts;
+        const { socket, log } = this.#parts;
         try {
-            await port.open((text, from) => this.#onDatagram(text, from));
+            await socket.open((text, from) => this.#onDatagram(text, from));
         }
         catch (err) {
             log.log("error", "unexpected", { error: `no datagrams of other hosts can be received: ${String(err)}` });
@@ -203,7 +203,7 @@
     #send(to: string, message: LimitMessage): void {
         const address = this.#addresses.get(to) ?? this.#unregistered.get(to);
         if (address !== undefined) {
-            this.#parts.port.send(JSON.stringify(message), address);
+            this.#parts.socket.send(JSON.stringify(message), address);
         }
     }
 
--- a/packages/edge/src/peerServer.ts
+++ b/packages/edge/src/peerServer.ts
@@ -2,9 +2,9 @@
 import { maxHandoverHeadBytes } from "./constants.js";
 import { handoverPath } from "./handover/handoverMessages.js";
 import { type HandoverServer } from "./handover/handoverServer.js";
-import { reachPath } from "./reach/reachMessages.js";
-import { handleReach, type ReachFeed } from "./reach/reachServer.js";
-import { type EvidenceInbox, handleEvidence } from "./rollout/evidenceServer.js";
+import { reachabilityPath } from "./reach/reachabilityMessages.js";
+import { handleReachabilityRequest, type ReachabilityProvider } from "./reach/reachabilityServer.js";
+import { type EvidenceCollector, handleEvidenceReport } from "./rollout/evidenceServer.js";
 import { evidencePath } from "./rollout/rolloutMessages.js";
 import { type RelayServer } from "./state/relayServer.js";
 
@@ -13,9 +13,9 @@
     /** Answers questions for changes of the store. */
     readonly relay: RelayServer;
     /** Takes reports on roll-outs. */
-    readonly inbox: EvidenceInbox;
+    readonly inbox: EvidenceCollector;
     /** Says whether servers are reached. */
-    readonly reachability: ReachFeed;
+    readonly reachability: ReachabilityProvider;
     /** Takes requests. */
     readonly handovers: HandoverServer;
 }
@@ -32,11 +32,11 @@
         if (path === handoverPath) {
             handovers.handle(req, res);
         }
-        else if (path === reachPath) {
-            void handleReach(reachability, req, res);
+        else if (path === reachabilityPath) {
+            void handleReachabilityRequest(reachability, req, res);
         }
         else if (req.method === "POST" && req.url === evidencePath) {
-            handleEvidence(inbox, req, res);
+            handleEvidenceReport(inbox, req, res);
         }
         else {
             relay.handle(req, res);
--- a/packages/edge/src/reach/serverReach.ts
+++ b/packages/edge/src/reach/reachabilityMonitor.ts
@@ -17,54 +17,54 @@
     reachabilityQueryPeers,
     reachabilityCheckPeriodMs,
 } from "../constants.js";
-import { TurnPause } from "../state/turnPause.js";
+import { InterruptibleSleep } from "../state/interruptibleSleep.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { type PeerReach } from "./reachClient.js";
-import { type ReachAnswer } from "./reachMessages.js";
-import { ReachFeed } from "./reachServer.js";
+import { type ReachabilityClient } from "./reachabilityClient.js";
+import { type ReachabilityResponse } from "./reachabilityMessages.js";
+import { ReachabilityProvider } from "./reachabilityServer.js";
 import { type ServerProbe } from "./serverProbe.js";
 
 /** What is needed to tell whether servers are reached. */
-export interface ServerReachParts {
+export interface ReachabilityMonitorDeps {
     /** Of this gateway, as in its registration. */
     readonly name: string;
     readonly availabilityZone: string;
     readonly view: FleetView;
     readonly probe: ServerProbe;
-    readonly peers: PeerReach;
+    readonly reachabilityClient: ReachabilityClient;
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
     /** This host's links to servers of a service are lost. @param kind - on all connections, or new ones only */
-    readonly onLost: (servers: readonly RegisteredServer[], kind: LinkFailureKind) => void;
+    readonly onLinksLost: (servers: readonly RegisteredServer[], kind: LinkFailureKind) => void;
     /** They work again. */
-    readonly onRestored: (service: string, servers: readonly RegisteredServer[]) => void;
+    readonly onLinksRestored: (service: string, servers: readonly RegisteredServer[]) => void;
 }
 
 /**
  * Notices when this host doesn't reach the servers of a service any more, finds out from other gateways whether that is due to its links
  * or to the servers, and checks until the links work again. Nothing is sent while servers answer.
  */
-export class ServerReach extends ReachFeed {
-    readonly #parts: ServerReachParts;
+export class ReachabilityMonitor extends ReachabilityProvider {
+    readonly #parts: ReachabilityMonitorDeps;
     readonly #services = new Map<string, ServiceReachability>();
     readonly #helpers: HandoverTargetSelector;
     /** Called once it is known whether a doubted service is reached from elsewhere. */
     readonly #waiting = new Map<string, (() => void)[]>();
     readonly #checks = new Map<string, Promise<boolean>>();
-    readonly #pauses = new Map<string, TurnPause>();
+    readonly #pauses = new Map<string, InterruptibleSleep>();
     #stopped = false;
 
-    constructor(parts: ServerReachParts) {
+    constructor(parts: ReachabilityMonitorDeps) {
         super();
         this.#parts = parts;
         this.#helpers = new HandoverTargetSelector(parts);
     }
 
     /** Other gateways that can send what this one can't. */
-    get helpers(): HandoverTargetSelector {
+    get handoverTargets(): HandoverTargetSelector {
         return this.#helpers;
     }
 
@@ -93,14 +93,14 @@
     }
 
     /** @returns whether a request that no other gateway can have may look for a server by itself */
-    takeOwnTry(service: string): boolean {
+    tryAcquireLocalAttempt(service: string): boolean {
         return this.#reachOf(service).tryAcquireLocalAttempt(this.#nowMs());
     }
 
     /** No gateway is left that a request of a service could be handed to. Others may do for other requests, as where some are busy. */
-    onNoHelper(service: string): void {
+    onHandoverTargetsExhausted(service: string): void {
         const nowMs = this.#nowMs();
-        if (this.chooseHelper(service, new Set()) !== undefined) {
+        if (this.chooseHandoverTarget(service, new Set()) !== undefined) {
             return;
         }
         const reach = this.#reachOf(service);
@@ -109,12 +109,12 @@
     }
 
     /** @returns a gateway that a request may be handed to, `undefined` for none */
-    chooseHelper(service: string, tried: ReadonlySet<string>): RegisteredGateway | undefined {
+    chooseHandoverTarget(service: string, tried: ReadonlySet<string>): RegisteredGateway | undefined {
         return this.#helpers.choose(service, this.#parts.view.registeredGateways(), tried, this.#nowMs());
     }
 
     /** Says whether this gateway reaches a service; asks servers first where none was heard for a while. */
-    override async tell(service: string): Promise<ReachAnswer> {
+    override async getReachability(service: string): Promise<ReachabilityResponse> {
         if (this.#parts.view.configurationInForce?.services.has(service) !== true) {
             return { reaches: false, named: [] };
         }
@@ -128,7 +128,7 @@
     }
 
     /** Forgets what is no longer there. */
-    onChange(): void {
+    onViewChange(): void {
         const { view } = this.#parts;
         this.#helpers.retain(new Set(view.registeredGateways().map(({ name }) => name)));
         for (const service of this.#services.keys()) {
@@ -141,7 +141,7 @@
     stop(): void {
         this.#stopped = true;
         for (const pause of this.#pauses.values()) {
-            pause.end();
+            pause.interrupt();
         }
         for (const service of [...this.#waiting.keys()]) {
             this.#release(service);
@@ -160,7 +160,7 @@
         if (change === undefined) {
             return;
         }
-        const { log, metrics, view, onLost, onRestored } = this.#parts;
+        const { log, metrics, view, onLinksLost, onLinksRestored } = this.#parts;
         log.log(change.to === "reached" ? "info" : "warn", "serverReach", { service, ...describeChange(change) });
         metrics.onReachChanged(service, change.to);
         if (change.from === "doubted") {
@@ -169,12 +169,12 @@
         const servers = view.readyServers(service, this.#nowMs());
         if (change.to === "reached") {
             if (change.from === "lost") {
-                onRestored(service, servers);
+                onLinksRestored(service, servers);
             }
             return;
         }
         if (change.to === "lost") {
-            onLost(servers, change.linkFailure?.kind ?? "all");
+            onLinksLost(servers, change.linkFailure?.kind ?? "all");
         }
         if (change.from === "reached") {
             this.#beginRecovery(service);
@@ -187,16 +187,16 @@
             void this.#recover(service);
             return;
         }
-        underWay.end();
+        underWay.interrupt();
     }
 
     /** Checks and asks, round after round, until the service is reached. */
     async #recover(service: string): Promise<void> {
-        const pause = new TurnPause();
+        const pause = new InterruptibleSleep();
         this.#pauses.set(service, pause);
         while (!this.#stopped && this.stateOf(service) !== "reached") {
             await this.#takeRound(service);
-            await pause.take(reachabilityCheckPeriodMs);
+            await pause.sleep(reachabilityCheckPeriodMs);
         }
         this.#pauses.delete(service);
     }
@@ -274,7 +274,7 @@
     }
 
     async #ask(service: string, { name, peerAddress }: RegisteredGateway): Promise<boolean> {
-        const answer = await this.#parts.peers.ask(peerAddress, service);
+        const answer = await this.#parts.reachabilityClient.fetchReachability(peerAddress, service);
         const nowMs = this.#nowMs();
         if (answer === undefined) {
             this.#helpers.onUnresponsive(name, nowMs);
--- /dev/null
+++ b/packages/edge/src/reach/reachabilityServer.ts
@@ -0,0 +1,28 @@
+import { type IncomingMessage, type ServerResponse } from "node:http";
+import { type ReachabilityResponse, reachabilityServiceParam, reachabilityStatus } from "./reachabilityMessages.js";
+
+/** Knows whether this gateway reaches a service. */
+export abstract class ReachabilityProvider {
+    abstract getReachability(service: string): Promise<ReachabilityResponse>;
+}
+
+/** Answers another gateway's question whether this one reaches a service. */
+export async function handleReachabilityRequest(
+    feed: ReachabilityProvider,
+    req: IncomingMessage,
+    res: ServerResponse,
+): Promise<void> {
+    const service = new URL(req.url ?? "/", "http://gateway").searchParams.get(reachabilityServiceParam);
+    if (service === null) {
+        send(res, reachabilityStatus.badRequest, "");
+        return;
+    }
+    send(res, reachabilityStatus.ok, JSON.stringify(await feed.getReachability(service)));
+}
+
+function send(res: ServerResponse, status: number, body: string): void {
+    if (!res.destroyed) {
+        res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(body) });
+        res.end(body);
+    }
+}
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -15,27 +15,27 @@
 }
 
 /** What a load probe works with. */
-export interface LoadProbeParts {
+export interface LoadProbeDeps {
     readonly view: FleetView;
     readonly board: PlacementState;
-    readonly notes: ResponseMetadataRecorder;
+    readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
-    readonly vocabulary: EdgeMetadataCodec;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly clock: Clock;
     readonly metrics: EdgeMetrics;
 }
 
 /** Asks the server for its load, which is learnt like any other. */
 export class LoadProbe extends ServerProbe {
-    readonly #parts: LoadProbeParts;
+    readonly #parts: LoadProbeDeps;
 
-    constructor(parts: LoadProbeParts) {
+    constructor(parts: LoadProbeDeps) {
         super();
         this.#parts = parts;
     }
 
     override async probe(service: string, server: RegisteredServer): Promise<ServerContactResult> {
-        const { view, board, notes, connections, vocabulary, clock, metrics } = this.#parts;
+        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#parts;
         const rules = view.configurationInForce?.services.get(service);
         if (rules === undefined) {
             return "lost";
@@ -47,7 +47,7 @@
             server,
             connection,
             healthPath,
-            vocabulary,
+            vocabulary: metadataCodec,
             timeoutMs: reachabilityCheckTimeoutMs,
         });
         const nowMs = clock.monotonicMs();
@@ -58,7 +58,7 @@
         }
         connections.release(server.id, connection, { after: "question", nowMs });
         board.onProbeResponse(service, told.offer, startedAtMs);
-        notes.record({
+        metadataRecorder.record({
             server,
             metadata: told.metadata,
             source: { answered: "question", sentAtMs: startedAtMs },
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -263,7 +263,7 @@
             if (helper !== undefined) {
                 return { type: "gateway", helper };
             }
-            if (!reachability.takeOwnTry(service)) {
+            if (!reachability.tryAcquireLocalAttempt(service)) {
                 return "unreached";
             }
         }
@@ -294,7 +294,7 @@
         }
         const helper = this.#handover.chooseGateway();
         if (helper === undefined && this.#handover.isAllowed) {
-            reachability.onNoHelper(service);
+            reachability.onHandoverTargetsExhausted(service);
         }
         return helper;
     }
--- a/packages/edge/src/requests/exchangeDeps.ts
+++ b/packages/edge/src/requests/exchangeDeps.ts
@@ -4,7 +4,7 @@
 import { type GatewayRollouts } from "@galenaglade/rollout";
 import { type RandomSource } from "@galenaglade/routing";
 import { type ConfigVersionWatermark } from "../handover/configVersionWatermark.js";
-import { type ServerReach } from "../reach/serverReach.js";
+import { type ReachabilityMonitor } from "../reach/reachabilityMonitor.js";
 import { type ServerLivenessChecker } from "../backends/serverLivenessChecker.js";
 import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
 import { type CrashReportSync } from "../quarantine/crashReportSync.js";
@@ -37,7 +37,7 @@
     readonly peerConnections: ServerConnectionPool;
     readonly configVersionWatermark: ConfigVersionWatermark;
     readonly checks: ServerLivenessChecker;
-    readonly reachability: ServerReach;
+    readonly reachability: ReachabilityMonitor;
     readonly crashReports: CrashReportSync;
     readonly limits: WorkspaceLimits;
     readonly repeatBudget: RepeatBudget;
--- a/packages/edge/src/requests/placementProber.ts
+++ b/packages/edge/src/requests/placementProber.ts
@@ -4,7 +4,7 @@
 import { type ServerContactResult } from "@galenaglade/reachability";
 import { probeServerLoad, type LoadProbeSuccess, type LoadProbeFailure } from "../backends/probeServerLoad.js";
 import { type ServerConnectionPool } from "../backends/serverConnectionPool.js";
-import { type ServerReach } from "../reach/serverReach.js";
+import { type ReachabilityMonitor } from "../reach/reachabilityMonitor.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StartTimeline } from "../telemetry/startTimeline.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
@@ -15,7 +15,7 @@
     readonly board: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
-    readonly reachability: Pick<ServerReach, "onContact">;
+    readonly reachability: Pick<ReachabilityMonitor, "onContact">;
     readonly metadataCodec: EdgeMetadataCodec;
     readonly clock: Clock;
     readonly metrics: EdgeMetrics;
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -9,13 +9,13 @@
     type ServerExclusion,
     ServerSearch,
 } from "@galenaglade/placement";
-import { type ServerReach } from "../reach/serverReach.js";
+import { type ReachabilityMonitor } from "../reach/reachabilityMonitor.js";
 import { loadProbeTimeoutMs, maxLoadProbeTimeoutMs } from "../constants.js";
 import { type ProbeEndCounts, PlacementProber, type PlacementProberDeps } from "./placementProber.js";
 
 /** What the placer works with. */
 export interface PlacerDeps extends PlacementProberDeps {
-    readonly reachability: Pick<ServerReach, "onContact" | "stateOf">;
+    readonly reachability: Pick<ReachabilityMonitor, "onContact" | "stateOf">;
     readonly view: FleetView;
     /** This gateway's own. */
     readonly availabilityZone: string;
--- a/packages/edge/src/rollout/evidenceClient.ts
+++ b/packages/edge/src/rollout/evidenceClient.ts
@@ -4,14 +4,14 @@
 import { type Either, Left, Right } from "purify-ts";
 import { Client } from "undici";
 import { rolloutReportTimeoutMs } from "../constants.js";
-import { type EvidenceAnswer, evidenceAnswer, evidencePath, evidenceStatus } from "./rolloutMessages.js";
+import { type EvidenceResponse, evidenceResponse, evidencePath, evidenceStatus } from "./rolloutMessages.js";
 
 /** Reports to coordinators, over one kept connection to each. */
 export class EvidenceClient {
     readonly #clients = new Map<string, Client>();
 
     /** @returns the coordinator's answer, or why there is none */
-    async report(address: ServerAddress, report: EvidenceReport): Promise<Either<Failure, EvidenceAnswer>> {
+    async report(address: ServerAddress, report: EvidenceReport): Promise<Either<Failure, EvidenceResponse>> {
         const origin = `http://${address.host}:${address.port}`;
         const client = this.#clients.get(origin)
             ?? new Client(origin, { connect: { timeout: rolloutReportTimeoutMs } });
@@ -25,8 +25,8 @@
                 signal: AbortSignal.timeout(rolloutReportTimeoutMs),
             });
             const text = await res.body.text();
-            return res.statusCode === evidenceStatus.taken
-                ? Right(evidenceAnswer.parse(JSON.parse(text)))
+            return res.statusCode === evidenceStatus.ok
+                ? Right(evidenceResponse.parse(JSON.parse(text)))
                 : Left(createFailure("peerUnreachable", `status ${res.statusCode}`));
         }
         catch (err) {
--- a/packages/edge/src/rollout/evidenceServer.ts
+++ b/packages/edge/src/rollout/evidenceServer.ts
@@ -2,12 +2,12 @@
 import { type EvidenceReport } from "@galenaglade/rollout";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { maxRolloutReportBytes } from "../constants.js";
-import { type EvidenceAnswer, evidenceReport, evidenceStatus } from "./rolloutMessages.js";
+import { type EvidenceResponse, evidenceReport, evidenceStatus } from "./rolloutMessages.js";
 
 /** Takes reports as a roll-out's coordinator. */
-export abstract class EvidenceInbox {
+export abstract class EvidenceCollector {
     /** @returns the answer, or `undefined` where this gateway can't coordinate now */
-    abstract onReport(report: EvidenceReport): EvidenceAnswer | undefined;
+    abstract onReport(report: EvidenceReport): EvidenceResponse | undefined;
 }
 
 /**
@@ -17,7 +17,7 @@
  * @param req - its request
  * @param res - where the answer goes
  */
-export function handleEvidence(inbox: EvidenceInbox, req: IncomingMessage, res: ServerResponse): void {
+export function handleEvidenceReport(inbox: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     req.on("data", (chunk: Buffer) => {
@@ -33,15 +33,15 @@
     req.on("end", () => {
         const parsed = evidenceReport.safeParse(parseJson(Buffer.concat(chunks).toString("utf8")));
         if (!parsed.success) {
-            send(res, evidenceStatus.malformed, undefined);
+            send(res, evidenceStatus.badRequest, undefined);
             return;
         }
         const answer = inbox.onReport(parsed.data);
-        send(res, answer === undefined ? evidenceStatus.away : evidenceStatus.taken, answer);
+        send(res, answer === undefined ? evidenceStatus.unavailable : evidenceStatus.ok, answer);
     });
 }
 
-function send(res: ServerResponse, status: number, answer: EvidenceAnswer | undefined): void {
+function send(res: ServerResponse, status: number, answer: EvidenceResponse | undefined): void {
     const body = answer === undefined ? "" : JSON.stringify(answer);
     res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(body) });
     res.end(body);
--- a/packages/edge/src/rollout/rolloutMessages.ts
+++ b/packages/edge/src/rollout/rolloutMessages.ts
@@ -5,11 +5,11 @@
 
 /** Statuses of answers to a report. */
 export const evidenceStatus = Object.freeze({
-    taken: 200,
-    malformed: 400,
+    ok: 200,
+    badRequest: 400,
     tooLarge: 413,
     /** The gateway doesn't reach the store, so it can't coordinate. */
-    away: 503,
+    unavailable: 503,
 });
 
 const ms = z.number().min(0);
@@ -31,9 +31,9 @@
 });
 
 /** What the coordinator answers. */
-export const evidenceAnswer = z.object({
+export const evidenceResponse = z.object({
     /** Whether the version is to get nothing more. */
     stop: z.boolean(),
 });
 
-export type EvidenceAnswer = Readonly<z.output<typeof evidenceAnswer>>;
+export type EvidenceResponse = Readonly<z.output<typeof evidenceResponse>>;
--- a/packages/edge/src/rollout/rolloutSync.ts
+++ b/packages/edge/src/rollout/rolloutRunner.ts
@@ -15,11 +15,11 @@
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { EvidenceClient } from "./evidenceClient.js";
-import { EvidenceInbox } from "./evidenceServer.js";
-import { type EvidenceAnswer } from "./rolloutMessages.js";
+import { EvidenceCollector } from "./evidenceServer.js";
+import { type EvidenceResponse } from "./rolloutMessages.js";
 
 /** What roll-outs are carried out with. */
-export interface RolloutSyncParts extends RolloutParticipantDeps {
+export interface RolloutRunnerDeps extends RolloutParticipantDeps {
     readonly random: RandomSource;
     readonly store: KeyValueStore;
     readonly codec: StateCodec;
@@ -31,15 +31,15 @@
 type Command<Type extends RolloutCommand["type"]> = RolloutCommand & { readonly type: Type; };
 
 /** Carries out what this gateway's part in roll-outs asks for: reports, writes and log lines. */
-export class RolloutSync extends EvidenceInbox {
-    readonly #parts: RolloutSyncParts;
+export class RolloutRunner extends EvidenceCollector {
+    readonly #parts: RolloutRunnerDeps;
     readonly #participant: RolloutParticipant;
     readonly #client = new EvidenceClient();
     #timer: NodeJS.Timeout | undefined;
     /** The store's term for which statuses have been written again. */
     #term: number | undefined;
 
-    constructor(parts: RolloutSyncParts) {
+    constructor(parts: RolloutRunnerDeps) {
         super();
         this.#parts = parts;
         this.#participant = new RolloutParticipant(parts);
@@ -54,7 +54,7 @@
         this.#client.close();
     }
 
-    override onReport(report: EvidenceReport): EvidenceAnswer | undefined {
+    override onReport(report: EvidenceReport): EvidenceResponse | undefined {
         return this.#participant.onPeerReport(report, this.#time());
     }
 
--- a/packages/edge/src/state/pauseDetector.ts
+++ b/packages/edge/src/state/hostPauseDetector.ts
@@ -5,7 +5,7 @@
  * Notices that this host stood still: its steady clock stood still with it, and its time of day went on. Setting the time
  * of day looks the same, and costs whoever asks no more than one call too many.
  */
-export class PauseDetector {
+export class HostPauseDetector {
     readonly #clock: Clock;
     #skewMs: number;
 
--- a/packages/edge/src/state/firstReading.ts
+++ b/packages/edge/src/state/initialSyncGate.ts
@@ -2,7 +2,7 @@
 import { admitDuringStartup, type StartupAdmission } from "@galenaglade/placement";
 
 /** Holds what arrives before the store has been read for the first time. */
-export class FirstReading {
+export class InitialSyncGate {
     readonly #clock: Clock;
     readonly #onFirstRead: () => void;
     readonly #startedAtMs: number;
@@ -25,7 +25,7 @@
     }
 
     /** The store has been read. */
-    onRead(): void {
+    onStateRead(): void {
         if (this.#state !== "read") {
             this.#onFirstRead();
         }
@@ -34,7 +34,7 @@
     }
 
     /** The store refused the reading, or didn't answer. */
-    onFailed(): void {
+    onReadFailed(): void {
         if (this.#state === "underWay") {
             this.#state = "failed";
             this.#end();
--- a/packages/edge/src/state/turnPause.ts
+++ b/packages/edge/src/state/interruptibleSleep.ts
@@ -1,9 +1,9 @@
 /** A pause that can be cut short. */
-export class TurnPause {
+export class InterruptibleSleep {
     #wake: () => void = () => undefined;
 
     /** @returns once the time is over, or the pause is cut short */
-    take(ms: number): Promise<void> {
+    sleep(ms: number): Promise<void> {
         return new Promise(resolve => {
             const timer = setTimeout(resolve, ms);
             this.#wake = () => {
@@ -14,7 +14,7 @@
     }
 
     /** Ends the pause that is taken now, if any. */
-    end(): void {
+    interrupt(): void {
         this.#wake();
     }
 }
--- a/packages/edge/src/state/outageInquiry.ts
+++ b/packages/edge/src/state/outageVerifier.ts
@@ -2,16 +2,16 @@
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { type RandomSource } from "@galenaglade/routing";
 import { outageQueryDelayMs, outageQueryPeers } from "../constants.js";
-import { type PeerChanges } from "./relayClient.js";
+import { type RelayClient } from "./relayClient.js";
 
 /** What an inquiry works with. */
-export interface OutageInquiryParts {
+export interface OutageVerifierDeps {
     /** Of this gateway, as in its registration. */
     readonly name: string;
     readonly view: FleetView;
     readonly clock: Clock;
     readonly random: RandomSource;
-    readonly peers: PeerChanges;
+    readonly relayClient: RelayClient;
 }
 
 /**
@@ -19,11 +19,11 @@
  * servers are believed whose entries are missing. After a cut, the missing entries are those of servers that left: they would be
  * given requests for as long.
  */
-export class OutageInquiry {
-    readonly #parts: OutageInquiryParts;
+export class OutageVerifier {
+    readonly #parts: OutageVerifierDeps;
     #isUnderWay = false;
 
-    constructor(parts: OutageInquiryParts) {
+    constructor(parts: OutageVerifierDeps) {
         this.#parts = parts;
     }
 
@@ -41,11 +41,11 @@
 
     /** @returns whether any gateway has said for how long it has heard the store */
     async #ask(): Promise<boolean> {
-        const { name, view, clock, peers } = this.#parts;
+        const { name, view, clock, relayClient } = this.#parts;
         const others = view.registeredGateways().filter(gateway => gateway.name !== name);
         const answers = await Promise.all(
             this.#draw(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
-                const heard = await peers.askContact(address);
+                const heard = await relayClient.fetchStoreContactMs(address);
                 heard.ifRight(forMs => view.onPeerStoreContact(forMs, clock.monotonicMs()));
                 return heard.isRight();
             }),
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -14,10 +14,10 @@
 import { type StateCodec } from "../stateCodec.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { TurnPause } from "./turnPause.js";
+import { InterruptibleSleep } from "./interruptibleSleep.js";
 
 /** What a registration works with. */
-export interface RegistrationParts {
+export interface RegistrationDeps {
     readonly name: string;
     /** What the registration says of this gateway; `undefined` where it relays no changes. */
     readonly registration: GatewayRegistration | undefined;
@@ -41,15 +41,15 @@
  * 30 calls less.
  */
 export class Registration {
-    readonly #parts: RegistrationParts;
+    readonly #parts: RegistrationDeps;
     #stopped = false;
     #leaseId: string | undefined;
     #lostLeaseId: string | undefined;
-    readonly #pause = new TurnPause();
+    readonly #pause = new InterruptibleSleep();
     /** The store's term in which the registration was made. */
     #term = 0;
 
-    constructor(parts: RegistrationParts) {
+    constructor(parts: RegistrationDeps) {
         this.#parts = parts;
     }
 
@@ -63,11 +63,11 @@
     }
 
     /** What is believed of the fleet has changed. */
-    onChange(): void {
+    onViewChange(): void {
         if (this.#leaseId !== undefined && this.#parts.view.term !== this.#term) {
             // The store came back from an older copy: what was written since is gone, and the lease may be another one's.
             this.#leaseId = undefined;
-            this.#pause.end();
+            this.#pause.interrupt();
         }
     }
 
@@ -159,7 +159,7 @@
             if (leaseId === undefined) {
                 return;
             }
-            await this.#pause.take(renewalMs);
+            await this.#pause.sleep(renewalMs);
             if (this.#leaseId !== leaseId) {
                 return;
             }
--- a/packages/edge/src/state/relayClient.ts
+++ b/packages/edge/src/state/relayClient.ts
@@ -5,12 +5,12 @@
 import { Client } from "undici";
 import { catchUpTimeoutMs, relayLongPollGraceMs, relayLongPollMs } from "../constants.js";
 import {
-    contactAnswer,
+    contactResponse,
     contactPath,
-    relayAnswer,
-    type RelayAnswer,
+    relayResponse,
+    type RelayResponse,
     relayPath,
-    relayQuery,
+    relayParams,
     relayStatus,
 } from "./relayMessages.js";
 
@@ -19,44 +19,46 @@
     readonly address: ServerAddress;
     readonly afterRevision: number;
     /** Whether to wait for changes; otherwise the answer comes at once. */
-    readonly waits: boolean;
+    readonly longPoll: boolean;
     readonly signal: AbortSignal;
 }
 
 /** Asks other gateways for changes of the store. */
-export abstract class PeerChanges {
+export abstract class RelayClient {
     /**
      * @param req - what to ask, and whom
      * @returns the changes, or `storeHistoryLost` where the peer doesn't know that far back, `bodyTooLarge` where there are some that it
      * doesn't pass on, or why none came
      */
-    abstract ask(req: RelayRequest): Promise<Either<Failure, RelayAnswer>>;
+    abstract fetchChanges(req: RelayRequest): Promise<Either<Failure, RelayResponse>>;
 
     /**
      * @param address - of any gateway
      * @returns for how long it has heard the store without an outage, in milliseconds, or why it doesn't say
      */
-    abstract askContact(address: ServerAddress): Promise<Either<Failure, number>>;
+    abstract fetchStoreContactMs(address: ServerAddress): Promise<Either<Failure, number>>;
     abstract close(): void;
 }
 
 /** Asks over one kept connection. */
-export class RelayClient extends PeerChanges {
+export class HttpRelayClient extends RelayClient {
     #client: Client | undefined;
     #origin = "";
 
-    override async ask({ address, afterRevision, waits, signal }: RelayRequest): Promise<Either<Failure, RelayAnswer>> {
-        const waitMs = waits ? relayLongPollMs : 0;
-        const timeout = AbortSignal.timeout(resolveRelayTimeoutMs(waits));
+    override async fetchChanges(
+        { address, afterRevision, longPoll, signal }: RelayRequest,
+    ): Promise<Either<Failure, RelayResponse>> {
+        const waitMs = longPoll ? relayLongPollMs : 0;
+        const timeout = AbortSignal.timeout(resolveRelayTimeoutMs(longPoll));
         try {
             const res = await this.#connect(address).request({
                 method: "GET",
                 path: relayPath,
-                query: { [relayQuery.after]: String(afterRevision), [relayQuery.wait]: String(waitMs) },
+                query: { [relayParams.after]: String(afterRevision), [relayParams.wait]: String(waitMs) },
                 signal: AbortSignal.any([timeout, signal]),
             });
             const text = await res.body.text();
-            return readRelayAnswer(res.statusCode, text);
+            return parseRelayResponse(res.statusCode, text);
         }
         catch (err) {
             // A connection that may have gone silent for good must not be asked again.
@@ -65,13 +67,13 @@
         }
     }
 
-    override async askContact({ host, port }: ServerAddress): Promise<Either<Failure, number>> {
+    override async fetchStoreContactMs({ host, port }: ServerAddress): Promise<Either<Failure, number>> {
         // A connection of its own: the kept one is for the relay, which is asked at the same time.
         const client = new Client(`http://${host}:${port}`, { connect: { timeout: catchUpTimeoutMs } });
         try {
             const signal = AbortSignal.timeout(catchUpTimeoutMs);
             const res = await client.request({ method: "GET", path: contactPath, signal });
-            return readContactAnswer(res.statusCode, await res.body.text());
+            return parseContactResponse(res.statusCode, await res.body.text());
         }
         catch (err) {
             return Left(createFailure("peerUnreachable", err instanceof Error ? err.message : String(err)));
@@ -103,29 +105,29 @@
 }
 
 /** @returns what a peer's answer says, or why it says nothing */
-export function readRelayAnswer(status: number, text: string): Either<Failure, RelayAnswer> {
-    if (status === relayStatus.forgotten) {
+export function parseRelayResponse(status: number, text: string): Either<Failure, RelayResponse> {
+    if (status === relayStatus.gone) {
         return Left(createFailure("storeHistoryLost", "the peer doesn't know that far back"));
     }
     if (status === relayStatus.tooLarge) {
         return Left(createFailure("bodyTooLarge", "the changes are too large to be passed on"));
     }
-    if (status === relayStatus.away) {
+    if (status === relayStatus.unavailable) {
         return Left(createFailure("storeUnavailable", "the peer doesn't reach the store"));
     }
-    if (status !== relayStatus.told) {
+    if (status !== relayStatus.ok) {
         return Left(createFailure("peerUnreachable", `status ${status}`));
     }
-    const parsed = relayAnswer.safeParse(parseJson(text));
+    const parsed = relayResponse.safeParse(parseJson(text));
     return parsed.success ? Right(parsed.data) : Left(createFailure("peerUnreachable", "the answer is malformed"));
 }
 
 /** @returns for how long a peer has heard the store, or why it doesn't say */
-export function readContactAnswer(status: number, text: string): Either<Failure, number> {
-    if (status !== relayStatus.told) {
+export function parseContactResponse(status: number, text: string): Either<Failure, number> {
+    if (status !== relayStatus.ok) {
         return Left(createFailure("peerUnreachable", `status ${status}`));
     }
-    const parsed = contactAnswer.safeParse(parseJson(text));
+    const parsed = contactResponse.safeParse(parseJson(text));
     return parsed.success
         ? Right(parsed.data.heardForMs)
         : Left(createFailure("peerUnreachable", "the answer is malformed"));
--- a/packages/edge/src/state/relayMessages.ts
+++ b/packages/edge/src/state/relayMessages.ts
@@ -11,7 +11,7 @@
 export const contactPath = "/contact";
 
 /** Query parameters of a question for changes. */
-export const relayQuery = Object.freeze({
+export const relayParams = Object.freeze({
     /** Revision up to which the asking gateway knows everything. */
     after: "after",
     /** How long to wait for changes, in milliseconds. */
@@ -20,18 +20,18 @@
 
 /** Statuses of answers to a question for changes. */
 export const relayStatus = Object.freeze({
-    told: 200,
-    malformed: 400,
+    ok: 200,
+    badRequest: 400,
     /** What came after the revision is not known any more: the store has to be read. */
-    forgotten: 410,
+    gone: 410,
     /** There are changes, too large to be passed on: the store has to be asked. */
     tooLarge: 413,
     /** The gateway doesn't reach the store itself. */
-    away: 503,
+    unavailable: 503,
 });
 
 /** What a gateway answers where it reads the store. */
-export const relayAnswer = z.object({
+export const relayResponse = z.object({
     /** Up to which the changes go. */
     revision: z.number(),
     changed: z.array(z.object({
@@ -50,9 +50,9 @@
 });
 
 /** What a gateway says of its contact with the store. */
-export const contactAnswer = z.object({
+export const contactResponse = z.object({
     heardForMs: z.number().min(0),
 });
 
 /** Changes that one gateway relays to another. */
-export type RelayAnswer = DeepReadonly<z.output<typeof relayAnswer>>;
+export type RelayResponse = DeepReadonly<z.output<typeof relayResponse>>;
--- a/packages/edge/src/state/relayServer.ts
+++ b/packages/edge/src/state/relayServer.ts
@@ -1,18 +1,18 @@
 import { type MirroredChanges } from "@galenaglade/fleet-state";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { maxRelayedChangesBytes, relayLongPollMs } from "../constants.js";
-import { contactPath, type RelayAnswer, relayPath, relayQuery, relayStatus } from "./relayMessages.js";
+import { contactPath, type RelayResponse, relayPath, relayParams, relayStatus } from "./relayMessages.js";
 
 /** What a gateway tells of the store. */
 export abstract class RelayFeed {
     /** Whether this gateway reads the store itself now, and reaches it. */
-    abstract readonly reachesStore: boolean;
+    abstract readonly isStoreReachable: boolean;
     /** How long ago the store was heard. */
     abstract readonly ageMs: number;
     /** How long ago what this gateway holds was the store's whole present state; `undefined` where that isn't known. */
     abstract readonly currentAgeMs: number | undefined;
     /** Whether changes are arriving that are too large to be passed on. */
-    abstract readonly isReadingLarge: boolean;
+    abstract readonly isReceivingLargeChange: boolean;
     /** For how long the store has been heard without an outage; `undefined` where that isn't known. */
     abstract readonly heardForMs: number | undefined;
     /**
@@ -20,7 +20,7 @@
      *
      * @param afterRevision - up to which the other one knows everything
      */
-    abstract onAsked(afterRevision: number): void;
+    abstract onPeerRequest(afterRevision: number): void;
     /** @returns what changed, or `undefined` where that is not known any more */
     abstract changesSince(afterRevision: number): MirroredChanges | undefined;
 }
@@ -48,7 +48,7 @@
     }
 
     /** Something that is told has changed: changes came, or the store was lost or found. */
-    onChange(): void {
+    onFeedChange(): void {
         for (const waiting of [...this.#waiting]) {
             this.#answerIfDue(waiting, false);
         }
@@ -57,7 +57,7 @@
     /** Sends everyone elsewhere, so that nobody waits for a process that is about to end. */
     stop(): void {
         this.#stopped = true;
-        this.onChange();
+        this.onFeedChange();
     }
 
     /** Takes one question of another gateway. */
@@ -67,19 +67,19 @@
             this.#tellContact(res);
             return;
         }
-        const afterRevision = Number(url.searchParams.get(relayQuery.after) ?? Number.NaN);
-        const waitMs = Number(url.searchParams.get(relayQuery.wait) ?? Number.NaN);
+        const afterRevision = Number(url.searchParams.get(relayParams.after) ?? Number.NaN);
+        const waitMs = Number(url.searchParams.get(relayParams.wait) ?? Number.NaN);
         if (url.pathname !== relayPath || !Number.isFinite(afterRevision) || !(waitMs >= 0)) {
-            send(res, relayStatus.malformed, noBody);
+            send(res, relayStatus.badRequest, noBody);
             return;
         }
-        this.#teller.onAsked(afterRevision);
-        const untilMs = this.#teller.reachesStore ? Math.min(waitMs, relayLongPollMs) : firstAnswerMs;
+        this.#teller.onPeerRequest(afterRevision);
+        const untilMs = this.#teller.isStoreReachable ? Math.min(waitMs, relayLongPollMs) : firstAnswerMs;
         const waiting: Waiting = {
             res,
             afterRevision,
             timer: setTimeout(() => this.#answerIfDue(waiting, true), untilMs),
-            isShortened: !this.#teller.reachesStore,
+            isShortened: !this.#teller.isStoreReachable,
         };
         this.#waiting.add(waiting);
         res.once("close", () => this.#forget(waiting));
@@ -90,35 +90,35 @@
     #tellContact(res: ServerResponse): void {
         const { heardForMs } = this.#teller;
         if (heardForMs === undefined) {
-            send(res, relayStatus.away, noBody);
+            send(res, relayStatus.unavailable, noBody);
             return;
         }
-        send(res, relayStatus.told, JSON.stringify({ heardForMs }));
+        send(res, relayStatus.ok, JSON.stringify({ heardForMs }));
     }
 
     #answerIfDue(waiting: Waiting, timeIsOver: boolean): void {
-        const { reachesStore, ageMs, currentAgeMs, heardForMs } = this.#teller;
-        if (this.#stopped || (!reachesStore && timeIsOver)) {
-            this.#answer(waiting, relayStatus.away, noBody);
+        const { isStoreReachable, ageMs, currentAgeMs, heardForMs } = this.#teller;
+        if (this.#stopped || (!isStoreReachable && timeIsOver)) {
+            this.#answer(waiting, relayStatus.unavailable, noBody);
             return;
         }
-        if (!reachesStore) {
+        if (!isStoreReachable) {
             this.#shorten(waiting);
             return;
         }
-        if (this.#teller.isReadingLarge) {
+        if (this.#teller.isReceivingLargeChange) {
             this.#answer(waiting, relayStatus.tooLarge, noBody);
             return;
         }
         const changes = this.#teller.changesSince(waiting.afterRevision);
         if (changes === undefined) {
-            this.#answer(waiting, relayStatus.forgotten, noBody);
+            this.#answer(waiting, relayStatus.gone, noBody);
             return;
         }
         if (timeIsOver || changes.changed.length + changes.deleted.length > 0) {
-            const answer: RelayAnswer = { ...changes, ageMs, currentAgeMs, heardForMs };
+            const answer: RelayResponse = { ...changes, ageMs, currentAgeMs, heardForMs };
             const body = isTooLarge(changes) ? undefined : JSON.stringify(answer);
-            this.#answer(waiting, body === undefined ? relayStatus.tooLarge : relayStatus.told, body ?? noBody);
+            this.#answer(waiting, body === undefined ? relayStatus.tooLarge : relayStatus.ok, body ?? noBody);
         }
     }
 
--- a/packages/edge/src/state/storePeek.ts
+++ b/packages/edge/src/state/revisionReader.ts
@@ -4,7 +4,7 @@
 import { type Either, Left } from "purify-ts";
 
 /** Asks the store for its revision by the cheapest call, and waits for no longer than whoever asks can. */
-export class StorePeek {
+export class RevisionReader {
     readonly #store: KeyValueStore;
     readonly #prefix: string;
 
@@ -15,7 +15,7 @@
     }
 
     /** @returns the store's revision, which may be seconds old, or why it wasn't told in time */
-    revision(timeoutMs: number): Promise<Either<Failure, number>> {
+    read(timeoutMs: number): Promise<Either<Failure, number>> {
         const late = sleep(timeoutMs).then(() => Left(createFailure("storeOutcomeUnknown", "no answer in time")));
         return Promise.race([this.#store.peekRevision(this.#prefix), late]);
     }
--- a/packages/edge/src/state/stateReading.ts
+++ b/packages/edge/src/state/stateSnapshot.ts
@@ -5,7 +5,7 @@
 import { type StateCodec } from "../stateCodec.js";
 
 /** A whole reading of the store. */
-export interface StateReading {
+export interface StateSnapshot {
     readonly revision: number;
     readonly entries: readonly KeyValue[];
     readonly items: readonly StateItem[];
@@ -23,7 +23,7 @@
     store: KeyValueStore,
     codec: StateCodec,
     onOperatorRead: (items: readonly StateItem[]) => void,
-): Promise<Either<Failure, StateReading>> {
+): Promise<Either<Failure, StateSnapshot>> {
     const items: StateItem[] = [];
     // Parts come with all that was read before them: each entry is decoded once.
     const decode = (entries: readonly KeyValue[]): readonly StateItem[] => {
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -24,14 +24,14 @@
     watchLongPollGraceMs,
     watchLongPollMs,
 } from "../constants.js";
-import { OutageInquiry } from "./outageInquiry.js";
+import { OutageVerifier } from "./outageVerifier.js";
 import { RelayFeed } from "./relayServer.js";
-import { PauseDetector } from "./pauseDetector.js";
-import { readState } from "./stateReading.js";
-import { type StateSyncParts } from "./stateSyncParts.js";
+import { HostPauseDetector } from "./hostPauseDetector.js";
+import { readState } from "./stateSnapshot.js";
+import { type StateSyncDeps } from "./stateSyncDeps.js";
 import { StoreContact } from "./storeContact.js";
-import { StorePeek } from "./storePeek.js";
-import { TurnPause } from "./turnPause.js";
+import { RevisionReader } from "./revisionReader.js";
+import { InterruptibleSleep } from "./interruptibleSleep.js";
 import { WatchCheck } from "./watchCheck.js";
 
 /**
@@ -39,16 +39,16 @@
  * the store itself or to a gateway that reads it.
  */
 export class StateSync extends RelayFeed {
-    readonly #parts: StateSyncParts;
+    readonly #parts: StateSyncDeps;
     readonly #stop = new AbortController();
     readonly #sources: WatchSourceSelector;
     readonly #mirror = new StoreMirror();
     readonly #contact: StoreContact;
-    readonly #peek: StorePeek;
+    readonly #peek: RevisionReader;
     readonly #check: WatchCheck;
-    readonly #inquiry: OutageInquiry;
-    readonly #pauseDetector: PauseDetector;
-    readonly #pause = new TurnPause();
+    readonly #inquiry: OutageVerifier;
+    readonly #pauseDetector: HostPauseDetector;
+    readonly #pause = new InterruptibleSleep();
     /** Aborted where another source must be asked at once. */
     #turn = new AbortController();
     #afterRevision: number | undefined;
@@ -61,20 +61,20 @@
     #watchingSinceMs: number | undefined;
     #timers: readonly NodeJS.Timeout[] = [];
 
-    constructor(parts: StateSyncParts) {
+    constructor(parts: StateSyncDeps) {
         super();
         this.#parts = parts;
         this.#sources = new WatchSourceSelector(parts.name, parts.availabilityZone);
         this.#contact = new StoreContact(parts);
-        this.#peek = new StorePeek(parts.store, parts.codec.registrationKey(parts.name));
+        this.#peek = new RevisionReader(parts.store, parts.codec.registrationKey(parts.name));
         this.#check = new WatchCheck({
             ...parts,
-            peek: this.#peek,
+            revisionReader: this.#peek,
             contact: this.#contact,
             state: () => ({ afterRevision: this.#afterRevision, sentAtMs: this.#watchingSinceMs }),
         });
-        this.#inquiry = new OutageInquiry(parts);
-        this.#pauseDetector = new PauseDetector(parts.clock);
+        this.#inquiry = new OutageVerifier(parts);
+        this.#pauseDetector = new HostPauseDetector(parts.clock);
     }
 
     start(): void {
@@ -91,10 +91,10 @@
         }
         this.#stop.abort();
         this.#turn.abort();
-        this.#parts.peers.close();
+        this.#parts.relayClient.close();
     }
 
-    override get reachesStore(): boolean {
+    override get isStoreReachable(): boolean {
         return this.#source === "store" && this.#confirmed;
     }
 
@@ -107,7 +107,7 @@
         return Number.isFinite(ageMs) ? Math.max(0, ageMs) : undefined;
     }
 
-    override get isReadingLarge(): boolean {
+    override get isReceivingLargeChange(): boolean {
         return this.#isReadingLarge;
     }
 
@@ -115,7 +115,7 @@
         return this.#parts.view.storeReachableForMs(this.#now());
     }
 
-    override onAsked(afterRevision: number): void {
+    override onPeerRequest(afterRevision: number): void {
         const nowMs = this.#now();
         if (termOf(afterRevision) > termOf(this.#afterRevision ?? Infinity)) {
             // Whoever asks has read the store after its return, and this gateway hasn't.
@@ -126,12 +126,12 @@
         this.#askedAtMs = nowMs;
         this.#sources.onPeerRequest(nowMs);
         // A call of the store that is under way must not be given up with each further question, or none would end.
-        if (!this.reachesStore && (isFirst || this.#source === "peer")) {
+        if (!this.isStoreReachable && (isFirst || this.#source === "peer")) {
             this.#turnNow();
         }
-        if (this.#contact.doubt === "lost" && nowMs - this.#contact.failedAtMs >= minStoreProbePeriodMs) {
+        if (this.#contact.outage === "lost" && nowMs - this.#contact.lastFailureAtMs >= minStoreProbePeriodMs) {
             // Whoever asks may have just found the store again.
-            this.#pause.end();
+            this.#pause.interrupt();
         }
     }
 
@@ -143,7 +143,7 @@
         while (!this.#stop.signal.aborted) {
             const pauseMs = await this.#takeTurn();
             if (pauseMs > 0) {
-                await this.#pause.take(pauseMs);
+                await this.#pause.sleep(pauseMs);
             }
         }
     }
@@ -162,7 +162,7 @@
             return this.#watchPeer(source, afterRevision);
         }
         this.#chooseStore();
-        const pauseMs = this.#contact.doubt === "none" ? undefined : await this.#probe();
+        const pauseMs = this.#contact.outage === "none" ? undefined : await this.#probe();
         return pauseMs ?? (afterRevision === undefined ? this.#readAll() : this.#watch(afterRevision));
     }
 
@@ -182,14 +182,14 @@
     async #probe(): Promise<number | undefined> {
         const startedAtMs = this.#now();
         const { signal } = this.#turn;
-        const peeked = await this.#peek.revision(storeProbeTimeoutMs);
+        const peeked = await this.#peek.read(storeProbeTimeoutMs);
         if (signal.aborted) {
             return 0;
         }
         if (peeked.isLeft()) {
             return this.#onFailure("probe", peeked.extract(), startedAtMs);
         }
-        if (!this.#contact.onProbed()) {
+        if (!this.#contact.onProbeSucceeded()) {
             return undefined;
         }
         // Hundreds of gateways find the store again at about the same time; most of them need not call it themselves.
@@ -205,12 +205,12 @@
     }
 
     async #readAll(): Promise<number> {
-        const { store, codec, view, firstReading } = this.#parts;
+        const { store, codec, view, initialSyncGate } = this.#parts;
         const startedAtMs = this.#now();
         const read = await readState(store, codec, items => this.#onOperatorRead(items));
         return read.caseOf({
             Left: failure => {
-                firstReading.onFailed();
+                initialSyncGate.onReadFailed();
                 return this.#onFailure("list", failure, startedAtMs);
             },
             Right: ({ revision, entries, items }) => {
@@ -225,8 +225,8 @@
                     this.#onRestored(before, revision);
                 }
                 this.#report(beliefs);
-                this.#parts.onChanged();
-                firstReading.onRead();
+                this.#parts.onRelayFeedChange();
+                initialSyncGate.onStateRead();
                 // When a whole fleet starts, each registration would be a change of its own for every gateway.
                 return isFirst && view.registeredGateways().length === 0 ? initialWatchDelayMs : 0;
             },
@@ -235,7 +235,7 @@
 
     /** The store came back from an older copy and has been read. */
     #onRestored(before: { readonly term: number; readonly revision: number; }, revision: number): void {
-        const { log, view, metrics, onChange } = this.#parts;
+        const { log, view, metrics, onViewChange } = this.#parts;
         log.log("warn", "storeRestored", {
             term: view.term,
             termBefore: before.term,
@@ -245,15 +245,15 @@
             version: view.configurationInForce?.configuration.version,
         });
         metrics.onStoreRestored();
-        onChange();
+        onViewChange();
     }
 
     /** Serves by a part of the first reading: a large fleet waits for the store's link. */
     #onOperatorRead(items: readonly StateItem[]): void {
-        const { view, firstReading } = this.#parts;
+        const { view, initialSyncGate } = this.#parts;
         if (!view.hasSynced) {
             this.#report(view.onChanges({ items, deletedKeys: [] }, this.#now()));
-            firstReading.onRead();
+            initialSyncGate.onStateRead();
         }
     }
 
@@ -307,7 +307,7 @@
         // What arrives is longer than what is passed on: the store encodes its values.
         if (bytes > 2 * maxRelayedChangesBytes && !this.#isReadingLarge) {
             this.#isReadingLarge = true;
-            this.#parts.onChanged();
+            this.#parts.onRelayFeedChange();
         }
     }
 
@@ -315,10 +315,10 @@
         const { log, metrics } = this.#parts;
         const { signal } = this.#turn;
         const askedAtMs = this.#now();
-        const told = await this.#parts.peers.ask({
+        const told = await this.#parts.relayClient.fetchChanges({
             address: peer.address,
             afterRevision,
-            waits: peer.answeredLast,
+            longPoll: peer.answeredLast,
             signal,
         });
         if (signal.aborted) {
@@ -336,7 +336,7 @@
                     this.#sources.onChangeNotRelayed(this.#now(), directWatchMs);
                     return 0;
                 }
-                this.#contact.onRelayLost(this.#now());
+                this.#contact.onRelayFailed(this.#now());
                 this.#sources.onFailure(peer.name, this.#now(), failure.kind === "storeUnavailable");
                 log.log("warn", "relayLost", {
                     peer: peer.name,
@@ -367,7 +367,7 @@
                 }
                 metrics.onRelayRequest("answered");
                 this.#sources.onAnswer(peer.name);
-                this.#contact.onPassedOn(answer);
+                this.#contact.onRelayResponse(answer);
                 this.#learn(answer);
                 return 0;
             },
@@ -381,13 +381,13 @@
         const items = events.changed.map(entry => codec.decode(entry));
         this.#report(view.onChanges({ items, deletedKeys: events.deleted }, this.#now()));
         if (hasChanges(events)) {
-            this.#parts.onChanged();
+            this.#parts.onRelayFeedChange();
         }
     }
 
     /** A watch of which a check finds that it may be dead, or of a store that has since come back from an older copy, is opened anew. */
     async #checkWatch(): Promise<void> {
-        const suspicion = this.reachesStore ? await this.#check.run() : undefined;
+        const suspicion = this.isStoreReachable ? await this.#check.run() : undefined;
         if (termOf(this.#afterRevision ?? Infinity) < this.#parts.store.term) {
             this.#turnNow();
         }
@@ -401,7 +401,7 @@
     #suspect(suspicion: LogFields): void {
         this.#parts.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#describeCurrentAge() });
         this.#confirmed = false;
-        this.#parts.onChanged();
+        this.#parts.onRelayFeedChange();
     }
 
     /** Ends the present turn, so that the next one asks whom it should. */
@@ -427,10 +427,10 @@
     }
 
     #onContact(call: string): void {
-        this.#contact.onAnswered(call);
+        this.#contact.onCallSucceeded(call);
         if (!this.#confirmed) {
             this.#confirmed = true;
-            this.#parts.onChanged();
+            this.#parts.onRelayFeedChange();
         }
     }
 
@@ -439,8 +439,8 @@
             return 0;
         }
         this.#confirmed = false;
-        this.#parts.onChanged();
-        return this.#contact.onFailed(call, failure, startedAtMs);
+        this.#parts.onRelayFeedChange();
+        return this.#contact.onCallFailed(call, failure, startedAtMs);
     }
 
     #describeCurrentAge(): number | undefined {
@@ -453,7 +453,7 @@
     }
 
     #report(beliefs: readonly FleetChange[]): void {
-        const { log, view, onChange } = this.#parts;
+        const { log, view, onViewChange } = this.#parts;
         const sinceStoreMs = Math.round(this.#now() - view.lastStoreContactMs);
         const sinceCurrentMs = this.#describeCurrentAge();
         for (const { subject, name, change } of beliefs) {
@@ -467,7 +467,7 @@
             });
         }
         if (beliefs.length > 0) {
-            onChange();
+            onViewChange();
         }
         if (beliefs.some(({ change }) => change === "lapsed")) {
             void this.#inquiry.run();
--- a/packages/edge/src/state/storeContact.ts
+++ b/packages/edge/src/state/storeContact.ts
@@ -5,10 +5,10 @@
 import { initialStoreBackoffMs, storeProbePeriodMs } from "../constants.js";
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
-import { type RelayAnswer } from "./relayMessages.js";
+import { type RelayResponse } from "./relayMessages.js";
 
 /** What contact with the store is kept with. */
-export interface StoreContactParts {
+export interface StoreContactDeps {
     readonly view: FleetView;
     readonly clock: Clock;
     readonly random: RandomSource;
@@ -17,39 +17,41 @@
 }
 
 /** Whether the store may be away: a relay has said so, or a call of this gateway's own has failed. */
-export type StoreDoubt = "none" | "suspected" | "lost";
+export type StoreOutage = "none" | "suspected" | "lost";
 
 /** Keeps account of whether the store is heard, by itself or through another gateway, and says when it is lost and found. */
 export class StoreContact {
-    readonly #parts: StoreContactParts;
+    readonly #parts: StoreContactDeps;
     #failures = 0;
     #failedAtMs = -Infinity;
-    #doubt: StoreDoubt = "none";
+    #doubt: StoreOutage = "none";
     /** When a relay or a check first said that the store may be away; only a failed call of one's own makes it so. */
     #suspectedSinceMs: number | undefined;
 
-    constructor(parts: StoreContactParts) {
+    constructor(parts: StoreContactDeps) {
         this.#parts = parts;
     }
 
-    get doubt(): StoreDoubt {
+    get outage(): StoreOutage {
         return this.#doubt;
     }
 
     /** When a call last failed. */
-    get failedAtMs(): number {
+    get lastFailureAtMs(): number {
         return this.#failedAtMs;
     }
 
     /** A call of the store was answered. */
-    onAnswered(call: string): void {
+    onCallSucceeded(call: string): void {
         const { view, metrics, clock } = this.#parts;
         metrics.onStoreCall(call, "answered");
         this.#onHeard(view.onStoreContact(clock.monotonicMs()));
     }
 
     /** Another gateway passed on what it heard of the store. */
-    onPassedOn({ ageMs, currentAgeMs, heardForMs }: Pick<RelayAnswer, "ageMs" | "currentAgeMs" | "heardForMs">): void {
+    onRelayResponse(
+        { ageMs, currentAgeMs, heardForMs }: Pick<RelayResponse, "ageMs" | "currentAgeMs" | "heardForMs">,
+    ): void {
         const { view, clock } = this.#parts;
         const nowMs = clock.monotonicMs();
         this.#onHeard(view.onStoreContact(nowMs, ageMs));
@@ -67,13 +69,13 @@
     }
 
     /** A relay didn't answer, or said that it doesn't reach the store. */
-    onRelayLost(nowMs: number): void {
+    onRelayFailed(nowMs: number): void {
         this.onSuspected(nowMs);
         this.#doubt = this.#doubt === "lost" ? "lost" : "suspected";
     }
 
     /** A probe was answered: the store may be called. @returns whether it had been lost */
-    onProbed(): boolean {
+    onProbeSucceeded(): boolean {
         const wasLost = this.#doubt === "lost";
         this.#doubt = "none";
         return wasLost;
@@ -84,7 +86,7 @@
      *
      * @returns how long to pause before the next one, in milliseconds
      */
-    onFailed(call: string, failure: Failure, startedAtMs: number): number {
+    onCallFailed(call: string, failure: Failure, startedAtMs: number): number {
         const { view, clock, random, log, metrics } = this.#parts;
         metrics.onStoreCall(call, failure.kind);
         // A call that got no answer may have been lost since it began; one that was refused was refused just now.
--- a/packages/edge/src/state/watchCheck.ts
+++ b/packages/edge/src/state/watchCheck.ts
@@ -4,7 +4,7 @@
 import { watchCheckTimeoutMs, maxWatchLagMs } from "../constants.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type StoreContact } from "./storeContact.js";
-import { type StorePeek } from "./storePeek.js";
+import { type RevisionReader } from "./revisionReader.js";
 
 /** A gateway's watch of the store. */
 export interface WatchState {
@@ -15,8 +15,8 @@
 }
 
 /** What a check works with. */
-export interface WatchCheckParts {
-    readonly peek: StorePeek;
+export interface WatchCheckDeps {
+    readonly revisionReader: RevisionReader;
     readonly contact: StoreContact;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -29,17 +29,17 @@
  * whose answer was lost, looks like one of a store in which nothing changes.
  */
 export class WatchCheck {
-    readonly #parts: WatchCheckParts;
+    readonly #parts: WatchCheckDeps;
 
-    constructor(parts: WatchCheckParts) {
+    constructor(parts: WatchCheckDeps) {
         this.#parts = parts;
     }
 
     /** @returns what speaks against the watch, for the log; `undefined` where nothing does */
     async run(): Promise<LogFields | undefined> {
-        const { peek, contact, view, clock, metrics } = this.#parts;
+        const { revisionReader, contact, view, clock, metrics } = this.#parts;
         const startedAtMs = clock.monotonicMs();
-        const peeked = await peek.revision(watchCheckTimeoutMs);
+        const peeked = await revisionReader.read(watchCheckTimeoutMs);
         return await peeked.caseOf<Promise<LogFields | undefined> | LogFields | undefined>({
             Left: ({ kind }) => {
                 metrics.onStoreCall("check", kind);
