--- a/packages/quarantine/src/contentRecord.ts
+++ b/packages/quarantine/src/contentRecord.ts
@@ -6,17 +6,20 @@
     suspicionRetentionMs,
 } from "./constants.js";
 
-/** A strike, and since when this gateway has known it. */
+/** A strike, with the ledger version from which on this gateway has known it. */
 export interface KnownStrike {
     readonly strike: CrashStrike;
     readonly knownSinceVersion: number;
 }
 
-/** Everything that counts against one content: the server starts that ended under it, each once. */
+/** Strikes against one request content: each server incarnation that crashed under it counts once. */
 export class ContentRecord {
     readonly #strikes = new Map<string, KnownStrike>();
 
-    /** Several gateways may have had the content on one server when it ended; the lowest generation condemns least. */
+    /**
+     * Adds a strike. If several gateways report the same server incarnation, the strike of the lowest generation
+     * counts: it is the least incriminating.
+     */
     add(learnt: KnownStrike): void {
         const known = this.#strikes.get(learnt.strike.incarnation);
         if (known === undefined || known.strike.generation > learnt.strike.generation) {
@@ -24,23 +27,24 @@
         }
     }
 
-    /** Servers that ended. */
+    /** Number of server incarnations that crashed. */
     get strikes(): number {
         return this.#strikes.size;
     }
 
+    /** Highest generation of the strikes. */
     get generations(): number {
         return Math.max(0, ...this.#each(({ strike }) => strike.generation));
     }
 
-    /** When it is forgotten unless another server ends. */
+    /** When the record expires unless another strike is added. */
     get expiresAtEpochMs(): number {
         return this.#lastAtEpochMs + (this.isQuarantined ? quarantineRetentionMs : suspicionRetentionMs);
     }
 
     /**
-     * @param trialAfterMs - how long after the latest strike each trial comes
-     * @returns when it may be tried again; `Infinity` where it was tried too often
+     * @param trialAfterMs - delays from the latest strike to each trial, in milliseconds
+     * @returns when the next trial is due; `Infinity` if all trials have been made
      */
     nextTrialAtEpochMs(trialAfterMs: readonly number[]): number {
         const trials = this.#each(({ strike }) => strike.trial).filter(Boolean).length;
@@ -51,17 +55,19 @@
         return this.strikes >= quarantineStrikeThreshold && this.generations >= quarantineGenerationThreshold;
     }
 
-    /** @returns since when a server's end is known, as a mark; `undefined` where it is not */
+    /**
+     * @returns the ledger version from which on an incarnation's crash has been known; `undefined` if it isn't known
+     */
     knownSinceVersion(incarnation: string): number | undefined {
         return this.#strikes.get(incarnation)?.knownSinceVersion;
     }
 
-    /** @returns the generation that a send begun at a mark belongs to */
+    /** @returns the generation of a strike against a request that was sent at a ledger version */
     generationAt(mark: number): number {
         return 1 + Math.max(0, ...this.#knownAt(mark).map(({ strike }) => strike.generation));
     }
 
-    /** @returns the server starts whose end was known at a mark */
+    /** @returns the incarnations whose crashes were known at a ledger version */
     incarnationsAt(mark: number): readonly string[] {
         return this.#knownAt(mark).map(({ strike }) => strike.incarnation);
     }
--- a/packages/quarantine/src/crashLedger.ts
+++ b/packages/quarantine/src/crashLedger.ts
@@ -8,44 +8,45 @@
 import { ContentRecord } from "./contentRecord.js";
 import { defaultTrialDelaysMs, quarantineRetentionMs } from "./constants.js";
 
-/** What may be done with a request. */
+/** How a request with some content is to be handled. */
 export type ContentState =
-    /** Nothing is known against it. */
+    /** There are no strikes against it. */
     | "clear"
-    /** Servers have ended under it, too few to tell that it ends them. */
+    /** Servers have crashed under it, but too few to conclude that it was the cause. */
     | "suspected"
-    /** It is kept from all servers. */
+    /** It isn't sent to any server. */
     | "quarantined"
-    /** It is quarantined, and this very request is sent to one server to see whether that must go on. */
+    /** It is quarantined, but this request may be sent to one server to find out whether the quarantine can end. */
     | "trial";
 
-/** What is known of a request's content. */
+/** State of a request's content. */
 export interface ContentStatus {
     readonly state: ContentState;
-    /** Servers that ended under it. */
+    /** Number of servers that crashed under it. */
     readonly strikes: number;
-    /** When a further request with it may be sent, from now, in milliseconds. */
+    /** Time in milliseconds until the next request with this content may be sent. */
     readonly retryAfterMs: number;
 }
 
-/** What a verdict depends on besides the strikes. */
+/** Input to a content's state besides the strikes. */
 export interface ContentCheckContext {
-    /** Gateways that count. */
+    /** Names of all gateways in the roster. */
     readonly gateways: readonly string[];
     readonly epochMs: number;
 }
 
-/** A server that ended under a request. */
+/** A server's crash under a request. */
 export interface Crash {
     readonly contentId: string;
     readonly incarnation: string;
-    /** What was known when the request was sent. */
+    /** Ledger version at which the request was sent. */
     readonly ledgerVersion: number;
     readonly epochMs: number;
+    /** Whether the request was a trial. */
     readonly trial: boolean;
 }
 
-/** A change of what is believed of a content, for the log. */
+/** Change of a content's state, for the log. */
 export interface ContentStateChange {
     readonly contentId: string;
     readonly state: "clear" | "suspected" | "quarantined";
@@ -56,9 +57,10 @@
 const clearVerdict: ContentStatus = Object.freeze({ state: "clear", strikes: 0, retryAfterMs: 0 });
 
 /**
- * What one gateway knows of requests under which backend servers ended: its own strikes and those that the others report. Every
- * gateway judges by the same reports, so that a request which ends server after server is kept from all of them soon after the third,
- * whoever saw the servers end. A request that is served after its strikes were known clears them.
+ * Tracks requests under which backend servers crashed, from the strikes of this gateway and those reported by the
+ * others. All gateways evaluate the same reports, so that a request that crashes one server after the other is
+ * quarantined everywhere soon after the third crash, whichever gateways observed them. A request that is served
+ * although its strikes were known clears them.
  */
 export class CrashLedger {
     readonly #name: string;
@@ -66,45 +68,45 @@
     readonly #ownStrikes = new Map<string, CrashStrike>();
     readonly #ownCleared = new Map<string, Set<string>>();
     readonly #trials = new Set<string>();
-    /** Contents with strikes that this gateway has cleared and not told. */
+    /** Contents that this gateway has cleared since its last report. */
     readonly #untold = new Set<string>();
     readonly #changes: ContentStateChange[] = [];
     #others: readonly CrashReport[] = [];
     #records = new Map<string, ContentRecord>();
     #headIds: ReadonlySet<string> = new Set();
-    /** Rises with everything that is learnt. */
+    /** Increases with every change. */
     #mark = 0;
 
     /**
-     * @param name - of this gateway, as in its registration
-     * @param trialAfterMs - how long after its latest strike a quarantined request is tried, for each trial
+     * @param name - name of this gateway, as registered
+     * @param trialAfterMs - delays from the latest strike to each trial of a quarantined request, in milliseconds
      */
     constructor(name: string, trialAfterMs: readonly number[] = defaultTrialDelaysMs) {
         this.#name = name;
         this.#trialAfterMs = trialAfterMs;
     }
 
-    /** @returns what is known now, to be given back with the end of a send that begins now */
+    /** @returns the current ledger version, to be passed with the result of a request that is sent now */
     version(): number {
         return this.#mark;
     }
 
-    /** Whether nothing is known against any content. */
+    /** Whether there are no strikes against any content. */
     get isEmpty(): boolean {
         return this.#records.size === 0;
     }
 
-    /** @returns whether something is known of a content whose id begins so; most requests need no further look */
+    /** @returns whether any content with this head id has strikes; most requests need no further check */
     mayHaveRecord(headId: string): boolean {
         return this.#headIds.has(headId);
     }
 
-    /** Contents that are quarantined now. */
+    /** Number of quarantined contents. */
     get quarantinedCount(): number {
         return [...this.#records.values()].filter(record => record.isQuarantined).length;
     }
 
-    /** @returns what may be done with a request now */
+    /** @returns how a request with the content is to be handled now */
     checkContent(contentId: string, { gateways, epochMs }: ContentCheckContext): ContentStatus {
         const record = this.#records.get(contentId);
         if (record === undefined || epochMs >= record.expiresAtEpochMs) {
@@ -121,13 +123,17 @@
         return { state: mayTry ? "trial" : "quarantined", strikes, retryAfterMs: Math.max(0, openAtEpochMs - epochMs) };
     }
 
-    /** A quarantined request is sent to one server. @returns called when it has ended */
+    /** Records that a quarantined request is sent as a trial. @returns to be called when the request has ended */
     beginTrial(contentId: string): () => void {
         this.#trials.add(contentId);
         return () => this.#trials.delete(contentId);
     }
 
-    /** A server ended under a request of this gateway. @returns whether the others must hear of it */
+    /**
+     * Records that a server crashed under a request of this gateway.
+     *
+     * @returns whether a new report has to be published
+     */
     onCrash({ contentId, incarnation, ledgerVersion, epochMs, trial }: Crash): boolean {
         const key = createKey(contentId, incarnation);
         if (this.#ownStrikes.has(key)) {
@@ -139,7 +145,11 @@
         return true;
     }
 
-    /** A request was served, which clears the strikes that were known when it was sent. @returns whether the others must hear of it */
+    /**
+     * Records that a request was served, which clears the strikes that were known when it was sent.
+     *
+     * @returns whether a new report has to be published
+     */
     onServed(contentId: string, mark: number, epochMs: number): boolean {
         const record = this.#records.get(contentId);
         const cleared = record?.incarnationsAt(mark) ?? [];
@@ -158,15 +168,20 @@
         return mustTell;
     }
 
-    /** What the gateways report now. @returns whether the others must hear of what this one has cleared */
+    /**
+     * Replaces the reports of the other gateways.
+     *
+     * @returns whether a new report has to be published, with strikes that this gateway cleared
+     */
     onReports(reports: ReadonlyMap<string, StoredCrashReport>, epochMs: number): boolean {
         this.#others = [...reports].filter(([gateway]) => gateway !== this.#name).map(([, { report }]) => report);
         this.#rebuild(epochMs);
-        // One strike harms nobody, so that its clearing need not be told; together with a later one it would count.
+        // A single strike has no effect, so its clearing isn't published until further strikes are known with which it
+        // would count.
         return [...this.#untold].some(contentId => this.#records.has(contentId));
     }
 
-    /** Goes on with what this gateway reported before it was restarted. */
+    /** Restores the report that this gateway published before it was restarted. */
     restore({ strikes, cleared }: CrashReport, epochMs: number): void {
         for (const strike of strikes) {
             this.#ownStrikes.set(createKey(strike.contentId, strike.incarnation), strike);
@@ -177,13 +192,13 @@
         this.#rebuild(epochMs);
     }
 
-    /** @returns what this gateway tells the others from now on */
+    /** @returns the report to publish to the other gateways */
     report(): CrashReport {
         this.#untold.clear();
         return this.#createReport();
     }
 
-    /** @returns what is believed otherwise since the last call */
+    /** @returns the state changes since the last call */
     takeChanges(): readonly ContentStateChange[] {
         return this.#changes.splice(0);
     }
@@ -247,7 +262,10 @@
         return keys;
     }
 
-    /** Keeps this gateway's report small: what was cleared, is too old or nobody reports any more goes first. */
+    /**
+     * Bounds the size of this gateway's report: drops cleared and expired strikes, and clearings of strikes that no
+     * other gateway reports.
+     */
     #dropOwn(clearedKeys: ReadonlySet<string>, epochMs: number): void {
         for (const [key, { atEpochMs }] of this.#ownStrikes) {
             if (clearedKeys.has(key) || epochMs - atEpochMs >= quarantineRetentionMs) {
@@ -271,7 +289,10 @@
         this.#evictStrikes();
     }
 
-    /** A caller that sends ever new requests of this kind must not push out what keeps the known ones away. */
+    /**
+     * Evicts excess strikes, the oldest of contents without quarantine first: a caller that keeps sending new crashing
+     * requests must not evict known ones.
+     */
     #evictStrikes(): void {
         const excess = this.#ownStrikes.size - maxReportedContents;
         if (excess <= 0) {
@@ -297,7 +318,7 @@
     }
 }
 
-/** @returns the part of a content id that names the request without its body */
+/** @returns the part of a content id that identifies the request without its body */
 function headIdOf(contentId: string): string {
     const end = contentId.indexOf(".");
     return end < 0 ? contentId : contentId.slice(0, end);
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,4 +1,4 @@
-/** Which requests end the backend servers that run them, and what keeps these from further servers. */
+/** Detects requests that crash the backend servers that run them, and quarantines them to protect further servers. */
 export {
     defaultTrialDelaysMs,
     quarantineRetentionMs,
