--- a/packages/placement/src/__tests__/budgets.test.ts
+++ b/packages/placement/src/__tests__/budgets.test.ts
@@ -14,7 +14,7 @@
 } from "../index.js";
 
 /** @returns the maximum number of times within any window of that length */
-function most(timesMs: readonly number[], windowMs: number): number {
+function maxWithin(timesMs: readonly number[], windowMs: number): number {
     const sorted = [...timesMs].sort((a, b) => a - b);
     let largest = 0;
     let first = 0;
@@ -50,10 +50,10 @@
                     repeats.push(nowMs);
                 }
             }
-            const limit = allowance.ratio * most(requests, allowance.windowMs) + allowance.slack;
+            const limit = allowance.ratio * maxWithin(requests, allowance.windowMs) + allowance.slack;
             assert.ok(
-                most(repeats, allowance.windowMs) <= limit,
-                `${most(repeats, allowance.windowMs)} above ${limit}`,
+                maxWithin(repeats, allowance.windowMs) <= limit,
+                `${maxWithin(repeats, allowance.windowMs)} above ${limit}`,
             );
             assert.ok(repeats.length > 100, "the allowance is used");
         }),
@@ -75,34 +75,38 @@
 // once. Up to three gateways are gone, which half of the others don't know yet, so that the two rosters yield different
 // owners.
 test("all gateways together stay within the limit of a cold server while rosters differ", () => {
-    const bears = { perSecond: 4.2, overshoot: 1.5, slack: 5 };
+    const coldLimit = { perSecond: 4.2, overshoot: 1.5, slack: 5 };
     const names = Array.from({ length: 15 }, (_, i) => `gateway-${i}`);
     fc.assert(
-        fc.property(fc.string({ minLength: 1 }), fc.shuffledSubarray(names, { minLength: 12 }), (serverId, some) => {
-            const admissions = names.map(name => ({ name, admission: new ColdServerAdmission(name) }));
-            const sent: number[] = [];
-            for (let nowMs = 0; nowMs < 6_000; nowMs += 5) {
-                for (const [i, { admission }] of admissions.entries()) {
-                    const gateways = i % 2 === 0 ? names : some;
-                    const input = {
-                        serverId,
-                        requestsPerSecond: bears.perSecond,
-                        gateways,
-                        sinceStoreContactMs: 0,
-                        nowMs,
-                    };
-                    if (admission.maySend(input)) {
-                        admission.onSend(input);
-                        sent.push(nowMs);
+        fc.property(
+            fc.string({ minLength: 1 }),
+            fc.shuffledSubarray(names, { minLength: 12 }),
+            (serverId, otherRoster) => {
+                const admissions = names.map(name => ({ name, admission: new ColdServerAdmission(name) }));
+                const sent: number[] = [];
+                for (let nowMs = 0; nowMs < 6_000; nowMs += 5) {
+                    for (const [i, { admission }] of admissions.entries()) {
+                        const gateways = i % 2 === 0 ? names : otherRoster;
+                        const input = {
+                            serverId,
+                            requestsPerSecond: coldLimit.perSecond,
+                            gateways,
+                            sinceStoreContactMs: 0,
+                            nowMs,
+                        };
+                        if (admission.maySend(input)) {
+                            admission.onSend(input);
+                            sent.push(nowMs);
+                        }
                     }
                 }
-            }
-            assert.ok(sent.length > 0, "the cold server gets requests");
-            assert.ok(
-                most(sent, 1_000) <= bears.perSecond * bears.overshoot + bears.slack,
-                `${most(sent, 1_000)} requests in one second`,
-            );
-        }),
+                assert.ok(sent.length > 0, "the cold server gets requests");
+                assert.ok(
+                    maxWithin(sent, 1_000) <= coldLimit.perSecond * coldLimit.overshoot + coldLimit.slack,
+                    `${maxWithin(sent, 1_000)} requests in one second`,
+                );
+            },
+        ),
         { numRuns: 60 },
     );
 });
@@ -127,19 +131,22 @@
         return { groups, budget: new ProbeBudget(0) };
     });
     const ordered = Array.from({ length: servers }, (_, i) => createServer(`server-${i}`));
-    const asks = new Map<string, number>();
+    const probes = new Map<string, number>();
     const seconds = 32;
     for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += 10) {
         for (const { groups, budget } of fleet) {
             const shareOf = (server: RegisteredServer): ProbeShare => groups.shareOf(server, servers);
             for (const { id } of budget.take({ ordered, purpose: "waiting", maxProbes: 4, shareOf, nowMs })) {
-                asks.set(id, (asks.get(id) ?? 0) + 1);
+                probes.set(id, (probes.get(id) ?? 0) + 1);
             }
         }
     }
     for (const { id } of ordered) {
-        const asked = (asks.get(id) ?? 0) / seconds;
-        assert.ok(asked > 0 && asked <= perSecond, `${id} got ${asked} probes per second`);
+        const probesPerSecond = (probes.get(id) ?? 0) / seconds;
+        assert.ok(
+            probesPerSecond > 0 && probesPerSecond <= perSecond,
+            `${id} got ${probesPerSecond} probes per second`,
+        );
     }
 });
 
--- a/packages/placement/src/__tests__/choosePlacement.test.ts
+++ b/packages/placement/src/__tests__/choosePlacement.test.ts
@@ -4,11 +4,11 @@
 import { choosePlacement, type LoadReport, type PlacementInput, scoreServer, type ServerScore } from "../index.js";
 
 const objectiveMs = 400;
-const typicalMs = 160;
+const typicalLatencyMs = 160;
 
 function score(
     load: Partial<LoadReport>,
-    more: { readonly sameZone?: boolean; readonly suspect?: boolean; } = {},
+    overrides: { readonly sameZone?: boolean; readonly suspect?: boolean; } = {},
 ): ServerScore {
     return scoreServer({
         serverId: JSON.stringify(load),
@@ -17,10 +17,10 @@
         slots: 3,
         healthy: true,
         coldRemainingMs: 0,
-    }, { typicalLatencyMs: typicalMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0, ...more });
+    }, { typicalLatencyMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0, ...overrides });
 }
 
-function choose(scores: readonly ServerScore[], more: Partial<PlacementInput> = {}): string {
+function choose(scores: readonly ServerScore[], overrides: Partial<PlacementInput> = {}): string {
     const decision = choosePlacement({
         scores,
         hasUnprobed: false,
@@ -28,8 +28,8 @@
         waitedMs: 0,
         objectiveMs,
         remainingMs: 1_000,
-        typicalLatencyMs: typicalMs,
-        ...more,
+        typicalLatencyMs,
+        ...overrides,
     });
     return decision.type === "send" ? decision.score.status.serverId : decision.type;
 }
@@ -39,9 +39,9 @@
 });
 
 test("if only slow or full servers responded, the others are probed, and then the request waits", () => {
-    const poor = [score({ slowdown: 4 }), score({ running: 3 })];
-    assert.equal(choose(poor, { hasUnprobed: true }), "widen");
-    assert.equal(choose(poor), "wait");
+    const slowOrFull = [score({ slowdown: 4 }), score({ running: 3 })];
+    assert.equal(choose(slowOrFull, { hasUnprobed: true }), "widen");
+    assert.equal(choose(slowOrFull), "wait");
 });
 
 test("a server that is slower than usual is chosen if it can respond within the objective", () => {
@@ -85,33 +85,36 @@
 
 /** Simulated servers, a quarter of which is four times slower for 300 ms at a time, including requests in progress. */
 class ShiftingServers {
-    readonly #slowUntilShift: boolean[];
+    readonly #isSlow: boolean[];
     readonly #work: { remaining: number; readonly startedAtMs: number; }[][];
     readonly #random: RandomSource;
     readonly tookMs: number[] = [];
 
     constructor(count: number, random: RandomSource) {
         this.#random = random;
-        this.#slowUntilShift = Array.from({ length: count }, () => random.next() < 0.25);
+        this.#isSlow = Array.from({ length: count }, () => random.next() < 0.25);
         this.#work = Array.from({ length: count }, () => []);
     }
 
     report(i: number): LoadReport {
         const work = this.#work[i]?.length ?? 0;
-        return { running: Math.min(3, work), waiting: Math.max(0, work - 3), slots: 3, slowdown: this.#slow(i) };
+        return { running: Math.min(3, work), waiting: Math.max(0, work - 3), slots: 3, slowdown: this.#slowdown(i) };
     }
 
     send(i: number, arrivedAtMs: number): void {
-        this.#work[i]?.push({ remaining: typicalMs * (0.7 + 0.6 * this.#random.next()), startedAtMs: arrivedAtMs });
+        this.#work[i]?.push({
+            remaining: typicalLatencyMs * (0.7 + 0.6 * this.#random.next()),
+            startedAtMs: arrivedAtMs,
+        });
     }
 
     step(nowMs: number, stepMs: number): void {
         for (const [i, work] of this.#work.entries()) {
             if (this.#random.next() < stepMs / 300) {
-                this.#slowUntilShift[i] = this.#random.next() < 0.25;
+                this.#isSlow[i] = this.#random.next() < 0.25;
             }
             for (const item of work.slice(0, 3)) {
-                item.remaining -= stepMs / this.#slow(i);
+                item.remaining -= stepMs / this.#slowdown(i);
             }
             for (const done of work.filter(({ remaining }) => remaining <= 0)) {
                 this.tookMs.push(nowMs - done.startedAtMs);
@@ -120,12 +123,16 @@
         }
     }
 
-    #slow(i: number): number {
-        return this.#slowUntilShift[i] === true ? 4 : 1;
+    #slowdown(i: number): number {
+        return this.#isSlow[i] === true ? 4 : 1;
     }
 }
 
-type Chooser = (servers: ShiftingServers, asked: readonly number[], waitedMs: number) => number | "refused" | undefined;
+type Chooser = (
+    servers: ShiftingServers,
+    sampled: readonly number[],
+    waitedMs: number,
+) => number | "refused" | undefined;
 
 function scoreShifting(servers: ShiftingServers, i: number): ServerScore {
     return scoreServer({
@@ -135,11 +142,11 @@
         slots: 3,
         healthy: true,
         coldRemainingMs: 0,
-    }, { typicalLatencyMs: typicalMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0 });
+    }, { typicalLatencyMs, sentSinceReport: 0, sameZone: true, suspect: false, reservedSlots: 0 });
 }
 
 /** @returns the share of requests that met their objective */
-function replay(seed: number, perSecond: number, choosePlace: Chooser): number {
+function replay(seed: number, requestsPerSecond: number, chooseServer: Chooser): number {
     const random = createRandomSource(seed);
     const count = 12;
     const servers = new ShiftingServers(count, random);
@@ -147,13 +154,13 @@
     const stepMs = 5;
     let sent = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += stepMs) {
-        if (random.next() < perSecond * stepMs / 1_000) {
+        if (random.next() < requestsPerSecond * stepMs / 1_000) {
             waiting.push(nowMs);
             sent++;
         }
         for (const arrivedAtMs of waiting.splice(0)) {
-            const asked = Array.from({ length: 4 }, () => random.below(count));
-            const chosen = choosePlace(servers, asked, nowMs - arrivedAtMs);
+            const sampled = Array.from({ length: 4 }, () => random.below(count));
+            const chosen = chooseServer(servers, sampled, nowMs - arrivedAtMs);
             if (chosen === undefined) {
                 waiting.push(arrivedAtMs);
                 continue;
@@ -170,9 +177,9 @@
 // Guards against placement that ignores load: at any moment a quarter of the servers is four times slower for 300 ms,
 // and a request that is sent to one of them misses its objective although most servers are idle.
 test("probing before sending meets far more objectives than sending to random servers", () => {
-    const blind: Chooser = (_servers, asked) => asked[0];
-    const asking: Chooser = (servers, asked, waitedMs) => {
-        const scores = asked.map(i => scoreShifting(servers, i));
+    const sendAnywhere: Chooser = (_servers, sampled) => sampled[0];
+    const probeFirst: Chooser = (servers, sampled, waitedMs) => {
+        const scores = sampled.map(i => scoreShifting(servers, i));
         const decision = choosePlacement({
             scores,
             hasUnprobed: false,
@@ -180,25 +187,25 @@
             waitedMs,
             objectiveMs,
             remainingMs: 1_000 - waitedMs,
-            typicalLatencyMs: typicalMs,
+            typicalLatencyMs,
         });
         return decision.type === "send" ? Number(decision.score.status.serverId) : undefined;
     };
-    for (const perSecond of [40, 90]) {
-        const blindShare = replay(7, perSecond, blind);
-        const askingShare = replay(7, perSecond, asking);
-        assert.ok(askingShare > 0.9, `${askingShare} in time at ${perSecond} requests/s`);
-        assert.ok(askingShare > blindShare + 0.1, `${askingShare} in time with probes, ${blindShare} without`);
+    for (const requestsPerSecond of [40, 90]) {
+        const randomShare = replay(7, requestsPerSecond, sendAnywhere);
+        const probingShare = replay(7, requestsPerSecond, probeFirst);
+        assert.ok(probingShare > 0.9, `${probingShare} in time at ${requestsPerSecond} requests/s`);
+        assert.ok(probingShare > randomShare + 0.1, `${probingShare} in time with probes, ${randomShare} without`);
     }
 });
 
 // Guards against queues at servers under overload: they grow until hardly any response is in time. If requests are
 // rejected after a short wait, the accepted ones are still served in time.
 test("under overload, rejecting after a short wait serves more requests in time than queueing at servers", () => {
-    const perSecond = 190;
+    const requestsPerSecond = 190;
     const run = (mayQueue: boolean): number =>
-        replay(11, perSecond, (servers, asked, waitedMs) => {
-            const scores = asked.map(i => scoreShifting(servers, i));
+        replay(11, requestsPerSecond, (servers, sampled, waitedMs) => {
+            const scores = sampled.map(i => scoreShifting(servers, i));
             const decision = choosePlacement({
                 scores,
                 hasUnprobed: false,
@@ -206,12 +213,12 @@
                 waitedMs,
                 objectiveMs,
                 remainingMs: 2_000 - waitedMs,
-                typicalLatencyMs: typicalMs,
+                typicalLatencyMs,
             });
             if (decision.type === "send") {
                 return Number(decision.score.status.serverId);
             }
-            return decision.type === "refuse" ? (mayQueue ? asked[0] : "refused") : undefined;
+            return decision.type === "refuse" ? (mayQueue ? sampled[0] : "refused") : undefined;
         });
     const refusing = run(false);
     const queueing = run(true);
--- a/packages/placement/src/__tests__/largeFleet.test.ts
+++ b/packages/placement/src/__tests__/largeFleet.test.ts
@@ -16,28 +16,28 @@
 // connections.
 test("312 gateways at normal load: few new connections, and a third as many late requests as without probes", () => {
     const scenario = readScenario("fleet-calm", 20_000);
-    const deciding = runReplay(scenario);
-    const blind = runReplay({ ...scenario, blind: true });
-    assert.ok(deciding.connectionsPerCaller < 1, `${deciding.connectionsPerCaller} connections per request`);
+    const probing = runReplay(scenario);
+    const baseline = runReplay({ ...scenario, blind: true });
+    assert.ok(probing.connectionsPerCaller < 1, `${probing.connectionsPerCaller} connections per request`);
     assert.ok(
-        1 - deciding.inTime < (1 - blind.inTime) / 3,
-        `${deciding.inTime} in time, ${blind.inTime} with random placement`,
+        1 - probing.inTime < (1 - baseline.inTime) / 3,
+        `${probing.inTime} in time, ${baseline.inTime} with random placement`,
     );
-    assert.ok(deciding.mostProbes <= allowedProbes, `${deciding.mostProbes} probes in ten seconds`);
+    assert.ok(probing.mostProbes <= allowedProbes, `${probing.mostProbes} probes in ten seconds`);
 });
 
 // Guards against overload of cold servers: after a release of a third of the servers under a burst, they look idle to
 // every gateway.
 test("312 gateways and a release: cold servers stay within their limit, and fewer requests are late", () => {
     const scenario = readScenario("fleet-release", 10_000);
-    const deciding = runReplay(scenario);
-    const blind = runReplay({ ...scenario, blind: true });
-    assert.ok(deciding.mostColdArrivals <= coldLimit, `${deciding.mostColdArrivals} requests in one second`);
+    const probing = runReplay(scenario);
+    const baseline = runReplay({ ...scenario, blind: true });
+    assert.ok(probing.mostColdArrivals <= coldLimit, `${probing.mostColdArrivals} requests in one second`);
     assert.ok(
-        deciding.worstWindows > blind.worstWindows + 0.15,
-        `${deciding.worstWindows} in time, ${blind.worstWindows} with random placement`,
+        probing.worstWindows > baseline.worstWindows + 0.15,
+        `${probing.worstWindows} in time, ${baseline.worstWindows} with random placement`,
     );
-    assert.ok(deciding.mostProbes <= allowedProbes, `${deciding.mostProbes} probes in ten seconds`);
+    assert.ok(probing.mostProbes <= allowedProbes, `${probing.mostProbes} probes in ten seconds`);
 });
 
 // Guards against rosters that differ: a gateway that doesn't know some of the others takes too large a share of the
--- a/packages/placement/src/__tests__/limitAdmission.test.ts
+++ b/packages/placement/src/__tests__/limitAdmission.test.ts
@@ -16,7 +16,7 @@
     /** Time at which all gateways restart. */
     readonly restartAtMs?: number;
     /** A change of the advertised limit. */
-    readonly then?: { readonly atMs: number; readonly perSecond: number; };
+    readonly change?: { readonly atMs: number; readonly perSecond: number; };
 }
 
 function zoneOf(gateway: number): string {
@@ -37,8 +37,8 @@
 }
 
 /** Simulates gateways that send to one server whenever they may. @returns the times of the sends */
-function playEager(input: FleetInput): readonly number[] {
-    const { gateways, runMs, restartAtMs, unknownTo, then } = input;
+function simulateEagerGateways(input: FleetInput): readonly number[] {
+    const { gateways, runMs, restartAtMs, unknownTo, change } = input;
     const create = (): readonly LimitAdmission[] =>
         Array.from({ length: gateways }, (_, i) => new LimitAdmission(`gateway-${i}`, zoneOf(i)));
     const rosters = Array.from({ length: gateways }, (_, i) => createRosters(gateways, unknownTo?.(i) ?? new Set()));
@@ -50,7 +50,7 @@
             admissions = create();
             sinceMs = nowMs;
         }
-        const perSecond = then !== undefined && nowMs >= then.atMs ? then.perSecond : input.perSecond;
+        const perSecond = change !== undefined && nowMs >= change.atMs ? change.perSecond : input.perSecond;
         const limit: AdvertisedLimit = { perSecond, sinceMs, lastAdvertisedAtMs: nowMs };
         for (const [i, admission] of admissions.entries()) {
             const roster = rosters[i];
@@ -80,16 +80,16 @@
     };
 }
 
-function findMost(sentAtMs: readonly number[]): number {
-    let most = 0;
+function findMaxInWindow(sentAtMs: readonly number[]): number {
+    let max = 0;
     let first = 0;
     for (const [last, atMs] of sentAtMs.entries()) {
         while ((sentAtMs[first] ?? 0) <= atMs - windowMs) {
             first++;
         }
-        most = Math.max(most, last - first + 1);
+        max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
 }
 
 function allowedOf(perSecond: number): number {
@@ -104,10 +104,10 @@
 test("gateways that send whenever they may stay within a server's limit together, and use most of it", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            const sentAtMs = playEager({ gateways, perSecond, runMs: 40_000 });
+            const sentAtMs = simulateEagerGateways({ gateways, perSecond, runMs: 40_000 });
             assert.ok(
-                findMost(sentAtMs) <= allowedOf(perSecond),
-                `${gateways} gateways, ${perSecond}: ${findMost(sentAtMs)}`,
+                findMaxInWindow(sentAtMs) <= allowedOf(perSecond),
+                `${gateways} gateways, ${perSecond}: ${findMaxInWindow(sentAtMs)}`,
             );
             if (perSecond >= 0.5) {
                 const used = sentAtMs.length / 40 / perSecond;
@@ -121,17 +121,17 @@
 test("a limit is respected while rosters lack some of the gateways", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            for (const lacking of [1, 2]) {
+            for (const lackingCount of [1, 2]) {
                 const unknownTo = (gateway: number): ReadonlySet<number> =>
                     new Set(
-                        Array.from({ length: lacking }, (_, i) => (gateway * 7 + i * 3) % gateways).filter(i =>
+                        Array.from({ length: lackingCount }, (_, i) => (gateway * 7 + i * 3) % gateways).filter(i =>
                             i !== gateway
                         ),
                     );
-                const most = findMost(playEager({ gateways, perSecond, runMs: 20_000, unknownTo }));
+                const max = findMaxInWindow(simulateEagerGateways({ gateways, perSecond, runMs: 20_000, unknownTo }));
                 assert.ok(
-                    most <= allowedOf(perSecond),
-                    `${gateways} gateways lacking ${lacking}, ${perSecond}: ${most}`,
+                    max <= allowedOf(perSecond),
+                    `${gateways} gateways lacking ${lackingCount}, ${perSecond}: ${max}`,
                 );
             }
         }
@@ -141,18 +141,30 @@
 test("a limit is respected when all gateways restart, because they start without a burst", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            const most = findMost(playEager({ gateways, perSecond, runMs: 20_000, restartAtMs: 10_000 }));
-            assert.ok(most <= allowedOf(perSecond), `${gateways} gateways, ${perSecond}: ${most}`);
+            const max = findMaxInWindow(
+                simulateEagerGateways({ gateways, perSecond, runMs: 20_000, restartAtMs: 10_000 }),
+            );
+            assert.ok(max <= allowedOf(perSecond), `${gateways} gateways, ${perSecond}: ${max}`);
         }
     }
 });
 
 test("a lowered limit is respected from the first response that advertises it, and a raised one is used", () => {
     for (const gateways of fleets) {
-        const falls = playEager({ gateways, perSecond: 20, runMs: 30_000, then: { atMs: 10_000, perSecond: 1.1 } });
-        assert.ok(findMost(falls.filter(atMs => atMs >= 10_000)) <= allowedOf(1.1));
-        const rises = playEager({ gateways, perSecond: 1.1, runMs: 30_000, then: { atMs: 10_000, perSecond: 20 } });
-        assert.ok(findMost(rises) <= allowedOf(20));
-        assert.ok(rises.filter(atMs => atMs >= 20_000).length >= 100, `${gateways} gateways`);
+        const lowered = simulateEagerGateways({
+            gateways,
+            perSecond: 20,
+            runMs: 30_000,
+            change: { atMs: 10_000, perSecond: 1.1 },
+        });
+        assert.ok(findMaxInWindow(lowered.filter(atMs => atMs >= 10_000)) <= allowedOf(1.1));
+        const raised = simulateEagerGateways({
+            gateways,
+            perSecond: 1.1,
+            runMs: 30_000,
+            change: { atMs: 10_000, perSecond: 20 },
+        });
+        assert.ok(findMaxInWindow(raised) <= allowedOf(20));
+        assert.ok(raised.filter(atMs => atMs >= 20_000).length >= 100, `${gateways} gateways`);
     }
 });
--- a/packages/placement/src/__tests__/probeBudget.test.ts
+++ b/packages/placement/src/__tests__/probeBudget.test.ts
@@ -42,10 +42,10 @@
 
 function createGateways({ gateways, unknownShare }: Fleet, random: RandomSource): readonly Gateway[] {
     const names = Array.from({ length: gateways }, (_, i) => `gateway-${i}`);
-    return names.map((name, own) => {
-        const known = names.filter((_, i) => i === own || random.next() >= unknownShare);
-        const zone = zones[own % zones.length] ?? "";
-        const inZone = known.filter(other => names.indexOf(other) % zones.length === own % zones.length);
+    return names.map((name, ownIndex) => {
+        const known = names.filter((_, i) => i === ownIndex || random.next() >= unknownShare);
+        const zone = zones[ownIndex % zones.length] ?? "";
+        const inZone = known.filter(other => names.indexOf(other) % zones.length === ownIndex % zones.length);
         const groups = new ProbeGroups(name, zone, perSecond, defaultPlacementPolicy);
         groups.update({ gateways: known, zoneGateways: inZone });
         // Begins with the maximum number of saved probes.
@@ -99,8 +99,8 @@
                     restartAtMs: fc.constantFrom(1_000, 4_000, 9_000),
                 }),
                 fleet => {
-                    const most = findMostProbes(fleet);
-                    assert.ok(most <= perSecond * windowMs / 1_000, `${most} probes in ten seconds`);
+                    const max = findMostProbes(fleet);
+                    assert.ok(max <= perSecond * windowMs / 1_000, `${max} probes in ten seconds`);
                 },
             ),
             { seed: 1, numRuns },
@@ -117,10 +117,10 @@
     const groupSizes: number[] = [];
     for (const [i, { groups }] of gateways.entries()) {
         const zone = zones[i % zones.length];
-        const own = servers.filter(server => groups.isInGroup(server, 36));
+        const subset = servers.filter(server => groups.isInGroup(server, 36));
         const allowed = servers.filter(server => groups.shareOf(server, 36).probesPerMs > 0);
-        groupSizes.push(own.length);
-        assert.ok(own.every(server => server.availabilityZone === zone));
+        groupSizes.push(subset.length);
+        assert.ok(subset.every(server => server.availabilityZone === zone));
         assert.ok(allowed.length >= 20, `${allowed.length} servers that it may probe`);
         assert.ok(allowed.some(({ availabilityZone }) => availabilityZone !== zone), "some of them in other zones");
     }
--- a/packages/placement/src/__tests__/probeOrder.test.ts
+++ b/packages/placement/src/__tests__/probeOrder.test.ts
@@ -35,13 +35,13 @@
 
 test("probe order: suspected servers last, the own zone first, and there the gateway's subset", () => {
     const servers = createServers(90, ["north", "south"]);
-    const near = inZone(servers, "north").length;
-    const isNear = createSubset("gateway-1");
-    const subset = new Set(servers.filter(server => isNear(server, near)).map(({ id }) => id));
+    const nearCount = inZone(servers, "north").length;
+    const inSubset = createSubset("gateway-1");
+    const subset = new Set(servers.filter(server => inSubset(server, nearCount)).map(({ id }) => id));
     const ordered = orderForProbing({
         servers,
         availabilityZone: "north",
-        isInSubset: server => isNear(server, near),
+        isInSubset: server => inSubset(server, nearCount),
         isSuspect: id => id === "server-0",
         goodChanceOf: () => 0.75,
         random: createRandomSource(1),
@@ -56,21 +56,21 @@
 
 test("with few servers, and no more gateways than fit in a group, every server is in every gateway's subset", () => {
     const servers = createServers(4, ["north"]);
-    const few = zoneGateways.slice(0, 15);
-    for (const name of few) {
-        const isNear = createSubset(name, few);
-        assert.ok(servers.every(server => isNear(server, servers.length)));
+    const fewGateways = zoneGateways.slice(0, 15);
+    for (const name of fewGateways) {
+        const inSubset = createSubset(name, fewGateways);
+        assert.ok(servers.every(server => inSubset(server, servers.length)));
     }
 });
 
 test("adding or removing a server changes a gateway's subset by at most one", () => {
     const servers = createServers(45, ["north"]);
-    const isNear = createSubset("gateway-1");
+    const inSubset = createSubset("gateway-1");
     const choose = (from: readonly RegisteredServer[]): readonly RegisteredServer[] =>
-        from.filter(server => isNear(server, from.length));
+        from.filter(server => inSubset(server, from.length));
     const before = choose(servers);
-    for (const gone of servers) {
-        const after = choose(servers.filter(server => server !== gone));
+    for (const removed of servers) {
+        const after = choose(servers.filter(server => server !== removed));
         assert.ok(after.filter(server => !before.includes(server)).length <= 1);
     }
 });
@@ -82,33 +82,33 @@
     const random = createRandomSource(1);
     const idleMs = 8_000;
     const perGatewayAndSecond = 2;
-    const lastAskedMs = new Map<string, number>();
-    const asks = new Map<string, number>();
-    let opened = 0;
-    let asked = 0;
-    const gateways = zoneGateways.map(name => ({ name, isNear: createSubset(name) }));
+    const lastProbedMs = new Map<string, number>();
+    const probesByServer = new Map<string, number>();
+    let newConnections = 0;
+    let probes = 0;
+    const gateways = zoneGateways.map(name => ({ name, inSubset: createSubset(name) }));
     for (let atMs = 0; atMs < 60_000; atMs += 1_000 / perGatewayAndSecond) {
-        for (const { name, isNear } of gateways) {
+        for (const { name, inSubset } of gateways) {
             const ordered = orderForProbing({
                 servers,
                 availabilityZone: "north",
-                isInSubset: server => isNear(server, servers.length),
+                isInSubset: server => inSubset(server, servers.length),
                 isSuspect: () => false,
                 goodChanceOf: () => 0.75,
                 random,
             });
             for (const { id } of ordered.slice(0, chooseProbeCount(ordered.map(() => 0.75)))) {
                 const pair = `${name} ${id}`;
-                asked++;
-                opened += atMs - (lastAskedMs.get(pair) ?? -Infinity) > idleMs ? 1 : 0;
-                lastAskedMs.set(pair, atMs);
-                asks.set(id, (asks.get(id) ?? 0) + 1);
+                probes++;
+                newConnections += atMs - (lastProbedMs.get(pair) ?? -Infinity) > idleMs ? 1 : 0;
+                lastProbedMs.set(pair, atMs);
+                probesByServer.set(id, (probesByServer.get(id) ?? 0) + 1);
             }
         }
     }
     const requests = 60 * perGatewayAndSecond * gateways.length;
-    assert.ok(opened / requests < 0.2, `${opened} connections opened for ${requests} requests`);
-    const counts = servers.map(({ id }) => asks.get(id) ?? 0);
-    const mean = asked / servers.length;
+    assert.ok(newConnections / requests < 0.2, `${newConnections} connections opened for ${requests} requests`);
+    const counts = servers.map(({ id }) => probesByServer.get(id) ?? 0);
+    const mean = probes / servers.length;
     assert.ok(Math.min(...counts) > mean * 0.4 && Math.max(...counts) < mean * 1.8, counts.join(" "));
 });
--- a/packages/placement/src/__tests__/probingZones.test.ts
+++ b/packages/placement/src/__tests__/probingZones.test.ts
@@ -12,32 +12,32 @@
     return new Map(zones.map(zone => [zone, Array.from({ length: perZone }, (_, i) => `${zone}-${i}`)]));
 }
 
-function sizes(serversByZone: Readonly<Record<string, number>>): readonly number[] {
-    const dealt = assignProbingZones({
+function gatewayCounts(serversByZone: Readonly<Record<string, number>>): readonly number[] {
+    const assigned = assignProbingZones({
         gatewaysByZone: createGateways(40),
         serversByZone: new Map(Object.entries(serversByZone)),
     });
-    assert.equal(new Set(dealt.flatMap(({ gateways }) => gateways)).size, 120);
-    return zones.map(zone => dealt.find(({ availabilityZone }) => availabilityZone === zone)?.gateways.length ?? 0);
+    assert.equal(new Set(assigned.flatMap(({ gateways }) => gateways)).size, 120);
+    return zones.map(zone => assigned.find(({ availabilityZone }) => availabilityZone === zone)?.gateways.length ?? 0);
 }
 
 test("gateways are assigned to their own zone while it has its share of the servers", () => {
-    assert.deepEqual(sizes({ north: 20, south: 24, west: 16 }), [40, 40, 40]);
+    assert.deepEqual(gatewayCounts({ north: 20, south: 24, west: 16 }), [40, 40, 40]);
 });
 
 test("gateways of a zone without servers are assigned to the zones that are short of gateways", () => {
-    assert.deepEqual(sizes({ north: 20, south: 20 }), [60, 60, 0]);
-    assert.deepEqual(sizes({ north: 30, south: 10 }), [80, 40, 0]);
-    assert.deepEqual(sizes({ north: 28, south: 28, west: 1 }), [58, 57, 5]);
+    assert.deepEqual(gatewayCounts({ north: 20, south: 20 }), [60, 60, 0]);
+    assert.deepEqual(gatewayCounts({ north: 30, south: 10 }), [80, 40, 0]);
+    assert.deepEqual(gatewayCounts({ north: 28, south: 28, west: 1 }), [58, 57, 5]);
 });
 
 test("a service without servers, or a zone without gateways, doesn't change the assignment of the others", () => {
-    assert.deepEqual(sizes({}), [40, 40, 40]);
-    const dealt = assignProbingZones({
+    assert.deepEqual(gatewayCounts({}), [40, 40, 40]);
+    const assigned = assignProbingZones({
         gatewaysByZone: new Map([["north", ["a", "b"]]]),
         serversByZone: new Map([["north", 3], ["south", 3]]),
     });
-    assert.deepEqual(dealt.map(({ gateways }) => gateways.length), [2, 0]);
+    assert.deepEqual(assigned.map(({ gateways }) => gateways.length), [2, 0]);
 });
 
 function createServer(id: string, availabilityZone: string): RegisteredServer {
@@ -59,17 +59,17 @@
         seed: fc.integer({ min: 1, max: 100_000 }),
         perZone: fc.integer({ min: 2, max: 100 }),
         servers: fc.integer({ min: 1, max: 20 }),
-        heardShare: fc.double({ min: 0, max: 1, noNaN: true }),
+        knownShare: fc.double({ min: 0, max: 1, noNaN: true }),
     });
     fc.assert(
-        fc.property(fleet, ({ seed, perZone, servers, heardShare }) => {
+        fc.property(fleet, ({ seed, perZone, servers, knownShare }) => {
             const random = createRandomSource(seed);
-            const all = zones.flatMap(zone =>
+            const allServers = zones.flatMap(zone =>
                 Array.from({ length: servers }, (_, i) => createServer(`${zone}-${i}`, zone))
             );
             const gatewaysByZone = createGateways(perZone);
             const names = [...gatewaysByZone.values()].flat();
-            const probedAtMs = new Map(all.map(({ id }) => [id, new Array<number>()]));
+            const probedAtMs = new Map(allServers.map(({ id }) => [id, new Array<number>()]));
             const gateways = names.map(name => {
                 const availabilityZone = name.split("-")[0] ?? "";
                 const probes = new ProbeAssignments({
@@ -78,7 +78,9 @@
                     probesPerServerAndSecond: 60,
                     policy: defaultPlacementPolicy,
                 });
-                const usable = random.next() < heardShare ? all.filter(each => each.availabilityZone !== "west") : all;
+                const usable = random.next() < knownShare
+                    ? allServers.filter(each => each.availabilityZone !== "west")
+                    : allServers;
                 const zoneGateways = gatewaysByZone.get(availabilityZone) ?? [];
                 const { shareOf } = probes.of("tables", usable, { gateways: names, zoneGateways, gatewaysByZone });
                 return { usable, shareOf, budget: new ProbeBudget(-600_000) };
@@ -95,8 +97,8 @@
                     budget.take(input).forEach(({ id }) => probedAtMs.get(id)?.push(nowMs));
                 }
             }
-            const most = Math.max(...[...probedAtMs.values()].map(times => findMostWithin(times, 10_000)));
-            assert.ok(most <= 600, `${most} probes in ten seconds`);
+            const max = Math.max(...[...probedAtMs.values()].map(times => findMostWithin(times, 10_000)));
+            assert.ok(max <= 600, `${max} probes in ten seconds`);
         }),
         { seed: 2, numRuns: 20 },
     );
--- a/packages/placement/src/__tests__/replayedLimits.test.ts
+++ b/packages/placement/src/__tests__/replayedLimits.test.ts
@@ -6,9 +6,9 @@
 const perSecond = 1.1;
 const allowedInFourSeconds = perSecond * 4 * 1.5 + 5;
 
-function play(name: string, more: { readonly seed: number; readonly durationMs?: number; }): ReplayReport {
+function replay(name: string, overrides: { readonly seed: number; readonly durationMs?: number; }): ReplayReport {
     const path = new URL(`../../../replay/scenarios/${name}.yaml`, import.meta.url);
-    return runReplay({ ...resolveScenario(readFileSync(path, "utf8")).unsafeCoerce(), ...more });
+    return runReplay({ ...resolveScenario(readFileSync(path, "utf8")).unsafeCoerce(), ...overrides });
 }
 
 // Guards against gateways that each use the whole limit, and against gateways that hardly use it at all.
@@ -16,7 +16,7 @@
     const limitedServers = 12;
     const limitedSeconds = 21;
     for (const seed of [1, 2, 3]) {
-        const report = play("small-limit", { seed });
+        const report = replay("small-limit", { seed });
         assert.ok(report.mostLimitedArrivals <= allowedInFourSeconds, `${report.mostLimitedArrivals} in four seconds`);
         const used = report.limitedArrivals / (perSecond * limitedServers * limitedSeconds);
         assert.ok(used > 0.5, `${used} of the limit used`);
@@ -25,7 +25,7 @@
 });
 
 test("312 gateways respect the limits of servers", () => {
-    const report = play("fleet-limit", { seed: 1, durationMs: 14_000 });
+    const report = replay("fleet-limit", { seed: 1, durationMs: 14_000 });
     assert.ok(report.mostLimitedArrivals <= allowedInFourSeconds, `${report.mostLimitedArrivals} in four seconds`);
     assert.ok(report.inTime > 0.9, `${report.inTime} in time`);
 });
--- a/packages/placement/src/__tests__/replayedLoads.test.ts
+++ b/packages/placement/src/__tests__/replayedLoads.test.ts
@@ -6,7 +6,7 @@
  * Twelve servers with three slots each, a quarter of them slow at any moment: a capacity of about 110 requests per
  * second.
  */
-const usual = { seed: 5, gateways: 15, servers: 12, forMs: 20_000 } satisfies Partial<ReplayInput>;
+const base = { seed: 5, gateways: 15, servers: 12, forMs: 20_000 } satisfies Partial<ReplayInput>;
 const coldLimit = 4.2 * 1.5 + 5;
 const seeds = [5, 6, 7];
 
@@ -27,14 +27,14 @@
 test("load spike above capacity: far more requests in time than with random placement, during and after it", () => {
     const load = (nowMs: number): number => nowMs >= 5_000 && nowMs < 10_000 ? 200 : 70;
     for (const seed of [5, 6, 7]) {
-        const deciding = new ReplayFleet({ ...usual, seed, load }).run();
-        const blind = new ReplayFleet({ ...usual, seed, load, blind: true }).run();
+        const probing = new ReplayFleet({ ...base, seed, load }).run();
+        const baseline = new ReplayFleet({ ...base, seed, load, blind: true }).run();
         for (const [fromMs, toMs, gain] of [[0, 5_000, 0.15], [5_000, 10_000, 0.15], [11_000, 16_000, 0.1]] as const) {
-            const share = deciding.shareInTime(fromMs, toMs);
-            const without = blind.shareInTime(fromMs, toMs);
+            const share = probing.shareInTime(fromMs, toMs);
+            const baselineShare = baseline.shareInTime(fromMs, toMs);
             assert.ok(
-                share > without + gain,
-                `seed ${seed}, from ${fromMs} ms: ${share} in time, ${without} with random placement`,
+                share > baselineShare + gain,
+                `seed ${seed}, from ${fromMs} ms: ${share} in time, ${baselineShare} with random placement`,
             );
         }
     }
@@ -44,12 +44,12 @@
 // up to three times, so that each rejection adds load.
 test("2.4 times the load, with 40 percent of the callers retrying at once: the servers' work stays useful", () => {
     const load = (nowMs: number): number => nowMs >= 5_000 && nowMs < 12_000 ? 240 : 100;
-    const more = { ...usual, load, impatientShare: 0.4 };
-    const deciding = new ReplayFleet(more).run();
-    const blind = new ReplayFleet({ ...more, blind: true }).run();
-    const during = deciding.shareInTime(5_000, 12_000);
-    assert.ok(during > blind.shareInTime(5_000, 12_000) + 0.15, `${during} in time`);
-    const tries = deciding.tries / deciding.callers.length;
+    const input = { ...base, load, impatientShare: 0.4 };
+    const probing = new ReplayFleet(input).run();
+    const baseline = new ReplayFleet({ ...input, blind: true }).run();
+    const during = probing.shareInTime(5_000, 12_000);
+    assert.ok(during > baseline.shareInTime(5_000, 12_000) + 0.15, `${during} in time`);
+    const tries = probing.tries / probing.callers.length;
     assert.ok(tries < 2.5, `${tries} tries per caller`);
 });
 
@@ -57,7 +57,7 @@
 // servers attract the waiting requests of all gateways.
 test("a zone that is taken out at full load and returns cold: its servers get no more than their limit", () => {
     const input: ReplayInput = {
-        ...usual,
+        ...base,
         load: () => 95,
         onStep: (fleet, nowMs) => {
             if (nowMs === 4_000) {
@@ -73,8 +73,8 @@
     };
     const fleets = seeds.map(seed => new ReplayFleet({ ...input, seed }).run());
     for (const fleet of fleets) {
-        const most = findBusiestColdSecond(fleet);
-        assert.ok(most > 0 && most <= coldLimit, `${most} requests in one second`);
+        const max = findBusiestColdSecond(fleet);
+        assert.ok(max > 0 && max <= coldLimit, `${max} requests in one second`);
         assert.ok(fleet.servers.some(({ coldArrivalsMs }) => coldArrivalsMs.length > 3), "cold servers are used");
     }
     assert.ok(findBusiestColdSecond(new ReplayFleet({ ...input, blind: true }).run()) > coldLimit);
@@ -87,7 +87,7 @@
 test("servers that turn away half of the requests: retries stay within the allowance, most callers are served", () => {
     const fleets = seeds.map(seed =>
         new ReplayFleet({
-            ...usual,
+            ...base,
             seed,
             load: () => 60,
             onStep: ({ servers }, nowMs) => {
@@ -115,7 +115,7 @@
 // get twice the requests.
 test("half of the gateways restart under load: callers are still served, and retries stay within the allowance", () => {
     const fleet = new ReplayFleet({
-        ...usual,
+        ...base,
         load: () => 90,
         onStep: (each, nowMs) => {
             if (nowMs === 6_000 || nowMs === 9_000) {
@@ -137,9 +137,9 @@
 // and the slots of their cancelled requests have to serve the others.
 test("callers that leave at half of their objective: more of the others are in time than if all had stayed", () => {
     const load = (): number => 170;
-    const staying = new ReplayFleet({ ...usual, load }).run();
+    const staying = new ReplayFleet({ ...base, load }).run();
     const leaving = new ReplayFleet({
-        ...usual,
+        ...base,
         load,
         resolvePatienceMs: random => random.next() < 0.5 ? objectiveMs / 2 : patienceMs,
     }).run();
@@ -157,11 +157,11 @@
 /**
  * @returns the maximum number of probes of any server within ten seconds, during a load spike with restarts of gateways
  */
-function findMostQuestions(perSecond: number): number {
+function findMaxProbes(perSecond: number): number {
     const windowMs = 10_000;
-    const marks: { readonly atMs: number; readonly counts: readonly number[]; }[] = [];
+    const samples: { readonly atMs: number; readonly counts: readonly number[]; }[] = [];
     new ReplayFleet({
-        ...usual,
+        ...base,
         seed: 9,
         load: nowMs => nowMs >= 3_000 ? perSecond : 70,
         impatientShare: 0.4,
@@ -170,46 +170,46 @@
                 fleet.restart(0.5, 700);
             }
             if (nowMs % 500 === 0) {
-                marks.push({ atMs: nowMs, counts: fleet.servers.map(({ probes }) => probes) });
+                samples.push({ atMs: nowMs, counts: fleet.servers.map(({ probes }) => probes) });
             }
         },
     }).run();
-    let most = 0;
-    for (const { atMs, counts } of marks) {
-        const end = marks.find(mark => mark.atMs === atMs + windowMs);
+    let max = 0;
+    for (const { atMs, counts } of samples) {
+        const end = samples.find(sample => sample.atMs === atMs + windowMs);
         for (const [i, count] of counts.entries()) {
-            most = Math.max(most, (end?.counts[i] ?? 0) - count);
+            max = Math.max(max, (end?.counts[i] ?? 0) - count);
         }
     }
-    return most;
+    return max;
 }
 
 // Guards against exceptions from the probe budget for newly arrived requests and last searches: with these, probes grew
 // with the load and exceeded the allowance. The load triples, callers retry at once, and half of the gateways restart
 // twice.
 test("a load spike with restarts: no server gets more probes than its allowance in any ten seconds", () => {
-    const most = findMostQuestions(240);
-    assert.ok(most > 100 && most <= 600, `${most} probes in ten seconds`);
+    const max = findMaxProbes(240);
+    assert.ok(max > 100 && max <= 600, `${max} probes in ten seconds`);
 });
 
 // Guards against rejecting all priorities at the same rate under overload: a quarter of the requests has high priority,
 // and the servers have enough capacity for these alone.
 test("a load above capacity: requests of high priority are served before others", () => {
-    const resolveRank: ReplayInput["resolvePriority"] = random => random.next() < 0.25 ? 0 : 2;
-    const servedShare = (fleet: ReplayFleet, rank: number): number => {
-        const came = fleet.callers.filter(caller => caller.kind.priority === rank && caller.arrivedAtMs > 4_000);
-        const inTime = came.filter(({ arrivedAtMs, answeredAtMs }) =>
+    const resolvePriority: ReplayInput["resolvePriority"] = random => random.next() < 0.25 ? 0 : 2;
+    const servedShare = (fleet: ReplayFleet, priority: number): number => {
+        const arrived = fleet.callers.filter(caller => caller.kind.priority === priority && caller.arrivedAtMs > 4_000);
+        const inTime = arrived.filter(({ arrivedAtMs, answeredAtMs }) =>
             answeredAtMs !== undefined && answeredAtMs - arrivedAtMs <= objectiveMs
         );
-        return inTime.length / came.length;
+        return inTime.length / arrived.length;
     };
     for (const seed of [5, 6, 7]) {
-        const fleet = new ReplayFleet({ ...usual, seed, load: () => 160, resolvePriority: resolveRank }).run();
-        const urgent = servedShare(fleet, 0);
-        const other = servedShare(fleet, 2);
+        const fleet = new ReplayFleet({ ...base, seed, load: () => 160, resolvePriority }).run();
+        const high = servedShare(fleet, 0);
+        const low = servedShare(fleet, 2);
         assert.ok(
-            urgent > other + 0.15,
-            `seed ${seed}: ${urgent} of the high priority in time, ${other} of the others`,
+            high > low + 0.15,
+            `seed ${seed}: ${high} of the high priority in time, ${low} of the others`,
         );
     }
 });
--- a/packages/placement/src/__tests__/serverSearch.test.ts
+++ b/packages/placement/src/__tests__/serverSearch.test.ts
@@ -36,7 +36,7 @@
 
 const servers = ["a", "b", "c", "d", "e", "f"].map(createServer);
 
-function createBoard(probesPerServerAndSecond = 60): PlacementState {
+function createState(probesPerServerAndSecond = 60): PlacementState {
     return new PlacementState({
         name: "gateway-1",
         availabilityZone: "north",
@@ -46,12 +46,12 @@
     });
 }
 
-function look(nowMs: number, usable: readonly RegisteredServer[] = servers): FleetSnapshot {
+function createSnapshot(nowMs: number, usable: readonly RegisteredServer[] = servers): FleetSnapshot {
     return { usable, gateways: ["gateway-1"], zoneGateways: ["gateway-1"], sinceStoreContactMs: 0, nowMs };
 }
 
-function search(board: PlacementState, more: Partial<SearchInput> = {}): ServerSearch {
-    return new ServerSearch(board, {
+function search(state: PlacementState, overrides: Partial<SearchInput> = {}): ServerSearch {
+    return new ServerSearch(state, {
         rules,
         objectiveMs,
         priority: 0,
@@ -59,16 +59,16 @@
         cutoffMs: 2_000,
         triedServers: new Set(),
         onlyGood: false,
-        ...more,
+        ...overrides,
     });
 }
 
-function tell(board: PlacementState, id: string, load: LoadReport, atMs: number, coldRemainingMs = 0): void {
+function reportStatus(state: PlacementState, id: string, load: LoadReport, atMs: number, coldRemainingMs = 0): void {
     const offer = { serverId: id, availabilityZone: "north", load, slots: 6, healthy: true, coldRemainingMs };
-    board.onProbeResponse("tables", offer, atMs);
+    state.onProbeResponse("tables", offer, atMs);
 }
 
-function expectAsk(step: SearchStep): readonly string[] {
+function expectProbe(step: SearchStep): readonly string[] {
     if (step.type !== "ask") {
         assert.fail(`expected a probe, got ${step.type}`);
     }
@@ -76,97 +76,99 @@
 }
 
 test("a request probes two of six unknown servers, and is sent to the good one", () => {
-    const board = createBoard();
-    const request = search(board);
-    const [first = "", second = ""] = expectAsk(request.step(look(0)));
-    tell(board, first, full, 0);
-    tell(board, second, idle, 0);
-    const step = request.step(look(5));
+    const state = createState();
+    const request = search(state);
+    const [first = "", second = ""] = expectProbe(request.step(createSnapshot(0)));
+    reportStatus(state, first, full, 0);
+    reportStatus(state, second, idle, 0);
+    const step = request.step(createSnapshot(5));
     assert.equal(step.type === "send" && step.server.id, second);
 });
 
 // Guards against a gateway whose CPU is busy with probes alone, when all callers return at once after a power failure
 // and requests arrive every few milliseconds.
 test("a request that arrives a moment after another one is sent to a good server without a probe", () => {
-    const board = createBoard();
-    tell(board, "c", idle, 0);
-    const step = search(board, { arrivedAtMs: 10 }).step(look(10));
+    const state = createState();
+    reportStatus(state, "c", idle, 0);
+    const step = search(state, { arrivedAtMs: 10 }).step(createSnapshot(10));
     assert.ok(step.type === "send" && step.server.id === "c" && step.ageMs === 10);
 });
 
 test("requests sent since the last status count as load, so that not all requests of a moment go to one server", () => {
-    const board = createBoard();
-    tell(board, "c", idle, 0);
-    const ends = Array.from({ length: 12 }, () => search(board, { arrivedAtMs: 5 }).step(look(5)).type);
-    assert.ok(ends.filter(type => type === "send").length <= 4, ends.join(" "));
+    const state = createState();
+    reportStatus(state, "c", idle, 0);
+    const steps = Array.from({ length: 12 }, () => search(state, { arrivedAtMs: 5 }).step(createSnapshot(5)).type);
+    assert.ok(steps.filter(type => type === "send").length <= 4, steps.join(" "));
 });
 
 test("a server with an old status is probed again", () => {
-    const board = createBoard();
-    tell(board, "c", idle, 0);
-    assert.ok(expectAsk(search(board, { arrivedAtMs: 500 }).step(look(500))).length > 0);
+    const state = createState();
+    reportStatus(state, "c", idle, 0);
+    assert.ok(expectProbe(search(state, { arrivedAtMs: 500 }).step(createSnapshot(500))).length > 0);
 });
 
 // Guards against probes beyond the allowance, and against rejecting a request before any server's load is known, once
 // the budget was used up while all servers were full.
 test("without probe budget, a request waits for a probe while it can still be in time", () => {
-    const board = createBoard(1);
-    while (search(board).step(look(0)).type === "ask") {
+    const state = createState(1);
+    while (search(state).step(createSnapshot(0)).type === "ask") {
         // Uses up the probe budget.
     }
-    const request = search(board);
-    assert.equal(request.step(look(0)).type, "pause");
-    assert.equal(request.step(look(150)).type, "pause");
-    const late = request.step(look(390));
-    assert.ok(late.type === "refuse" && late.reason === "noOffer");
+    const request = search(state);
+    assert.equal(request.step(createSnapshot(0)).type, "pause");
+    assert.equal(request.step(createSnapshot(150)).type, "pause");
+    const lastStep = request.step(createSnapshot(390));
+    assert.ok(lastStep.type === "refuse" && lastStep.reason === "noOffer");
 });
 
 test("the probe result of another request is used by one that may not probe", () => {
-    const board = createBoard(1);
-    while (search(board).step(look(0)).type === "ask") {
+    const state = createState(1);
+    while (search(state).step(createSnapshot(0)).type === "ask") {
         // Uses up the probe budget.
     }
-    tell(board, "d", { ...idle, running: 2 }, 0);
-    const step = search(board, { arrivedAtMs: 40 }).step(look(40));
+    reportStatus(state, "d", { ...idle, running: 2 }, 0);
+    const step = search(state, { arrivedAtMs: 40 }).step(createSnapshot(40));
     assert.equal(step.type === "send" && step.server.id, "d");
 });
 
 // Guards against overload of a server that has become cold, which only probe responses report. If the load in its
 // responses to requests were enough, all gateways would keep sending to it without a probe.
 test("a server whose status comes from responses to requests alone is probed before it gets more requests", () => {
-    const board = createBoard();
-    const only = createServer("a");
-    tell(board, "a", idle, 0);
+    const state = createState();
+    const onlyServer = createServer("a");
+    reportStatus(state, "a", idle, 0);
     for (let nowMs = 20; nowMs <= 1_000; nowMs += 20) {
-        board.onLoadReport("tables", only, idle, nowMs);
+        state.onLoadReport("tables", onlyServer, idle, nowMs);
     }
-    assert.deepEqual(expectAsk(search(board, { arrivedAtMs: 1_005 }).step(look(1_005, [only]))), ["a"]);
-    const lastLook = search(board, { arrivedAtMs: 900 });
-    assert.deepEqual(expectAsk(lastLook.step(look(1_005, [only]))), ["a"]);
-    assert.notEqual(lastLook.step(look(1_006, [only])).type, "send");
+    assert.deepEqual(expectProbe(search(state, { arrivedAtMs: 1_005 }).step(createSnapshot(1_005, [onlyServer]))), [
+        "a",
+    ]);
+    const lastSearch = search(state, { arrivedAtMs: 900 });
+    assert.deepEqual(expectProbe(lastSearch.step(createSnapshot(1_005, [onlyServer]))), ["a"]);
+    assert.notEqual(lastSearch.step(createSnapshot(1_006, [onlyServer])).type, "send");
 });
 
 test("a cold server gets no request from a gateway that isn't one of its owners", () => {
-    const board = createBoard();
-    tell(board, "a", idle, 0, 3_000);
-    const sight = { ...look(20, [createServer("a")]), gateways: ["gateway-2", "gateway-3"] };
+    const state = createState();
+    reportStatus(state, "a", idle, 0, 3_000);
+    const snapshot = { ...createSnapshot(20, [createServer("a")]), gateways: ["gateway-2", "gateway-3"] };
     for (let i = 0; i < 3; i++) {
-        assert.notEqual(search(board, { arrivedAtMs: 20 }).step(sight).type, "send");
+        assert.notEqual(search(state, { arrivedAtMs: 20 }).step(snapshot).type, "send");
     }
 });
 
 test("a hedged request accepts only a good server, and searches only once", () => {
-    const board = createBoard();
-    const hedge = search(board, { onlyGood: true });
-    for (const id of expectAsk(hedge.step(look(0)))) {
-        tell(board, id, { ...idle, slowdown: 2 }, 0);
+    const state = createState();
+    const hedge = search(state, { onlyGood: true });
+    for (const id of expectProbe(hedge.step(createSnapshot(0)))) {
+        reportStatus(state, id, { ...idle, slowdown: 2 }, 0);
     }
-    let step = hedge.step(look(5));
+    let step = hedge.step(createSnapshot(5));
     while (step.type === "ask") {
         for (const { id } of step.servers) {
-            tell(board, id, { ...idle, slowdown: 2 }, 5);
+            reportStatus(state, id, { ...idle, slowdown: 2 }, 5);
         }
-        step = hedge.step(look(10));
+        step = hedge.step(createSnapshot(10));
     }
     assert.ok(step.type === "refuse" && step.reason === "noneGood");
 });
@@ -174,32 +176,32 @@
 // Guards against rejecting all priorities at the same rate while slots are scarce. One in four requests has high
 // priority.
 test("requests of low priority leave as many slots free as those of high priority need", () => {
-    const board = createBoard();
-    const only = [createServer("a")];
+    const state = createState();
+    const onlyServer = [createServer("a")];
     for (let i = 0; i < 100; i++) {
-        board.onRequest("tables", i % 4 === 0 ? 0 : 2, i * 10);
+        state.onRequest("tables", i % 4 === 0 ? 0 : 2, i * 10);
     }
     const nearlyFull = { ...idle, running: 5 };
-    const place = (rank: number): string => {
-        const request = search(board, { priority: rank, arrivedAtMs: 1_000 });
-        const asked = request.step(look(1_000, only));
-        if (asked.type === "ask") {
-            tell(board, "a", nearlyFull, 1_000);
+    const place = (priority: number): string => {
+        const request = search(state, { priority, arrivedAtMs: 1_000 });
+        const firstStep = request.step(createSnapshot(1_000, onlyServer));
+        if (firstStep.type === "ask") {
+            reportStatus(state, "a", nearlyFull, 1_000);
         }
-        return request.step(look(1_005, only)).type;
+        return request.step(createSnapshot(1_005, onlyServer)).type;
     };
     assert.equal(place(2), "pause");
     assert.equal(place(0), "send");
 });
 
 test("if all requests have the same priority, no slots are reserved", () => {
-    const board = createBoard();
+    const state = createState();
     for (let i = 0; i < 100; i++) {
-        board.onRequest("tables", 2, i * 10);
+        state.onRequest("tables", 2, i * 10);
     }
-    const only = [createServer("a")];
-    const request = search(board, { priority: 2, arrivedAtMs: 1_000 });
-    expectAsk(request.step(look(1_000, only)));
-    tell(board, "a", { ...idle, running: 5 }, 1_000);
-    assert.equal(request.step(look(1_005, only)).type, "send");
+    const onlyServer = [createServer("a")];
+    const request = search(state, { priority: 2, arrivedAtMs: 1_000 });
+    expectProbe(request.step(createSnapshot(1_000, onlyServer)));
+    reportStatus(state, "a", { ...idle, running: 5 }, 1_000);
+    assert.equal(request.step(createSnapshot(1_005, onlyServer)).type, "send");
 });
--- a/packages/placement/src/__tests__/serverShapes.test.ts
+++ b/packages/placement/src/__tests__/serverShapes.test.ts
@@ -3,7 +3,7 @@
 import { ReplayFleet, type ReplayInput, type TestServerShape, defaultShape } from "./support/replay.js";
 
 /** Length of a replay in multiples of the work time, so that all shapes get about the same number of requests. */
-const replayedWorks = 80;
+const replayLengthInWorkTimes = 80;
 /** Offered load as a share of the servers' capacity. */
 const loadShare = 0.6;
 /** Maximum loss against random placement where nothing can be gained, as a share of the requests. */
@@ -35,22 +35,28 @@
     const { slots, workMs, slowShare, slowFactor } = { ...defaultShape, ...shape };
     const perSlot = (1 - slowShare + slowShare / slowFactor) / workMs * 1_000;
     const perSecond = servers * slots * perSlot * loadShare;
-    return { seed: 11, gateways: 15, servers, forMs: replayedWorks * workMs, load: () => perSecond, shape };
+    return { seed: 11, gateways: 15, servers, forMs: replayLengthInWorkTimes * workMs, load: () => perSecond, shape };
 }
 
 // Guards against a policy that fits only some services: with few or many slots and servers, short or long work, and
 // absent, mild, strong, fast or slow noise, it must never do harm, and has to gain wherever noise can be avoided.
-for (const each of cases) {
-    test(`${each.what}: deciding is no worse than sending anywhere, and better where servers differ`, () => {
-        const input = createInput(each);
+for (const testCase of cases) {
+    test(`${testCase.what}: deciding is no worse than sending anywhere, and better where servers differ`, () => {
+        const input = createInput(testCase);
         const toMs = input.forMs * 0.9;
-        const deciding = new ReplayFleet(input).run();
-        const blind = new ReplayFleet({ ...input, blind: true }).run();
-        const share = deciding.shareInTime(0, toMs);
-        const without = blind.shareInTime(0, toMs);
-        assert.ok(share > without - tolerance, `${share} in time, ${without} with random placement`);
-        if ((each.shape.slowFactor ?? defaultShape.slowFactor) > 2 && each.shape.slowShare !== 0) {
-            assert.ok(share > without + tolerance, `${share} in time, ${without} with random placement`);
+        const probing = new ReplayFleet(input).run();
+        const baseline = new ReplayFleet({ ...input, blind: true }).run();
+        const probingShare = probing.shareInTime(0, toMs);
+        const baselineShare = baseline.shareInTime(0, toMs);
+        assert.ok(
+            probingShare > baselineShare - tolerance,
+            `${probingShare} in time, ${baselineShare} with random placement`,
+        );
+        if ((testCase.shape.slowFactor ?? defaultShape.slowFactor) > 2 && testCase.shape.slowShare !== 0) {
+            assert.ok(
+                probingShare > baselineShare + tolerance,
+                `${probingShare} in time, ${baselineShare} with random placement`,
+            );
         }
     });
 }
--- a/packages/placement/src/__tests__/startupAdmission.test.ts
+++ b/packages/placement/src/__tests__/startupAdmission.test.ts
@@ -4,18 +4,18 @@
 import { test } from "node:test";
 import { admitDuringStartup, type StartupAdmissionInput } from "../index.js";
 
-const usual: StartupAdmissionInput = { readFailed: false, held: 0, sinceStartMs: 100, patienceMs: 4_000 };
+const base: StartupAdmissionInput = { readFailed: false, held: 0, sinceStartMs: 100, patienceMs: 4_000 };
 const powerCut = new URL("../../../replay/scenarios/fleet-power-cut.yaml", import.meta.url);
 
 test("a request is held during the first read of the store, for a share of its caller's timeout at most", () => {
-    assert.deepEqual(admitDuringStartup(usual), { type: "hold", forMs: 900 });
-    assert.deepEqual(admitDuringStartup({ ...usual, patienceMs: 1_000 }), { type: "hold", forMs: 250 });
-    assert.deepEqual(admitDuringStartup({ ...usual, patienceMs: undefined }), { type: "hold", forMs: 900 });
+    assert.deepEqual(admitDuringStartup(base), { type: "hold", forMs: 900 });
+    assert.deepEqual(admitDuringStartup({ ...base, patienceMs: 1_000 }), { type: "hold", forMs: 250 });
+    assert.deepEqual(admitDuringStartup({ ...base, patienceMs: undefined }), { type: "hold", forMs: 900 });
 });
 
 test("a request is rejected at once if the first read failed or takes too long, or too many are held", () => {
     for (const change of [{ readFailed: true }, { sinceStartMs: 1_000 }, { held: 200 }]) {
-        assert.deepEqual(admitDuringStartup({ ...usual, ...change }), { type: "refuse" });
+        assert.deepEqual(admitDuringStartup({ ...base, ...change }), { type: "refuse" });
     }
 });
 
--- a/packages/placement/src/__tests__/startupQueue.test.ts
+++ b/packages/placement/src/__tests__/startupQueue.test.ts
@@ -15,46 +15,46 @@
 /** Late on arrival: its caller had already waited for longer than the objective. */
 const lateRequest: StartupRequest = { ...request, patienceMs: 1_200 };
 
-function takeItems(turns: StartupQueue<string>, nowMs: number): readonly string[] {
-    return turns.takeReady(nowMs).map(({ item }) => item);
+function takeItems(queue: StartupQueue<string>, nowMs: number): readonly string[] {
+    return queue.takeReady(nowMs).map(({ item }) => item);
 }
 
 // Guards against placement in order of arrival, which gives the servers to requests that are late already.
 test("requests that can still be in time go first, the newest of them first, and only few at once", () => {
-    const turns = new StartupQueue<string>(0);
-    turns.enqueue(lateRequest, "late 1");
-    turns.enqueue(lateRequest, "late 2");
+    const queue = new StartupQueue<string>(0);
+    queue.enqueue(lateRequest, "late 1");
+    queue.enqueue(lateRequest, "late 2");
     for (let i = 0; i < maxStartupSearches + 1; i++) {
-        turns.enqueue({ ...request, arrivedAtMs: i }, `${i}`);
+        queue.enqueue({ ...request, arrivedAtMs: i }, `${i}`);
     }
     const newest = Array.from({ length: maxStartupSearches }, (_, i) => `${maxStartupSearches - i}`);
-    assert.deepEqual(takeItems(turns, 10), newest);
-    turns.onSent(newest[0] ?? "");
-    assert.deepEqual(turns.takeReady(10), [{ item: "0", untilEnd: false }, { item: "late 1", untilEnd: true }]);
-    turns.onSent("late 1");
-    assert.deepEqual(takeItems(turns, 10), [], "a late request keeps its place until it ends");
-    turns.onEnded("late 1");
-    assert.deepEqual(takeItems(turns, 10), ["late 2"]);
+    assert.deepEqual(takeItems(queue, 10), newest);
+    queue.onSent(newest[0] ?? "");
+    assert.deepEqual(queue.takeReady(10), [{ item: "0", untilEnd: false }, { item: "late 1", untilEnd: true }]);
+    queue.onSent("late 1");
+    assert.deepEqual(takeItems(queue, 10), [], "a late request keeps its place until it ends");
+    queue.onEnded("late 1");
+    assert.deepEqual(takeItems(queue, 10), ["late 2"]);
 });
 
 // Guards against places that are never freed, which would hold requests until their callers give up.
 test("when the queue ends, all waiting requests are placed except those that were removed", () => {
-    const turns = new StartupQueue<string>(0);
+    const queue = new StartupQueue<string>(0);
     for (const item of ["a", "b", "c", "d"]) {
-        turns.enqueue(lateRequest, item);
+        queue.enqueue(lateRequest, item);
     }
-    turns.enqueue(request, "in time");
-    assert.deepEqual(takeItems(turns, 10), ["in time", "a"]);
-    turns.remove("c");
-    assert.deepEqual(takeItems(turns, startupQueueMs), ["b", "d"]);
+    queue.enqueue(request, "in time");
+    assert.deepEqual(takeItems(queue, 10), ["in time", "a"]);
+    queue.remove("c");
+    assert.deepEqual(takeItems(queue, startupQueueMs), ["b", "d"]);
 });
 
 // Guards against treating a caller with a shorter timeout than others of its route as one that has already waited.
 test("a shorter timeout counts as time already waited only for callers that arrive with the first ones", () => {
-    const turns = new StartupQueue<string>(0);
-    turns.enqueue(request, "first");
-    turns.enqueue({ ...lateRequest, arrivedAtMs: 1_000 }, "impatient");
-    assert.deepEqual(turns.takeReady(1_000)[0], { item: "impatient", untilEnd: false });
+    const queue = new StartupQueue<string>(0);
+    queue.enqueue(request, "first");
+    queue.enqueue({ ...lateRequest, arrivedAtMs: 1_000 }, "impatient");
+    assert.deepEqual(queue.takeReady(1_000)[0], { item: "impatient", untilEnd: false });
 });
 
 const stopAll = new URL("../../../replay/scenarios/fleet-stop-all.yaml", import.meta.url);
@@ -70,14 +70,14 @@
     for (const seed of [1, 2, 3]) {
         const fleet = new FleetReplay({ ...scenario, seed, durationMs: 12_000 }).run();
         const share = (fromMs: number): number => {
-            const came = fleet.callers.filter(({ arrivedAtMs }) =>
+            const arrived = fleet.callers.filter(({ arrivedAtMs }) =>
                 arrivedAtMs >= startedAtMs + fromMs && arrivedAtMs < startedAtMs + fromMs + 2_000
             );
-            return came.filter(caller => caller.isInTime).length / came.length;
+            return arrived.filter(caller => caller.isInTime).length / arrived.length;
         };
         assert.ok(share(0) > 0.455, `seed ${seed}: ${share(0)} in time in the first two seconds`);
         assert.ok(share(2_000) > 0.9, `seed ${seed}: ${share(2_000)} in time in the next two seconds`);
-        const most = Math.max(...fleet.servers.map(({ probes }) => probes));
-        assert.ok(most <= allowedProbes, `seed ${seed}: ${most} probes of one server in twelve seconds`);
+        const max = Math.max(...fleet.servers.map(({ probes }) => probes));
+        assert.ok(max <= allowedProbes, `seed ${seed}: ${max} probes of one server in twelve seconds`);
     }
 });
--- a/packages/placement/src/advertisedLimits.ts
+++ b/packages/placement/src/advertisedLimits.ts
@@ -33,7 +33,7 @@
 interface KnownLimit extends AdvertisedLimit {
     readonly startedAtEpochMs: number | undefined;
     /** Kinds of exchanges whose responses have carried the limit: a service may use only one of them. */
-    readonly namedIn: ReadonlySet<LimitSource["answered"]>;
+    readonly advertisedIn: ReadonlySet<LimitSource["answered"]>;
 }
 
 /** Limits that backend servers have advertised to this gateway. */
@@ -61,7 +61,8 @@
         }
         if (limit.type === "none") {
             if (
-                known === undefined || source.sentAtMs < known.lastAdvertisedAtMs || !known.namedIn.has(source.answered)
+                known === undefined || source.sentAtMs < known.lastAdvertisedAtMs
+                || !known.advertisedIn.has(source.answered)
             ) {
                 return undefined;
             }
@@ -74,7 +75,7 @@
             sinceMs: known?.sinceMs ?? nowMs,
             lastAdvertisedAtMs: nowMs,
             startedAtEpochMs: server.startedAtEpochMs,
-            namedIn: new Set([...known?.namedIn ?? [], source.answered]),
+            advertisedIn: new Set([...known?.advertisedIn ?? [], source.answered]),
         });
         if (known?.perSecond === perSecond) {
             return undefined;
--- a/packages/placement/src/choosePlacement.ts
+++ b/packages/placement/src/choosePlacement.ts
@@ -69,14 +69,17 @@
             ? { type: "wait" }
             : { type: "refuse", reason: "noOffer" };
     }
-    const bearable = findBest(scores.filter(score => isBearable(score, policy)));
-    return bearable === undefined
+    const acceptable = findBest(scores.filter(score => isAcceptable(score, policy)));
+    return acceptable === undefined
         ? { type: "refuse", reason: "allFull" }
-        : { type: "send", score: bearable, reason: "best" };
+        : { type: "send", score: acceptable, reason: "best" };
 }
 
 /** An idle server is acceptable however slow it is: the request takes no capacity from others there. */
-function isBearable({ hasFreeSlot, isIdle, latencyFactor }: ServerScore, { tooSlowFactor }: PlacementPolicy): boolean {
+function isAcceptable(
+    { hasFreeSlot, isIdle, latencyFactor }: ServerScore,
+    { tooSlowFactor }: PlacementPolicy,
+): boolean {
     return hasFreeSlot && (isIdle || latencyFactor < tooSlowFactor);
 }
 
--- a/packages/placement/src/destination.ts
+++ b/packages/placement/src/destination.ts
@@ -14,10 +14,10 @@
     for (const { weight } of route.destinations) {
         total += weight;
     }
-    let drawn = random.next() * total;
+    let remaining = random.next() * total;
     for (const { service, weight } of route.destinations) {
-        drawn -= weight;
-        if (weight > 0 && drawn < 0) {
+        remaining -= weight;
+        if (weight > 0 && remaining < 0) {
             return service;
         }
     }
--- a/packages/placement/src/goodChanceEstimator.ts
+++ b/packages/placement/src/goodChanceEstimator.ts
@@ -10,8 +10,8 @@
 interface AgeBand {
     /** Exclusive upper bound of the age. */
     readonly belowMs: number;
-    readonly afterGood: LearntShare;
-    readonly afterPoor: LearntShare;
+    readonly afterGood: LearnedShare;
+    readonly afterPoor: LearnedShare;
 }
 
 /** Initial estimates: a fresh observation is nearly certain, and an old one carries no information. */
@@ -31,26 +31,26 @@
 export class GoodChanceEstimator {
     readonly #bands: readonly AgeBand[] = initialBands.map(({ belowMs, afterGood, afterPoor }) => ({
         belowMs,
-        afterGood: new LearntShare(afterGood),
-        afterPoor: new LearntShare(afterPoor),
+        afterGood: new LearnedShare(afterGood),
+        afterPoor: new LearnedShare(afterPoor),
     }));
-    readonly #unseen = new LearntShare(initialGoodShare);
+    readonly #overall = new LearnedShare(initialGoodShare);
 
-    /** Records an observation of a server. @param before - the server's previous observation, if any */
-    onObservation(isGood: boolean, before: PreviousObservation | undefined): void {
-        this.#unseen.learn(isGood);
-        if (before !== undefined) {
-            this.#share(before)?.learn(isGood);
+    /** Records an observation of a server. @param previous - the server's previous observation, if any */
+    onObservation(isGood: boolean, previous: PreviousObservation | undefined): void {
+        this.#overall.addSample(isGood);
+        if (previous !== undefined) {
+            this.#shareAfter(previous)?.addSample(isGood);
         }
     }
 
     /** @returns the probability that a server is good, from 0 to 1 */
-    goodChanceOf(before: PreviousObservation | undefined): number {
-        const share = before === undefined ? this.#unseen : this.#share(before);
-        return (share ?? this.#unseen).value;
+    goodChanceOf(previous: PreviousObservation | undefined): number {
+        const share = previous === undefined ? this.#overall : this.#shareAfter(previous);
+        return (share ?? this.#overall).value;
     }
 
-    #share({ wasGood, ageMs }: PreviousObservation): LearntShare | undefined {
+    #shareAfter({ wasGood, ageMs }: PreviousObservation): LearnedShare | undefined {
         for (const band of this.#bands) {
             if (ageMs < band.belowMs) {
                 return wasGood ? band.afterGood : band.afterPoor;
@@ -61,7 +61,7 @@
 }
 
 /** A moving average of recent samples that starts from an initial estimate with the weight of some samples. */
-class LearntShare {
+class LearnedShare {
     #value: number;
     #samples = priorSamples;
 
@@ -73,7 +73,7 @@
         return this.#value;
     }
 
-    learn(isGood: boolean): void {
+    addSample(isGood: boolean): void {
         this.#samples++;
         const weight = Math.max(minSampleWeight, 1 / this.#samples);
         this.#value += ((isGood ? 1 : 0) - this.#value) * weight;
--- a/packages/placement/src/limitAdmission.ts
+++ b/packages/placement/src/limitAdmission.ts
@@ -25,7 +25,7 @@
 }
 
 /** Share of a limit that this gateway may use. */
-interface LimitPart {
+interface LimitShare {
     /** Time between two requests. */
     readonly intervalMs: number;
     /** Time from the first response with the limit to the first request. */
@@ -60,7 +60,7 @@
     /** @returns milliseconds until this gateway may send to the server; 0 if it may send now */
     waitMs(input: LimitAdmissionInput): number {
         const { serverId, limit, nowMs } = input;
-        const { intervalMs, firstAfterMs } = this.#partOf(input);
+        const { intervalMs, firstAfterMs } = this.#shareOf(input);
         const sentAtMs = this.#sentAtMs.get(serverId) ?? -Infinity;
         const nextAtMs = sentAtMs >= limit.sinceMs ? sentAtMs + intervalMs : limit.sinceMs + firstAfterMs;
         return Math.max(0, nextAtMs - nowMs);
@@ -82,11 +82,11 @@
         }
     }
 
-    #partOf(input: LimitAdmissionInput): LimitPart {
+    #shareOf(input: LimitAdmissionInput): LimitShare {
         const perSecond = Math.max(minLimitPerSecond, input.limit.perSecond);
-        const wanted = Math.ceil(perSecond * ownerLimitShare / minPerSecondPerLimitOwner);
+        const wantedOwners = Math.ceil(perSecond * ownerLimitShare / minPerSecondPerLimitOwner);
         const gateways = Math.max(1, input.gateways.length);
-        const owners = Math.min(gateways, maxLimitOwners, Math.max(minLimitOwners, wanted));
+        const owners = Math.min(gateways, maxLimitOwners, Math.max(minLimitOwners, wantedOwners));
         if (this.#isOwner(input, owners)) {
             const intervalMs = oneSecondMs * owners / (perSecond * ownerLimitShare);
             return { intervalMs, firstAfterMs: intervalMs };
--- a/packages/placement/src/placementState.ts
+++ b/packages/placement/src/placementState.ts
@@ -79,52 +79,52 @@
     readonly typicalLatency = new TypicalLatency();
     readonly random: RandomSource;
     readonly policy: PlacementPolicy;
-    readonly #parts: PlacementStateDeps;
-    readonly #cold: ColdServerAdmission;
-    readonly #limits = new AdvertisedLimits();
-    readonly #notices = new ServerExclusions();
-    readonly #limited: LimitAdmission;
-    readonly #probes: ProbeBudget;
-    readonly #serviceProbes: ProbeAssignments;
-    readonly #sends = new RecentSends();
-    readonly #ranks = new PriorityMix();
-    readonly #memories = new Map<string, StatusCache>();
+    readonly #deps: PlacementStateDeps;
+    readonly #coldAdmission: ColdServerAdmission;
+    readonly #advertisedLimits = new AdvertisedLimits();
+    readonly #exclusions = new ServerExclusions();
+    readonly #limitAdmission: LimitAdmission;
+    readonly #probeBudget: ProbeBudget;
+    readonly #probeAssignments: ProbeAssignments;
+    readonly #recentSends = new RecentSends();
+    readonly #priorityMix = new PriorityMix();
+    readonly #statusCaches = new Map<string, StatusCache>();
 
-    constructor(parts: PlacementStateDeps) {
-        this.#parts = parts;
-        this.random = parts.random;
-        this.policy = parts.policy ?? defaultPlacementPolicy;
-        this.#cold = new ColdServerAdmission(parts.name);
-        this.#limited = new LimitAdmission(parts.name, parts.availabilityZone);
-        this.#probes = new ProbeBudget(parts.startedAtMs);
-        this.#serviceProbes = new ProbeAssignments({ ...parts, policy: this.policy });
+    constructor(deps: PlacementStateDeps) {
+        this.#deps = deps;
+        this.random = deps.random;
+        this.policy = deps.policy ?? defaultPlacementPolicy;
+        this.#coldAdmission = new ColdServerAdmission(deps.name);
+        this.#limitAdmission = new LimitAdmission(deps.name, deps.availabilityZone);
+        this.#probeBudget = new ProbeBudget(deps.startedAtMs);
+        this.#probeAssignments = new ProbeAssignments({ ...deps, policy: this.policy });
     }
 
-    /** Records the arrival of a request for a service. @param rank - 0 is the highest priority */
-    onRequest(service: string, rank: number, nowMs: number): void {
-        this.#ranks.onRequest(service, rank, nowMs);
+    /** Records the arrival of a request for a service. @param priority - 0 is the highest priority */
+    onRequest(service: string, priority: number, nowMs: number): void {
+        this.#priorityMix.onRequest(service, priority, nowMs);
     }
 
-    /** Records a probe response. @param atMs - when the probe was sent */
-    onProbeResponse(service: string, offer: ServerStatus, atMs: number): void {
-        this.suspects.onProbeResponse(offer.serverId);
-        this.#remember(service, offer, atMs, true);
+    /** Records a probe response. @param probedAtMs - when the probe was sent */
+    onProbeResponse(service: string, status: ServerStatus, probedAtMs: number): void {
+        this.suspects.onProbeResponse(status.serverId);
+        this.#recordStatus(service, status, probedAtMs, true);
     }
 
     /** Records the load that came with the response to a request. Only probe responses report a cold start. */
     onLoadReport(service: string, server: RegisteredServer, load: LoadReport, nowMs: number): void {
-        const before = this.#memoryOf(service).get(server.id);
-        const coldRemainingMs = before === undefined
+        const previous = this.#statusCacheOf(service).get(server.id);
+        const coldRemainingMs = previous === undefined
             ? 0
-            : Math.max(0, before.status.coldRemainingMs - (nowMs - before.observedAtMs));
-        this.#remember(
+            : Math.max(0, previous.status.coldRemainingMs - (nowMs - previous.observedAtMs));
+        this.#recordStatus(
             service,
             {
                 serverId: server.id,
                 availabilityZone: server.availabilityZone,
                 load,
                 slots: server.slots,
-                healthy: before?.status.healthy ?? true,
+                healthy: previous?.status.healthy ?? true,
                 coldRemainingMs,
             },
             nowMs,
@@ -144,7 +144,7 @@
         source: LimitSource,
         nowMs: number,
     ): AdvertisedLimitChange | undefined {
-        return this.#limits.onResponse(server, limit, source, nowMs);
+        return this.#advertisedLimits.onResponse(server, limit, source, nowMs);
     }
 
     /**
@@ -153,39 +153,39 @@
      * @returns when the back-off ends, if it has been extended
      */
     onBackoff(server: RegisteredServer, forMs: number, nowMs: number): number | undefined {
-        return this.#notices.onBackoff(server, forMs, nowMs);
+        return this.#exclusions.onBackoff(server, forMs, nowMs);
     }
 
     /** Records that a server is leaving. @returns whether that wasn't known */
     onLeaving(server: RegisteredServer): boolean {
-        return this.#notices.onLeaving(server);
+        return this.#exclusions.onLeaving(server);
     }
 
     /** @returns why a server is excluded now; `undefined` if it may be sent requests */
     exclusionOf(server: RegisteredServer, nowMs: number): ServerExclusion | undefined {
-        return this.#notices.exclusionOf(server, nowMs);
+        return this.#exclusions.exclusionOf(server, nowMs);
     }
 
     /** Records that a server failed a request. */
     onFailure(service: string, serverId: string, nowMs: number): void {
         this.suspects.onFailure(serverId, nowMs);
-        this.#memoryOf(service).invalidate(serverId);
+        this.#statusCacheOf(service).invalidate(serverId);
     }
 
     /** Records a load probe that a server didn't answer. */
     onProbeUnanswered(service: string, serverId: string, nowMs: number): void {
         this.suspects.onProbeUnanswered(serverId, nowMs);
-        this.#memoryOf(service).invalidate(serverId);
+        this.#statusCacheOf(service).invalidate(serverId);
     }
 
     /**
      * Discards failures and statuses of a service's servers after an outage of this host's network, which caused them.
      */
     onConnectivityRestored(service: string, serverIds: readonly string[]): void {
-        const memory = this.#memoryOf(service);
+        const statusCache = this.#statusCacheOf(service);
         for (const serverId of serverIds) {
             this.suspects.onSuccess(serverId);
-            memory.invalidate(serverId);
+            statusCache.invalidate(serverId);
         }
     }
 
@@ -193,40 +193,42 @@
     evaluate(
         rules: ServiceRules,
         servers: readonly RegisteredServer[],
-        { objectiveMs, priority: priority }: { readonly objectiveMs: number; readonly priority: number; },
-        sight: FleetSnapshot,
+        { objectiveMs, priority }: { readonly objectiveMs: number; readonly priority: number; },
+        snapshot: FleetSnapshot,
     ): readonly ServerCandidate[] {
-        const memory = this.#memoryOf(rules.name);
-        const typicalMs = this.typicalLatency.of(rules.name, objectiveMs);
-        return servers.map(server => this.#rate(server, memory, rules, typicalMs, priority, sight));
+        const statusCache = this.#statusCacheOf(rules.name);
+        const typicalLatencyMs = this.typicalLatency.of(rules.name, objectiveMs);
+        return servers.map(server =>
+            this.#evaluateServer(server, statusCache, rules, typicalLatencyMs, priority, snapshot)
+        );
     }
 
     /** Chooses the candidates that a request may probe now, and counts the probes. */
     takeProbes(
-        rated: readonly ServerCandidate[],
+        candidates: readonly ServerCandidate[],
         purpose: ProbePurpose,
-        wanted: number,
-        sight: FleetSnapshot,
+        maxProbes: number,
+        snapshot: FleetSnapshot,
     ): readonly RegisteredServer[] {
-        const probes = this.#probesOf(rated, sight);
-        return this.#probes.take({
-            ordered: rated.map(({ server }) => server),
+        const assignment = this.#assignmentOf(candidates, snapshot);
+        return this.#probeBudget.take({
+            ordered: candidates.map(({ server }) => server),
             purpose,
-            maxProbes: wanted,
-            shareOf: probes.shareOf,
-            nowMs: sight.nowMs,
+            maxProbes,
+            shareOf: assignment.shareOf,
+            nowMs: snapshot.nowMs,
         });
     }
 
     /** @returns the candidates in probe order */
-    orderForProbing(rated: readonly ServerCandidate[], sight: FleetSnapshot): readonly ServerCandidate[] {
-        const { nowMs } = sight;
-        const probes = this.#probesOf(rated, sight);
-        const byId = new Map(rated.map(each => [each.server.id, each]));
+    orderForProbing(candidates: readonly ServerCandidate[], snapshot: FleetSnapshot): readonly ServerCandidate[] {
+        const { nowMs } = snapshot;
+        const assignment = this.#assignmentOf(candidates, snapshot);
+        const byId = new Map(candidates.map(candidate => [candidate.server.id, candidate]));
         const ordered = orderForProbing({
-            servers: rated.map(({ server }) => server),
-            availabilityZone: this.#parts.availabilityZone,
-            isInSubset: probes.isInGroup,
+            servers: candidates.map(({ server }) => server),
+            availabilityZone: this.#deps.availabilityZone,
+            isInSubset: assignment.isInGroup,
             isSuspect: id => this.suspects.isSuspect(id, nowMs),
             goodChanceOf: id => byId.get(id)?.goodChance ?? 0,
             random: this.random,
@@ -235,121 +237,136 @@
     }
 
     /** Records a request sent to a server. */
-    onSend(rules: ServiceRules, { status }: ServerScore, sight: FleetSnapshot): void {
-        this.#sends.onSend(status.serverId, sight.nowMs);
-        this.#limited.onSend(status.serverId, sight.nowMs);
+    onSend(rules: ServiceRules, { status }: ServerScore, snapshot: FleetSnapshot): void {
+        this.#recentSends.onSend(status.serverId, snapshot.nowMs);
+        this.#limitAdmission.onSend(status.serverId, snapshot.nowMs);
         if (status.coldRemainingMs > 0) {
-            this.#cold.onSend(createColdInput(status.serverId, rules, sight));
+            this.#coldAdmission.onSend(createColdAdmissionInput(status.serverId, rules, snapshot));
         }
     }
 
     /** Drops the entries of servers that are no longer registered. */
     retain(serverIds: ReadonlySet<string>): void {
         this.suspects.retain(serverIds);
-        this.#probes.retain(serverIds);
-        this.#serviceProbes.retain(serverIds);
-        this.#cold.retain(serverIds);
-        this.#limits.retain(serverIds);
-        this.#notices.retain(serverIds);
-        this.#limited.retain(serverIds);
-        this.#sends.retain(serverIds);
-        for (const memory of this.#memories.values()) {
-            memory.retain(serverIds);
+        this.#probeBudget.retain(serverIds);
+        this.#probeAssignments.retain(serverIds);
+        this.#coldAdmission.retain(serverIds);
+        this.#advertisedLimits.retain(serverIds);
+        this.#exclusions.retain(serverIds);
+        this.#limitAdmission.retain(serverIds);
+        this.#recentSends.retain(serverIds);
+        for (const statusCache of this.#statusCaches.values()) {
+            statusCache.retain(serverIds);
         }
     }
 
-    #remember(service: string, offer: ServerStatus, atMs: number, wasAsked: boolean): void {
-        const score = scoreServer(offer, {
+    #recordStatus(service: string, status: ServerStatus, observedAtMs: number, isProbeResponse: boolean): void {
+        const score = scoreServer(status, {
             typicalLatencyMs: 0,
             sentSinceReport: 0,
             sameZone: true,
             suspect: false,
             reservedSlots: 0,
         }, this.policy);
-        this.#memoryOf(service).onStatus(offer, offer.healthy && isGood(score, this.policy), atMs, wasAsked);
+        this.#statusCacheOf(service).onStatus(
+            status,
+            status.healthy && isGood(score, this.policy),
+            observedAtMs,
+            isProbeResponse,
+        );
     }
 
-    #rate(
+    #evaluateServer(
         server: RegisteredServer,
-        memory: StatusCache,
+        statusCache: StatusCache,
         rules: ServiceRules,
-        typicalMs: number,
-        rank: number,
-        sight: FleetSnapshot,
+        typicalLatencyMs: number,
+        priority: number,
+        snapshot: FleetSnapshot,
     ): ServerCandidate {
-        const { nowMs } = sight;
-        const last = memory.get(server.id);
-        const limit = this.#limits.of(server);
-        const limitedForMs = limit === undefined ? 0 : this.#limited.waitMs(createLimitInput(server, limit, sight));
-        if (last === undefined) {
+        const { nowMs } = snapshot;
+        const latest = statusCache.get(server.id);
+        const limit = this.#advertisedLimits.of(server);
+        const limitedForMs = limit === undefined
+            ? 0
+            : this.#limitAdmission.waitMs(createLimitAdmissionInput(server, limit, snapshot));
+        if (latest === undefined) {
             const admitted = limitedForMs === 0;
-            const chance = admitted ? memory.goodChanceOf(server.id, true, nowMs) : 0;
+            const goodChance = admitted ? statusCache.goodChanceOf(server.id, true, nowMs) : 0;
             return {
                 server,
                 score: undefined,
                 ageMs: Infinity,
                 probedAgoMs: Infinity,
-                goodChance: chance,
+                goodChance,
                 admitted,
                 limitedForMs,
             };
         }
-        const ageMs = nowMs - last.observedAtMs;
-        const offer = { ...last.status, coldRemainingMs: Math.max(0, last.status.coldRemainingMs - ageMs) };
-        const score = scoreServer(offer, {
-            typicalLatencyMs: typicalMs,
-            sentSinceReport: this.#sends.countSince(server.id, last.observedAtMs),
-            sameZone: server.availabilityZone === this.#parts.availabilityZone,
+        const ageMs = nowMs - latest.observedAtMs;
+        const status = { ...latest.status, coldRemainingMs: Math.max(0, latest.status.coldRemainingMs - ageMs) };
+        const score = scoreServer(status, {
+            typicalLatencyMs,
+            sentSinceReport: this.#recentSends.countSince(server.id, latest.observedAtMs),
+            sameZone: server.availabilityZone === this.#deps.availabilityZone,
             suspect: this.suspects.isSuspect(server.id, nowMs),
-            reservedSlots: this.#ranks.reservedSlots(rules.name, rank, offer.load?.slots ?? offer.slots, nowMs),
+            reservedSlots: this.#priorityMix.reservedSlots(
+                rules.name,
+                priority,
+                status.load?.slots ?? status.slots,
+                nowMs,
+            ),
         }, this.policy);
-        const mayTakeCold = offer.coldRemainingMs <= 0 || this.#cold.maySend(createColdInput(server.id, rules, sight));
-        const admitted = limitedForMs === 0 && mayTakeCold;
-        const chance = admitted ? memory.goodChanceOf(server.id, last.wasGood && isGood(score, this.policy), nowMs) : 0;
+        const isColdAdmitted = status.coldRemainingMs <= 0
+            || this.#coldAdmission.maySend(createColdAdmissionInput(server.id, rules, snapshot));
+        const admitted = limitedForMs === 0 && isColdAdmitted;
+        const goodChance = admitted
+            ? statusCache.goodChanceOf(server.id, latest.wasGood && isGood(score, this.policy), nowMs)
+            : 0;
         return {
             server,
             score,
             ageMs,
-            probedAgoMs: nowMs - last.probedAtMs,
-            goodChance: chance,
+            probedAgoMs: nowMs - latest.probedAtMs,
+            goodChance,
             admitted,
             limitedForMs,
         };
     }
 
-    #memoryOf(service: string): StatusCache {
-        const memory = this.#memories.get(service) ?? new StatusCache();
-        this.#memories.set(service, memory);
-        return memory;
+    #statusCacheOf(service: string): StatusCache {
+        const statusCache = this.#statusCaches.get(service) ?? new StatusCache();
+        this.#statusCaches.set(service, statusCache);
+        return statusCache;
     }
 
-    #probesOf([first]: readonly ServerCandidate[], sight: FleetSnapshot): ProbeAssignment {
-        return this.#serviceProbes.of(first?.server.service ?? "", sight.usable, sight);
+    #assignmentOf([first]: readonly ServerCandidate[], snapshot: FleetSnapshot): ProbeAssignment {
+        return this.#probeAssignments.of(first?.server.service ?? "", snapshot.usable, snapshot);
     }
 }
 
-function createColdInput(serverId: string, rules: ServiceRules, sight: FleetSnapshot): ColdAdmissionInput {
+function createColdAdmissionInput(serverId: string, rules: ServiceRules, snapshot: FleetSnapshot): ColdAdmissionInput {
     return {
         serverId,
         requestsPerSecond: rules.coldRequestsPerSecond,
-        gateways: sight.gateways,
-        sinceStoreContactMs: sight.sinceStoreContactMs,
-        nowMs: sight.nowMs,
+        gateways: snapshot.gateways,
+        sinceStoreContactMs: snapshot.sinceStoreContactMs,
+        nowMs: snapshot.nowMs,
     };
 }
 
-function createLimitInput(
+function createLimitAdmissionInput(
     { id, availabilityZone }: RegisteredServer,
     limit: AdvertisedLimit,
-    sight: FleetSnapshot,
+    snapshot: FleetSnapshot,
 ): LimitAdmissionInput {
     return {
         serverId: id,
         availabilityZone,
         limit,
-        gateways: sight.gateways,
-        zoneGateways: sight.zoneGateways,
-        serverZoneGateways: sight.gatewaysByZone?.get(availabilityZone) ?? [],
-        nowMs: sight.nowMs,
+        gateways: snapshot.gateways,
+        zoneGateways: snapshot.zoneGateways,
+        serverZoneGateways: snapshot.gatewaysByZone?.get(availabilityZone) ?? [],
+        nowMs: snapshot.nowMs,
     };
 }
--- a/packages/placement/src/priorityMix.ts
+++ b/packages/placement/src/priorityMix.ts
@@ -14,29 +14,29 @@
     /** Decayed arrival counts by service and priority. */
     readonly #arrivals = new Map<string, Map<number, RecentArrivals>>();
 
-    /** Records the arrival of a request. @param rank - 0 is the highest priority */
-    onRequest(service: string, rank: number, nowMs: number): void {
-        const ranks = this.#arrivals.get(service) ?? new Map<number, RecentArrivals>();
-        this.#arrivals.set(service, ranks);
-        const recent = ranks.get(rank) ?? { count: 0, atMs: nowMs };
-        recent.count = fade(recent, nowMs) + 1;
+    /** Records the arrival of a request. @param priority - 0 is the highest priority */
+    onRequest(service: string, priority: number, nowMs: number): void {
+        const arrivals = this.#arrivals.get(service) ?? new Map<number, RecentArrivals>();
+        this.#arrivals.set(service, arrivals);
+        const recent = arrivals.get(priority) ?? { count: 0, atMs: nowMs };
+        recent.count = decay(recent, nowMs) + 1;
         recent.atMs = nowMs;
-        ranks.set(rank, recent);
+        arrivals.set(priority, recent);
     }
 
     /** @returns number of a server's slots that are reserved for requests of higher priority */
-    reservedSlots(service: string, rank: number, slots: number, nowMs: number): number {
-        let all = 0;
-        let moreUrgent = 0;
-        for (const [other, recent] of this.#arrivals.get(service) ?? []) {
-            const count = fade(recent, nowMs);
-            all += count;
-            moreUrgent += other < rank ? count : 0;
+    reservedSlots(service: string, priority: number, slots: number, nowMs: number): number {
+        let total = 0;
+        let higherPriority = 0;
+        for (const [otherPriority, recent] of this.#arrivals.get(service) ?? []) {
+            const count = decay(recent, nowMs);
+            total += count;
+            higherPriority += otherPriority < priority ? count : 0;
         }
-        return all === 0 ? 0 : Math.round(slots * Math.min(maxReservedShare, moreUrgent / all));
+        return total === 0 ? 0 : Math.round(slots * Math.min(maxReservedShare, higherPriority / total));
     }
 }
 
-function fade({ count, atMs }: RecentArrivals, nowMs: number): number {
+function decay({ count, atMs }: RecentArrivals, nowMs: number): number {
     return count * Math.exp((atMs - nowMs) / arrivalDecayMs);
 }
--- a/packages/placement/src/probeAssignments.ts
+++ b/packages/placement/src/probeAssignments.ts
@@ -15,7 +15,7 @@
 }
 
 /** Cached probing zone of this gateway for one service, valid for one state of the fleet. */
-interface KnownZone {
+interface CachedZone {
     readonly fleet: ProbingFleet["gatewaysByZone"];
     readonly servers: string;
     readonly zone: ProbingZone;
@@ -25,13 +25,13 @@
  * This gateway's shares of the probe allowances of each service's servers, by the zone that the gateway probes first.
  */
 export class ProbeAssignments {
-    readonly #parts: ProbeAssignmentsDeps;
+    readonly #deps: ProbeAssignmentsDeps;
     /** By service and zone: each service has its own assignment of gateways, and ranks are updated incrementally. */
     readonly #groups = new Map<string, ProbeGroups>();
-    readonly #zones = new Map<string, KnownZone>();
+    readonly #zones = new Map<string, CachedZone>();
 
-    constructor(parts: ProbeAssignmentsDeps) {
-        this.#parts = parts;
+    constructor(deps: ProbeAssignmentsDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -58,7 +58,7 @@
     }
 
     #zoneOf(service: string, usable: readonly RegisteredServer[], fleet: ProbingFleet): ProbingZone {
-        const { name, availabilityZone } = this.#parts;
+        const { name, availabilityZone } = this.#deps;
         const serversByZone = countByZone(usable);
         const own: ProbingZone = {
             availabilityZone,
@@ -70,18 +70,18 @@
             return own;
         }
         const servers = JSON.stringify([...serversByZone].sort());
-        const known = this.#zones.get(service);
-        if (known !== undefined && known.fleet === gatewaysByZone && known.servers === servers) {
-            return known.zone;
+        const cached = this.#zones.get(service);
+        if (cached !== undefined && cached.fleet === gatewaysByZone && cached.servers === servers) {
+            return cached.zone;
         }
-        const dealt = assignProbingZones({ gatewaysByZone, serversByZone });
-        const zone = dealt.find(({ gateways }) => gateways.includes(name)) ?? own;
+        const zones = assignProbingZones({ gatewaysByZone, serversByZone });
+        const zone = zones.find(({ gateways }) => gateways.includes(name)) ?? own;
         this.#zones.set(service, { fleet: gatewaysByZone, servers, zone });
         return zone;
     }
 
     #groupsOf(service: string, availabilityZone: string): ProbeGroups {
-        const { name, probesPerServerAndSecond, policy } = this.#parts;
+        const { name, probesPerServerAndSecond, policy } = this.#deps;
         const key = JSON.stringify([service, availabilityZone]);
         const groups = this.#groups.get(key)
             ?? new ProbeGroups(name, availabilityZone, probesPerServerAndSecond, policy);
--- a/packages/placement/src/probeBudget.ts
+++ b/packages/placement/src/probeBudget.ts
@@ -15,7 +15,7 @@
     readonly nowMs: number;
 }
 
-interface Savings {
+interface SavedProbes {
     readonly probes: number;
     readonly atMs: number;
 }
@@ -28,7 +28,7 @@
  * servers.
  */
 export class ProbeBudget {
-    readonly #saved = new Map<string, Savings>();
+    readonly #saved = new Map<string, SavedProbes>();
     readonly #startedAtMs: number;
 
     /** @param startedAtMs - start of this process; probes sent before a restart are unknown */
@@ -51,9 +51,9 @@
                 break;
             }
             const share = shareOf(server);
-            const probes = this.#probesOf(server.id, share, nowMs);
-            const kept = purpose === "waiting" ? Math.max(0, share.maxSavedProbes - 1) / 2 : 0;
-            if (probes - 1 >= kept) {
+            const probes = this.#availableProbes(server.id, share, nowMs);
+            const reserved = purpose === "waiting" ? Math.max(0, share.maxSavedProbes - 1) / 2 : 0;
+            if (probes - 1 >= reserved) {
                 this.#saved.set(server.id, { probes: probes - 1, atMs: nowMs });
                 chosen.push(server);
             }
@@ -70,7 +70,7 @@
         }
     }
 
-    #probesOf(id: string, { probesPerMs, maxSavedProbes, initialProbes }: ProbeShare, nowMs: number): number {
+    #availableProbes(id: string, { probesPerMs, maxSavedProbes, initialProbes }: ProbeShare, nowMs: number): number {
         const { probes, atMs } = this.#saved.get(id) ?? { probes: initialProbes, atMs: this.#startedAtMs };
         return Math.min(maxSavedProbes, probes + (nowMs - atMs) * probesPerMs);
     }
--- a/packages/placement/src/probeCount.ts
+++ b/packages/placement/src/probeCount.ts
@@ -5,21 +5,21 @@
  * probability. Each further probe costs CPU time at the gateway and the server, for hardly any benefit when most
  * servers are good.
  *
- * @param chances - probability that each server is good, from 0 to 1, in probe order
+ * @param goodChances - probability that each server is good, from 0 to 1, in probe order
  * @param policy - the target probability and the maximum number of parallel probes
  * @returns the number of servers to probe
  */
 export function chooseProbeCount(
-    chances: readonly number[],
+    goodChances: readonly number[],
     { mostAskedAtOnce, wantedChance }: PlacementPolicy = defaultPlacementPolicy,
 ): number {
-    let allPoor = 1;
+    let noneGoodChance = 1;
     let count = 0;
-    for (const chance of chances) {
-        if (count >= mostAskedAtOnce || allPoor <= 1 - wantedChance) {
+    for (const goodChance of goodChances) {
+        if (count >= mostAskedAtOnce || noneGoodChance <= 1 - wantedChance) {
             break;
         }
-        allPoor *= 1 - chance;
+        noneGoodChance *= 1 - goodChance;
         count++;
     }
     return count;
--- a/packages/placement/src/probeGroups.ts
+++ b/packages/placement/src/probeGroups.ts
@@ -93,7 +93,7 @@
      */
     shareOf(server: RegisteredServer, zoneServers: number): ProbeShare {
         const gateways = Math.max(1, this.#fleet.gateways.length);
-        if (gateways <= this.#mostInGroup()) {
+        if (gateways <= this.#maxGroupSize()) {
             return this.#createShare(evenProbeShare, gateways);
         }
         if (this.isInGroup(server, zoneServers)) {
@@ -112,23 +112,23 @@
     }
 
     #createShare(share: number, gateways: number): ProbeShare {
-        const perMs = this.#perServerAndSecond * share / gateways / 1_000;
+        const probesPerMs = this.#perServerAndSecond * share / gateways / 1_000;
         // At least one probe, or a gateway with a small share could never probe.
-        const mostSaved = Math.max(1, perMs * probeBurstMs);
-        return { probesPerMs: perMs, maxSavedProbes: mostSaved, initialProbes: mostSaved };
+        const maxSavedProbes = Math.max(1, probesPerMs * probeBurstMs);
+        return { probesPerMs, maxSavedProbes, initialProbes: maxSavedProbes };
     }
 
     #groupSize(zoneServers: number): number {
         const gateways = Math.max(1, this.#fleet.zoneGateways.length);
-        const wanted = Math.ceil(this.#subsetServers * gateways / Math.max(1, zoneServers));
-        return Math.min(gateways, this.#mostInGroup(), wanted);
+        const wantedSize = Math.ceil(this.#subsetServers * gateways / Math.max(1, zoneServers));
+        return Math.min(gateways, this.#maxGroupSize(), wantedSize);
     }
 
     /**
      * Each gateway may save up one probe and has one after a restart; in a larger group these alone would exceed the
      * allowance.
      */
-    #mostInGroup(): number {
+    #maxGroupSize(): number {
         return Math.max(1, Math.floor(this.#perServerAndSecond * maxGroupGatewaysPerProbe));
     }
 }
--- a/packages/placement/src/probeOrder.ts
+++ b/packages/placement/src/probeOrder.ts
@@ -26,16 +26,16 @@
  */
 export function orderForProbing(input: ProbeOrderInput): readonly RegisteredServer[] {
     const { servers, isSuspect, goodChanceOf, random } = input;
-    const keyed = servers.map(server => ({
+    const sorted = servers.map(server => ({
         server,
-        key: (isSuspect(server.id) ? suspectPenalty : 0) + resolveDistance(server, input)
+        sortKey: (isSuspect(server.id) ? suspectPenalty : 0) + resolveDistancePenalty(server, input)
             - goodChanceOf(server.id) + probeOrderJitter * random.next(),
     }));
-    keyed.sort((a, b) => a.key - b.key);
-    return keyed.map(({ server }) => server);
+    sorted.sort((a, b) => a.sortKey - b.sortKey);
+    return sorted.map(({ server }) => server);
 }
 
-function resolveDistance(server: RegisteredServer, { availabilityZone, isInSubset }: ProbeOrderInput): number {
+function resolveDistancePenalty(server: RegisteredServer, { availabilityZone, isInSubset }: ProbeOrderInput): number {
     if (isInSubset(server)) {
         return server.availabilityZone === availabilityZone ? 0 : otherSubsetPenalty;
     }
--- a/packages/placement/src/probingZones.ts
+++ b/packages/placement/src/probingZones.ts
@@ -34,27 +34,27 @@
     const servers = sum([...serversByZone.values()]);
     const zones = [...new Set([...gatewaysByZone.keys(), ...serversByZone.keys()])].sort();
     const surplus: string[] = [];
-    const dealt = zones.map(zone => {
+    const assigned = zones.map(zone => {
         const own = gatewaysByZone.get(zone) ?? [];
-        const fair = servers === 0 ? own.length : gateways * (serversByZone.get(zone) ?? 0) / servers;
-        const most = Math.ceil(fair * maxFairShareFactor);
-        const ranked = own.length > most ? findOwners("probing zone", own, own.length) : own;
-        surplus.push(...ranked.slice(most));
-        const kept = ranked.slice(0, most);
-        return { zone, kept, room: Math.max(0, fair - kept.length) };
+        const fairShare = servers === 0 ? own.length : gateways * (serversByZone.get(zone) ?? 0) / servers;
+        const maxKept = Math.ceil(fairShare * maxFairShareFactor);
+        const ranked = own.length > maxKept ? findOwners("probing zone", own, own.length) : own;
+        surplus.push(...ranked.slice(maxKept));
+        const kept = ranked.slice(0, maxKept);
+        return { zone, kept, shortage: Math.max(0, fairShare - kept.length) };
     });
     const ordered = findOwners("probing zone", surplus, surplus.length);
-    const allRoom = sum(dealt.map(({ room }) => room));
+    const totalShortage = sum(assigned.map(({ shortage }) => shortage));
     let from = 0;
-    let roomBefore = 0;
-    return dealt.map(({ zone, kept, room }) => {
-        roomBefore += room;
-        const to = allRoom === 0 ? from : Math.round(ordered.length * roomBefore / allRoom);
-        const taken = ordered.slice(from, to);
+    let cumulativeShortage = 0;
+    return assigned.map(({ zone, kept, shortage }) => {
+        cumulativeShortage += shortage;
+        const to = totalShortage === 0 ? from : Math.round(ordered.length * cumulativeShortage / totalShortage);
+        const added = ordered.slice(from, to);
         from = to;
         return {
             availabilityZone: zone,
-            gateways: taken.length === 0 ? kept : [...kept, ...taken],
+            gateways: added.length === 0 ? kept : [...kept, ...added],
             servers: serversByZone.get(zone) ?? 0,
         };
     });
--- a/packages/placement/src/repeatBudget.ts
+++ b/packages/placement/src/repeatBudget.ts
@@ -61,8 +61,8 @@
     #limit(service: string, gateways: number, nowMs: number): number {
         const { ratio, slack, windowMs } = this.#allowance;
         // A restarted process doesn't know the repeats that it sent before, so its fixed part grows from zero.
-        const grown = Math.min(1, (nowMs - this.#startedAtMs) / windowMs);
-        const fixed = gateways === 0 ? 0 : slack * repeatBudgetShare * grown / gateways;
+        const growth = Math.min(1, (nowMs - this.#startedAtMs) / windowMs);
+        const fixed = gateways === 0 ? 0 : slack * repeatBudgetShare * growth / gateways;
         return this.#windowOf(service, nowMs).requestsAtMs.length * ratio + fixed;
     }
 
--- a/packages/placement/src/retryAfter.ts
+++ b/packages/placement/src/retryAfter.ts
@@ -5,7 +5,7 @@
 export type RefusalCause = "turnedAway" | "full" | "resting" | "noServer" | "unread";
 
 /** Maximum Retry-After by cause in milliseconds; the minimum is a third of it. */
-const longestMs: Readonly<Record<Exclude<RefusalCause, "turnedAway" | "full" | "resting">, number>> = {
+const maxRetryAfterMs: Readonly<Record<Exclude<RefusalCause, "turnedAway" | "full" | "resting">, number>> = {
     // Registration of a returning server and its propagation through the store take some hundred milliseconds.
     noServer: 900,
     // A gateway that has just started reads the store within 100 ms, and other gateways have read it already.
@@ -19,20 +19,20 @@
  * it spans half of the typical latency from the end of the back-off.
  *
  * @param cause - why the request was rejected
- * @param typicalMs - typical latency of the service in milliseconds
+ * @param typicalLatencyMs - typical latency of the service in milliseconds
  * @param random - source of randomness
  * @returns fractional seconds
  */
-export function drawRetryAfterSeconds(cause: RefusalCause, typicalMs: number, random: RandomSource): number {
+export function drawRetryAfterSeconds(cause: RefusalCause, typicalLatencyMs: number, random: RandomSource): number {
     switch (cause) {
         case "turnedAway":
             return draw(minTurnedAwayRetryMs, maxTurnedAwayRetryMs, random);
         case "full":
-            return draw(typicalMs * 0.5, typicalMs * 1.5, random);
+            return draw(typicalLatencyMs * 0.5, typicalLatencyMs * 1.5, random);
         case "resting":
-            return draw(0, typicalMs * 0.5, random);
+            return draw(0, typicalLatencyMs * 0.5, random);
         default:
-            return draw(longestMs[cause] / 3, longestMs[cause], random);
+            return draw(maxRetryAfterMs[cause] / 3, maxRetryAfterMs[cause], random);
     }
 }
 
--- a/packages/placement/src/serverExclusions.ts
+++ b/packages/placement/src/serverExclusions.ts
@@ -13,7 +13,7 @@
     | { readonly type: "resting"; readonly forMs: number; }
     | { readonly type: "leaving"; };
 
-interface Rest {
+interface Backoff {
     readonly startedAtEpochMs: number | undefined;
     readonly untilMs: number;
 }
@@ -23,13 +23,13 @@
  * leaving. Both apply to this gateway alone, and end when the server restarts under the same id.
  */
 export class ServerExclusions {
-    readonly #rests = new Map<string, Rest>();
+    readonly #backoffs = new Map<string, Backoff>();
     /** Start times of the leaving servers, by server id. */
     readonly #leaving = new Map<string, number | undefined>();
 
     /** @returns when the back-off ends, if it has been extended */
     onBackoff({ id, startedAtEpochMs }: RegisteredServer, forMs: number, nowMs: number): number | undefined {
-        const known = this.#rests.get(id);
+        const known = this.#backoffs.get(id);
         const untilMs = nowMs + forMs;
         if (
             forMs <= 0
@@ -37,7 +37,7 @@
         ) {
             return undefined;
         }
-        this.#rests.set(id, { startedAtEpochMs, untilMs });
+        this.#backoffs.set(id, { startedAtEpochMs, untilMs });
         return untilMs;
     }
 
@@ -56,16 +56,16 @@
         if (this.#isLeaving(server)) {
             return { type: "leaving" };
         }
-        const rest = this.#rests.get(server.id);
-        return rest !== undefined && rest.startedAtEpochMs === server.startedAtEpochMs && nowMs < rest.untilMs
-            ? { type: "resting", forMs: rest.untilMs - nowMs }
+        const backoff = this.#backoffs.get(server.id);
+        return backoff !== undefined && backoff.startedAtEpochMs === server.startedAtEpochMs && nowMs < backoff.untilMs
+            ? { type: "resting", forMs: backoff.untilMs - nowMs }
             : undefined;
     }
 
     /** Drops entries of servers that are no longer registered, beyond a maximum number. */
     retain(serverIds: ReadonlySet<string>): void {
-        for (const kept of [this.#rests, this.#leaving]) {
-            dropGone(kept, serverIds);
+        for (const entries of [this.#backoffs, this.#leaving]) {
+            evictUnregistered(entries, serverIds);
         }
     }
 
@@ -77,13 +77,13 @@
 /**
  * A server without an entry may register again after an outage of the store, so a limited number of them is remembered.
  */
-function dropGone(kept: Map<string, unknown>, serverIds: ReadonlySet<string>): void {
-    for (const serverId of kept.keys()) {
-        if (kept.size <= maxRememberedRemovedServers) {
+function evictUnregistered(entries: Map<string, unknown>, serverIds: ReadonlySet<string>): void {
+    for (const serverId of entries.keys()) {
+        if (entries.size <= maxRememberedRemovedServers) {
             return;
         }
         if (!serverIds.has(serverId)) {
-            kept.delete(serverId);
+            entries.delete(serverId);
         }
     }
 }
--- a/packages/placement/src/serverScore.ts
+++ b/packages/placement/src/serverScore.ts
@@ -32,34 +32,34 @@
 /**
  * Estimates how soon a server would respond to a request.
  *
- * @param offer - status of the server
+ * @param status - status of the server
  * @param context - what the gateway knows besides
  * @param policy - when a server counts as nearly full, and the slowdown that follows
  * @returns the score
  */
 export function scoreServer(
-    offer: ServerStatus,
+    status: ServerStatus,
     context: ScoreContext,
     { nearlyFullShare, nearlyFullFactor }: PlacementPolicy = defaultPlacementPolicy,
 ): ServerScore {
-    const { load } = offer;
-    const slots = Math.max(1, load?.slots ?? offer.slots);
-    const ahead = (load?.running ?? 0) + (load?.waiting ?? 0) + context.sentSinceReport;
-    const free = ahead < slots - context.reservedSlots || ahead === 0;
-    const nearlyFull = ahead + 1 >= slots * nearlyFullShare;
-    const factor = (load?.slowdown ?? 1) * (nearlyFull ? nearlyFullFactor : 1);
-    const workMs = context.typicalLatencyMs * factor;
+    const { load } = status;
+    const slots = Math.max(1, load?.slots ?? status.slots);
+    const requestsAhead = (load?.running ?? 0) + (load?.waiting ?? 0) + context.sentSinceReport;
+    const hasFreeSlot = requestsAhead < slots - context.reservedSlots || requestsAhead === 0;
+    const isNearlyFull = requestsAhead + 1 >= slots * nearlyFullShare;
+    const latencyFactor = (load?.slowdown ?? 1) * (isNearlyFull ? nearlyFullFactor : 1);
+    const latencyMs = context.typicalLatencyMs * latencyFactor;
     // Assumes that slots become free at even intervals over the time that one request takes.
-    const queueMs = free ? 0 : workMs * (ahead - slots + 1) / slots;
-    const expectedMs = (workMs + queueMs) * (context.suspect ? suspectFactor : 1)
+    const queueMs = hasFreeSlot ? 0 : latencyMs * (requestsAhead - slots + 1) / slots;
+    const expectedLatencyMs = (latencyMs + queueMs) * (context.suspect ? suspectFactor : 1)
         + (context.sameZone ? 0 : otherZoneCostMs);
     return {
-        status: offer,
-        hasFreeSlot: free,
-        utilization: ahead / slots,
-        isIdle: ahead === 0,
-        latencyFactor: factor,
-        expectedLatencyMs: expectedMs,
+        status,
+        hasFreeSlot,
+        utilization: requestsAhead / slots,
+        isIdle: requestsAhead === 0,
+        latencyFactor,
+        expectedLatencyMs,
         suspect: context.suspect,
     };
 }
--- a/packages/placement/src/serverSearch.ts
+++ b/packages/placement/src/serverSearch.ts
@@ -47,41 +47,47 @@
  * contains a good one with the target probability, and no server whose status wouldn't change the choice.
  */
 export class ServerSearch {
-    readonly #board: PlacementState;
+    readonly #state: PlacementState;
     readonly #input: SearchInput;
     /** When servers were probed in this round. */
-    readonly #askedAtMs = new Map<string, number>();
+    readonly #probedAtMs = new Map<string, number>();
     #round = 0;
 
-    constructor(board: PlacementState, input: SearchInput) {
-        this.#board = board;
+    constructor(state: PlacementState, input: SearchInput) {
+        this.#state = state;
         this.#input = input;
     }
 
-    /** @param sight - current view of the fleet @returns what to do next */
-    step(sight: FleetSnapshot): SearchStep {
-        const candidates = this.#findCandidates(sight.usable);
-        if (candidates.length === 0) {
-            return { type: "refuse", reason: sight.restingForMs === undefined ? "noServer" : "resting" };
+    /** @param snapshot - current view of the fleet @returns what to do next */
+    step(snapshot: FleetSnapshot): SearchStep {
+        const eligible = this.#findCandidates(snapshot.usable);
+        if (eligible.length === 0) {
+            return { type: "refuse", reason: snapshot.restingForMs === undefined ? "noServer" : "resting" };
         }
-        const rated = this.#board.evaluate(this.#input.rules, candidates, this.#input, sight);
-        if (this.#areAllLimited(rated, sight)) {
+        const candidates = this.#state.evaluate(this.#input.rules, eligible, this.#input, snapshot);
+        if (this.#areAllLimited(candidates, snapshot)) {
             return { type: "refuse", reason: "limited" };
         }
-        const unasked = this.#findUnasked(rated);
-        if (unasked.length > 0) {
-            const decision = this.#decide(rated.filter(each => this.#isSure(each, sight)), { hasUnasked: true }, sight);
+        const unprobed = this.#findUnprobed(candidates);
+        if (unprobed.length > 0) {
+            const decision = this.#decide(candidates.filter(candidate => this.#isUsableUnprobed(candidate, snapshot)), {
+                hasUnprobed: true,
+            }, snapshot);
             if (decision.type !== "widen") {
-                return this.#act(decision, rated, sight);
+                return this.#toStep(decision, candidates, snapshot);
             }
-            const servers = this.#takeProbes(unasked, sight);
+            const servers = this.#takeProbes(unprobed, snapshot);
             if (servers.length > 0) {
                 return { type: "ask", servers, round: this.#round };
             }
         }
-        const known = rated.filter(each => this.#isKnown(each, sight));
-        const mayAskLater = unasked.length > 0;
-        return this.#act(this.#decide(known, { hasUnasked: false, mayAskLater }, sight), rated, sight);
+        const selectable = candidates.filter(candidate => this.#isUsable(candidate, snapshot));
+        const mayProbeLater = unprobed.length > 0;
+        return this.#toStep(
+            this.#decide(selectable, { hasUnprobed: false, mayProbeLater }, snapshot),
+            candidates,
+            snapshot,
+        );
     }
 
     /** Excludes servers that were tried before, unless no others are left. */
@@ -91,57 +97,58 @@
     }
 
     /** Whether advertised limits block all servers for longer than the request may wait. */
-    #areAllLimited(rated: readonly ServerCandidate[], { nowMs }: FleetSnapshot): boolean {
+    #areAllLimited(candidates: readonly ServerCandidate[], { nowMs }: FleetSnapshot): boolean {
         const { arrivedAtMs, objectiveMs } = this.#input;
-        const heldUntilMs = arrivedAtMs + objectiveMs * this.#policy.waitShare;
-        return rated.every(({ limitedForMs }) => limitedForMs > 0 && nowMs + limitedForMs > heldUntilMs);
+        const waitsUntilMs = arrivedAtMs + objectiveMs * this.#policy.waitShare;
+        return candidates.every(({ limitedForMs }) => limitedForMs > 0 && nowMs + limitedForMs > waitsUntilMs);
     }
 
     /**
      * Unprobed servers that are likely enough to be good; if nothing is known of any server, all that may be sent
      * requests.
      */
-    #findUnasked(rated: readonly ServerCandidate[]): readonly ServerCandidate[] {
-        const unasked = rated.filter(({ server }) => !this.#askedAtMs.has(server.id));
-        const worthIt = unasked.filter(({ goodChance }) => goodChance >= minProbeChance);
-        const knowsNone = rated.every(({ ageMs }) => ageMs > this.#policy.rememberedMs);
-        return worthIt.length === 0 && knowsNone ? unasked.filter(({ admitted }) => admitted) : worthIt;
+    #findUnprobed(candidates: readonly ServerCandidate[]): readonly ServerCandidate[] {
+        const unprobed = candidates.filter(({ server }) => !this.#probedAtMs.has(server.id));
+        const promising = unprobed.filter(({ goodChance }) => goodChance >= minProbeChance);
+        const isNothingKnown = candidates.every(({ ageMs }) => ageMs > this.#policy.rememberedMs);
+        return promising.length === 0 && isNothingKnown ? unprobed.filter(({ admitted }) => admitted) : promising;
     }
 
-    #isSure(rated: ServerCandidate, sight: FleetSnapshot): boolean {
-        const { score, ageMs, goodChance } = rated;
+    #isUsableUnprobed(candidate: ServerCandidate, snapshot: FleetSnapshot): boolean {
+        const { score, ageMs, goodChance } = candidate;
         const { sureMs, sureChance } = this.#policy;
         if (score === undefined) {
             return false;
         }
-        return this.#hasAnswered(rated, sight)
+        return this.#hasAnsweredProbe(candidate, snapshot)
             || (ageMs <= sureMs && goodChance >= sureChance && isGood(score, this.#policy)
-                && this.#isSurelyWarm(rated));
+                && this.#wasProbedRecently(candidate));
     }
 
-    #isKnown(rated: ServerCandidate, sight: FleetSnapshot): boolean {
+    #isUsable(candidate: ServerCandidate, snapshot: FleetSnapshot): boolean {
         const { lastResortMs, rememberedMs } = this.#policy;
-        const oldestMs = this.#isLastLook(sight.nowMs) ? lastResortMs : rememberedMs;
-        return this.#hasAnswered(rated, sight) || (rated.ageMs <= oldestMs && this.#isSurelyWarm(rated));
+        const maxAgeMs = this.#isLastSearch(snapshot.nowMs) ? lastResortMs : rememberedMs;
+        return this.#hasAnsweredProbe(candidate, snapshot)
+            || (candidate.ageMs <= maxAgeMs && this.#wasProbedRecently(candidate));
     }
 
-    #hasAnswered({ server, probedAgoMs }: ServerCandidate, { nowMs }: FleetSnapshot): boolean {
-        const askedAtMs = this.#askedAtMs.get(server.id);
-        return askedAtMs !== undefined && nowMs - probedAgoMs >= askedAtMs;
+    #hasAnsweredProbe({ server, probedAgoMs }: ServerCandidate, { nowMs }: FleetSnapshot): boolean {
+        const probedAtMs = this.#probedAtMs.get(server.id);
+        return probedAtMs !== undefined && nowMs - probedAgoMs >= probedAtMs;
     }
 
     /** Whether the time for which the request waits for a better server is over. */
-    #isLastLook(nowMs: number): boolean {
+    #isLastSearch(nowMs: number): boolean {
         const { arrivedAtMs, objectiveMs } = this.#input;
         return nowMs - arrivedAtMs >= objectiveMs * this.#policy.waitShare;
     }
 
-    #takeProbes(unasked: readonly ServerCandidate[], sight: FleetSnapshot): readonly RegisteredServer[] {
-        const ordered = this.#board.orderForProbing(unasked, sight);
-        const wanted = chooseProbeCount(ordered.map(({ goodChance }) => goodChance), this.#policy);
-        const servers = this.#board.takeProbes(ordered, this.#resolvePurpose(sight.nowMs), wanted, sight);
+    #takeProbes(unprobed: readonly ServerCandidate[], snapshot: FleetSnapshot): readonly RegisteredServer[] {
+        const ordered = this.#state.orderForProbing(unprobed, snapshot);
+        const probeCount = chooseProbeCount(ordered.map(({ goodChance }) => goodChance), this.#policy);
+        const servers = this.#state.takeProbes(ordered, this.#resolvePurpose(snapshot.nowMs), probeCount, snapshot);
         for (const { id } of servers) {
-            this.#askedAtMs.set(id, sight.nowMs);
+            this.#probedAtMs.set(id, snapshot.nowMs);
         }
         return servers;
     }
@@ -152,40 +159,40 @@
      * probes.
      */
     #resolvePurpose(nowMs: number): ProbePurpose {
-        if (this.#input.onlyGood || this.#askedAtMs.size > 0) {
+        if (this.#input.onlyGood || this.#probedAtMs.size > 0) {
             return "waiting";
         }
-        return this.#round === 0 || this.#isLastLook(nowMs) ? "arrival" : "waiting";
+        return this.#round === 0 || this.#isLastSearch(nowMs) ? "arrival" : "waiting";
     }
 
     #decide(
-        known: readonly ServerCandidate[],
-        { hasUnasked, mayAskLater = false }: { readonly hasUnasked: boolean; readonly mayAskLater?: boolean; },
+        selectable: readonly ServerCandidate[],
+        { hasUnprobed, mayProbeLater = false }: { readonly hasUnprobed: boolean; readonly mayProbeLater?: boolean; },
         { nowMs }: FleetSnapshot,
     ): PlacementDecision {
         const { rules, arrivedAtMs, objectiveMs, cutoffMs } = this.#input;
-        const scores = known.flatMap(({ score, admitted }) => score !== undefined && admitted ? [score] : []);
+        const scores = selectable.flatMap(({ score, admitted }) => score !== undefined && admitted ? [score] : []);
         const healthy = scores.filter(({ status }) => status.healthy);
         // All health checks may fail wrongly at once; if no server is healthy, an unhealthy one is better than none.
         return choosePlacement({
-            scores: healthy.length === 0 && !hasUnasked ? scores : healthy,
-            hasUnprobed: hasUnasked,
-            mayProbeLater: mayAskLater,
+            scores: healthy.length === 0 && !hasUnprobed ? scores : healthy,
+            hasUnprobed,
+            mayProbeLater,
             waitedMs: nowMs - arrivedAtMs,
             objectiveMs,
             remainingMs: cutoffMs - nowMs,
-            typicalLatencyMs: this.#board.typicalLatency.of(rules.name, objectiveMs),
+            typicalLatencyMs: this.#state.typicalLatency.of(rules.name, objectiveMs),
         }, this.#policy);
     }
 
-    #act(decision: PlacementDecision, rated: readonly ServerCandidate[], sight: FleetSnapshot): SearchStep {
+    #toStep(decision: PlacementDecision, candidates: readonly ServerCandidate[], snapshot: FleetSnapshot): SearchStep {
         switch (decision.type) {
             case "refuse":
                 return decision;
             case "send":
                 return this.#input.onlyGood && decision.reason !== "good"
                     ? { type: "refuse", reason: "noneGood" }
-                    : this.#send(decision, rated, sight);
+                    : this.#send(decision, candidates, snapshot);
             default:
                 return this.#pause();
         }
@@ -193,14 +200,14 @@
 
     #send(
         { score, reason }: PlacementDecision & { readonly type: "send"; },
-        rated: readonly ServerCandidate[],
-        sight: FleetSnapshot,
+        candidates: readonly ServerCandidate[],
+        snapshot: FleetSnapshot,
     ): SearchStep {
-        const chosen = rated.find(({ server }) => server.id === score.status.serverId);
+        const chosen = candidates.find(({ server }) => server.id === score.status.serverId);
         if (chosen === undefined) {
             throw new Error("the chosen server is not among the candidates");
         }
-        this.#board.onSend(this.#input.rules, score, sight);
+        this.#state.onSend(this.#input.rules, score, snapshot);
         return { type: "send", server: chosen.server, score, reason, ageMs: chosen.ageMs };
     }
 
@@ -209,10 +216,10 @@
             return { type: "refuse", reason: "noneGood" };
         }
         this.#round++;
-        this.#askedAtMs.clear();
+        this.#probedAtMs.clear();
         return {
             type: "pause",
-            forMs: minProbePauseMs + (maxProbePauseMs - minProbePauseMs) * this.#board.random.next(),
+            forMs: minProbePauseMs + (maxProbePauseMs - minProbePauseMs) * this.#state.random.next(),
         };
     }
 
@@ -221,11 +228,11 @@
      * requests were enough, the server would keep getting its usual load from every gateway. Requiring a recent probe
      * bounds that time.
      */
-    #isSurelyWarm({ probedAgoMs }: ServerCandidate): boolean {
+    #wasProbedRecently({ probedAgoMs }: ServerCandidate): boolean {
         return probedAgoMs <= this.#policy.lastResortMs;
     }
 
     get #policy(): PlacementPolicy {
-        return this.#board.policy;
+        return this.#state.policy;
     }
 }
--- a/packages/placement/src/startupQueue.ts
+++ b/packages/placement/src/startupQueue.ts
@@ -13,9 +13,9 @@
 }
 
 /** Whether a request can still meet its objective. */
-type Usefulness = "inTime" | "late";
+type Timeliness = "inTime" | "late";
 
-interface Waiting<T> {
+interface WaitingRequest<T> {
     readonly request: StartupRequest;
     readonly item: T;
 }
@@ -39,10 +39,10 @@
 export class StartupQueue<T> {
     readonly #startedAtMs: number;
     #firstArrivedAtMs = Infinity;
-    readonly #waiting: Waiting<T>[] = [];
-    readonly #longestPatienceMs = new Map<string, number>();
-    readonly #inTurn: Record<Usefulness, number> = { inTime: 0, late: 0 };
-    readonly #turns = new Map<T, Usefulness>();
+    readonly #waiting: WaitingRequest<T>[] = [];
+    readonly #maxPatienceMs = new Map<string, number>();
+    readonly #inProgress: Record<Timeliness, number> = { inTime: 0, late: 0 };
+    readonly #placed = new Map<T, Timeliness>();
 
     /** @param startedAtMs - start of this process */
     constructor(startedAtMs: number) {
@@ -58,7 +58,7 @@
     enqueue(request: StartupRequest, item: T): void {
         const { route, patienceMs = 0, arrivedAtMs } = request;
         this.#firstArrivedAtMs = Math.min(this.#firstArrivedAtMs, arrivedAtMs);
-        this.#longestPatienceMs.set(route, Math.max(patienceMs, this.#longestPatienceMs.get(route) ?? 0));
+        this.#maxPatienceMs.set(route, Math.max(patienceMs, this.#maxPatienceMs.get(route) ?? 0));
         this.#waiting.push({ request, item });
     }
 
@@ -72,58 +72,58 @@
         if (!this.isActive(nowMs)) {
             return this.#waiting.splice(0).map(({ item }) => ({ item, untilEnd: false }));
         }
-        const turns: StartupSlot<T>[] = [];
+        const slots: StartupSlot<T>[] = [];
         for (;;) {
             const next = this.#findNext(nowMs);
             if (next === undefined) {
-                return turns;
+                return slots;
             }
-            const { at, usefulness } = next;
-            const [{ item }] = this.#waiting.splice(at, 1) as [Waiting<T>];
-            this.#inTurn[usefulness]++;
-            this.#turns.set(item, usefulness);
-            turns.push({ item, untilEnd: usefulness === "late" });
+            const { index, timeliness } = next;
+            const [{ item }] = this.#waiting.splice(index, 1) as [WaitingRequest<T>];
+            this.#inProgress[timeliness]++;
+            this.#placed.set(item, timeliness);
+            slots.push({ item, untilEnd: timeliness === "late" });
         }
     }
 
     /** Removes a request that is no longer waiting for placement. */
     remove(item: T): void {
-        const at = this.#waiting.findIndex(each => each.item === item);
-        if (at >= 0) {
-            this.#waiting.splice(at, 1);
+        const index = this.#waiting.findIndex(each => each.item === item);
+        if (index >= 0) {
+            this.#waiting.splice(index, 1);
         }
     }
 
     /** Records that a request was sent, which frees its place if it was in time. */
     onSent(item: T): void {
-        if (this.#turns.get(item) === "inTime") {
+        if (this.#placed.get(item) === "inTime") {
             this.onEnded(item);
         }
     }
 
     /** Records that a request has ended, which frees its place. */
     onEnded(item: T): void {
-        const usefulness = this.#turns.get(item);
-        if (usefulness !== undefined) {
-            this.#turns.delete(item);
-            this.#inTurn[usefulness]--;
+        const timeliness = this.#placed.get(item);
+        if (timeliness !== undefined) {
+            this.#placed.delete(item);
+            this.#inProgress[timeliness]--;
         }
     }
 
-    #findNext(nowMs: number): { readonly at: number; readonly usefulness: Usefulness; } | undefined {
-        let best: { readonly at: number; readonly leftMs: number; } | undefined;
-        for (const [at, { request }] of this.#waiting.entries()) {
-            const leftMs = this.#leftMs(request, nowMs);
-            if (best === undefined || leftMs > best.leftMs) {
-                best = { at, leftMs };
+    #findNext(nowMs: number): { readonly index: number; readonly timeliness: Timeliness; } | undefined {
+        let best: { readonly index: number; readonly slackMs: number; } | undefined;
+        for (const [index, { request }] of this.#waiting.entries()) {
+            const slackMs = this.#slackMs(request, nowMs);
+            if (best === undefined || slackMs > best.slackMs) {
+                best = { index, slackMs };
             }
         }
         if (best === undefined) {
             return undefined;
         }
-        const usefulness = best.leftMs >= 0 ? "inTime" : "late";
-        const most = usefulness === "inTime" ? maxStartupSearches : maxLateStartupRequests;
-        return this.#inTurn[usefulness] < most ? { at: best.at, usefulness } : undefined;
+        const timeliness = best.slackMs >= 0 ? "inTime" : "late";
+        const limit = timeliness === "inTime" ? maxStartupSearches : maxLateStartupRequests;
+        return this.#inProgress[timeliness] < limit ? { index: best.index, timeliness } : undefined;
     }
 
     /**
@@ -132,10 +132,10 @@
      * route's newest callers. For callers that arrive after the backlog, a shorter timeout only means that they are
      * less patient.
      */
-    #leftMs({ arrivedAtMs, objectiveMs, patienceMs, route, typicalLatencyMs }: StartupRequest, nowMs: number): number {
-        const longestMs = this.#longestPatienceMs.get(route) ?? 0;
-        const isOfCrowd = arrivedAtMs - this.#firstArrivedAtMs < startupBacklogMs;
-        const waitedBeforeMs = patienceMs === undefined || !isOfCrowd ? 0 : longestMs - patienceMs;
+    #slackMs({ arrivedAtMs, objectiveMs, patienceMs, route, typicalLatencyMs }: StartupRequest, nowMs: number): number {
+        const maxPatienceMs = this.#maxPatienceMs.get(route) ?? 0;
+        const isInBacklog = arrivedAtMs - this.#firstArrivedAtMs < startupBacklogMs;
+        const waitedBeforeMs = patienceMs === undefined || !isInBacklog ? 0 : maxPatienceMs - patienceMs;
         return objectiveMs - waitedBeforeMs - (nowMs - arrivedAtMs) - typicalLatencyMs;
     }
 }
--- a/packages/placement/src/statusCache.ts
+++ b/packages/placement/src/statusCache.ts
@@ -19,19 +19,23 @@
  */
 export class StatusCache {
     readonly #latest = new Map<string, CachedStatus>();
-    readonly #chances = new GoodChanceEstimator();
+    readonly #estimator = new GoodChanceEstimator();
 
     /**
-     * @param wasAsked - whether the status is a probe response; otherwise the load came with the response to a request
+     * @param isProbeResponse - whether the status is a probe response; otherwise the load came with the response to a
+     * request
      */
-    onStatus(offer: ServerStatus, isGood: boolean, atMs: number, wasAsked: boolean): void {
-        const before = this.#latest.get(offer.serverId);
-        if (before !== undefined && before.observedAtMs > atMs) {
+    onStatus(status: ServerStatus, isGood: boolean, observedAtMs: number, isProbeResponse: boolean): void {
+        const previous = this.#latest.get(status.serverId);
+        if (previous !== undefined && previous.observedAtMs > observedAtMs) {
             return;
         }
-        this.#chances.onObservation(isGood, before && { wasGood: before.wasGood, ageMs: atMs - before.observedAtMs });
-        const askedAtMs = wasAsked ? atMs : before?.probedAtMs ?? -Infinity;
-        this.#latest.set(offer.serverId, { status: offer, observedAtMs: atMs, wasGood: isGood, probedAtMs: askedAtMs });
+        this.#estimator.onObservation(
+            isGood,
+            previous && { wasGood: previous.wasGood, ageMs: observedAtMs - previous.observedAtMs },
+        );
+        const probedAtMs = isProbeResponse ? observedAtMs : previous?.probedAtMs ?? -Infinity;
+        this.#latest.set(status.serverId, { status, observedAtMs, wasGood: isGood, probedAtMs });
     }
 
     /** Drops the server's status because it can no longer be relied on. */
@@ -49,8 +53,8 @@
      * @returns the probability that the server is good now, from 0 to 1
      */
     goodChanceOf(serverId: string, isGood: boolean, nowMs: number): number {
-        const last = this.#latest.get(serverId);
-        return this.#chances.goodChanceOf(last && { wasGood: isGood, ageMs: nowMs - last.observedAtMs });
+        const latest = this.#latest.get(serverId);
+        return this.#estimator.goodChanceOf(latest && { wasGood: isGood, ageMs: nowMs - latest.observedAtMs });
     }
 
     /** Drops the entries of servers that are no longer registered. */
--- a/packages/placement/src/suspectServers.ts
+++ b/packages/placement/src/suspectServers.ts
@@ -4,7 +4,7 @@
     readonly failures: number;
     readonly untilMs: number;
     /** Whether all failures were unanswered load probes. */
-    readonly onlySilent: boolean;
+    readonly onlyUnanswered: boolean;
 }
 
 /**
@@ -22,7 +22,7 @@
 
     /** Records a load probe that the server didn't answer. */
     onProbeUnanswered(serverId: string, nowMs: number): void {
-        this.#suspect(serverId, nowMs, this.#suspicions.get(serverId)?.onlySilent ?? true);
+        this.#suspect(serverId, nowMs, this.#suspicions.get(serverId)?.onlyUnanswered ?? true);
     }
 
     /**
@@ -31,7 +31,7 @@
      * process was slow.
      */
     onProbeResponse(serverId: string): void {
-        if (this.#suspicions.get(serverId)?.onlySilent === true) {
+        if (this.#suspicions.get(serverId)?.onlyUnanswered === true) {
             this.#suspicions.delete(serverId);
         }
     }
@@ -54,9 +54,9 @@
         }
     }
 
-    #suspect(serverId: string, nowMs: number, onlySilent: boolean): void {
+    #suspect(serverId: string, nowMs: number, onlyUnanswered: boolean): void {
         const failures = (this.#suspicions.get(serverId)?.failures ?? 0) + 1;
-        const lastsMs = Math.min(maxSuspicionMs, initialSuspicionMs * 2 ** (failures - 1));
-        this.#suspicions.set(serverId, { failures, untilMs: nowMs + lastsMs, onlySilent });
+        const durationMs = Math.min(maxSuspicionMs, initialSuspicionMs * 2 ** (failures - 1));
+        this.#suspicions.set(serverId, { failures, untilMs: nowMs + durationMs, onlyUnanswered });
     }
 }
--- a/packages/placement/src/typicalLatency.ts
+++ b/packages/placement/src/typicalLatency.ts
@@ -15,9 +15,9 @@
      * @param factor - slowdown that was expected of the server, by which the sample is divided
      */
     onResponse(service: string, tookMs: number, factor: number): void {
-        const plainMs = tookMs / Math.max(1, factor);
-        const before = this.#meanMs.get(service) ?? plainMs;
-        this.#meanMs.set(service, before + (plainMs - before) * latencyWeight);
+        const normalizedMs = tookMs / Math.max(1, factor);
+        const previousMs = this.#meanMs.get(service) ?? normalizedMs;
+        this.#meanMs.set(service, previousMs + (normalizedMs - previousMs) * latencyWeight);
     }
 
     /** @returns the typical latency in milliseconds; before the first response, an estimate from the objective */
--- a/packages/quarantine/src/__tests__/crashLedger.test.ts
+++ b/packages/quarantine/src/__tests__/crashLedger.test.ts
@@ -35,13 +35,13 @@
     crash(
         gateway: number,
         contentId: string,
-        more: { readonly mark?: number; readonly incarnation?: string; } = {},
+        options: { readonly ledgerVersion?: number; readonly incarnation?: string; } = {},
     ): void {
         const ledger = this.of(gateway);
         ledger.onCrash({
             contentId,
-            incarnation: more.incarnation ?? `server-${++this.#crashed}`,
-            ledgerVersion: more.mark ?? ledger.version(),
+            incarnation: options.incarnation ?? `server-${++this.#crashed}`,
+            ledgerVersion: options.ledgerVersion ?? ledger.version(),
             epochMs: this.epochMs,
             trial: this.state(gateway, contentId) === "trial",
         });
@@ -93,9 +93,9 @@
 // Guards against a power failure of many servers that quarantines every request that they ran.
 test("servers that fail at the same time quarantine none of the requests that they ran", () => {
     const fleet = new Fleet(5);
-    const marks = fleet.ledgers.map(ledger => ledger.version());
-    for (const [gateway, mark] of marks.entries()) {
-        fleet.crash(gateway, "popular", { mark });
+    const ledgerVersions = fleet.ledgers.map(ledger => ledger.version());
+    for (const [gateway, ledgerVersion] of ledgerVersions.entries()) {
+        fleet.crash(gateway, "popular", { ledgerVersion });
         fleet.spread([gateway]);
     }
     assert.deepEqual(fleet.states("popular"), ["suspected"]);
@@ -114,11 +114,11 @@
 // after the other.
 test("a request that is served after its strikes were known is cleared at every gateway", () => {
     const fleet = new Fleet(3);
-    const early = fleet.of(1).version();
+    const earlierVersion = fleet.of(1).version();
     [0, 0, 0].forEach(gateway => fleet.crash(gateway, "popular"));
     fleet.spread();
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
-    assert.equal(fleet.of(1).onServed("popular", early, fleet.epochMs), false);
+    assert.equal(fleet.of(1).onServed("popular", earlierVersion, fleet.epochMs), false);
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
     assert.equal(fleet.of(1).onServed("popular", fleet.of(1).version(), fleet.epochMs), true);
     fleet.spread();
@@ -155,9 +155,9 @@
     const stepMs = 5_000;
     for (let waitedMs = 0; waitedMs < quarantineRetentionMs / 20; waitedMs += stepMs) {
         fleet.epochMs += stepMs;
-        const trying = fleet.names.map((_, i) => i).filter(i => fleet.state(i, "deadly") === "trial");
-        assert.ok(trying.length <= 1);
-        for (const gateway of trying) {
+        const triers = fleet.names.map((_, i) => i).filter(i => fleet.state(i, "deadly") === "trial");
+        assert.ok(triers.length <= 1);
+        for (const gateway of triers) {
             fleet.crash(gateway, "deadly");
             trials++;
         }
@@ -173,10 +173,10 @@
     [0, 0, 0].forEach(gateway => fleet.crash(gateway, "deadly"));
     fleet.epochMs += defaultTrialDelaysMs[0] ?? 0;
     assert.equal(fleet.state(0, "deadly"), "trial");
-    const end = fleet.of(0).beginTrial("deadly");
+    const endTrial = fleet.of(0).beginTrial("deadly");
     assert.equal(fleet.state(0, "deadly"), "quarantined");
     fleet.of(0).onServed("deadly", fleet.of(0).version(), fleet.epochMs);
-    end();
+    endTrial();
     assert.equal(fleet.state(0, "deadly"), "clear");
 });
 
@@ -211,20 +211,20 @@
     const step = fc.record({ gateway: fc.nat(4), spreads: fc.boolean() });
     fc.assert(fc.property(fc.array(step, { minLength: 3, maxLength: 60 }), steps => {
         const fleet = new Fleet(5);
-        let ended = 0;
-        let late = 0;
+        let crashes = 0;
+        let lateSends = 0;
         for (const { gateway, spreads } of steps) {
-            const everyoneKnows = ended >= 3;
+            const allKnow = crashes >= 3;
             if (fleet.state(gateway, "deadly") !== "quarantined") {
                 fleet.crash(gateway, "deadly");
-                ended++;
-                late += everyoneKnows ? 1 : 0;
+                crashes++;
+                lateSends += allKnow ? 1 : 0;
             }
-            if (spreads || ended >= 3) {
+            if (spreads || crashes >= 3) {
                 fleet.spread();
             }
         }
-        assert.ok(late <= 3, `${late} sends after the third of ${ended} crashes`);
+        assert.ok(lateSends <= 3, `${lateSends} sends after the third of ${crashes} crashes`);
     }));
 });
 
--- a/packages/quarantine/src/__tests__/support/crashSimulation.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -31,19 +31,19 @@
 interface Server {
     readonly number: number;
     readonly running: Set<() => void>;
-    life: number;
+    starts: number;
     isUp: boolean;
 }
 
 const servers = 24;
 const popularContents = 4;
 const popularShare = 0.5;
-const innocentPerSecond = 150;
+const harmlessPerSecond = 150;
 const runMs = 25_000;
-const troubleAtMs = 3_000;
+const faultAtMs = 3_000;
 const settleMs = 3_000;
-const deadly = "deadly";
-const mostRuns = 2;
+const crashingContent = "deadly";
+const maxRuns = 2;
 
 /** Simulates gateways, servers and callers in virtual time, with the real ledgers. */
 export class CrashSimulation {
@@ -55,10 +55,10 @@
     readonly #stored = new Map<string, StoredCrashReport>();
     readonly #servers: readonly Server[];
     /** Gateways with a pending delivery of changed reports. */
-    readonly #hearing = new Set<CrashLedger>();
-    readonly #deadlyEndsMs: number[] = [];
-    #innocent = 0;
-    #wronglyRefused = 0;
+    readonly #pendingDeliveries = new Set<CrashLedger>();
+    readonly #crashTimesMs: number[] = [];
+    #harmless = 0;
+    #wronglyRejected = 0;
     #lateArrivals = 0;
 
     constructor(input: CrashSimulationInput) {
@@ -69,120 +69,120 @@
         this.#servers = Array.from({ length: servers }, (_, number) => ({
             number,
             running: new Set(),
-            life: 0,
+            starts: 0,
             isUp: true,
         }));
     }
 
     run(): CrashSimulationResult {
-        this.#everySecond(innocentPerSecond, () => this.#callInnocent());
-        this.#everySecond(this.#input.deadlyPerSecond, () => this.#send(deadly, this.#drawGateway(), 0));
-        this.#queue.schedule(troubleAtMs, () => this.#befall());
+        this.#repeat(harmlessPerSecond, () => this.#sendHarmless());
+        this.#repeat(this.#input.deadlyPerSecond, () => this.#send(crashingContent, this.#pickGateway(), 0));
+        this.#queue.schedule(faultAtMs, () => this.#injectFaults());
         this.#queue.runUntil(runMs, 10_000_000);
         const [ledger] = this.#ledgers;
-        const isDeadlyQuarantined = ledger !== undefined && this.#stateOf(ledger, deadly) === "quarantined";
+        const isCrashingQuarantined = ledger !== undefined && this.#stateOf(ledger, crashingContent) === "quarantined";
         return {
-            harmless: this.#innocent,
-            wronglyRefused: this.#wronglyRefused,
-            crashed: this.#deadlyEndsMs.length,
+            harmless: this.#harmless,
+            wronglyRefused: this.#wronglyRejected,
+            crashed: this.#crashTimesMs.length,
             lateArrivals: this.#lateArrivals,
-            leftQuarantined: (ledger?.quarantinedCount ?? 0) - (isDeadlyQuarantined ? 1 : 0),
+            leftQuarantined: (ledger?.quarantinedCount ?? 0) - (isCrashingQuarantined ? 1 : 0),
         };
     }
 
-    #everySecond(times: number, run: () => void): void {
-        if (times === 0) {
+    #repeat(perSecond: number, run: () => void): void {
+        if (perSecond === 0) {
             return;
         }
-        this.#queue.schedule(this.#random.next() * 2_000 / times, () => {
+        this.#queue.schedule(this.#random.next() * 2_000 / perSecond, () => {
             run();
-            this.#everySecond(times, run);
+            this.#repeat(perSecond, run);
         });
     }
 
-    #callInnocent(): void {
-        this.#innocent++;
+    #sendHarmless(): void {
+        this.#harmless++;
         const isPopular = this.#random.next() < popularShare;
-        const content = isPopular ? `popular-${this.#random.below(popularContents)}` : `rare-${this.#innocent}`;
-        this.#send(content, this.#drawGateway(), 0);
+        const content = isPopular ? `popular-${this.#random.below(popularContents)}` : `rare-${this.#harmless}`;
+        this.#send(content, this.#pickGateway(), 0);
     }
 
     /** Sends a request to a server that is up, and resends it after a crash while that is allowed. */
     #send(content: string, ledger: CrashLedger, runs: number): void {
         const { state, strikes } = ledger.checkContent(content, { gateways: this.#names, epochMs: this.#queue.nowMs });
         if (state === "quarantined") {
-            this.#wronglyRefused += content === deadly ? 0 : 1;
+            this.#wronglyRejected += content === crashingContent ? 0 : 1;
             return;
         }
         const up = this.#servers.filter(({ isUp }) => isUp);
         const server = up[this.#random.below(up.length)];
-        if (server === undefined || runs >= mostRuns || (runs > 0 && strikes >= 2)) {
+        if (server === undefined || runs >= maxRuns || (runs > 0 && strikes >= 2)) {
             return;
         }
-        const mark = ledger.version();
+        const version = ledger.version();
         const endTrial = state === "trial" ? ledger.beginTrial(content) : undefined;
-        const life = server.life;
-        const onEnded = (): void => this.#onLost(content, ledger, { server, life, mark, runs, endTrial });
-        server.running.add(onEnded);
-        if (content === deadly) {
-            this.#onDeadlyArrival();
-            this.#queue.schedule(20 + this.#random.next() * 100, () => this.#endDeadly(server, life));
+        const starts = server.starts;
+        const onCrash = (): void => this.#onServerCrash(content, ledger, { server, starts, version, runs, endTrial });
+        server.running.add(onCrash);
+        if (content === crashingContent) {
+            this.#onCrashingArrival();
+            this.#queue.schedule(20 + this.#random.next() * 100, () => this.#crashUnderRequest(server, starts));
             return;
         }
         this.#queue.schedule(40 + this.#random.next() * 200, () => {
-            if (server.running.delete(onEnded)) {
+            if (server.running.delete(onCrash)) {
                 endTrial?.();
-                const mustTell = ledger.onServed(content, mark, this.#queue.nowMs);
-                this.#tellIf(mustTell, ledger);
+                const mustPublish = ledger.onServed(content, version, this.#queue.nowMs);
+                this.#publishIf(mustPublish, ledger);
             }
         });
     }
 
-    #onDeadlyArrival(): void {
-        const knownAtMs = this.#deadlyEndsMs[quarantineStrikeThreshold - 1];
-        if (knownAtMs !== undefined && this.#queue.nowMs > knownAtMs + settleMs) {
+    #onCrashingArrival(): void {
+        const thirdCrashAtMs = this.#crashTimesMs[quarantineStrikeThreshold - 1];
+        if (thirdCrashAtMs !== undefined && this.#queue.nowMs > thirdCrashAtMs + settleMs) {
             this.#lateArrivals++;
         }
     }
 
-    #endDeadly(server: Server, life: number): void {
-        if (server.isUp && server.life === life) {
-            this.#deadlyEndsMs.push(this.#queue.nowMs);
-            this.#end(server);
+    #crashUnderRequest(server: Server, starts: number): void {
+        if (server.isUp && server.starts === starts) {
+            this.#crashTimesMs.push(this.#queue.nowMs);
+            this.#crash(server);
         }
     }
 
-    #end(server: Server): void {
+    #crash(server: Server): void {
         server.isUp = false;
-        const lost = [...server.running];
+        const callbacks = [...server.running];
         server.running.clear();
-        for (const onEnded of lost) {
-            onEnded();
+        for (const onCrash of callbacks) {
+            onCrash();
         }
         this.#queue.schedule(2_000 + this.#random.next() * 2_000, () => {
-            server.life++;
+            server.starts++;
             server.isUp = true;
         });
     }
 
-    #onLost(
+    #onServerCrash(
         content: string,
         ledger: CrashLedger,
-        { server, life, mark, runs, endTrial }: {
+        { server, starts, version, runs, endTrial }: {
             readonly server: Server;
-            readonly life: number;
-            readonly mark: number;
+            readonly starts: number;
+            readonly version: number;
             readonly runs: number;
             readonly endTrial: (() => void) | undefined;
         },
     ): void {
         const epochMs = this.#queue.nowMs;
-        const incarnation = `${server.number}@${life}`;
-        this.#tellIf(
+        const incarnation = `${server.number}@${starts}`;
+        this.#publishIf(
             ledger.onCrash({
                 contentId: content,
                 incarnation,
-                ledgerVersion: mark,
+                ledgerVersion: version,
                 epochMs,
                 trial: endTrial !== undefined,
             }),
@@ -196,22 +196,22 @@
     }
 
     /** Writes a report to the store at once, from where it reaches each gateway after a delay of its own. */
-    #tellIf(mustTell: boolean, teller: CrashLedger): void {
-        if (!mustTell) {
+    #publishIf(mustPublish: boolean, publisher: CrashLedger): void {
+        if (!mustPublish) {
             return;
         }
-        const report: CrashReport = teller.report();
-        this.#stored.set(`gateway-${this.#ledgers.indexOf(teller)}`, { report, revision: 1 });
+        const report: CrashReport = publisher.report();
+        this.#stored.set(`gateway-${this.#ledgers.indexOf(publisher)}`, { report, revision: 1 });
         for (const ledger of this.#ledgers) {
-            if (this.#hearing.has(ledger)) {
+            if (this.#pendingDeliveries.has(ledger)) {
                 continue;
             }
-            this.#hearing.add(ledger);
-            const hear = (): void => {
-                this.#hearing.delete(ledger);
-                this.#tellIf(ledger.onReports(this.#reportsOfOthers(ledger), this.#queue.nowMs), ledger);
+            this.#pendingDeliveries.add(ledger);
+            const deliver = (): void => {
+                this.#pendingDeliveries.delete(ledger);
+                this.#publishIf(ledger.onReports(this.#reportsOfOthers(ledger), this.#queue.nowMs), ledger);
             };
-            this.#queue.schedule(100 + this.#random.next() * 1_000, hear);
+            this.#queue.schedule(100 + this.#random.next() * 1_000, deliver);
         }
     }
 
@@ -220,27 +220,27 @@
         return new Map([...this.#stored].filter(([name]) => name !== own));
     }
 
-    #befall(): void {
-        const third = this.#servers.filter(({ number }) => number % 3 === 0);
+    #injectFaults(): void {
+        const affected = this.#servers.filter(({ number }) => number % 3 === 0);
         switch (this.#input.trouble) {
             case "none":
                 return;
             case "zoneEnds":
-                third.forEach(server => this.#end(server));
+                affected.forEach(server => this.#crash(server));
                 return;
             case "release":
                 for (const [i, server] of this.#servers.entries()) {
-                    this.#queue.schedule(i * 250, () => this.#end(server));
+                    this.#queue.schedule(i * 250, () => this.#crash(server));
                 }
                 return;
             case "crashes":
-                for (const server of third) {
-                    this.#queue.schedule(this.#random.next() * 1_500, () => this.#end(server));
+                for (const server of affected) {
+                    this.#queue.schedule(this.#random.next() * 1_500, () => this.#crash(server));
                 }
         }
     }
 
-    #drawGateway(): CrashLedger {
+    #pickGateway(): CrashLedger {
         const ledger = this.#ledgers[this.#random.below(this.#ledgers.length)];
         if (ledger === undefined) {
             throw new Error("a simulation needs at least one gateway");
--- a/packages/quarantine/src/contentRecord.ts
+++ b/packages/quarantine/src/contentRecord.ts
@@ -20,10 +20,10 @@
      * Adds a strike. If several gateways report the same server incarnation, the strike of the lowest generation
      * counts: it is the least incriminating.
      */
-    add(learnt: KnownStrike): void {
-        const known = this.#strikes.get(learnt.strike.incarnation);
-        if (known === undefined || known.strike.generation > learnt.strike.generation) {
-            this.#strikes.set(learnt.strike.incarnation, learnt);
+    add(knownStrike: KnownStrike): void {
+        const existing = this.#strikes.get(knownStrike.strike.incarnation);
+        if (existing === undefined || existing.strike.generation > knownStrike.strike.generation) {
+            this.#strikes.set(knownStrike.strike.incarnation, knownStrike);
         }
     }
 
@@ -34,21 +34,21 @@
 
     /** Highest generation of the strikes. */
     get generations(): number {
-        return Math.max(0, ...this.#each(({ strike }) => strike.generation));
+        return Math.max(0, ...this.#map(({ strike }) => strike.generation));
     }
 
     /** When the record expires unless another strike is added. */
     get expiresAtEpochMs(): number {
-        return this.#lastAtEpochMs + (this.isQuarantined ? quarantineRetentionMs : suspicionRetentionMs);
+        return this.#lastStrikeAtEpochMs + (this.isQuarantined ? quarantineRetentionMs : suspicionRetentionMs);
     }
 
     /**
-     * @param trialAfterMs - delays from the latest strike to each trial, in milliseconds
+     * @param trialDelaysMs - delays from the latest strike to each trial, in milliseconds
      * @returns when the next trial is due; `Infinity` if all trials have been made
      */
-    nextTrialAtEpochMs(trialAfterMs: readonly number[]): number {
-        const trials = this.#each(({ strike }) => strike.trial).filter(Boolean).length;
-        return this.#lastAtEpochMs + (trialAfterMs[trials] ?? Infinity);
+    nextTrialAtEpochMs(trialDelaysMs: readonly number[]): number {
+        const trials = this.#map(({ strike }) => strike.trial).filter(Boolean).length;
+        return this.#lastStrikeAtEpochMs + (trialDelaysMs[trials] ?? Infinity);
     }
 
     get isQuarantined(): boolean {
@@ -63,24 +63,24 @@
     }
 
     /** @returns the generation of a strike against a request that was sent at a ledger version */
-    generationAt(mark: number): number {
-        return 1 + Math.max(0, ...this.#knownAt(mark).map(({ strike }) => strike.generation));
+    generationAt(version: number): number {
+        return 1 + Math.max(0, ...this.#knownAt(version).map(({ strike }) => strike.generation));
     }
 
     /** @returns the incarnations whose crashes were known at a ledger version */
-    incarnationsAt(mark: number): readonly string[] {
-        return this.#knownAt(mark).map(({ strike }) => strike.incarnation);
+    incarnationsAt(version: number): readonly string[] {
+        return this.#knownAt(version).map(({ strike }) => strike.incarnation);
     }
 
-    get #lastAtEpochMs(): number {
-        return Math.max(0, ...this.#each(({ strike }) => strike.atEpochMs));
+    get #lastStrikeAtEpochMs(): number {
+        return Math.max(0, ...this.#map(({ strike }) => strike.atEpochMs));
     }
 
-    #knownAt(mark: number): readonly KnownStrike[] {
-        return [...this.#strikes.values()].filter(({ knownSinceVersion }) => knownSinceVersion <= mark);
+    #knownAt(version: number): readonly KnownStrike[] {
+        return [...this.#strikes.values()].filter(({ knownSinceVersion }) => knownSinceVersion <= version);
     }
 
-    #each<T>(read: (learnt: KnownStrike) => T): readonly T[] {
-        return [...this.#strikes.values()].map(read);
+    #map<T>(select: (knownStrike: KnownStrike) => T): readonly T[] {
+        return [...this.#strikes.values()].map(select);
     }
 }
--- a/packages/quarantine/src/crashLedger.ts
+++ b/packages/quarantine/src/crashLedger.ts
@@ -54,7 +54,7 @@
     readonly generations: number;
 }
 
-const clearVerdict: ContentStatus = Object.freeze({ state: "clear", strikes: 0, retryAfterMs: 0 });
+const clearStatus: ContentStatus = Object.freeze({ state: "clear", strikes: 0, retryAfterMs: 0 });
 
 /**
  * Tracks requests under which backend servers crashed, from the strikes of this gateway and those reported by the
@@ -64,31 +64,31 @@
  */
 export class CrashLedger {
     readonly #name: string;
-    readonly #trialAfterMs: readonly number[];
+    readonly #trialDelaysMs: readonly number[];
     readonly #ownStrikes = new Map<string, CrashStrike>();
     readonly #ownCleared = new Map<string, Set<string>>();
-    readonly #trials = new Set<string>();
+    readonly #activeTrials = new Set<string>();
     /** Contents that this gateway has cleared since its last report. */
-    readonly #untold = new Set<string>();
+    readonly #unpublishedClears = new Set<string>();
     readonly #changes: ContentStateChange[] = [];
-    #others: readonly CrashReport[] = [];
+    #otherReports: readonly CrashReport[] = [];
     #records = new Map<string, ContentRecord>();
     #headIds: ReadonlySet<string> = new Set();
     /** Increases with every change. */
-    #mark = 0;
+    #version = 0;
 
     /**
      * @param name - name of this gateway, as registered
-     * @param trialAfterMs - delays from the latest strike to each trial of a quarantined request, in milliseconds
+     * @param trialDelaysMs - delays from the latest strike to each trial of a quarantined request, in milliseconds
      */
-    constructor(name: string, trialAfterMs: readonly number[] = defaultTrialDelaysMs) {
+    constructor(name: string, trialDelaysMs: readonly number[] = defaultTrialDelaysMs) {
         this.#name = name;
-        this.#trialAfterMs = trialAfterMs;
+        this.#trialDelaysMs = trialDelaysMs;
     }
 
     /** @returns the current ledger version, to be passed with the result of a request that is sent now */
     version(): number {
-        return this.#mark;
+        return this.#version;
     }
 
     /** Whether there are no strikes against any content. */
@@ -110,23 +110,27 @@
     checkContent(contentId: string, { gateways, epochMs }: ContentCheckContext): ContentStatus {
         const record = this.#records.get(contentId);
         if (record === undefined || epochMs >= record.expiresAtEpochMs) {
-            return clearVerdict;
+            return clearStatus;
         }
         const { strikes } = record;
-        const trialAtEpochMs = record.nextTrialAtEpochMs(this.#trialAfterMs);
+        const trialAtEpochMs = record.nextTrialAtEpochMs(this.#trialDelaysMs);
         if (!record.isQuarantined) {
             return { state: "suspected", strikes, retryAfterMs: 0 };
         }
-        const mayTry = epochMs >= trialAtEpochMs && !this.#trials.has(contentId)
+        const isTrialDue = epochMs >= trialAtEpochMs && !this.#activeTrials.has(contentId)
             && findOwners(contentId, gateways, 1)[0] === this.#name;
-        const openAtEpochMs = Math.min(trialAtEpochMs, record.expiresAtEpochMs);
-        return { state: mayTry ? "trial" : "quarantined", strikes, retryAfterMs: Math.max(0, openAtEpochMs - epochMs) };
+        const nextSendAtEpochMs = Math.min(trialAtEpochMs, record.expiresAtEpochMs);
+        return {
+            state: isTrialDue ? "trial" : "quarantined",
+            strikes,
+            retryAfterMs: Math.max(0, nextSendAtEpochMs - epochMs),
+        };
     }
 
     /** Records that a quarantined request is sent as a trial. @returns to be called when the request has ended */
     beginTrial(contentId: string): () => void {
-        this.#trials.add(contentId);
-        return () => this.#trials.delete(contentId);
+        this.#activeTrials.add(contentId);
+        return () => this.#activeTrials.delete(contentId);
     }
 
     /**
@@ -150,9 +154,9 @@
      *
      * @returns whether a new report has to be published
      */
-    onServed(contentId: string, mark: number, epochMs: number): boolean {
+    onServed(contentId: string, version: number, epochMs: number): boolean {
         const record = this.#records.get(contentId);
-        const cleared = record?.incarnationsAt(mark) ?? [];
+        const cleared = record?.incarnationsAt(version) ?? [];
         if (record === undefined || cleared.length === 0) {
             return false;
         }
@@ -162,10 +166,10 @@
             this.#ownStrikes.delete(createKey(contentId, incarnation));
             known.add(incarnation);
         }
-        this.#untold.add(contentId);
-        const mustTell = record.strikes > 1;
+        this.#unpublishedClears.add(contentId);
+        const mustPublish = record.strikes > 1;
         this.#rebuild(epochMs);
-        return mustTell;
+        return mustPublish;
     }
 
     /**
@@ -174,11 +178,11 @@
      * @returns whether a new report has to be published, with strikes that this gateway cleared
      */
     onReports(reports: ReadonlyMap<string, StoredCrashReport>, epochMs: number): boolean {
-        this.#others = [...reports].filter(([gateway]) => gateway !== this.#name).map(([, { report }]) => report);
+        this.#otherReports = [...reports].filter(([gateway]) => gateway !== this.#name).map(([, { report }]) => report);
         this.#rebuild(epochMs);
         // A single strike has no effect, so its clearing isn't published until further strikes are known with which it
         // would count.
-        return [...this.#untold].some(contentId => this.#records.has(contentId));
+        return [...this.#unpublishedClears].some(contentId => this.#records.has(contentId));
     }
 
     /** Restores the report that this gateway published before it was restarted. */
@@ -194,7 +198,7 @@
 
     /** @returns the report to publish to the other gateways */
     report(): CrashReport {
-        this.#untold.clear();
+        this.#unpublishedClears.clear();
         return this.#createReport();
     }
 
@@ -214,12 +218,12 @@
     }
 
     #rebuild(epochMs: number): void {
-        this.#mark++;
+        this.#version++;
         const clearedKeys = this.#findCleared();
-        this.#dropOwn(clearedKeys, epochMs);
-        const before = this.#records;
+        this.#pruneOwn(clearedKeys, epochMs);
+        const previous = this.#records;
         this.#records = new Map();
-        for (const strike of [...this.#ownStrikes.values(), ...this.#others.flatMap(({ strikes }) => strikes)]) {
+        for (const strike of [...this.#ownStrikes.values(), ...this.#otherReports.flatMap(({ strikes }) => strikes)]) {
             const { contentId, incarnation, atEpochMs } = strike;
             if (epochMs - atEpochMs >= quarantineRetentionMs || clearedKeys.has(createKey(contentId, incarnation))) {
                 continue;
@@ -228,15 +232,15 @@
             this.#records.set(contentId, record);
             record.add({
                 strike,
-                knownSinceVersion: before.get(contentId)?.knownSinceVersion(incarnation) ?? this.#mark,
+                knownSinceVersion: previous.get(contentId)?.knownSinceVersion(incarnation) ?? this.#version,
             });
         }
-        this.#forgetOld(epochMs);
+        this.#dropExpired(epochMs);
         this.#headIds = new Set([...this.#records.keys()].map(headIdOf));
-        this.#noteChanges(before);
+        this.#recordChanges(previous);
     }
 
-    #forgetOld(epochMs: number): void {
+    #dropExpired(epochMs: number): void {
         for (const [contentId, record] of this.#records) {
             if (epochMs >= record.expiresAtEpochMs) {
                 this.#records.delete(contentId);
@@ -253,7 +257,7 @@
         const keys = new Set<string>();
         for (
             const { contentId, incarnations } of [
-                ...this.#others.flatMap(({ cleared }) => cleared),
+                ...this.#otherReports.flatMap(({ cleared }) => cleared),
                 ...this.#createReport().cleared,
             ]
         ) {
@@ -266,14 +270,16 @@
      * Bounds the size of this gateway's report: drops cleared and expired strikes, and clearings of strikes that no
      * other gateway reports.
      */
-    #dropOwn(clearedKeys: ReadonlySet<string>, epochMs: number): void {
+    #pruneOwn(clearedKeys: ReadonlySet<string>, epochMs: number): void {
         for (const [key, { atEpochMs }] of this.#ownStrikes) {
             if (clearedKeys.has(key) || epochMs - atEpochMs >= quarantineRetentionMs) {
                 this.#ownStrikes.delete(key);
             }
         }
         const reported = new Set(
-            this.#others.flatMap(({ strikes }) => strikes.map(each => createKey(each.contentId, each.incarnation))),
+            this.#otherReports.flatMap(({ strikes }) =>
+                strikes.map(strike => createKey(strike.contentId, strike.incarnation))
+            ),
         );
         for (const [contentId, incarnations] of this.#ownCleared) {
             for (const incarnation of incarnations) {
@@ -307,9 +313,9 @@
         }
     }
 
-    #noteChanges(before: ReadonlyMap<string, ContentRecord>): void {
-        for (const contentId of new Set([...before.keys(), ...this.#records.keys()])) {
-            const [was, is] = [before.get(contentId), this.#records.get(contentId)];
+    #recordChanges(previous: ReadonlyMap<string, ContentRecord>): void {
+        for (const contentId of new Set([...previous.keys(), ...this.#records.keys()])) {
+            const [was, is] = [previous.get(contentId), this.#records.get(contentId)];
             if (was?.strikes !== is?.strikes || stateOf(was) !== stateOf(is)) {
                 const { strikes, generations } = is ?? { strikes: 0, generations: 0 };
                 this.#changes.push({ contentId, state: stateOf(is), strikes, generations });
