--- a/packages/placement/src/__tests__/probeBudget.test.ts
+++ b/packages/placement/src/__tests__/probeBudget.test.ts
@@ -56,7 +56,7 @@
 /**
  * @returns the maximum number of probes of any server within any ten seconds, if every gateway probes whenever it may
  */
-function findMostProbes(fleet: Fleet): number {
+function findMaxProbes(fleet: Fleet): number {
     const random = createRandomSource(fleet.seed);
     const servers = createServers(fleet.servers);
     const zoneServers = Math.ceil(fleet.servers / zones.length);
@@ -83,12 +83,12 @@
 // Guards against servers that are kept busy by probes alone: the shares of all gateways must add up to less than the
 // allowance for any fleet size, while rosters lack some of the gateways, and when all gateways restart at once.
 for (
-    const { what, gateways, numRuns } of [
-        { what: "1 to 30", gateways: fc.integer({ min: 1, max: 30 }), numRuns: 15 },
-        { what: "5 to 500", gateways: fc.integer({ min: 5, max: 500 }), numRuns: 25 },
+    const { fleetSize, gateways, numRuns } of [
+        { fleetSize: "1 to 30", gateways: fc.integer({ min: 1, max: 30 }), numRuns: 15 },
+        { fleetSize: "5 to 500", gateways: fc.integer({ min: 5, max: 500 }), numRuns: 25 },
     ]
 ) {
-    test(`no server gets more probes than its allowance in any ten seconds, with ${what} gateways`, () => {
+    test(`no server gets more probes than its allowance in any ten seconds, with ${fleetSize} gateways`, () => {
         fc.assert(
             fc.property(
                 fc.record({
@@ -99,7 +99,7 @@
                     restartAtMs: fc.constantFrom(1_000, 4_000, 9_000),
                 }),
                 fleet => {
-                    const max = findMostProbes(fleet);
+                    const max = findMaxProbes(fleet);
                     assert.ok(max <= perSecond * windowMs / 1_000, `${max} probes in ten seconds`);
                 },
             ),
--- a/packages/placement/src/__tests__/retryDecision.test.ts
+++ b/packages/placement/src/__tests__/retryDecision.test.ts
@@ -18,38 +18,38 @@
 
 // Guards against duplicate execution, such as paying a deposit twice after its connection was lost.
 test("a non-idempotent request is retried only if no send of it can have run", () => {
-    fc.assert(fc.property(ends, fc.nat(2), (past, underWay) => {
+    fc.assert(fc.property(ends, fc.nat(2), (pastEnds, inFlight) => {
         const may = isRetryAllowed({
             idempotent: false,
             isBodyReplayable: true,
             maximumRuns: 2,
-            ends: past,
-            inFlight: underWay,
+            ends: pastEnds,
+            inFlight,
         });
         if (may) {
-            assert.ok(underWay === 0 && past.every(({ type }) => type === "notRun"));
+            assert.ok(inFlight === 0 && pastEnds.every(({ type }) => type === "notRun"));
         }
     }));
 });
 
 test("no request can run on more servers than its route allows", () => {
-    fc.assert(fc.property(ends, fc.nat(2), fc.integer({ min: 1, max: 3 }), (past, underWay, maximumRuns) => {
+    fc.assert(fc.property(ends, fc.nat(2), fc.integer({ min: 1, max: 3 }), (pastEnds, inFlight, maximumRuns) => {
         const may = isRetryAllowed({
             idempotent: true,
             isBodyReplayable: true,
             maximumRuns,
-            ends: past,
-            inFlight: underWay,
+            ends: pastEnds,
+            inFlight,
         });
-        const possibleRuns = underWay + past.filter(({ type }) => type !== "notRun").length;
+        const possibleRuns = inFlight + pastEnds.filter(({ type }) => type !== "notRun").length;
         assert.ok(!may || possibleRuns < maximumRuns);
     }));
 });
 
 test("a request whose body is no longer available isn't retried", () => {
-    const past: SendEnd[] = [{ type: "notRun", reason: "turnedAway" }];
+    const pastEnds: SendEnd[] = [{ type: "notRun", reason: "turnedAway" }];
     assert.equal(
-        isRetryAllowed({ idempotent: true, isBodyReplayable: false, maximumRuns: 2, ends: past, inFlight: 0 }),
+        isRetryAllowed({ idempotent: true, isBodyReplayable: false, maximumRuns: 2, ends: pastEnds, inFlight: 0 }),
         false,
     );
 });
--- a/packages/placement/src/__tests__/serverSearch.test.ts
+++ b/packages/placement/src/__tests__/serverSearch.test.ts
@@ -64,8 +64,8 @@
 }
 
 function reportStatus(state: PlacementState, id: string, load: LoadReport, atMs: number, coldRemainingMs = 0): void {
-    const offer = { serverId: id, availabilityZone: "north", load, slots: 6, healthy: true, coldRemainingMs };
-    state.onProbeResponse("tables", offer, atMs);
+    const status = { serverId: id, availabilityZone: "north", load, slots: 6, healthy: true, coldRemainingMs };
+    state.onProbeResponse("tables", status, atMs);
 }
 
 function expectProbe(step: SearchStep): readonly string[] {
--- a/packages/placement/src/__tests__/serverShapes.test.ts
+++ b/packages/placement/src/__tests__/serverShapes.test.ts
@@ -10,25 +10,25 @@
 const tolerance = 0.03;
 
 interface Case {
-    readonly what: string;
+    readonly label: string;
     readonly servers: number;
     readonly shape: Partial<TestServerShape>;
 }
 
 const cases: readonly Case[] = [
-    { what: "2 slots", servers: 12, shape: { slots: 2 } },
-    { what: "6 slots", servers: 12, shape: { slots: 6 } },
-    { what: "16 slots", servers: 12, shape: { slots: 16 } },
-    { what: "work of 5 ms", servers: 12, shape: { workMs: 5 } },
-    { what: "work of 1 s", servers: 12, shape: { workMs: 1_000 } },
-    { what: "3 servers", servers: 3, shape: {} },
-    { what: "60 servers", servers: 60, shape: {} },
-    { what: "200 servers", servers: 200, shape: {} },
-    { what: "no noise", servers: 12, shape: { slowShare: 0 } },
-    { what: "mild noise", servers: 12, shape: { slowFactor: 1.5 } },
-    { what: "strong noise", servers: 12, shape: { slowFactor: 8 } },
-    { what: "fast noise", servers: 12, shape: { shiftMs: 40 } },
-    { what: "slow noise", servers: 12, shape: { shiftMs: 5_000 } },
+    { label: "2 slots", servers: 12, shape: { slots: 2 } },
+    { label: "6 slots", servers: 12, shape: { slots: 6 } },
+    { label: "16 slots", servers: 12, shape: { slots: 16 } },
+    { label: "work of 5 ms", servers: 12, shape: { workMs: 5 } },
+    { label: "work of 1 s", servers: 12, shape: { workMs: 1_000 } },
+    { label: "3 servers", servers: 3, shape: {} },
+    { label: "60 servers", servers: 60, shape: {} },
+    { label: "200 servers", servers: 200, shape: {} },
+    { label: "no noise", servers: 12, shape: { slowShare: 0 } },
+    { label: "mild noise", servers: 12, shape: { slowFactor: 1.5 } },
+    { label: "strong noise", servers: 12, shape: { slowFactor: 8 } },
+    { label: "fast noise", servers: 12, shape: { shiftMs: 40 } },
+    { label: "slow noise", servers: 12, shape: { shiftMs: 5_000 } },
 ];
 
 function createInput({ servers, shape }: Case): ReplayInput {
@@ -41,7 +41,7 @@
 // Guards against a policy that fits only some services: with few or many slots and servers, short or long work, and
 // absent, mild, strong, fast or slow noise, it must never do harm, and has to gain wherever noise can be avoided.
 for (const testCase of cases) {
-    test(`${testCase.what}: deciding is no worse than sending anywhere, and better where servers differ`, () => {
+    test(`${testCase.label}: deciding is no worse than sending anywhere, and better where servers differ`, () => {
         const input = createInput(testCase);
         const toMs = input.forMs * 0.9;
         const probing = new ReplayFleet(input).run();
--- a/packages/placement/src/__tests__/statusCache.test.ts
+++ b/packages/placement/src/__tests__/statusCache.test.ts
@@ -3,7 +3,7 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { chooseProbeCount, GoodChanceEstimator, StatusCache, type ServerStatus } from "../index.js";
 
-function createOffer(serverId: string, slowdown = 1): ServerStatus {
+function createStatus(serverId: string, slowdown = 1): ServerStatus {
     return {
         serverId,
         availabilityZone: "north",
@@ -23,12 +23,12 @@
 });
 
 test("an older status that arrives late doesn't replace a newer one, and removed servers are dropped", () => {
-    const memory = new StatusCache();
-    memory.onStatus(createOffer("a", 1), true, 100, true);
-    memory.onStatus(createOffer("a", 4), false, 60, true);
-    assert.equal(memory.get("a")?.status.load?.slowdown, 1);
-    memory.retain(new Set(["b"]));
-    assert.equal(memory.get("a"), undefined);
+    const cache = new StatusCache();
+    cache.onStatus(createStatus("a", 1), true, 100, true);
+    cache.onStatus(createStatus("a", 4), false, 60, true);
+    assert.equal(cache.get("a")?.status.load?.slowdown, 1);
+    cache.retain(new Set(["b"]));
+    assert.equal(cache.get("a"), undefined);
 });
 
 // Guards against a fixed validity of observations: where load changes every 20 ms, an older observation is worthless,
@@ -36,25 +36,25 @@
 test("the validity time of an observation is learned, for fast and for slow load changes", () => {
     const chanceAfter = (noiseMs: number, ageMs: number): number => {
         const random = createRandomSource(3);
-        const chances = new GoodChanceEstimator();
+        const estimator = new GoodChanceEstimator();
         for (let i = 0; i < 4_000; i++) {
             const seenAgeMs = random.next() * 400;
             const wasGood = random.next() < 0.7;
             const changed = random.next() > Math.exp(-seenAgeMs / noiseMs);
             const isGood = changed ? random.next() < 0.7 : wasGood;
-            chances.onObservation(isGood, { wasGood, ageMs: seenAgeMs });
+            estimator.onObservation(isGood, { wasGood, ageMs: seenAgeMs });
         }
-        return chances.goodChanceOf({ wasGood: true, ageMs });
+        return estimator.goodChanceOf({ wasGood: true, ageMs });
     };
     assert.ok(chanceAfter(20, 200) < 0.8, `${chanceAfter(20, 200)} for fast noise`);
     assert.ok(chanceAfter(5_000, 200) > 0.9, `${chanceAfter(5_000, 200)} for slow noise`);
 });
 
 test("before anything was learned, a fresh observation is nearly certain and an old one carries no information", () => {
-    const chances = new GoodChanceEstimator();
-    assert.ok(chances.goodChanceOf({ wasGood: true, ageMs: 5 }) > 0.9);
-    assert.ok(chances.goodChanceOf({ wasGood: false, ageMs: 5 }) < 0.2);
+    const estimator = new GoodChanceEstimator();
+    assert.ok(estimator.goodChanceOf({ wasGood: true, ageMs: 5 }) > 0.9);
+    assert.ok(estimator.goodChanceOf({ wasGood: false, ageMs: 5 }) < 0.2);
     assert.ok(
-        Math.abs(chances.goodChanceOf({ wasGood: true, ageMs: 60_000 }) - chances.goodChanceOf(undefined)) < 0.15,
+        Math.abs(estimator.goodChanceOf({ wasGood: true, ageMs: 60_000 }) - estimator.goodChanceOf(undefined)) < 0.15,
     );
 });
--- a/packages/placement/src/__tests__/support/replay.ts
+++ b/packages/placement/src/__tests__/support/replay.ts
@@ -111,17 +111,17 @@
 
     /** @returns the share of the callers that arrived in a period and were served within the objective */
     shareInTime(fromMs: number, toMs: number): number {
-        const came = this.#came(fromMs, toMs);
-        return came.filter(caller => caller.isInTime).length / came.length;
+        const arrived = this.#arrivedBetween(fromMs, toMs);
+        return arrived.filter(caller => caller.isInTime).length / arrived.length;
     }
 
     /** @returns the share of the callers that arrived in a period and were served at all */
     shareServed(fromMs: number, toMs: number): number {
-        const came = this.#came(fromMs, toMs);
-        return came.filter(({ answeredAtMs }) => answeredAtMs !== undefined).length / came.length;
+        const arrived = this.#arrivedBetween(fromMs, toMs);
+        return arrived.filter(({ answeredAtMs }) => answeredAtMs !== undefined).length / arrived.length;
     }
 
-    #came(fromMs: number, toMs: number): readonly SimulatedCaller[] {
+    #arrivedBetween(fromMs: number, toMs: number): readonly SimulatedCaller[] {
         return this.callers.filter(({ arrivedAtMs }) => arrivedAtMs >= fromMs && arrivedAtMs < toMs);
     }
 }
--- a/packages/placement/src/serverExclusions.ts
+++ b/packages/placement/src/serverExclusions.ts
@@ -29,11 +29,11 @@
 
     /** @returns when the back-off ends, if it has been extended */
     onBackoff({ id, startedAtEpochMs }: RegisteredServer, forMs: number, nowMs: number): number | undefined {
-        const known = this.#backoffs.get(id);
+        const current = this.#backoffs.get(id);
         const untilMs = nowMs + forMs;
         if (
             forMs <= 0
-            || (known !== undefined && known.startedAtEpochMs === startedAtEpochMs && known.untilMs >= untilMs)
+            || (current !== undefined && current.startedAtEpochMs === startedAtEpochMs && current.untilMs >= untilMs)
         ) {
             return undefined;
         }
--- a/packages/quarantine/src/__tests__/crashLedger.test.ts
+++ b/packages/quarantine/src/__tests__/crashLedger.test.ts
@@ -114,11 +114,11 @@
 // after the other.
 test("a request that is served after its strikes were known is cleared at every gateway", () => {
     const fleet = new Fleet(3);
-    const earlierVersion = fleet.of(1).version();
+    const earlierLedgerVersion = fleet.of(1).version();
     [0, 0, 0].forEach(gateway => fleet.crash(gateway, "popular"));
     fleet.spread();
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
-    assert.equal(fleet.of(1).onServed("popular", earlierVersion, fleet.epochMs), false);
+    assert.equal(fleet.of(1).onServed("popular", earlierLedgerVersion, fleet.epochMs), false);
     assert.deepEqual(fleet.states("popular"), ["quarantined"]);
     assert.equal(fleet.of(1).onServed("popular", fleet.of(1).version(), fleet.epochMs), true);
     fleet.spread();
@@ -155,9 +155,9 @@
     const stepMs = 5_000;
     for (let waitedMs = 0; waitedMs < quarantineRetentionMs / 20; waitedMs += stepMs) {
         fleet.epochMs += stepMs;
-        const triers = fleet.names.map((_, i) => i).filter(i => fleet.state(i, "deadly") === "trial");
-        assert.ok(triers.length <= 1);
-        for (const gateway of triers) {
+        const tryingGateways = fleet.names.map((_, i) => i).filter(i => fleet.state(i, "deadly") === "trial");
+        assert.ok(tryingGateways.length <= 1);
+        for (const gateway of tryingGateways) {
             fleet.crash(gateway, "deadly");
             trials++;
         }
--- a/packages/quarantine/src/__tests__/support/crashSimulation.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -119,10 +119,11 @@
         if (server === undefined || runs >= maxRuns || (runs > 0 && strikes >= 2)) {
             return;
         }
-        const version = ledger.version();
+        const ledgerVersion = ledger.version();
         const endTrial = state === "trial" ? ledger.beginTrial(content) : undefined;
         const starts = server.starts;
-        const onCrash = (): void => this.#onServerCrash(content, ledger, { server, starts, version, runs, endTrial });
+        const onCrash = (): void =>
+            this.#onServerCrash(content, ledger, { server, starts, ledgerVersion, runs, endTrial });
         server.running.add(onCrash);
         if (content === crashingContent) {
             this.#onCrashingArrival();
@@ -132,7 +133,7 @@
         this.#queue.schedule(40 + this.#random.next() * 200, () => {
             if (server.running.delete(onCrash)) {
                 endTrial?.();
-                const mustPublish = ledger.onServed(content, version, this.#queue.nowMs);
+                const mustPublish = ledger.onServed(content, ledgerVersion, this.#queue.nowMs);
                 this.#publishIf(mustPublish, ledger);
             }
         });
@@ -168,10 +169,10 @@
     #onServerCrash(
         content: string,
         ledger: CrashLedger,
-        { server, starts, version, runs, endTrial }: {
+        { server, starts, ledgerVersion, runs, endTrial }: {
             readonly server: Server;
             readonly starts: number;
-            readonly version: number;
+            readonly ledgerVersion: number;
             readonly runs: number;
             readonly endTrial: (() => void) | undefined;
         },
@@ -182,7 +183,7 @@
             ledger.onCrash({
                 contentId: content,
                 incarnation,
-                ledgerVersion: version,
+                ledgerVersion,
                 epochMs,
                 trial: endTrial !== undefined,
             }),
--- a/packages/quarantine/src/contentRecord.ts
+++ b/packages/quarantine/src/contentRecord.ts
@@ -63,21 +63,21 @@
     }
 
     /** @returns the generation of a strike against a request that was sent at a ledger version */
-    generationAt(version: number): number {
-        return 1 + Math.max(0, ...this.#knownAt(version).map(({ strike }) => strike.generation));
+    generationAt(ledgerVersion: number): number {
+        return 1 + Math.max(0, ...this.#knownAt(ledgerVersion).map(({ strike }) => strike.generation));
     }
 
     /** @returns the incarnations whose crashes were known at a ledger version */
-    incarnationsAt(version: number): readonly string[] {
-        return this.#knownAt(version).map(({ strike }) => strike.incarnation);
+    incarnationsAt(ledgerVersion: number): readonly string[] {
+        return this.#knownAt(ledgerVersion).map(({ strike }) => strike.incarnation);
     }
 
     get #lastStrikeAtEpochMs(): number {
         return Math.max(0, ...this.#map(({ strike }) => strike.atEpochMs));
     }
 
-    #knownAt(version: number): readonly KnownStrike[] {
-        return [...this.#strikes.values()].filter(({ knownSinceVersion }) => knownSinceVersion <= version);
+    #knownAt(ledgerVersion: number): readonly KnownStrike[] {
+        return [...this.#strikes.values()].filter(({ knownSinceVersion }) => knownSinceVersion <= ledgerVersion);
     }
 
     #map<T>(select: (knownStrike: KnownStrike) => T): readonly T[] {
--- a/packages/quarantine/src/crashLedger.ts
+++ b/packages/quarantine/src/crashLedger.ts
@@ -154,9 +154,9 @@
      *
      * @returns whether a new report has to be published
      */
-    onServed(contentId: string, version: number, epochMs: number): boolean {
+    onServed(contentId: string, ledgerVersion: number, epochMs: number): boolean {
         const record = this.#records.get(contentId);
-        const cleared = record?.incarnationsAt(version) ?? [];
+        const cleared = record?.incarnationsAt(ledgerVersion) ?? [];
         if (record === undefined || cleared.length === 0) {
             return false;
         }
