--- a/packages/placement/src/probeGroups.ts
+++ b/packages/placement/src/probeGroups.ts
@@ -34,13 +34,13 @@
  * Divides each backend server's allowance of load probes among the gateways, which also determines the subset of
  * servers that a gateway probes first.
  *
- * In a small fleet all gateways get equal shares. In a large one an equal share is one probe every few seconds: too
- * little for a gateway that probes the same few servers all the time, and wasted at all other gateways. Each server
- * therefore has a group of gateways of its availability zone, chosen by rendezvous hashing without coordination, that
- * gets most of the allowance. The group is large enough for each gateway to be in the groups of `subsetServers` servers
- * of a service. A reserve of gateways of all zones gets a small share, for the case that all servers of a zone are
- * gone. All other gateways never probe the server. The allowance bounds the sizes of the group and the reserve, so it
- * is respected however large the fleet is.
+ * In a small fleet all gateways get equal shares. In a large one an equal share is one probe every few seconds: a
+ * gateway uses up its shares of the few servers that it probes all the time, and wastes its shares of all other
+ * servers. Each server therefore has a group of gateways of its availability zone, chosen by rendezvous hashing without
+ * coordination, that gets most of the allowance. The group is large enough for each gateway to be in the groups of
+ * `subsetServers` servers of a service. A reserve of gateways of all zones gets a small share, for the case that all
+ * servers of a zone are gone. All other gateways never probe the server. The allowance bounds the sizes of the group
+ * and the reserve, so it is respected however large the fleet is.
  */
 export class ProbeGroups {
     readonly #zoneRanks: RendezvousRanks;
