--- a/packages/placement/src/__tests__/largeFleet.test.ts
+++ b/packages/placement/src/__tests__/largeFleet.test.ts
@@ -14,7 +14,7 @@
 
 // Guards against gateways that use up their probe shares of their usual servers, and then probe others over new
 // connections.
-test("312 gateways at normal load: few new connections, and a third as many late requests as without probes", () => {
+test("312 gateways at normal load: few new connections, and under a third of the late requests without probes", () => {
     const scenario = readScenario("fleet-calm", 20_000);
     const probing = runReplay(scenario);
     const baseline = runReplay({ ...scenario, blind: true });
--- a/packages/placement/src/__tests__/probeOrder.test.ts
+++ b/packages/placement/src/__tests__/probeOrder.test.ts
@@ -75,8 +75,8 @@
     }
 });
 
-// Guards against a new connection for nearly every probe. If 38 gateways of a zone spread their probes over all 45
-// servers, each connection is used only once in 25 s, and closed as idle before its next use.
+// Guards against a new connection for nearly every probe. If 38 gateways of a zone spread up to four probes per request
+// over all 45 servers, each connection is used only once in 25 s, and closed as idle before its next use.
 test("most probes reuse a recently used connection, and the probes are spread evenly over the servers", () => {
     const servers = createServers(45, ["north"]);
     const random = createRandomSource(1);
--- a/packages/placement/src/__tests__/replayedLoads.test.ts
+++ b/packages/placement/src/__tests__/replayedLoads.test.ts
@@ -22,8 +22,8 @@
     return Math.max(0, ...counts);
 }
 
-// Guards against queues at servers when the load suddenly triples to more than their capacity: every request is late
-// then, even for seconds after the load has dropped again.
+// Guards against queues at servers when the load triples within 10 ms to more than their capacity: every request is
+// late then, even for seconds after the load has dropped again.
 test("load spike above capacity: far more requests in time than with random placement, during and after it", () => {
     const load = (nowMs: number): number => nowMs >= 5_000 && nowMs < 10_000 ? 200 : 70;
     for (const seed of [5, 6, 7]) {
@@ -111,8 +111,8 @@
     assert.ok(after > 0.95, `${after} in time afterwards`);
 });
 
-// Guards against exceeding the fleet's allowance when half of the gateways restart with new budgets, while the others
-// get twice the requests.
+// Guards against exceeding the fleet's allowance when half of the gateways lose power and return a second later with
+// new budgets, while the others get twice the requests.
 test("half of the gateways restart under load: callers are still served, and retries stay within the allowance", () => {
     const fleet = new ReplayFleet({
         ...base,
