--- a/packages/placement/src/__tests__/limitAdmission.test.ts
+++ b/packages/placement/src/__tests__/limitAdmission.test.ts
@@ -11,12 +11,12 @@
     readonly gateways: number;
     readonly perSecond: number;
     readonly runMs: number;
-    /** Gateways that each gateway's roster lacks, by its number. */
+    /** Indexes of the gateways that a gateway's roster lacks, by the gateway's index. */
     readonly unknownTo?: (gateway: number) => ReadonlySet<number>;
-    /** When all gateways are started again. */
+    /** Time at which all gateways restart. */
     readonly restartAtMs?: number;
-    /** What the server names from then on. */
-    readonly then?: { readonly atMs: number; readonly perSecond: number; };
+    /** A change of the advertised limit. */
+    readonly change?: { readonly atMs: number; readonly perSecond: number; };
 }
 
 function zoneOf(gateway: number): string {
@@ -36,9 +36,9 @@
     };
 }
 
-/** Gateways that send to one server whenever they may. @returns when requests were sent */
-function playEager(input: FleetInput): readonly number[] {
-    const { gateways, runMs, restartAtMs, unknownTo, then } = input;
+/** Simulates gateways that send to one server whenever they may. @returns the times of the sends */
+function simulateEagerGateways(input: FleetInput): readonly number[] {
+    const { gateways, runMs, restartAtMs, unknownTo, change } = input;
     const create = (): readonly LimitAdmission[] =>
         Array.from({ length: gateways }, (_, i) => new LimitAdmission(`gateway-${i}`, zoneOf(i)));
     const rosters = Array.from({ length: gateways }, (_, i) => createRosters(gateways, unknownTo?.(i) ?? new Set()));
@@ -50,7 +50,7 @@
             admissions = create();
             sinceMs = nowMs;
         }
-        const perSecond = then !== undefined && nowMs >= then.atMs ? then.perSecond : input.perSecond;
+        const perSecond = change !== undefined && nowMs >= change.atMs ? change.perSecond : input.perSecond;
         const limit: AdvertisedLimit = { perSecond, sinceMs, lastAdvertisedAtMs: nowMs };
         for (const [i, admission] of admissions.entries()) {
             const roster = rosters[i];
@@ -80,16 +80,16 @@
     };
 }
 
-function findMost(sentAtMs: readonly number[]): number {
-    let most = 0;
+function findMaxInWindow(sentAtMs: readonly number[]): number {
+    let max = 0;
     let first = 0;
     for (const [last, atMs] of sentAtMs.entries()) {
         while ((sentAtMs[first] ?? 0) <= atMs - windowMs) {
             first++;
         }
-        most = Math.max(most, last - first + 1);
+        max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
 }
 
 function allowedOf(perSecond: number): number {
@@ -99,14 +99,15 @@
 const fleets = [1, 5, 13, 15, 131, 312];
 const limits = [0, 0.1, 0.5, 1.1, 3, 20, 60];
 
-// All gateways want the server at once, as where it is the one that looks least loaded.
-test("gateways that send whenever they may keep a server's limit together, and use most of it", () => {
+// Guards against exceeding a limit when all gateways want to send at once, for example because the server looks least
+// loaded.
+test("gateways that send whenever they may stay within a server's limit together, and use most of it", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            const sentAtMs = playEager({ gateways, perSecond, runMs: 40_000 });
+            const sentAtMs = simulateEagerGateways({ gateways, perSecond, runMs: 40_000 });
             assert.ok(
-                findMost(sentAtMs) <= allowedOf(perSecond),
-                `${gateways} gateways, ${perSecond}: ${findMost(sentAtMs)}`,
+                findMaxInWindow(sentAtMs) <= allowedOf(perSecond),
+                `${gateways} gateways, ${perSecond}: ${findMaxInWindow(sentAtMs)}`,
             );
             if (perSecond >= 0.5) {
                 const used = sentAtMs.length / 40 / perSecond;
@@ -116,42 +117,54 @@
     }
 });
 
-// Rosters differ while a gateway comes or goes: more gateways than there should be take themselves for owners.
-test("a limit is kept while rosters lack some of the gateways", () => {
+// Guards against too many owners of a limit while rosters differ because a gateway joins or leaves.
+test("a limit is respected while rosters lack some of the gateways", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            for (const lacking of [1, 2]) {
+            for (const lackingCount of [1, 2]) {
                 const unknownTo = (gateway: number): ReadonlySet<number> =>
                     new Set(
-                        Array.from({ length: lacking }, (_, i) => (gateway * 7 + i * 3) % gateways).filter(i =>
+                        Array.from({ length: lackingCount }, (_, i) => (gateway * 7 + i * 3) % gateways).filter(i =>
                             i !== gateway
                         ),
                     );
-                const most = findMost(playEager({ gateways, perSecond, runMs: 20_000, unknownTo }));
+                const max = findMaxInWindow(simulateEagerGateways({ gateways, perSecond, runMs: 20_000, unknownTo }));
                 assert.ok(
-                    most <= allowedOf(perSecond),
-                    `${gateways} gateways lacking ${lacking}, ${perSecond}: ${most}`,
+                    max <= allowedOf(perSecond),
+                    `${gateways} gateways lacking ${lackingCount}, ${perSecond}: ${max}`,
                 );
             }
         }
     }
 });
 
-test("a limit is kept while all gateways are started again, and begin without savings", () => {
+test("a limit is respected when all gateways restart, because they start without a burst", () => {
     for (const gateways of fleets) {
         for (const perSecond of limits) {
-            const most = findMost(playEager({ gateways, perSecond, runMs: 20_000, restartAtMs: 10_000 }));
-            assert.ok(most <= allowedOf(perSecond), `${gateways} gateways, ${perSecond}: ${most}`);
+            const max = findMaxInWindow(
+                simulateEagerGateways({ gateways, perSecond, runMs: 20_000, restartAtMs: 10_000 }),
+            );
+            assert.ok(max <= allowedOf(perSecond), `${gateways} gateways, ${perSecond}: ${max}`);
         }
     }
 });
 
-test("a limit that falls is kept from the first answer with it on, and one that rises is used", () => {
+test("a lowered limit is respected from the first response that advertises it, and a raised one is used", () => {
     for (const gateways of fleets) {
-        const falls = playEager({ gateways, perSecond: 20, runMs: 30_000, then: { atMs: 10_000, perSecond: 1.1 } });
-        assert.ok(findMost(falls.filter(atMs => atMs >= 10_000)) <= allowedOf(1.1));
-        const rises = playEager({ gateways, perSecond: 1.1, runMs: 30_000, then: { atMs: 10_000, perSecond: 20 } });
-        assert.ok(findMost(rises) <= allowedOf(20));
-        assert.ok(rises.filter(atMs => atMs >= 20_000).length >= 100, `${gateways} gateways`);
+        const lowered = simulateEagerGateways({
+            gateways,
+            perSecond: 20,
+            runMs: 30_000,
+            change: { atMs: 10_000, perSecond: 1.1 },
+        });
+        assert.ok(findMaxInWindow(lowered.filter(atMs => atMs >= 10_000)) <= allowedOf(1.1));
+        const raised = simulateEagerGateways({
+            gateways,
+            perSecond: 1.1,
+            runMs: 30_000,
+            change: { atMs: 10_000, perSecond: 20 },
+        });
+        assert.ok(findMaxInWindow(raised) <= allowedOf(20));
+        assert.ok(raised.filter(atMs => atMs >= 20_000).length >= 100, `${gateways} gateways`);
     }
 });
--- a/packages/placement/src/goodChanceEstimator.ts
+++ b/packages/placement/src/goodChanceEstimator.ts
@@ -1,20 +1,20 @@
 import { initialGoodShare, minSampleWeight, priorSamples } from "./constants.js";
 
-/** What was seen of a server before it was looked at again. */
+/** The previous observation of a server. */
 export interface PreviousObservation {
     readonly wasGood: boolean;
     readonly ageMs: number;
 }
 
-/** One span of ages, with the share of servers that were good at its end. */
+/** A range of observation ages, with the learned shares of servers that were good afterwards. */
 interface AgeBand {
-    /** End of the span, not included. */
+    /** Exclusive upper bound of the age. */
     readonly belowMs: number;
-    readonly afterGood: LearntShare;
-    readonly afterPoor: LearntShare;
+    readonly afterGood: LearnedShare;
+    readonly afterPoor: LearnedShare;
 }
 
-/** Shares to begin with, before anything was learnt: a look is worth nearly everything at once, and nothing in the end. */
+/** Initial estimates: a fresh observation is nearly certain, and an old one carries no information. */
 const initialBands = [
     { belowMs: 25, afterGood: 0.96, afterPoor: 0.08 },
     { belowMs: 60, afterGood: 0.9, afterPoor: 0.2 },
@@ -24,32 +24,33 @@
 ] as const;
 
 /**
- * How likely a backend server is good now, by what was last seen of it and how long ago. How long a figure stays true
- * differs from service to service and from hour to hour, so it is learnt from pairs of looks at the same server.
+ * Estimates the probability that a backend server is good now from its last observation and the age of that. How long
+ * an observation stays valid differs between services and over the day, so it is learned from consecutive observations
+ * of the same server.
  */
 export class GoodChanceEstimator {
     readonly #bands: readonly AgeBand[] = initialBands.map(({ belowMs, afterGood, afterPoor }) => ({
         belowMs,
-        afterGood: new LearntShare(afterGood),
-        afterPoor: new LearntShare(afterPoor),
+        afterGood: new LearnedShare(afterGood),
+        afterPoor: new LearnedShare(afterPoor),
     }));
-    readonly #unseen = new LearntShare(initialGoodShare);
+    readonly #overall = new LearnedShare(initialGoodShare);
 
-    /** A server was looked at. @param before - the look before, where there was one */
-    onObservation(isGood: boolean, before: PreviousObservation | undefined): void {
-        this.#unseen.learn(isGood);
-        if (before !== undefined) {
-            this.#share(before)?.learn(isGood);
+    /** Records an observation of a server. @param previous - the server's previous observation, if any */
+    onObservation(isGood: boolean, previous: PreviousObservation | undefined): void {
+        this.#overall.addSample(isGood);
+        if (previous !== undefined) {
+            this.#shareAfter(previous)?.addSample(isGood);
         }
     }
 
-    /** @returns the chance that a server is good, from 0 to 1 */
-    goodChanceOf(before: PreviousObservation | undefined): number {
-        const share = before === undefined ? this.#unseen : this.#share(before);
-        return (share ?? this.#unseen).value;
+    /** @returns the probability that a server is good, from 0 to 1 */
+    goodChanceOf(previous: PreviousObservation | undefined): number {
+        const share = previous === undefined ? this.#overall : this.#shareAfter(previous);
+        return (share ?? this.#overall).value;
     }
 
-    #share({ wasGood, ageMs }: PreviousObservation): LearntShare | undefined {
+    #shareAfter({ wasGood, ageMs }: PreviousObservation): LearnedShare | undefined {
         for (const band of this.#bands) {
             if (ageMs < band.belowMs) {
                 return wasGood ? band.afterGood : band.afterPoor;
@@ -59,8 +60,8 @@
     }
 }
 
-/** A share that follows what was seen lately, and begins from a guess that counts like some samples. */
-class LearntShare {
+/** A moving average of recent samples that starts from an initial estimate with the weight of some samples. */
+class LearnedShare {
     #value: number;
     #samples = priorSamples;
 
@@ -72,7 +73,7 @@
         return this.#value;
     }
 
-    learn(isGood: boolean): void {
+    addSample(isGood: boolean): void {
         this.#samples++;
         const weight = Math.max(minSampleWeight, 1 / this.#samples);
         this.#value += ((isGood ? 1 : 0) - this.#value) * weight;
--- a/packages/placement/src/probingZones.ts
+++ b/packages/placement/src/probingZones.ts
@@ -1,31 +1,32 @@
 import { findOwners } from "@galenaglade/fleet-state";
 import { maxFairShareFactor } from "./constants.js";
 
-/** The gateways with which one gateway shares the load probes of a service's servers, and where those servers are. */
+/** An availability zone with the gateways that share the load probes of a service's servers there. */
 export interface ProbingZone {
     readonly availabilityZone: string;
     readonly gateways: readonly string[];
-    /** Servers of the service there. */
+    /** Number of servers of the service in the zone. */
     readonly servers: number;
 }
 
-/** A fleet by availability zone. */
+/** Gateways and servers by availability zone. */
 export interface FleetByZone {
     readonly gatewaysByZone: ReadonlyMap<string, readonly string[]>;
-    /** Servers of one service that may be given work. */
+    /** Number of servers of one service that may be sent requests. */
     readonly serversByZone: ReadonlyMap<string, number>;
 }
 
 /**
- * Deals gateways to the availability zones whose servers they probe first: each to its own zone, unless that has far fewer of a
- * service's servers than its part of the fleet's gateways. Such a zone's servers would be too few for its gateways, and in a zone
- * that was taken out there are none: its gateways would have next to no probes elsewhere, and after a restart, when nothing is
- * known, nothing to go by. The surplus goes to the other zones by how many servers they have for their gateways.
+ * Assigns gateways to the availability zones whose servers they probe first. A gateway is assigned to its own zone,
+ * unless the zone's share of the service's servers is far smaller than its share of the gateways. Such a zone has too
+ * few servers for its gateways, and a zone that was taken out has none: its gateways would have hardly any probes for
+ * other zones, and after a restart no information to place requests by. The surplus gateways are distributed to the
+ * other zones in proportion to their shortage of gateways.
  *
- * Everyone finds the same deal without a message. While views differ, a server has at most two groups, whose shares together
- * are within the allowance.
+ * All gateways compute the same assignment without coordination. While their views differ, a server has at most two
+ * groups, whose shares together stay within the allowance.
  *
- * @param fleet - gateways and a service's servers
+ * @param fleet - gateways and a service's servers, by zone
  * @returns the zones, each with the gateways that probe its servers first
  */
 export function assignProbingZones({ gatewaysByZone, serversByZone }: FleetByZone): readonly ProbingZone[] {
@@ -33,27 +34,27 @@
     const servers = sum([...serversByZone.values()]);
     const zones = [...new Set([...gatewaysByZone.keys(), ...serversByZone.keys()])].sort();
     const surplus: string[] = [];
-    const dealt = zones.map(zone => {
+    const assigned = zones.map(zone => {
         const own = gatewaysByZone.get(zone) ?? [];
-        const fair = servers === 0 ? own.length : gateways * (serversByZone.get(zone) ?? 0) / servers;
-        const most = Math.ceil(fair * maxFairShareFactor);
-        const ranked = own.length > most ? findOwners("probing zone", own, own.length) : own;
-        surplus.push(...ranked.slice(most));
-        const kept = ranked.slice(0, most);
-        return { zone, kept, room: Math.max(0, fair - kept.length) };
+        const fairShare = servers === 0 ? own.length : gateways * (serversByZone.get(zone) ?? 0) / servers;
+        const maxKept = Math.ceil(fairShare * maxFairShareFactor);
+        const ranked = own.length > maxKept ? findOwners("probing zone", own, own.length) : own;
+        surplus.push(...ranked.slice(maxKept));
+        const kept = ranked.slice(0, maxKept);
+        return { zone, kept, shortage: Math.max(0, fairShare - kept.length) };
     });
     const ordered = findOwners("probing zone", surplus, surplus.length);
-    const allRoom = sum(dealt.map(({ room }) => room));
+    const totalShortage = sum(assigned.map(({ shortage }) => shortage));
     let from = 0;
-    let roomBefore = 0;
-    return dealt.map(({ zone, kept, room }) => {
-        roomBefore += room;
-        const to = allRoom === 0 ? from : Math.round(ordered.length * roomBefore / allRoom);
-        const taken = ordered.slice(from, to);
+    let cumulativeShortage = 0;
+    return assigned.map(({ zone, kept, shortage }) => {
+        cumulativeShortage += shortage;
+        const to = totalShortage === 0 ? from : Math.round(ordered.length * cumulativeShortage / totalShortage);
+        const added = ordered.slice(from, to);
         from = to;
         return {
             availabilityZone: zone,
-            gateways: taken.length === 0 ? kept : [...kept, ...taken],
+            gateways: added.length === 0 ? kept : [...kept, ...added],
             servers: serversByZone.get(zone) ?? 0,
         };
     });
--- a/packages/placement/src/serverScore.ts
+++ b/packages/placement/src/serverScore.ts
@@ -2,68 +2,72 @@
 import { type ServerStatus } from "./serverStatus.js";
 import { defaultPlacementPolicy, type PlacementPolicy } from "./policy.js";
 
-/** What a request may expect of a server that answered for itself. */
+/** Estimate of how a server would handle a request, by its status. */
 export interface ServerScore {
     readonly status: ServerStatus;
-    /** Whether a slot is free for the request at once. */
+    /** Whether the server has a free slot for the request. */
     readonly hasFreeSlot: boolean;
-    /** Requests there for each slot. */
+    /** Requests at the server per slot. */
     readonly utilization: number;
-    /** Whether nothing else is there. */
+    /** Whether the server has no requests. */
     readonly isIdle: boolean;
-    /** How many times its usual time the work takes, without the time in the queue. */
+    /** Expected latency as a multiple of the typical latency, without queueing. */
     readonly latencyFactor: number;
-    /** From now until the answer. */
+    /** Expected time from now until the response. */
     readonly expectedLatencyMs: number;
     readonly suspect: boolean;
 }
 
-/** What is known besides the offer. */
+/** Input to the score besides the server's status. */
 export interface ScoreContext {
     readonly typicalLatencyMs: number;
-    /** Requests that this gateway sent after the server told its load. */
+    /** Requests that this gateway sent after the server reported its load. */
     readonly sentSinceReport: number;
     readonly sameZone: boolean;
     readonly suspect: boolean;
-    /** Slots that the request leaves to more urgent ones. */
+    /** Slots reserved for requests of higher priority. */
     readonly reservedSlots: number;
 }
 
 /**
- * Estimates when a server would answer.
+ * Estimates how soon a server would respond to a request.
  *
- * @param offer - what it said of itself
- * @param context - what is known besides
- * @param policy - from when on a server is nearly full
+ * @param status - status of the server
+ * @param context - what the gateway knows besides
+ * @param policy - when a server counts as nearly full, and the slowdown that follows
+ * @returns the score
  */
 export function scoreServer(
-    offer: ServerStatus,
+    status: ServerStatus,
     context: ScoreContext,
     { nearlyFullShare, nearlyFullFactor }: PlacementPolicy = defaultPlacementPolicy,
 ): ServerScore {
-    const { load } = offer;
-    const slots = Math.max(1, load?.slots ?? offer.slots);
-    const ahead = (load?.running ?? 0) + (load?.waiting ?? 0) + context.sentSinceReport;
-    const free = ahead < slots - context.reservedSlots || ahead === 0;
-    const nearlyFull = ahead + 1 >= slots * nearlyFullShare;
-    const factor = (load?.slowdown ?? 1) * (nearlyFull ? nearlyFullFactor : 1);
-    const workMs = context.typicalLatencyMs * factor;
-    // Slots come free one after the other, evenly spread over the time that work takes.
-    const queueMs = free ? 0 : workMs * (ahead - slots + 1) / slots;
-    const expectedMs = (workMs + queueMs) * (context.suspect ? suspectFactor : 1)
+    const { load } = status;
+    const slots = Math.max(1, load?.slots ?? status.slots);
+    const requestsAhead = (load?.running ?? 0) + (load?.waiting ?? 0) + context.sentSinceReport;
+    const hasFreeSlot = requestsAhead < slots - context.reservedSlots || requestsAhead === 0;
+    const isNearlyFull = requestsAhead + 1 >= slots * nearlyFullShare;
+    const latencyFactor = (load?.slowdown ?? 1) * (isNearlyFull ? nearlyFullFactor : 1);
+    const latencyMs = context.typicalLatencyMs * latencyFactor;
+    // Assumes that slots become free at even intervals over the time that one request takes.
+    const queueMs = hasFreeSlot ? 0 : latencyMs * (requestsAhead - slots + 1) / slots;
+    const expectedLatencyMs = (latencyMs + queueMs) * (context.suspect ? suspectFactor : 1)
         + (context.sameZone ? 0 : otherZoneCostMs);
     return {
-        status: offer,
-        hasFreeSlot: free,
-        utilization: ahead / slots,
-        isIdle: ahead === 0,
-        latencyFactor: factor,
-        expectedLatencyMs: expectedMs,
+        status,
+        hasFreeSlot,
+        utilization: requestsAhead / slots,
+        isIdle: requestsAhead === 0,
+        latencyFactor,
+        expectedLatencyMs,
         suspect: context.suspect,
     };
 }
 
-/** @returns whether the server is to be taken without a further look: it has room, and its work takes its usual time */
+/**
+ * @returns whether the server may be used without probing others: it has a free slot, its latency is near the usual
+ * one, and it isn't suspect
+ */
 export function isGood(
     { hasFreeSlot, latencyFactor, suspect }: ServerScore,
     { goodFactor }: PlacementPolicy = defaultPlacementPolicy,
