--- a/packages/fleetState/src/__tests__/storeMirror.test.ts
+++ b/packages/fleetState/src/__tests__/storeMirror.test.ts
@@ -42,7 +42,7 @@
         fc.property(steps, fc.nat({ max: 30 }), (writes, from) => {
             const mirror = new StoreMirror();
             mirror.onFullRead(0, []);
-            const held = new Map<string, MirroredEntry>();
+            const stored = new Map<string, MirroredEntry>();
             let followed = new Map<string, MirroredEntry>();
             let revision = 0;
             let changed = new Map<string, MirroredEntry>();
@@ -52,11 +52,11 @@
                 changed.delete(key);
                 deleted.delete(key);
                 if (deletes) {
-                    held.delete(key);
+                    stored.delete(key);
                     deleted.add(key);
                 }
                 else {
-                    held.set(key, entry(key, revision));
+                    stored.set(key, entry(key, revision));
                     changed.set(key, entry(key, revision));
                 }
                 if (!batch) {
@@ -65,20 +65,20 @@
                     deleted = new Set();
                 }
                 if (revision === from && !batch) {
-                    followed = new Map(held);
+                    followed = new Map(stored);
                 }
             }
             mirror.onChanges({ revision, changed: [...changed.values()], deleted: [...deleted] });
             const start = followed.size > 0 ? from : 0;
-            const told = mirror.changesSince(start);
-            assert.ok(told);
-            for (const key of told.deleted) {
+            const result = mirror.changesSince(start);
+            assert.ok(result);
+            for (const key of result.deleted) {
                 followed.delete(key);
             }
-            for (const each of told.changed) {
+            for (const each of result.changed) {
                 followed.set(each.key, each);
             }
-            assert.deepEqual([...followed.entries()].sort(), [...held.entries()].sort());
+            assert.deepEqual([...followed.entries()].sort(), [...stored.entries()].sort());
         }),
         { seed: 1, numRuns: 500 },
     );
--- a/packages/fleetState/src/crashReport.ts
+++ b/packages/fleetState/src/crashReport.ts
@@ -50,19 +50,19 @@
  * @returns the report, or `undefined` if the value is not a report
  */
 export function readCrashReport(value: string): CrashReport | undefined {
-    let read: unknown;
+    let parsed: unknown;
     try {
-        read = JSON.parse(value);
+        parsed = JSON.parse(value);
     }
     catch {
         return undefined;
     }
-    if (!isRecord(read) || !Array.isArray(read["strikes"]) || !Array.isArray(read["cleared"])) {
+    if (!isRecord(parsed) || !Array.isArray(parsed["strikes"]) || !Array.isArray(parsed["cleared"])) {
         return undefined;
     }
     return {
-        strikes: read["strikes"].filter(isStrike).slice(0, maxReportedContents),
-        cleared: read["cleared"].filter(isCleared).slice(0, maxReportedContents),
+        strikes: parsed["strikes"].filter(isStrike).slice(0, maxReportedContents),
+        cleared: parsed["cleared"].filter(isClearedStrikes).slice(0, maxReportedContents),
     };
 }
 
@@ -72,9 +72,9 @@
         && typeof value["trial"] === "boolean";
 }
 
-function isCleared(value: unknown): value is ClearedStrikes {
+function isClearedStrikes(value: unknown): value is ClearedStrikes {
     return isRecord(value) && typeof value["contentId"] === "string" && Array.isArray(value["incarnations"])
-        && value["incarnations"].every(each => typeof each === "string");
+        && value["incarnations"].every(incarnation => typeof incarnation === "string");
 }
 
 function isRecord(value: unknown): value is Readonly<Record<string, unknown>> {
--- a/packages/fleetState/src/fleetView.ts
+++ b/packages/fleetState/src/fleetView.ts
@@ -43,33 +43,33 @@
     readonly #roster = new GatewayRoster();
     readonly #rollouts = new RolloutRegistry();
     readonly #itemsByKey = new Map<string, StateItem>();
-    readonly #zonesOut = new Set<string>();
+    readonly #evacuatedZones = new Set<string>();
     readonly #crashReports = new Map<string, StoredCrashReport>();
-    #crashReportChanges = 0;
-    #inForce: ConfigurationInForce | undefined;
-    #lastContactMs = -Infinity;
+    #crashReportsVersion = 0;
+    #configurationInForce: ConfigurationInForce | undefined;
+    #lastStoreContactMs = -Infinity;
     #currentAsOfMs = -Infinity;
-    #awaySinceMs: number | undefined;
+    #storeUnavailableSinceMs: number | undefined;
     /** Start of the current period without a store outage; `undefined` if unknown. */
-    #heardSinceMs: number | undefined;
-    #isRead = false;
+    #storeReachableSinceMs: number | undefined;
+    #hasSynced = false;
     /** Term of the store, which counts its restores from older backups, as of the last full read. */
     #term = 0;
-    readonly #restored = new StoreRestoreOverrides();
+    readonly #restoreOverrides = new StoreRestoreOverrides();
 
     /** `undefined` until the first configuration has been read. */
     get configurationInForce(): ConfigurationInForce | undefined {
-        return this.#inForce;
+        return this.#configurationInForce;
     }
 
     /** Whether a full read of the store has completed. */
     get hasSynced(): boolean {
-        return this.#isRead;
+        return this.#hasSynced;
     }
 
     /** Time of the last answer from the store. */
     get lastStoreContactMs(): number {
-        return this.#lastContactMs;
+        return this.#lastStoreContactMs;
     }
 
     /**
@@ -93,19 +93,19 @@
      * @returns duration of the outage that this answer ends, in milliseconds; `undefined` if there was none
      */
     onStoreContact(nowMs: number, ageMs = 0): number | undefined {
-        const awaySinceMs = this.#awaySinceMs;
-        const wasAway = awaySinceMs !== undefined && nowMs - awaySinceMs > storeOutageThresholdMs;
-        const wasSilent = nowMs - ageMs - this.#lastContactMs > storeOutageThresholdMs;
-        this.#awaySinceMs = undefined;
-        this.#lastContactMs = Math.max(this.#lastContactMs, nowMs - ageMs);
-        if (this.#heardSinceMs === undefined || wasAway || wasSilent) {
-            this.#heardSinceMs = nowMs;
+        const unavailableSinceMs = this.#storeUnavailableSinceMs;
+        const wasUnavailable = unavailableSinceMs !== undefined && nowMs - unavailableSinceMs > storeOutageThresholdMs;
+        const wasSilent = nowMs - ageMs - this.#lastStoreContactMs > storeOutageThresholdMs;
+        this.#storeUnavailableSinceMs = undefined;
+        this.#lastStoreContactMs = Math.max(this.#lastStoreContactMs, nowMs - ageMs);
+        if (this.#storeReachableSinceMs === undefined || wasUnavailable || wasSilent) {
+            this.#storeReachableSinceMs = nowMs;
         }
-        if (!wasAway) {
+        if (!wasUnavailable) {
             return undefined;
         }
         this.#directory.onStoreRecovered(nowMs);
-        return nowMs - awaySinceMs;
+        return nowMs - unavailableSinceMs;
     }
 
     /**
@@ -113,8 +113,11 @@
      * process cannot vouch for it now
      */
     storeReachableForMs(nowMs: number): number | undefined {
-        const isHeard = this.#awaySinceMs === undefined && nowMs - this.#lastContactMs <= storeOutageThresholdMs;
-        return isHeard && this.#heardSinceMs !== undefined ? nowMs - this.#heardSinceMs : undefined;
+        const isReachable = this.#storeUnavailableSinceMs === undefined
+            && nowMs - this.#lastStoreContactMs <= storeOutageThresholdMs;
+        return isReachable && this.#storeReachableSinceMs !== undefined
+            ? nowMs - this.#storeReachableSinceMs
+            : undefined;
     }
 
     /**
@@ -126,15 +129,15 @@
      */
     onPeerStoreContact(forMs: number, nowMs: number): void {
         const sinceMs = nowMs - forMs;
-        if (this.#heardSinceMs !== undefined) {
-            this.#heardSinceMs = Math.min(this.#heardSinceMs, sinceMs);
+        if (this.#storeReachableSinceMs !== undefined) {
+            this.#storeReachableSinceMs = Math.min(this.#storeReachableSinceMs, sinceMs);
         }
         this.#directory.onStoreUpSince(sinceMs);
     }
 
     /** This host was paused: a store outage may have gone unnoticed meanwhile. */
     onProcessPaused(): void {
-        this.#heardSinceMs = undefined;
+        this.#storeReachableSinceMs = undefined;
     }
 
     /** @returns whether any server is kept whose entry is missing, because the store may have been unavailable */
@@ -148,7 +151,7 @@
      * @param sinceMs - when the store may have become unavailable
      */
     onStoreCallFailed(sinceMs: number): void {
-        this.#awaySinceMs ??= sinceMs;
+        this.#storeUnavailableSinceMs ??= sinceMs;
     }
 
     /** Term of the store, which counts its restores from older backups, as of the last full read. */
@@ -166,23 +169,23 @@
      * @returns the resulting changes
      */
     onFullRead(items: readonly StateItem[], nowMs: number, term = 0): readonly FleetChange[] {
-        const read = new Set(items.map(item => item.key));
-        const lacking = [...this.#itemsByKey.values()].filter(({ key }) => !read.has(key));
+        const readKeys = new Set(items.map(item => item.key));
+        const missing = [...this.#itemsByKey.values()].filter(({ key }) => !readKeys.has(key));
         const deletedKeys: string[] = [];
-        const isRestored = this.#isRead && term > this.#term;
+        const isRestored = this.#hasSynced && term > this.#term;
         if (isRestored) {
-            this.#restored.onStoreRestored(nowMs);
+            this.#restoreOverrides.onStoreRestored(nowMs);
             this.#directory.onStoreRestored(nowMs);
         }
-        for (const item of lacking) {
-            if (item.type === "server" || (!isRestored && !this.#restored.retains(item.key, nowMs))) {
+        for (const item of missing) {
+            if (item.type === "server" || (!isRestored && !this.#restoreOverrides.retains(item.key, nowMs))) {
                 deletedKeys.push(item.key);
             }
             else if (isRestored) {
-                this.#restored.onMissing(item, nowMs);
+                this.#restoreOverrides.onMissing(item, nowMs);
             }
         }
-        this.#isRead = true;
+        this.#hasSynced = true;
         this.#term = Math.max(this.#term, term);
         return this.onChanges({ items: items.filter(item => !this.#isOutdated(item, nowMs)), deletedKeys }, nowMs);
     }
@@ -192,29 +195,29 @@
      * backup
      */
     countUnconfirmedKeys(): number {
-        return this.#restored.unconfirmedKeys.size;
+        return this.#restoreOverrides.unconfirmedKeys.size;
     }
 
     /** Applies changes since the last full read or change. */
     onChanges(changes: StateChanges, nowMs: number): readonly FleetChange[] {
-        const beliefs: FleetChange[] = [];
+        const fleetChanges: FleetChange[] = [];
         for (const key of changes.deletedKeys) {
-            this.#forget(key, nowMs, beliefs);
+            this.#removeKey(key, nowMs, fleetChanges);
         }
         for (const item of changes.items) {
-            this.#learn(item, nowMs, beliefs);
+            this.#applyItem(item, nowMs, fleetChanges);
         }
-        return beliefs;
+        return fleetChanges;
     }
 
     /** Ends overrides and lapsed entries whose time is over. */
     expire(nowMs: number): readonly FleetChange[] {
-        const { expiredKeys, confirmedItems } = this.#restored.expire(nowMs);
-        const beliefs = [...this.onChanges({ items: confirmedItems, deletedKeys: expiredKeys }, nowMs)];
+        const { expiredKeys, confirmedItems } = this.#restoreOverrides.expire(nowMs);
+        const fleetChanges = [...this.onChanges({ items: confirmedItems, deletedKeys: expiredKeys }, nowMs)];
         for (const { id, change } of this.#directory.expire(nowMs)) {
-            beliefs.push({ subject: "server", name: id, change });
+            fleetChanges.push({ subject: "server", name: id, change });
         }
-        return beliefs;
+        return fleetChanges;
     }
 
     /** @returns backend servers of a service that may get any new request */
@@ -253,7 +256,7 @@
 
     /** Incremented with each change of {@link crashReports}. */
     get crashReportsVersion(): number {
-        return this.#crashReportChanges;
+        return this.#crashReportsVersion;
     }
 
     /** @returns whether a server may get new requests; checked again right before a request is written */
@@ -261,19 +264,21 @@
         const server = this.#directory.get(id);
         if (
             server === undefined || !this.#directory.isReady(id, nowMs)
-            || this.#zonesOut.has(server.availabilityZone)
+            || this.#evacuatedZones.has(server.availabilityZone)
         ) {
             return false;
         }
-        const use = this.#rollouts.eligibilityOf(server);
-        return use === "superseded"
+        const eligibility = this.#rollouts.eligibilityOf(server);
+        return eligibility === "superseded"
             ? this.usableServers(server.service, nowMs).some(other => other.id === id)
-            : use !== "blocked";
+            : eligibility !== "blocked";
     }
 
     /** @returns backend servers of a service that may get new requests, ignoring roll-outs */
     readyServers(service: string, nowMs: number): readonly RegisteredServer[] {
-        return this.#directory.ready(service, nowMs).filter(server => !this.#zonesOut.has(server.availabilityZone));
+        return this.#directory.ready(service, nowMs).filter(server =>
+            !this.#evacuatedZones.has(server.availabilityZone)
+        );
     }
 
     /** Ids of all known backend servers, whatever their state. */
@@ -307,7 +312,7 @@
     }
 
     #isUnconfirmedGateway(name: string): boolean {
-        for (const key of this.#restored.unconfirmedKeys.keys()) {
+        for (const key of this.#restoreOverrides.unconfirmedKeys.keys()) {
             const item = this.#itemsByKey.get(key);
             if (item?.type === "gateway" && item.name === name) {
                 return true;
@@ -325,42 +330,42 @@
             const known = this.#rollouts.planOf(item.status.service)?.status;
             return known !== undefined && isLaterStatus(known, item.status);
         }
-        return !this.#itemsByKey.has(item.key) && this.#restored.suppresses(item, nowMs);
+        return !this.#itemsByKey.has(item.key) && this.#restoreOverrides.suppresses(item, nowMs);
     }
 
-    #learn(item: StateItem, nowMs: number, beliefs: FleetChange[]): void {
-        this.#restored.onWritten(item.key);
+    #applyItem(item: StateItem, nowMs: number, fleetChanges: FleetChange[]): void {
+        this.#restoreOverrides.onWritten(item.key);
         const before = this.#itemsByKey.get(item.key);
         if (before !== undefined && !isSameSubject(before, item)) {
-            this.#forget(item.key, nowMs, beliefs);
+            this.#removeKey(item.key, nowMs, fleetChanges);
         }
         this.#itemsByKey.set(item.key, item);
         switch (item.type) {
             case "configuration":
-                this.#learnConfiguration(item.configuration, beliefs);
+                this.#applyConfiguration(item.configuration, fleetChanges);
                 return;
             case "zoneOut":
-                if (!this.#zonesOut.has(item.availabilityZone)) {
-                    this.#zonesOut.add(item.availabilityZone);
-                    beliefs.push({ subject: "availabilityZone", name: item.availabilityZone, change: "out" });
+                if (!this.#evacuatedZones.has(item.availabilityZone)) {
+                    this.#evacuatedZones.add(item.availabilityZone);
+                    fleetChanges.push({ subject: "availabilityZone", name: item.availabilityZone, change: "out" });
                 }
                 return;
             case "server": {
                 const change = this.#directory.onEntry(item.server);
                 if (change !== undefined) {
-                    beliefs.push({ subject: "server", name: change.id, change: change.change });
+                    fleetChanges.push({ subject: "server", name: change.id, change: change.change });
                 }
                 return;
             }
             case "gateway":
                 if (!this.#roster.isRegistered(item.name)) {
-                    beliefs.push({ subject: "gateway", name: item.name, change: "present" });
+                    fleetChanges.push({ subject: "gateway", name: item.name, change: "present" });
                 }
                 this.#roster.onRegistered(item.name, item.leaseId, item.registration);
                 return;
             case "rolloutOrder":
                 this.#rollouts.onOrder(item.order);
-                beliefs.push({
+                fleetChanges.push({
                     subject: "rollout",
                     name: item.order.service,
                     change: `ordered ${item.order.version} within ${item.order.allowedMs} ms`,
@@ -368,7 +373,7 @@
                 return;
             case "rolloutStatus":
                 this.#rollouts.onStatus(item.status, item.revision, this.#directory.ready(item.status.service, nowMs));
-                beliefs.push({
+                fleetChanges.push({
                     subject: "rollout",
                     name: item.status.service,
                     change: `${item.status.version} ${item.status.stage}`,
@@ -377,60 +382,60 @@
             case "crashReport": {
                 const { gateway, report, revision } = item;
                 this.#crashReports.set(gateway, { report, revision });
-                this.#crashReportChanges++;
+                this.#crashReportsVersion++;
                 const change = `${report.strikes.length} strikes, ${report.cleared.length} cleared`;
-                beliefs.push({ subject: "crashReport", name: gateway, change });
+                fleetChanges.push({ subject: "crashReport", name: gateway, change });
                 return;
             }
             case "ignored":
                 if (item.reason !== undefined) {
-                    beliefs.push({ subject: "item", name: item.key, change: `ignored: ${item.reason}` });
+                    fleetChanges.push({ subject: "item", name: item.key, change: `ignored: ${item.reason}` });
                 }
         }
     }
 
-    #learnConfiguration(configuration: FleetConfiguration, beliefs: FleetChange[]): void {
-        const current = this.#inForce?.configuration.version ?? -1;
+    #applyConfiguration(configuration: FleetConfiguration, fleetChanges: FleetChange[]): void {
+        const current = this.#configurationInForce?.configuration.version ?? -1;
         if (configuration.version <= current) {
             return;
         }
-        this.#inForce = {
+        this.#configurationInForce = {
             configuration,
             routes: createRouteTable(configuration.routes),
             services: new Map(configuration.services.map(rules => [rules.name, rules])),
             workspaces: configuration.workspaces && new WorkspaceDirectory(configuration.workspaces),
         };
-        beliefs.push({ subject: "configuration", name: String(configuration.version), change: "inForce" });
+        fleetChanges.push({ subject: "configuration", name: String(configuration.version), change: "inForce" });
     }
 
-    #forget(key: string, nowMs: number, beliefs: FleetChange[]): void {
+    #removeKey(key: string, nowMs: number, fleetChanges: FleetChange[]): void {
         const item = this.#itemsByKey.get(key);
         this.#itemsByKey.delete(key);
-        this.#restored.onDeleted(key, item, nowMs);
+        this.#restoreOverrides.onDeleted(key, item, nowMs);
         switch (item?.type) {
             case "zoneOut":
-                this.#zonesOut.delete(item.availabilityZone);
-                beliefs.push({ subject: "availabilityZone", name: item.availabilityZone, change: "in" });
+                this.#evacuatedZones.delete(item.availabilityZone);
+                fleetChanges.push({ subject: "availabilityZone", name: item.availabilityZone, change: "in" });
                 return;
             case "server": {
                 const change = this.#directory.onEntryMissing(item.server.id, nowMs);
                 if (change !== undefined) {
-                    beliefs.push({ subject: "server", name: change.id, change: change.change });
+                    fleetChanges.push({ subject: "server", name: change.id, change: change.change });
                 }
                 return;
             }
             case "gateway":
                 this.#roster.onUnregistered(item.name, nowMs);
-                beliefs.push({ subject: "gateway", name: item.name, change: "gone" });
+                fleetChanges.push({ subject: "gateway", name: item.name, change: "gone" });
                 return;
             case "rolloutOrder":
                 this.#rollouts.onOrderDeleted(item.order);
-                beliefs.push({ subject: "rollout", name: item.order.service, change: "order withdrawn" });
+                fleetChanges.push({ subject: "rollout", name: item.order.service, change: "order withdrawn" });
                 return;
             case "crashReport":
                 this.#crashReports.delete(item.gateway);
-                this.#crashReportChanges++;
-                beliefs.push({ subject: "crashReport", name: item.gateway, change: "gone" });
+                this.#crashReportsVersion++;
+                fleetChanges.push({ subject: "crashReport", name: item.gateway, change: "gone" });
                 return;
             case "rolloutStatus":
                 this.#rollouts.onStatusDeleted(item.status);
--- a/packages/fleetState/src/gatewayRegistration.ts
+++ b/packages/fleetState/src/gatewayRegistration.ts
@@ -12,7 +12,7 @@
     return JSON.stringify({ availabilityZone, peers: `${peerAddress.host}:${peerAddress.port}` });
 }
 
-const peersAddress = /^(.+):(\d{1,5})$/;
+const addressPattern = /^(.+):(\d{1,5})$/;
 
 /**
  * Parses the stored value of a registration.
@@ -22,16 +22,16 @@
  * a relay
  */
 export function readGatewayRegistration(value: string): GatewayRegistration | undefined {
-    let read: { readonly availabilityZone?: unknown; readonly peers?: unknown; };
+    let parsed: { readonly availabilityZone?: unknown; readonly peers?: unknown; };
     try {
-        read = JSON.parse(value) as typeof read;
+        parsed = JSON.parse(value) as typeof parsed;
     }
     catch {
         return undefined;
     }
-    const [, host, port] = peersAddress.exec(String(read.peers)) ?? [];
-    if (typeof read.availabilityZone !== "string" || host === undefined || port === undefined) {
+    const [, host, port] = addressPattern.exec(String(parsed.peers)) ?? [];
+    if (typeof parsed.availabilityZone !== "string" || host === undefined || port === undefined) {
         return undefined;
     }
-    return { availabilityZone: read.availabilityZone, peerAddress: { host, port: Number(port) } };
+    return { availabilityZone: parsed.availabilityZone, peerAddress: { host, port: Number(port) } };
 }
--- a/packages/fleetState/src/gatewayRoster.ts
+++ b/packages/fleetState/src/gatewayRoster.ts
@@ -15,7 +15,7 @@
     readonly atMs: number;
 }
 
-interface PresentGateway {
+interface RegisteredMember {
     readonly leaseId: string | undefined;
     readonly registration: GatewayRegistration | undefined;
 }
@@ -26,36 +26,36 @@
  * joins at once and leaves late: the number of members may be too large for a while, but not too small.
  */
 export class GatewayRoster {
-    readonly #present = new Map<string, PresentGateway>();
+    readonly #registered = new Map<string, RegisteredMember>();
     readonly #departed = new Map<string, DepartedGateway>();
-    #counted: GatewayMembers | undefined;
+    #members: GatewayMembers | undefined;
     /** When the next departed gateway ceases to be a member. */
-    #countedUntilMs = Infinity;
+    #membersUntilMs = Infinity;
 
     onRegistered(name: string, leaseId: string | undefined, registration?: GatewayRegistration): void {
-        const before = this.#present.get(name);
-        this.#present.set(name, { leaseId, registration });
+        const before = this.#registered.get(name);
+        this.#registered.set(name, { leaseId, registration });
         this.#departed.delete(name);
         if (before === undefined || before.registration?.availabilityZone !== registration?.availabilityZone) {
-            this.#counted = undefined;
+            this.#members = undefined;
         }
     }
 
     onUnregistered(name: string, nowMs: number): void {
-        const gone = this.#present.get(name);
+        const gone = this.#registered.get(name);
         if (gone !== undefined) {
-            this.#present.delete(name);
+            this.#registered.delete(name);
             this.#departed.set(name, { availabilityZone: gone.registration?.availabilityZone, atMs: nowMs });
-            this.#counted = undefined;
+            this.#members = undefined;
         }
     }
 
     /** @returns the current members */
     members(nowMs: number): GatewayMembers {
-        if (this.#counted === undefined || nowMs >= this.#countedUntilMs) {
-            this.#counted = this.#count(nowMs);
+        if (this.#members === undefined || nowMs >= this.#membersUntilMs) {
+            this.#members = this.#computeMembers(nowMs);
         }
-        return this.#counted;
+        return this.#members;
     }
 
     /** @returns the names of the current members, sorted */
@@ -63,19 +63,19 @@
         return this.members(nowMs).names;
     }
 
-    #count(nowMs: number): GatewayMembers {
+    #computeMembers(nowMs: number): GatewayMembers {
         const zones = new Map<string, string | undefined>();
-        for (const [name, { registration }] of this.#present) {
+        for (const [name, { registration }] of this.#registered) {
             zones.set(name, registration?.availabilityZone);
         }
-        this.#countedUntilMs = Infinity;
+        this.#membersUntilMs = Infinity;
         for (const [name, { availabilityZone, atMs }] of this.#departed) {
             if (nowMs - atMs >= departedGatewayGraceMs) {
                 this.#departed.delete(name);
                 continue;
             }
             zones.set(name, availabilityZone);
-            this.#countedUntilMs = Math.min(this.#countedUntilMs, atMs + departedGatewayGraceMs);
+            this.#membersUntilMs = Math.min(this.#membersUntilMs, atMs + departedGatewayGraceMs);
         }
         const names = [...zones.keys()].sort();
         const byZone = new Map<string, string[]>();
@@ -92,18 +92,18 @@
 
     /** @returns whether a gateway is registered now */
     isRegistered(name: string): boolean {
-        return this.#present.has(name);
+        return this.#registered.has(name);
     }
 
     /** @returns the id of the lease that a gateway's registration is attached to */
     leaseOf(name: string): string | undefined {
-        return this.#present.get(name)?.leaseId;
+        return this.#registered.get(name)?.leaseId;
     }
 
     /** @returns the gateways that are registered now and have an address for relaying changes */
     registered(): readonly RegisteredGateway[] {
         const gateways: RegisteredGateway[] = [];
-        for (const [name, { registration }] of this.#present) {
+        for (const [name, { registration }] of this.#registered) {
             if (registration !== undefined) {
                 gateways.push({ name, ...registration });
             }
--- a/packages/fleetState/src/rolloutRegistry.ts
+++ b/packages/fleetState/src/rolloutRegistry.ts
@@ -22,10 +22,10 @@
         if (plan === undefined) {
             return "stable";
         }
-        const use = resolveVersionEligibility(version, plan);
+        const eligibility = resolveVersionEligibility(version, plan);
         // Servers of another version that join after the completion would otherwise stay idle forever.
         const joinedLater = plan.status?.stage === "completed" && this.#retiring.get(service)?.has(id) !== true;
-        return use === "superseded" && joinedLater ? "stable" : use;
+        return eligibility === "superseded" && joinedLater ? "stable" : eligibility;
     }
 
     onOrder(order: RolloutOrder): void {
--- a/packages/fleetState/src/serverDirectory.ts
+++ b/packages/fleetState/src/serverDirectory.ts
@@ -8,11 +8,11 @@
      * End of the grace period of an entry that was found missing right after a store outage; `undefined` while the
      * entry exists.
      */
-    readonly believedUntilMs: number | undefined;
+    readonly keptUntilMs: number | undefined;
 }
 
 /** The last entry of a server that is no longer in the store. */
-interface EndedServer {
+interface RemovedServer {
     readonly server: RegisteredServer;
     readonly atMs: number;
 }
@@ -33,10 +33,10 @@
 export class ServerDirectory {
     readonly #entries = new Map<string, DirectoryEntry>();
     readonly #byService = new Map<string, Set<string>>();
-    readonly #ended = new Map<string, EndedServer>();
-    #believeLapsedUntilMs = -Infinity;
+    readonly #removed = new Map<string, RemovedServer>();
+    #keepLapsedUntilMs = -Infinity;
     /** When this process last found the store available after an outage. */
-    #returnedAtMs = -Infinity;
+    #recoveredAtMs = -Infinity;
     /** When the store was last restored from an older backup. */
     #restoredAtMs = -Infinity;
 
@@ -49,9 +49,9 @@
         if (known !== undefined) {
             return compareEntries(server, known) < 0;
         }
-        const ended = this.#ended.get(server.id);
-        const order = ended === undefined ? 1 : compareEntries(server, ended.server);
-        return order < 0 || (order === 0 && ended !== undefined && ended.atMs < this.#restoredAtMs);
+        const removed = this.#removed.get(server.id);
+        const order = removed === undefined ? 1 : compareEntries(server, removed.server);
+        return order < 0 || (order === 0 && removed !== undefined && removed.atMs < this.#restoredAtMs);
     }
 
     /** The store was restored from an older backup. */
@@ -62,8 +62,8 @@
 
     /** The store has just become available after an outage. Starts the grace period for lapsed entries. */
     onStoreRecovered(nowMs: number): void {
-        this.#returnedAtMs = nowMs;
-        this.#believeLapsedUntilMs = nowMs + lapsedEntryGraceMs;
+        this.#recoveredAtMs = nowMs;
+        this.#keepLapsedUntilMs = nowMs + lapsedEntryGraceMs;
     }
 
     /**
@@ -73,21 +73,21 @@
      */
     onStoreUpSince(sinceMs: number): void {
         const untilMs = sinceMs + lapsedEntryGraceMs;
-        if (this.#returnedAtMs - sinceMs <= storeReconnectWindowMs || untilMs >= this.#believeLapsedUntilMs) {
+        if (this.#recoveredAtMs - sinceMs <= storeReconnectWindowMs || untilMs >= this.#keepLapsedUntilMs) {
             return;
         }
-        this.#believeLapsedUntilMs = untilMs;
-        for (const [id, { server, believedUntilMs }] of this.#entries) {
-            if (believedUntilMs !== undefined && believedUntilMs > untilMs) {
-                this.#put(id, { server, believedUntilMs: untilMs });
+        this.#keepLapsedUntilMs = untilMs;
+        for (const [id, { server, keptUntilMs }] of this.#entries) {
+            if (keptUntilMs !== undefined && keptUntilMs > untilMs) {
+                this.#put(id, { server, keptUntilMs: untilMs });
             }
         }
     }
 
     /** @returns whether any server is kept whose entry is missing */
     hasLapsedEntries(nowMs: number): boolean {
-        for (const { believedUntilMs } of this.#entries.values()) {
-            if (believedUntilMs !== undefined && nowMs < believedUntilMs) {
+        for (const { keptUntilMs } of this.#entries.values()) {
+            if (keptUntilMs !== undefined && nowMs < keptUntilMs) {
                 return true;
             }
         }
@@ -97,8 +97,8 @@
     /** @returns the change; `undefined` if the entry has nothing new */
     onEntry(server: RegisteredServer): ServerChange | undefined {
         const known = this.#entries.get(server.id)?.server;
-        this.#ended.delete(server.id);
-        this.#put(server.id, { server, believedUntilMs: undefined });
+        this.#removed.delete(server.id);
+        this.#put(server.id, { server, keptUntilMs: undefined });
         const change = resolveChange(known, server);
         return change === undefined ? undefined : { id: server.id, change };
     }
@@ -106,12 +106,12 @@
     /** The entry is no longer in the store. */
     onEntryMissing(id: string, nowMs: number): ServerChange | undefined {
         const entry = this.#entries.get(id);
-        if (entry === undefined || entry.believedUntilMs !== undefined) {
+        if (entry === undefined || entry.keptUntilMs !== undefined) {
             return undefined;
         }
-        this.#ended.set(id, { server: entry.server, atMs: nowMs });
-        if (nowMs < this.#believeLapsedUntilMs && entry.server.state === "ready") {
-            this.#put(id, { server: entry.server, believedUntilMs: this.#believeLapsedUntilMs });
+        this.#removed.set(id, { server: entry.server, atMs: nowMs });
+        if (nowMs < this.#keepLapsedUntilMs && entry.server.state === "ready") {
+            this.#put(id, { server: entry.server, keptUntilMs: this.#keepLapsedUntilMs });
             return { id, change: "lapsed" };
         }
         this.#remove(id);
@@ -125,13 +125,13 @@
      */
     expire(nowMs: number): readonly ServerChange[] {
         const expired: ServerChange[] = [];
-        for (const [id, { atMs }] of this.#ended) {
+        for (const [id, { atMs }] of this.#removed) {
             if (nowMs - atMs >= tombstoneRetentionMs) {
-                this.#ended.delete(id);
+                this.#removed.delete(id);
             }
         }
-        for (const [id, { believedUntilMs }] of this.#entries) {
-            if (believedUntilMs !== undefined && nowMs >= believedUntilMs) {
+        for (const [id, { keptUntilMs }] of this.#entries) {
+            if (keptUntilMs !== undefined && nowMs >= keptUntilMs) {
                 this.#remove(id);
                 expired.push({ id, change: "removed" });
             }
@@ -170,7 +170,7 @@
         if (entry === undefined || entry.server.state !== "ready") {
             return undefined;
         }
-        return entry.believedUntilMs === undefined || nowMs < entry.believedUntilMs ? entry.server : undefined;
+        return entry.keptUntilMs === undefined || nowMs < entry.keptUntilMs ? entry.server : undefined;
     }
 
     #put(id: string, entry: DirectoryEntry): void {
@@ -198,9 +198,9 @@
     if (a.startedAtEpochMs !== b.startedAtEpochMs) {
         return (a.startedAtEpochMs ?? 0) - (b.startedAtEpochMs ?? 0);
     }
-    const later = a.sequence === undefined || b.sequence === undefined ? 0 : a.sequence - b.sequence;
+    const sequenceOrder = a.sequence === undefined || b.sequence === undefined ? 0 : a.sequence - b.sequence;
     // A draining server never becomes ready again within the same start.
-    return later === 0 && a.state === "ready" && b.state === "draining" ? -1 : later;
+    return sequenceOrder === 0 && a.state === "ready" && b.state === "draining" ? -1 : sequenceOrder;
 }
 
 function resolveChange(
@@ -217,6 +217,6 @@
         return before.state === "draining" ? undefined : "draining";
     }
     const moved = before.address.host !== after.address.host || before.address.port !== after.address.port;
-    const isOther = before.service !== after.service || before.version !== after.version;
-    return moved || before.state !== after.state || isOther ? "changed" : undefined;
+    const hasOtherServiceOrVersion = before.service !== after.service || before.version !== after.version;
+    return moved || before.state !== after.state || hasOtherServiceOrVersion ? "changed" : undefined;
 }
--- a/packages/fleetState/src/storeMirror.ts
+++ b/packages/fleetState/src/storeMirror.ts
@@ -23,7 +23,7 @@
     #deletions: readonly { readonly key: string; readonly revision: number; }[] = [];
     #revision = 0;
     /** The revision from which the deletions are complete. */
-    #historyFrom = Infinity;
+    #historyStartRevision = Infinity;
 
     /** Revision up to which the store's changes are known. */
     get revision(): number {
@@ -37,12 +37,12 @@
             // a full read.
             this.#entries.clear();
             this.#deletions = [];
-            this.#historyFrom = revision;
+            this.#historyStartRevision = revision;
         }
-        const read = new Set(entries.map(({ key }) => key));
-        const missing = [...this.#entries.keys()].filter(key => !read.has(key));
+        const readKeys = new Set(entries.map(({ key }) => key));
+        const missing = [...this.#entries.keys()].filter(key => !readKeys.has(key));
         // The first read does not show what was deleted before it.
-        this.#historyFrom = Math.min(this.#historyFrom, revision);
+        this.#historyStartRevision = Math.min(this.#historyStartRevision, revision);
         this.onChanges({ revision, changed: entries, deleted: missing });
     }
 
@@ -56,15 +56,15 @@
         this.#revision = Math.max(this.#revision, revision);
         this.#deletions = [...this.#deletions, ...deleted.map(key => ({ key, revision }))];
         if (this.#deletions.length > maxRetainedDeletions) {
-            const forgotten = this.#deletions.at(-maxRetainedDeletions - 1);
-            this.#historyFrom = Math.max(this.#historyFrom, forgotten?.revision ?? 0);
+            const lastDropped = this.#deletions.at(-maxRetainedDeletions - 1);
+            this.#historyStartRevision = Math.max(this.#historyStartRevision, lastDropped?.revision ?? 0);
             this.#deletions = this.#deletions.slice(-maxRetainedDeletions);
         }
     }
 
     /** @returns the changes after a revision, or `undefined` if they are no longer known */
     changesSince(afterRevision: number): MirroredChanges | undefined {
-        if (afterRevision < this.#historyFrom) {
+        if (afterRevision < this.#historyStartRevision) {
             return undefined;
         }
         const deleted = this.#deletions
--- a/packages/fleetState/src/storePosition.ts
+++ b/packages/fleetState/src/storePosition.ts
@@ -6,7 +6,7 @@
 
 /** Number of revisions in one term; together with the largest term, positions stay exact as numbers. */
 const revisionsPerTerm = 2 ** 40;
-const mostTerms = 2 ** 12;
+const maxTerms = 2 ** 12;
 
 /**
  * @param term - number of restores from an older backup, as reported by the store; 0 if it does not report one
@@ -14,7 +14,7 @@
  * @returns the position, or `undefined` if the term or revision is out of range
  */
 export function toPosition(term: number, revision: number): number | undefined {
-    const isTerm = Number.isInteger(term) && term >= 0 && term < mostTerms;
+    const isTerm = Number.isInteger(term) && term >= 0 && term < maxTerms;
     const isRevision = Number.isInteger(revision) && revision >= 0 && revision < revisionsPerTerm;
     return isTerm && isRevision ? term * revisionsPerTerm + revision : undefined;
 }
@@ -41,15 +41,18 @@
     /**
      * Handles an answer from the store.
      *
-     * @param told - the term in the answer; `undefined` if it is missing or malformed
+     * @param reportedTerm - the term in the answer; `undefined` if it is missing or malformed
      * @returns the term of the answer; if it is below {@link latest}, the answer was given before a restore of the
      * store and arrived late
      */
-    onAnswer(told: number | undefined): number {
-        if (told === undefined || !Number.isInteger(told) || told < 0 || told >= mostTerms) {
+    onAnswer(reportedTerm: number | undefined): number {
+        if (
+            reportedTerm === undefined || !Number.isInteger(reportedTerm) || reportedTerm < 0
+            || reportedTerm >= maxTerms
+        ) {
             return this.#latest;
         }
-        this.#latest = Math.max(this.#latest, told);
-        return told;
+        this.#latest = Math.max(this.#latest, reportedTerm);
+        return reportedTerm;
     }
 }
--- a/packages/fleetState/src/storeRestoreOverrides.ts
+++ b/packages/fleetState/src/storeRestoreOverrides.ts
@@ -11,7 +11,7 @@
     readonly atMs: number;
 }
 
-interface HeldBack {
+interface SuppressedItem {
     readonly item: StateItem;
     readonly untilMs: number;
 }
@@ -30,31 +30,31 @@
  * item that reappears from the backup is not new, so it is suppressed. Both apply for a limited time.
  */
 export class StoreRestoreOverrides {
-    readonly #unconfirmed = new Map<string, number>();
-    readonly #heldBack = new Map<string, HeldBack>();
+    readonly #unconfirmedKeys = new Map<string, number>();
+    readonly #suppressed = new Map<string, SuppressedItem>();
     readonly #withdrawals = new Map<string, Withdrawal>();
-    #returnedAtMs = -Infinity;
+    #restoredAtMs = -Infinity;
 
     /** The store was restored from an older backup. */
     onStoreRestored(nowMs: number): void {
-        this.#returnedAtMs = nowMs;
-        this.#heldBack.clear();
+        this.#restoredAtMs = nowMs;
+        this.#suppressed.clear();
     }
 
     /** @returns whether a key stays in effect although a full read lacks it */
     retains(key: string, nowMs: number): boolean {
-        return nowMs < (this.#unconfirmed.get(key) ?? -Infinity);
+        return nowMs < (this.#unconfirmedKeys.get(key) ?? -Infinity);
     }
 
     /** Keys that are in effect without being in the store, with the end of that time. */
     get unconfirmedKeys(): ReadonlyMap<string, number> {
-        return this.#unconfirmed;
+        return this.#unconfirmedKeys;
     }
 
     /** The first full read after a restore lacks this item. */
     onMissing(item: StateItem, nowMs: number): void {
-        const forMs = item.type === "gateway" ? departedGatewayGraceMs : unconfirmedKeyTtlMs;
-        this.#unconfirmed.set(item.key, nowMs + forMs);
+        const ttlMs = item.type === "gateway" ? departedGatewayGraceMs : unconfirmedKeyTtlMs;
+        this.#unconfirmedKeys.set(item.key, nowMs + ttlMs);
     }
 
     /**
@@ -63,20 +63,21 @@
      * @returns whether it is the one that was withdrawn before the restore, rather than a new one
      */
     suppresses(item: StateItem, nowMs: number): boolean {
-        const withdrawn = this.#withdrawals.get(item.key);
-        const untilMs = this.#returnedAtMs + withdrawnEvacuationHoldMs;
-        const isOld = item.type === "zoneOut" && withdrawn !== undefined && withdrawn.atMs < this.#returnedAtMs
-            && withdrawn.revision === item.revision && nowMs < untilMs;
-        if (isOld) {
-            this.#heldBack.set(item.key, { item, untilMs });
+        const withdrawal = this.#withdrawals.get(item.key);
+        const untilMs = this.#restoredAtMs + withdrawnEvacuationHoldMs;
+        const isWithdrawnItem = item.type === "zoneOut" && withdrawal !== undefined
+            && withdrawal.atMs < this.#restoredAtMs
+            && withdrawal.revision === item.revision && nowMs < untilMs;
+        if (isWithdrawnItem) {
+            this.#suppressed.set(item.key, { item, untilMs });
         }
-        return isOld;
+        return isWithdrawnItem;
     }
 
     /** A key was written. */
     onWritten(key: string): void {
-        this.#unconfirmed.delete(key);
-        this.#heldBack.delete(key);
+        this.#unconfirmedKeys.delete(key);
+        this.#suppressed.delete(key);
     }
 
     /** A key was deleted. */
@@ -93,15 +94,15 @@
      * @returns the overrides that ended
      */
     expire(nowMs: number): ExpiredOverrides {
-        const lost = [...this.#unconfirmed].filter(([, untilMs]) => nowMs >= untilMs).map(([key]) => key);
-        const confirmed = [...this.#heldBack.values()].filter(({ untilMs }) => nowMs >= untilMs).map(({ item }) =>
-            item
-        );
+        const expiredKeys = [...this.#unconfirmedKeys].filter(([, untilMs]) => nowMs >= untilMs).map(([key]) => key);
+        const confirmedItems = [...this.#suppressed.values()].filter(({ untilMs }) => nowMs >= untilMs).map((
+            { item },
+        ) => item);
         for (const [key, { atMs }] of this.#withdrawals) {
             if (nowMs - atMs >= tombstoneRetentionMs) {
                 this.#withdrawals.delete(key);
             }
         }
-        return { expiredKeys: lost, confirmedItems: confirmed };
+        return { expiredKeys, confirmedItems };
     }
 }
--- a/packages/fleetState/src/versionEligibility.ts
+++ b/packages/fleetState/src/versionEligibility.ts
@@ -38,12 +38,12 @@
     if (version !== undefined && status?.rejectedVersions.includes(version) === true) {
         return "blocked";
     }
-    const orderIsNewer = order !== undefined && order.version !== status?.version;
+    const hasNewerOrder = order !== undefined && order.version !== status?.version;
     if (status === undefined || version !== status.version) {
-        if (orderIsNewer && version === order.version) {
+        if (hasNewerOrder && version === order.version) {
             return "trial";
         }
-        return status !== undefined && isShifted(status.stage) && !(orderIsNewer && status.stage === "shifted")
+        return status !== undefined && isShifted(status.stage) && !(hasNewerOrder && status.stage === "shifted")
             ? "superseded"
             : "stable";
     }
@@ -54,7 +54,7 @@
             return "blocked";
         default:
             // A version whose order is withdrawn or replaced before it is proved gets no more requests.
-            if (order === undefined || orderIsNewer) {
+            if (order === undefined || hasNewerOrder) {
                 return "blocked";
             }
             return status.stage === "shifted" ? "stable" : "trial";
--- a/packages/fleetState/src/watchSourceSelector.ts
+++ b/packages/fleetState/src/watchSourceSelector.ts
@@ -20,7 +20,7 @@
     };
 
 const relaySubject = "relay";
-const store: WatchSource = Object.freeze({ type: "store" });
+const storeSource: WatchSource = Object.freeze({ type: "store" });
 
 /**
  * Selects where a gateway watches for store changes. Calls to the store cost money, and its rate limits grow more
@@ -38,13 +38,13 @@
     readonly #availabilityZone: string;
     readonly #failedUntilMs = new Map<string, number>();
     /** Failed relays that answered but did not reach the store. */
-    readonly #cutOff = new Set<string>();
-    #known: string | undefined;
-    #failuresInRow = 0;
-    #directUntilMs = -Infinity;
-    #askedUntilMs = -Infinity;
+    readonly #partitionedRelays = new Set<string>();
+    #lastAnswered: string | undefined;
+    #consecutiveFailures = 0;
+    #directReadUntilMs = -Infinity;
+    #peerRequestUntilMs = -Infinity;
     /** Whether direct reads of the store end with the first one that succeeds. */
-    #untilKnown = false;
+    #directUntilCaughtUp = false;
 
     /**
      * @param self - name of this gateway, as in its registration
@@ -57,27 +57,32 @@
 
     /** @returns the source for the next watch request */
     choose(gateways: readonly RegisteredGateway[], nowMs: number): WatchSource {
-        if (nowMs < Math.max(this.#directUntilMs, this.#askedUntilMs)) {
-            return store;
+        if (nowMs < Math.max(this.#directReadUntilMs, this.#peerRequestUntilMs)) {
+            return storeSource;
         }
         const own = gateways.filter(({ availabilityZone }) => availabilityZone === this.#availabilityZone);
         const ownRelays = findRelays(own);
         if (ownRelays.length === 0 || ownRelays.includes(this.#self)) {
-            return store;
+            return storeSource;
         }
         const others = gateways.filter(({ availabilityZone }) => availabilityZone !== this.#availabilityZone);
-        const ordered = [...this.#order(ownRelays), ...this.#order(findRelaysByZone(others))];
+        const ordered = [...this.#rank(ownRelays), ...this.#rank(findRelaysByZone(others))];
         const name = ordered.find(relay => nowMs >= (this.#failedUntilMs.get(relay) ?? -Infinity));
         const peer = gateways.find(gateway => gateway.name === name);
         return peer === undefined
-            ? store
-            : { type: "peer", name: peer.name, address: peer.peerAddress, answeredLast: peer.name === this.#known };
+            ? storeSource
+            : {
+                type: "peer",
+                name: peer.name,
+                address: peer.peerAddress,
+                answeredLast: peer.name === this.#lastAnswered,
+            };
     }
 
     /** Handles an answer from a relay, with or without changes. */
     onAnswer(name: string): void {
-        this.#known = name;
-        this.#failuresInRow = 0;
+        this.#lastAnswered = name;
+        this.#consecutiveFailures = 0;
         this.#failedUntilMs.delete(name);
     }
 
@@ -89,33 +94,33 @@
      * @param answered - whether the peer answered that it does not reach the store
      */
     onFailure(name: string, nowMs: number, answered = false): void {
-        this.#known = undefined;
+        this.#lastAnswered = undefined;
         if (answered) {
-            this.#cutOff.add(name);
+            this.#partitionedRelays.add(name);
         }
         else {
-            this.#cutOff.delete(name);
+            this.#partitionedRelays.delete(name);
         }
         this.#failedUntilMs.set(name, nowMs + relayRetryDelayMs);
-        this.#failuresInRow++;
-        if (this.#failuresInRow >= maxRelayAttempts) {
-            this.#untilKnown = false;
-            this.#directUntilMs = nowMs + directStoreReadMs;
-            this.#failuresInRow = 0;
+        this.#consecutiveFailures++;
+        if (this.#consecutiveFailures >= maxRelayAttempts) {
+            this.#directUntilCaughtUp = false;
+            this.#directReadUntilMs = nowMs + directStoreReadMs;
+            this.#consecutiveFailures = 0;
         }
     }
 
     /** A peer has changes that it cannot relay: reads the store itself until they are known, for a limited time. */
     onChangeNotRelayed(nowMs: number, forMs: number): void {
-        this.#directUntilMs = Math.max(this.#directUntilMs, nowMs + forMs);
-        this.#untilKnown = true;
+        this.#directReadUntilMs = Math.max(this.#directReadUntilMs, nowMs + forMs);
+        this.#directUntilCaughtUp = true;
     }
 
     /** Handles a successful direct read of the store. */
     onCaughtUp(): void {
-        if (this.#untilKnown) {
-            this.#untilKnown = false;
-            this.#directUntilMs = -Infinity;
+        if (this.#directUntilCaughtUp) {
+            this.#directUntilCaughtUp = false;
+            this.#directReadUntilMs = -Infinity;
         }
     }
 
@@ -124,12 +129,12 @@
      * it; they may be asked again at once. Relays that gave no answer are not waited for a second time.
      */
     onStoreRecovered(): void {
-        for (const name of this.#cutOff) {
+        for (const name of this.#partitionedRelays) {
             this.#failedUntilMs.delete(name);
         }
-        this.#cutOff.clear();
-        this.#failuresInRow = 0;
-        this.#directUntilMs = -Infinity;
+        this.#partitionedRelays.clear();
+        this.#consecutiveFailures = 0;
+        this.#directReadUntilMs = -Infinity;
     }
 
     /**
@@ -137,10 +142,10 @@
      * changes that it got from the store.
      */
     onPeerRequest(nowMs: number): void {
-        this.#askedUntilMs = nowMs + directStoreReadMs;
+        this.#peerRequestUntilMs = nowMs + directStoreReadMs;
     }
 
-    #order(relays: readonly string[]): readonly string[] {
+    #rank(relays: readonly string[]): readonly string[] {
         return findOwners(this.#self, relays, relays.length);
     }
 }
--- a/packages/reachability/src/handoverTargetSelector.ts
+++ b/packages/reachability/src/handoverTargetSelector.ts
@@ -8,7 +8,7 @@
     unreachableTtlMs,
 } from "./constants.js";
 
-/** Dependencies and settings of {@link HelperSelector}. */
+/** Dependencies and settings of {@link HandoverTargetSelector}. */
 export interface HandoverTargetSelectorDeps {
     /** Name of this gateway, as in its registration. */
     readonly name: string;
@@ -17,35 +17,35 @@
     readonly random: RandomSource;
 }
 
-interface Word {
+interface PeerStatus {
     readonly reaches: boolean;
     readonly untilMs: number;
 }
 
 /** Reachability of one service from other gateways, by gateway name. */
-type Words = Map<string, Word>;
+type PeerStatuses = Map<string, PeerStatus>;
 
 /**
  * Selects other gateways that can send the requests of a service which this host cannot reach, based on their answers
  * and on the outcomes of requests.
  */
 export class HandoverTargetSelector {
-    readonly #parts: HandoverTargetSelectorDeps;
-    readonly #words = new Map<string, Words>();
-    readonly #silentUntilMs = new Map<string, number>();
+    readonly #deps: HandoverTargetSelectorDeps;
+    readonly #statuses = new Map<string, PeerStatuses>();
+    readonly #unresponsiveUntilMs = new Map<string, number>();
     readonly #inFlight = new Map<string, number>();
 
-    constructor(parts: HandoverTargetSelectorDeps) {
-        this.#parts = parts;
+    constructor(deps: HandoverTargetSelectorDeps) {
+        this.#deps = deps;
     }
 
     /** Records whether a gateway reaches a service, according to its own answer or to the outcome of a request. */
     onReachability(service: string, gateway: string, reaches: boolean, nowMs: number): void {
-        this.#wordsOf(service).set(gateway, {
+        this.#statusesOf(service).set(gateway, {
             reaches,
             untilMs: nowMs + (reaches ? reachableTtlMs : unreachableTtlMs),
         });
-        this.#silentUntilMs.delete(gateway);
+        this.#unresponsiveUntilMs.delete(gateway);
     }
 
     /**
@@ -54,15 +54,15 @@
      */
     onSuggested(service: string, gateways: readonly string[], nowMs: number): void {
         for (const gateway of gateways.slice(0, maxSuggestedTargets)) {
-            if (this.#wordOf(service, gateway, nowMs) === undefined && gateway !== this.#parts.name) {
-                this.#wordsOf(service).set(gateway, { reaches: true, untilMs: nowMs + unreachableTtlMs });
+            if (this.#statusOf(service, gateway, nowMs) === undefined && gateway !== this.#deps.name) {
+                this.#statusesOf(service).set(gateway, { reaches: true, untilMs: nowMs + unreachableTtlMs });
             }
         }
     }
 
     /** Records that a gateway did not answer. */
     onUnresponsive(gateway: string, nowMs: number): void {
-        this.#silentUntilMs.set(gateway, nowMs + peerRetryDelayMs);
+        this.#unresponsiveUntilMs.set(gateway, nowMs + peerRetryDelayMs);
     }
 
     /**
@@ -73,9 +73,9 @@
     trackRequest(gateway: string): () => void {
         this.#inFlight.set(gateway, this.#load(gateway) + 1);
         return () => {
-            const left = this.#load(gateway) - 1;
-            if (left > 0) {
-                this.#inFlight.set(gateway, left);
+            const remaining = this.#load(gateway) - 1;
+            if (remaining > 0) {
+                this.#inFlight.set(gateway, remaining);
             }
             else {
                 this.#inFlight.delete(gateway);
@@ -86,8 +86,8 @@
     /** @returns names of a few gateways that are known to reach a service */
     suggest(service: string, nowMs: number): readonly string[] {
         const names: string[] = [];
-        for (const [gateway, { reaches, untilMs }] of this.#wordsOf(service)) {
-            if (reaches && nowMs < untilMs && !this.#isSilent(gateway, nowMs)) {
+        for (const [gateway, { reaches, untilMs }] of this.#statusesOf(service)) {
+            if (reaches && nowMs < untilMs && !this.#isUnresponsive(gateway, nowMs)) {
                 names.push(gateway);
             }
             if (names.length === maxSuggestedTargets) {
@@ -110,10 +110,10 @@
         tried: ReadonlySet<string>,
         nowMs: number,
     ): RegisteredGateway | undefined {
-        const { good, unknown } = this.#sort(service, gateways, tried, nowMs);
-        const explores = unknown.length > 0 && this.#parts.random.next() < explorationShare;
-        const eligible = good.length === 0 || explores ? unknown : this.#findNear(good, gateways);
-        const [a, b] = this.#draw(eligible, 2);
+        const { reaching, unknown } = this.#classify(service, gateways, tried, nowMs);
+        const explores = unknown.length > 0 && this.#deps.random.next() < explorationShare;
+        const eligible = reaching.length === 0 || explores ? unknown : this.#preferOwnZone(reaching, gateways);
+        const [a, b] = this.#drawRandom(eligible, 2);
         if (a === undefined || b === undefined) {
             return a;
         }
@@ -128,16 +128,17 @@
         count: number,
         nowMs: number,
     ): readonly RegisteredGateway[] {
-        const others = gateways.filter(({ name }) => name !== this.#parts.name && !asked.has(name));
-        const isNamed = ({ name }: RegisteredGateway): boolean => this.#wordOf(service, name, nowMs)?.reaches === true;
-        const named = others.filter(isNamed);
-        const unknown = others.filter(gateway => !isNamed(gateway) && !this.#isSilent(gateway.name, nowMs));
-        return [...this.#draw(named, count), ...this.#draw(unknown, count)].slice(0, count);
+        const others = gateways.filter(({ name }) => name !== this.#deps.name && !asked.has(name));
+        const isSuggested = ({ name }: RegisteredGateway): boolean =>
+            this.#statusOf(service, name, nowMs)?.reaches === true;
+        const suggested = others.filter(isSuggested);
+        const unknown = others.filter(gateway => !isSuggested(gateway) && !this.#isUnresponsive(gateway.name, nowMs));
+        return [...this.#drawRandom(suggested, count), ...this.#drawRandom(unknown, count)].slice(0, count);
     }
 
     /** Drops gateways that are no longer registered. */
     retain(gateways: ReadonlySet<string>): void {
-        for (const known of [this.#silentUntilMs, ...this.#words.values()]) {
+        for (const known of [this.#unresponsiveUntilMs, ...this.#statuses.values()]) {
             for (const gateway of known.keys()) {
                 if (!gateways.has(gateway)) {
                     known.delete(gateway);
@@ -147,61 +148,61 @@
     }
 
     /** Gateways that may get a request: those known to reach the service, and those of unknown status. */
-    #sort(
+    #classify(
         service: string,
         gateways: readonly RegisteredGateway[],
         tried: ReadonlySet<string>,
         nowMs: number,
-    ): { readonly good: readonly RegisteredGateway[]; readonly unknown: readonly RegisteredGateway[]; } {
-        const good: RegisteredGateway[] = [];
+    ): { readonly reaching: readonly RegisteredGateway[]; readonly unknown: readonly RegisteredGateway[]; } {
+        const reaching: RegisteredGateway[] = [];
         const unknown: RegisteredGateway[] = [];
         for (const gateway of gateways) {
             const { name } = gateway;
-            const word = this.#wordOf(service, name, nowMs);
-            const isLeftOut = name === this.#parts.name || tried.has(name) || word?.reaches === false;
-            if (!isLeftOut && !this.#isSilent(name, nowMs)) {
-                (word === undefined ? unknown : good).push(gateway);
+            const status = this.#statusOf(service, name, nowMs);
+            const isExcluded = name === this.#deps.name || tried.has(name) || status?.reaches === false;
+            if (!isExcluded && !this.#isUnresponsive(name, nowMs)) {
+                (status === undefined ? unknown : reaching).push(gateway);
             }
         }
-        return { good, unknown };
+        return { reaching, unknown };
     }
 
     /**
      * Prefers gateways of the own zone, unless fewer than half of that zone's gateways reach the service: those few
      * would get the load of all the others.
      */
-    #findNear(
-        good: readonly RegisteredGateway[],
+    #preferOwnZone(
+        reaching: readonly RegisteredGateway[],
         gateways: readonly RegisteredGateway[],
     ): readonly RegisteredGateway[] {
-        const isNear = ({ availabilityZone }: RegisteredGateway): boolean =>
-            availabilityZone === this.#parts.availabilityZone;
-        const near = good.filter(isNear);
-        return near.length * 2 >= gateways.filter(isNear).length ? near : good;
+        const isInOwnZone = ({ availabilityZone }: RegisteredGateway): boolean =>
+            availabilityZone === this.#deps.availabilityZone;
+        const inOwnZone = reaching.filter(isInOwnZone);
+        return inOwnZone.length * 2 >= gateways.filter(isInOwnZone).length ? inOwnZone : reaching;
     }
 
-    #draw<T>(values: readonly T[], count: number): readonly T[] {
-        const left = [...values];
+    #drawRandom<T>(values: readonly T[], count: number): readonly T[] {
+        const remaining = [...values];
         const drawn: T[] = [];
-        while (drawn.length < count && left.length > 0) {
-            drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
+        while (drawn.length < count && remaining.length > 0) {
+            drawn.push(...remaining.splice(Math.floor(this.#deps.random.next() * remaining.length), 1));
         }
         return drawn;
     }
 
-    #wordOf(service: string, gateway: string, nowMs: number): Word | undefined {
-        const word = this.#words.get(service)?.get(gateway);
-        return word !== undefined && nowMs < word.untilMs ? word : undefined;
+    #statusOf(service: string, gateway: string, nowMs: number): PeerStatus | undefined {
+        const status = this.#statuses.get(service)?.get(gateway);
+        return status !== undefined && nowMs < status.untilMs ? status : undefined;
     }
 
-    #wordsOf(service: string): Words {
-        const words = this.#words.get(service) ?? new Map<string, Word>();
-        this.#words.set(service, words);
+    #statusesOf(service: string): PeerStatuses {
+        const words = this.#statuses.get(service) ?? new Map<string, PeerStatus>();
+        this.#statuses.set(service, words);
         return words;
     }
 
-    #isSilent(gateway: string, nowMs: number): boolean {
-        return nowMs < (this.#silentUntilMs.get(gateway) ?? -Infinity);
+    #isUnresponsive(gateway: string, nowMs: number): boolean {
+        return nowMs < (this.#unresponsiveUntilMs.get(gateway) ?? -Infinity);
     }
 
     #load(gateway: string): number {
--- a/packages/reachability/src/linkFailureDetector.ts
+++ b/packages/reachability/src/linkFailureDetector.ts
@@ -13,31 +13,31 @@
 }
 
 /** Maximum number of failed exchanges kept per service. */
-const mostKept = 64;
+const maxKeptFailures = 64;
 
 /**
  * Detects failing links to one service from the exchanges with its servers. Exchanges are ordered by start time: a
  * late answer only shows that the server was reachable when the request was written.
  */
 export class LinkFailureDetector {
-    #heardAtMs: number | undefined;
-    #heardOnNewAtMs: number | undefined;
+    #lastAnsweredStartMs: number | undefined;
+    #lastAnsweredOnNewStartMs: number | undefined;
     #failed: readonly FailedContact[] = [];
     #failedOnNew: readonly FailedContact[] = [];
 
     /** Start time of the newest answered exchange, in milliseconds; `undefined` if there was none. */
     get lastAnsweredStartMs(): number | undefined {
-        return this.#heardAtMs;
+        return this.#lastAnsweredStartMs;
     }
 
     onContact(contact: ServerContact): void {
         if (contact.end === "heard") {
-            this.#onHeard(contact);
+            this.#onAnswered(contact);
             return;
         }
-        this.#failed = add(this.#failed, contact, this.#heardAtMs);
+        this.#failed = addFailure(this.#failed, contact, this.#lastAnsweredStartMs);
         if (contact.isNewConnection) {
-            this.#failedOnNew = add(this.#failedOnNew, contact, this.#heardOnNewAtMs);
+            this.#failedOnNew = addFailure(this.#failedOnNew, contact, this.#lastAnsweredOnNewStartMs);
         }
     }
 
@@ -52,40 +52,46 @@
      * @returns the evidence that the links fail; `undefined` if there is not enough
      */
     detectFailure(countServers: () => number, nowMs: number): LinkFailure | undefined {
-        return describe("all", this.#failed, this.#heardAtMs, countServers, nowMs)
-            ?? describe("newConnections", this.#failedOnNew, this.#heardOnNewAtMs, countServers, nowMs);
+        return resolveLinkFailure("all", this.#failed, this.#lastAnsweredStartMs, countServers, nowMs)
+            ?? resolveLinkFailure(
+                "newConnections",
+                this.#failedOnNew,
+                this.#lastAnsweredOnNewStartMs,
+                countServers,
+                nowMs,
+            );
     }
 
-    #onHeard({ startedAtMs, isNewConnection }: ServerContact): void {
-        this.#heardAtMs = Math.max(this.#heardAtMs ?? -Infinity, startedAtMs);
-        this.#failed = since(this.#failed, this.#heardAtMs);
+    #onAnswered({ startedAtMs, isNewConnection }: ServerContact): void {
+        this.#lastAnsweredStartMs = Math.max(this.#lastAnsweredStartMs ?? -Infinity, startedAtMs);
+        this.#failed = dropObsolete(this.#failed, this.#lastAnsweredStartMs);
         if (isNewConnection) {
-            this.#heardOnNewAtMs = Math.max(this.#heardOnNewAtMs ?? -Infinity, startedAtMs);
-            this.#failedOnNew = since(this.#failedOnNew, this.#heardOnNewAtMs);
+            this.#lastAnsweredOnNewStartMs = Math.max(this.#lastAnsweredOnNewStartMs ?? -Infinity, startedAtMs);
+            this.#failedOnNew = dropObsolete(this.#failedOnNew, this.#lastAnsweredOnNewStartMs);
         }
     }
 }
 
 /** Drops failures of exchanges that started no later than an answered one: they are no evidence. */
-function since(failed: readonly FailedContact[], heardAtMs: number): readonly FailedContact[] {
-    return failed.length === 0 ? failed : failed.filter(({ startedAtMs }) => startedAtMs > heardAtMs);
+function dropObsolete(failed: readonly FailedContact[], lastAnsweredStartMs: number): readonly FailedContact[] {
+    return failed.length === 0 ? failed : failed.filter(({ startedAtMs }) => startedAtMs > lastAnsweredStartMs);
 }
 
-function add(
+function addFailure(
     failed: readonly FailedContact[],
     { serverId, end, startedAtMs }: ServerContact,
-    heardAtMs: number | undefined,
+    lastAnsweredStartMs: number | undefined,
 ): readonly FailedContact[] {
-    if (heardAtMs !== undefined && startedAtMs <= heardAtMs) {
+    if (lastAnsweredStartMs !== undefined && startedAtMs <= lastAnsweredStartMs) {
         return failed;
     }
-    return [...failed.slice(-(mostKept - 1)), { serverId, end, startedAtMs }];
+    return [...failed.slice(-(maxKeptFailures - 1)), { serverId, end, startedAtMs }];
 }
 
-function describe(
+function resolveLinkFailure(
     kind: LinkFailureKind,
     failed: readonly FailedContact[],
-    heardAtMs: number | undefined,
+    lastAnsweredStartMs: number | undefined,
     countServers: () => number,
     nowMs: number,
 ): LinkFailure | undefined {
@@ -94,8 +100,8 @@
     }
     const failedServers = new Set(failed.map(({ serverId }) => serverId)).size;
     const forMs = nowMs - Math.min(...failed.map(({ startedAtMs }) => startedAtMs));
-    const wanted = Math.min(minFailedServers, Math.max(1, countServers()));
-    if (forMs < minFailureDurationMs[kind] || failedServers < wanted) {
+    const requiredServers = Math.min(minFailedServers, Math.max(1, countServers()));
+    if (forMs < minFailureDurationMs[kind] || failedServers < requiredServers) {
         return undefined;
     }
     const ends: Partial<Record<ServerContactResult, number>> = {};
@@ -107,6 +113,6 @@
         servers: failedServers,
         ends,
         forMs,
-        heardAgoMs: heardAtMs === undefined ? undefined : nowMs - heardAtMs,
+        heardAgoMs: lastAnsweredStartMs === undefined ? undefined : nowMs - lastAnsweredStartMs,
     };
 }
--- a/packages/reachability/src/serviceReachability.ts
+++ b/packages/reachability/src/serviceReachability.ts
@@ -35,15 +35,15 @@
  * reaches the servers. They count as recovered after several consecutive successful probe rounds.
  */
 export class ServiceReachability {
-    readonly #evidence = new LinkFailureDetector();
+    readonly #detector = new LinkFailureDetector();
     #state: ReachabilityState = "reached";
     #sinceMs = 0;
-    #loss: LinkFailure | undefined;
-    #rounds = 0;
-    #wantedRounds = recoveryRounds;
-    #regainedAtMs = -Infinity;
-    #askedAtMs = -Infinity;
-    #ownTryAtMs = -Infinity;
+    #linkFailure: LinkFailure | undefined;
+    #successfulRounds = 0;
+    #requiredRounds = recoveryRounds;
+    #recoveredAtMs = -Infinity;
+    #peersQueriedAtMs = -Infinity;
+    #localAttemptAtMs = -Infinity;
 
     get state(): ReachabilityState {
         return this.#state;
@@ -51,7 +51,7 @@
 
     /** @returns time since the start of the newest answered exchange, in milliseconds; infinite if there was none */
     sinceLastAnswerMs(nowMs: number): number {
-        return nowMs - (this.#evidence.lastAnsweredStartMs ?? -Infinity);
+        return nowMs - (this.#detector.lastAnsweredStartMs ?? -Infinity);
     }
 
     /**
@@ -60,26 +60,26 @@
      * @param countServers - counts the servers of the service that may get requests
      */
     onContact(contact: ServerContact, countServers: () => number, nowMs: number): ReachabilityChange | undefined {
-        this.#evidence.onContact(contact);
+        this.#detector.onContact(contact);
         if (this.#state === "lost") {
             return undefined;
         }
-        this.#loss = this.#evidence.detectFailure(countServers, nowMs);
-        if (this.#loss === undefined) {
-            return this.#enter("reached", nowMs);
+        this.#linkFailure = this.#detector.detectFailure(countServers, nowMs);
+        if (this.#linkFailure === undefined) {
+            return this.#transition("reached", nowMs);
         }
-        return this.#state === "reached" ? this.#enter("doubted", nowMs) : undefined;
+        return this.#state === "reached" ? this.#transition("doubted", nowMs) : undefined;
     }
 
     /** Other gateways are being queried. */
     onPeersQueried(nowMs: number): void {
-        this.#askedAtMs = nowMs;
+        this.#peersQueriedAtMs = nowMs;
     }
 
     /** @returns whether other gateways are to be queried now */
     isPeerQueryDue(nowMs: number): boolean {
         return this.#state === "doubted"
-            || (this.#state === "unreachable" && nowMs - this.#askedAtMs >= peerQueryIntervalMs);
+            || (this.#state === "unreachable" && nowMs - this.#peersQueriedAtMs >= peerQueryIntervalMs);
     }
 
     /**
@@ -88,7 +88,7 @@
      * @param reaches - whether any of them reaches the service
      */
     onPeerQueryResult(reaches: boolean, nowMs: number): ReachabilityChange | undefined {
-        return this.#state === "reached" ? undefined : this.#enter(reaches ? "lost" : "unreachable", nowMs);
+        return this.#state === "reached" ? undefined : this.#transition(reaches ? "lost" : "unreachable", nowMs);
     }
 
     /**
@@ -97,12 +97,12 @@
      * @param heard - whether any server answered
      */
     onProbeRound(heard: boolean, nowMs: number): ReachabilityChange | undefined {
-        this.#rounds = heard ? this.#rounds + 1 : 0;
-        if (this.#state !== "lost" || this.#rounds < this.#wantedRounds) {
+        this.#successfulRounds = heard ? this.#successfulRounds + 1 : 0;
+        if (this.#state !== "lost" || this.#successfulRounds < this.#requiredRounds) {
             return undefined;
         }
-        this.#evidence.clear();
-        return this.#enter("reached", nowMs);
+        this.#detector.clear();
+        return this.#transition("reached", nowMs);
     }
 
     /**
@@ -113,17 +113,17 @@
      * @returns whether the request may try servers directly
      */
     tryAcquireLocalAttempt(nowMs: number): boolean {
-        if (this.#state !== "unreachable" || this.#loss?.kind === "newConnections") {
+        if (this.#state !== "unreachable" || this.#linkFailure?.kind === "newConnections") {
             return true;
         }
-        if (nowMs - this.#ownTryAtMs < localAttemptIntervalMs) {
+        if (nowMs - this.#localAttemptAtMs < localAttemptIntervalMs) {
             return false;
         }
-        this.#ownTryAtMs = nowMs;
+        this.#localAttemptAtMs = nowMs;
         return true;
     }
 
-    #enter(to: ReachabilityState, nowMs: number): ReachabilityChange | undefined {
+    #transition(to: ReachabilityState, nowMs: number): ReachabilityChange | undefined {
         const from = this.#state;
         if (from === to) {
             return undefined;
@@ -132,14 +132,14 @@
         this.#state = to;
         this.#sinceMs = nowMs;
         if (to === "lost") {
-            this.#rounds = 0;
-            this.#wantedRounds = nowMs - this.#regainedAtMs < relapseWindowMs
-                ? Math.min(maxRecoveryRounds, this.#wantedRounds * 2)
+            this.#successfulRounds = 0;
+            this.#requiredRounds = nowMs - this.#recoveredAtMs < relapseWindowMs
+                ? Math.min(maxRecoveryRounds, this.#requiredRounds * 2)
                 : recoveryRounds;
         }
         if (from === "lost" && to === "reached") {
-            this.#regainedAtMs = nowMs;
+            this.#recoveredAtMs = nowMs;
         }
-        return { from, to, linkFailure: to === "reached" ? undefined : this.#loss, afterMs };
+        return { from, to, linkFailure: to === "reached" ? undefined : this.#linkFailure, afterMs };
     }
 }
--- a/packages/rollout/src/coordinatorSelector.ts
+++ b/packages/rollout/src/coordinatorSelector.ts
@@ -9,7 +9,7 @@
 export class CoordinatorSelector {
     readonly #self: string;
     readonly #failedUntilMs = new Map<string, number>();
-    readonly #askedUntilMs = new Map<string, number>();
+    readonly #actingUntilMs = new Map<string, number>();
 
     /** @param self - name of this gateway, as in its registration */
     constructor(self: string) {
@@ -30,13 +30,13 @@
 
     /** @returns whether this gateway coordinates now */
     isActing(service: string, gateways: readonly string[], nowMs: number): boolean {
-        return nowMs < (this.#askedUntilMs.get(service) ?? -Infinity)
+        return nowMs < (this.#actingUntilMs.get(service) ?? -Infinity)
             || this.choose(service, gateways, nowMs) === this.#self;
     }
 
     /** Another gateway reported to this one as the coordinator. */
     onChosenByPeer(service: string, nowMs: number): void {
-        this.#askedUntilMs.set(service, nowMs + actingCoordinatorMs);
+        this.#actingUntilMs.set(service, nowMs + actingCoordinatorMs);
     }
 
     /** A gateway did not answer, or does not reach the store. */
--- a/packages/rollout/src/gatewayRollouts.ts
+++ b/packages/rollout/src/gatewayRollouts.ts
@@ -43,13 +43,13 @@
  * the store.
  */
 export class GatewayRollouts {
-    readonly #parts: GatewayRolloutsDeps;
+    readonly #deps: GatewayRolloutsDeps;
     readonly #runs = new Map<string, GatewayRun>();
     /** Sends in flight, by service and version. */
-    readonly #underWay = new Map<string, Map<string, number>>();
+    readonly #inFlight = new Map<string, Map<string, number>>();
 
-    constructor(parts: GatewayRolloutsDeps) {
-        this.#parts = parts;
+    constructor(deps: GatewayRolloutsDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -58,7 +58,7 @@
      * @returns groups of servers to try one after the other; empty if the request goes to the old version
      */
     trialServerGroups(service: string, nowMs: number): readonly (readonly RegisteredServer[])[] {
-        const { view, random } = this.#parts;
+        const { view, random } = this.#deps;
         const plan = view.rolloutOf(service);
         if (plan === undefined || !isOpenPlan(plan) || nowMs - view.lastStoreContactMs > maxStoreContactAgeMs) {
             return [];
@@ -72,7 +72,7 @@
             return [];
         }
         const servers = view.trialServers(service, nowMs);
-        return isWidened ? [servers] : this.#packed(servers);
+        return isWidened ? [servers] : this.#groupInFillOrder(servers);
     }
 
     /** A request was assigned to a server of a version on trial. */
@@ -82,36 +82,36 @@
 
     /** A request is sent to a server. */
     onSend({ service, version = "" }: RegisteredServer): void {
-        const plan = this.#parts.view.rolloutOf(service);
+        const plan = this.#deps.view.rolloutOf(service);
         if (plan !== undefined && isOpenPlan(plan)) {
             this.#runOf(plan).allowance.onSend();
         }
-        this.#count(service, version, 1);
+        this.#trackInFlight(service, version, 1);
     }
 
     /**
      * A send has ended.
      *
-     * @param first - outcome, if it was the first send of its request; `undefined` otherwise
+     * @param firstOutcome - outcome, if it was the first send of its request; `undefined` otherwise
      */
-    onSendEnded(server: RegisteredServer, route: string, first: SendOutcome | undefined): void {
-        this.#count(server.service, server.version ?? "", -1);
-        const plan = this.#parts.view.rolloutOf(server.service);
-        const bad = first === undefined ? undefined : classifyOutcome(first);
+    onSendEnded(server: RegisteredServer, route: string, firstOutcome: SendOutcome | undefined): void {
+        this.#trackInFlight(server.service, server.version ?? "", -1);
+        const plan = this.#deps.view.rolloutOf(server.service);
+        const bad = firstOutcome === undefined ? undefined : classifyOutcome(firstOutcome);
         if (bad === undefined || plan === undefined || !isOpenPlan(plan)) {
             return;
         }
         const run = this.#runOf(plan);
-        const isNew = server.version === run.version;
-        run.tally.add(route, isNew ? server.id : undefined, { sends: 1, bad: bad ? 1 : 0 });
-        if (isNew) {
+        const isNewVersion = server.version === run.version;
+        run.tally.add(route, isNewVersion ? server.id : undefined, { sends: 1, bad: bad ? 1 : 0 });
+        if (isNewVersion) {
             run.trialAnswers++;
         }
     }
 
     /** @returns whether a server is of a version that is on trial */
     isOnTrial({ service, version }: RegisteredServer): boolean {
-        const plan = this.#parts.view.rolloutOf(service);
+        const plan = this.#deps.view.rolloutOf(service);
         return plan !== undefined && isOpenPlan(plan) && resolveVersionEligibility(version, plan) === "trial";
     }
 
@@ -143,7 +143,7 @@
 
     /** @returns everything that this gateway has observed of a roll-out */
     createReport(plan: RolloutPlan): EvidenceReport & { readonly trialAnswers: number; } {
-        const { name, incarnation } = this.#parts;
+        const { name, incarnation } = this.#deps;
         const { version, tally, trialAnswers } = this.#runOf(plan);
         return {
             gateway: name,
@@ -160,7 +160,7 @@
         if (status?.stage !== "shifted") {
             return false;
         }
-        for (const [version, count] of this.#underWay.get(service) ?? []) {
+        for (const [version, count] of this.#inFlight.get(service) ?? []) {
             if (version !== status.version && count > 0) {
                 return false;
             }
@@ -169,11 +169,11 @@
     }
 
     /** All gateways fill the same servers first. */
-    #packed(servers: readonly RegisteredServer[]): readonly (readonly RegisteredServer[])[] {
+    #groupInFillOrder(servers: readonly RegisteredServer[]): readonly (readonly RegisteredServer[])[] {
         const byId = new Map(servers.map(server => [server.id, server]));
         const [first, second, ...more] = findOwners("trial", [...byId.keys()], maxTrialServers);
-        const beginsWithSecond = this.#parts.random.next() < secondTrialServerShare;
-        const ordered = beginsWithSecond ? [second, first, ...more] : [first, second, ...more];
+        const startsWithSecond = this.#deps.random.next() < secondTrialServerShare;
+        const ordered = startsWithSecond ? [second, first, ...more] : [first, second, ...more];
         return ordered.flatMap(id => {
             const server = id === undefined ? undefined : byId.get(id);
             return server === undefined ? [] : [[server]];
@@ -186,7 +186,7 @@
         if (known?.version === version) {
             return known;
         }
-        const { exposureShare, random } = this.#parts;
+        const { exposureShare, random } = this.#deps;
         const run: GatewayRun = {
             version,
             allowance: new TrialAllowance(exposureShare, random),
@@ -199,9 +199,9 @@
         return run;
     }
 
-    #count(service: string, version: string, change: 1 | -1): void {
-        const counts = this.#underWay.get(service) ?? new Map<string, number>();
-        this.#underWay.set(service, counts);
+    #trackInFlight(service: string, version: string, change: 1 | -1): void {
+        const counts = this.#inFlight.get(service) ?? new Map<string, number>();
+        this.#inFlight.set(service, counts);
         counts.set(version, (counts.get(version) ?? 0) + change);
     }
 }
--- a/packages/rollout/src/nextRolloutStep.ts
+++ b/packages/rollout/src/nextRolloutStep.ts
@@ -56,7 +56,7 @@
             : rollBack(input, status, "orderWithdrawn");
     }
     if (status?.version !== order.version) {
-        return begin(input, order);
+        return startRollout(input, order);
     }
     if (isFinalStage(status.stage)) {
         return undefined;
@@ -84,12 +84,15 @@
     return sinceOrderMs >= allowedMs * deadlineShare || sinceOrderAtMostMs >= allowedMs * deadlineShareByMaxAge;
 }
 
-function begin(
+function startRollout(
     { plan: { status }, sinceOrderMs, epochMs }: RolloutInput,
     { service, version }: NonNullable<RolloutPlan["order"]>,
 ): RolloutWrite {
     const unproved = status === undefined || isFinalStage(status.stage) ? [] : [status.version];
-    const rejectedVersions = reject(status?.rejectedVersions ?? [], unproved.filter(other => other !== version));
+    const rejectedVersions = appendRejected(
+        status?.rejectedVersions ?? [],
+        unproved.filter(other => other !== version),
+    );
     const isRejected = rejectedVersions.includes(version);
     return {
         status: {
@@ -104,14 +107,14 @@
 }
 
 function rollBack({ plan: { order } }: RolloutInput, status: RolloutStatus, reason: string): RolloutWrite {
-    const rejectedVersions = reject(status.rejectedVersions, [status.version]);
+    const rejectedVersions = appendRejected(status.rejectedVersions, [status.version]);
     return {
         status: { ...status, stage: "rolledBack", rejectedVersions },
         reason: order === undefined ? "orderWithdrawn" : reason,
     };
 }
 
-function reject(before: readonly string[], versions: readonly string[]): readonly string[] {
+function appendRejected(before: readonly string[], versions: readonly string[]): readonly string[] {
     return [...before.filter(version => !versions.includes(version)), ...versions].slice(-maxRejectedVersions);
 }
 
@@ -133,8 +136,8 @@
                 ? { stage: "shifted", reason: "soundWhenWidened" }
                 : undefined;
         default: {
-            const mayMiss = sinceOrderMs >= allowedMs * partialSettlingTimeShare;
-            return settled > 0 && settled >= registered * (mayMiss ? minSettledShare : 1)
+            const allowsUnsettled = sinceOrderMs >= allowedMs * partialSettlingTimeShare;
+            return settled > 0 && settled >= registered * (allowsUnsettled ? minSettledShare : 1)
                 ? { stage: "completed", reason: settled >= registered ? "allSettled" : "mostSettled" }
                 : undefined;
         }
--- a/packages/rollout/src/orderAge.ts
+++ b/packages/rollout/src/orderAge.ts
@@ -15,9 +15,9 @@
 /** Age of an order of which nothing is known. */
 export const unknownOrderAge: OrderAge = Object.freeze({ atLeastMs: 0 });
 
-interface HeardAge {
+interface ReceivedAge {
     readonly age: OrderAge;
-    readonly heardAtMs: number;
+    readonly receivedAtMs: number;
 }
 
 /**
@@ -26,19 +26,19 @@
  * wall clock.
  */
 export class OrderAges {
-    readonly #heard = new Map<string, HeardAge>();
+    readonly #received = new Map<string, ReceivedAge>();
 
     /** @param source - identifies the gateway; its earlier bounds are replaced */
     add(source: string, age: OrderAge, nowMs: number): void {
-        this.#heard.set(source, { age, heardAtMs: nowMs });
+        this.#received.set(source, { age, receivedAtMs: nowMs });
     }
 
     /** @returns the tightest bounds that follow from all sources */
     boundsAt(nowMs: number): OrderAge {
         let atLeastMs = 0;
         let atMostMs: number | undefined;
-        for (const { age, heardAtMs } of this.#heard.values()) {
-            const sinceMs = nowMs - heardAtMs;
+        for (const { age, receivedAtMs } of this.#received.values()) {
+            const sinceMs = nowMs - receivedAtMs;
             atLeastMs = Math.max(atLeastMs, age.atLeastMs + sinceMs);
             if (age.atMostMs !== undefined) {
                 atMostMs = Math.min(atMostMs ?? Infinity, age.atMostMs + sinceMs);
--- a/packages/rollout/src/rolloutCoordination.ts
+++ b/packages/rollout/src/rolloutCoordination.ts
@@ -25,31 +25,31 @@
 /** The state of one roll-out in one gateway, from which the gateway decides while it is the coordinator. */
 export class RolloutCoordination {
     readonly version: string;
-    readonly #pool = new EvidencePool();
-    readonly #test = new SequentialRatioTest();
+    readonly #evidence = new EvidencePool();
+    readonly #versionTest = new SequentialRatioTest();
     /** Bounds of the order's age that this gateway knows by itself, and those from all gateways. */
     readonly #ownAge = new OrderAges();
-    readonly #ages = new OrderAges();
+    readonly #combinedAge = new OrderAges();
     readonly #createdAtMs: number;
-    readonly #serverSeenMs = new Map<string, number>();
+    readonly #serverFirstSeenMs = new Map<string, number>();
     #stage: RolloutStage | undefined;
-    #stageSeenMs: number;
+    #stageFirstSeenMs: number;
     #sendsBeforeStage = 0;
 
     /** @param orderAge - bounds of the order's age that this gateway knows now */
     constructor(version: string, { nowMs }: CoordinationTime, orderAge: OrderAge) {
         this.version = version;
         this.#ownAge.add("own", orderAge, nowMs);
-        this.#ages.add("own", orderAge, nowMs);
+        this.#combinedAge.add("own", orderAge, nowMs);
         this.#createdAtMs = nowMs;
-        this.#stageSeenMs = nowMs;
+        this.#stageFirstSeenMs = nowMs;
     }
 
     /** Adds the report of a gateway. */
     onReport(report: EvidenceReport, nowMs: number): void {
-        this.#pool.add(report);
+        this.#evidence.add(report);
         if (report.orderAge !== undefined) {
-            this.#ages.add(`${report.gateway}\n${report.life}`, report.orderAge, nowMs);
+            this.#combinedAge.add(`${report.gateway}\n${report.life}`, report.orderAge, nowMs);
         }
     }
 
@@ -59,18 +59,18 @@
     }
 
     /**
-     * @param waitsMs - extra time that this gateway leaves to others, in milliseconds
+     * @param delayMs - extra time that this gateway leaves to others, in milliseconds
      * @returns whether the roll-out should have ended by now, whichever gateway coordinates it
      */
-    isOverdue(plan: RolloutPlan, nowMs: number, waitsMs: number): boolean {
+    isOverdue(plan: RolloutPlan, nowMs: number, delayMs: number): boolean {
         const { order, status } = plan;
         if (order === undefined || status?.version !== order.version) {
             return false;
         }
         // Uses the lower bound only: the upper bound of a gateway that was partitioned for long is far too high, and
         // others know better.
-        const { atLeastMs } = this.#ages.boundsAt(nowMs);
-        return isTimedOut({ sinceOrderMs: atLeastMs - waitsMs }, order.allowedMs);
+        const { atLeastMs } = this.#combinedAge.boundsAt(nowMs);
+        return isTimedOut({ sinceOrderMs: atLeastMs - delayMs }, order.allowedMs);
     }
 
     /**
@@ -79,8 +79,8 @@
      */
     observe(service: string, view: FleetView, nowMs: number): void {
         for (const { id, version } of view.readyServers(service, nowMs)) {
-            if (version === this.version && !this.#serverSeenMs.has(id)) {
-                this.#serverSeenMs.set(id, nowMs);
+            if (version === this.version && !this.#serverFirstSeenMs.has(id)) {
+                this.#serverFirstSeenMs.set(id, nowMs);
             }
         }
     }
@@ -88,21 +88,21 @@
     /** @returns the next step, based on all reports so far */
     step(plan: RolloutPlan, view: FleetView, time: CoordinationTime): CoordinationStep {
         const { nowMs, epochMs } = time;
-        const totals = this.#pool.totals;
-        const verdict = this.#test.evaluate(totals);
+        const totals = this.#evidence.totals;
+        const verdict = this.#versionTest.evaluate(totals);
         const trialSends = totals.reduce((sum, { trial }) => sum + sumTrialCounts(trial).sends, 0);
         if (plan.status?.stage !== this.#stage) {
             this.#stage = plan.status?.stage;
-            this.#stageSeenMs = nowMs;
+            this.#stageFirstSeenMs = nowMs;
             this.#sendsBeforeStage = trialSends;
         }
         const registered = view.registeredGateways();
-        const settled = this.#pool.settled;
+        const settled = this.#evidence.settled;
         const input = {
             plan,
             verdict,
             ...this.#sinceOrder(plan, time),
-            sinceStageMs: nowMs - this.#stageSeenMs,
+            sinceStageMs: nowMs - this.#stageFirstSeenMs,
             sendsSinceStage: trialSends - this.#sendsBeforeStage,
             capacity: this.#capacity(plan.service, view, nowMs),
             registered: registered.length,
@@ -121,10 +121,10 @@
         { status }: RolloutPlan,
         { nowMs, epochMs }: CoordinationTime,
     ): { readonly sinceOrderMs: number; readonly sinceOrderAtMostMs: number | undefined; } {
-        const { atLeastMs, atMostMs } = this.#ages.boundsAt(nowMs);
-        const mayBeTold = nowMs - this.#createdAtMs < orderAgeReportWaitMs;
-        const byTimeOfDayMs = status?.version === this.version ? epochMs - status.startedAtEpochMs : undefined;
-        return { sinceOrderMs: atLeastMs, sinceOrderAtMostMs: mayBeTold ? undefined : atMostMs ?? byTimeOfDayMs };
+        const { atLeastMs, atMostMs } = this.#combinedAge.boundsAt(nowMs);
+        const awaitsReports = nowMs - this.#createdAtMs < orderAgeReportWaitMs;
+        const byWallClockMs = status?.version === this.version ? epochMs - status.startedAtEpochMs : undefined;
+        return { sinceOrderMs: atLeastMs, sinceOrderAtMostMs: awaitsReports ? undefined : atMostMs ?? byWallClockMs };
     }
 
     /** Slots of the new version's warm servers, relative to the slots of the other versions. */
@@ -143,6 +143,6 @@
     }
 
     #isWarm({ id, coldRemainingMs }: RegisteredServer, nowMs: number): boolean {
-        return nowMs - (this.#serverSeenMs.get(id) ?? nowMs) >= coldRemainingMs;
+        return nowMs - (this.#serverFirstSeenMs.get(id) ?? nowMs) >= coldRemainingMs;
     }
 }
--- a/packages/rollout/src/rolloutParticipant.ts
+++ b/packages/rollout/src/rolloutParticipant.ts
@@ -66,10 +66,10 @@
     readonly coordination: RolloutCoordination;
     /** The last report that a coordinator accepted. */
     lastReport: ReportSummary;
-    reportUnderWay: ReportSummary | undefined;
+    pendingReport: ReportSummary | undefined;
     reportedAtMs: number;
     writing: boolean;
-    mayWriteAtMs: number;
+    nextWriteAtMs: number;
     /** Revision of the last successful write; no further write until the view has caught up with it. */
     writtenRevision: number;
     isBad: boolean;
@@ -80,19 +80,19 @@
  * roll-outs assigned to it, and stops trials. It is idle while no roll-out is open.
  */
 export class RolloutParticipant {
-    readonly #parts: RolloutParticipantDeps;
+    readonly #deps: RolloutParticipantDeps;
     readonly #coordinators: CoordinatorSelector;
     readonly #open = new Map<string, OpenRollout>();
-    #readAtMs: number | undefined;
+    #syncedAtMs: number | undefined;
     /**
      * Time of the last answer from the store as of the latest tick: an order that is new since then was given after
      * it.
      */
-    #contactMs = -Infinity;
+    #lastStoreContactMs = -Infinity;
 
-    constructor(parts: RolloutParticipantDeps) {
-        this.#parts = parts;
-        this.#coordinators = new CoordinatorSelector(parts.name);
+    constructor(deps: RolloutParticipantDeps) {
+        this.#deps = deps;
+        this.#coordinators = new CoordinatorSelector(deps.name);
     }
 
     /** @returns the number of open roll-outs */
@@ -106,11 +106,11 @@
      * @returns the commands to carry out
      */
     tick(time: CoordinationTime): readonly RolloutCommand[] {
-        const { view } = this.#parts;
+        const { view } = this.#deps;
         if (!view.hasSynced) {
             return [];
         }
-        this.#readAtMs ??= time.nowMs;
+        this.#syncedAtMs ??= time.nowMs;
         const plans = view.rollouts().filter(isOpenPlan);
         const services = new Set(plans.map(({ service }) => service));
         for (const service of this.#open.keys()) {
@@ -118,8 +118,8 @@
                 this.#open.delete(service);
             }
         }
-        const commands = plans.flatMap(plan => this.#take(plan, time));
-        this.#contactMs = view.lastStoreContactMs;
+        const commands = plans.flatMap(plan => this.#process(plan, time));
+        this.#lastStoreContactMs = view.lastStoreContactMs;
         return commands;
     }
 
@@ -129,7 +129,7 @@
      * @returns whether that gateway is to stop the trial; `undefined` if this gateway cannot coordinate the roll-out
      */
     onPeerReport(report: EvidenceReport, time: CoordinationTime): { readonly stop: boolean; } | undefined {
-        const plan = this.#parts.view.rolloutOf(report.service);
+        const plan = this.#deps.view.rolloutOf(report.service);
         if (!this.#reachesStore(time.nowMs) || plan === undefined || versionOf(plan) !== report.version) {
             return undefined;
         }
@@ -146,20 +146,20 @@
         nowMs: number,
     ): readonly RolloutCommand[] {
         const open = this.#open.get(report.service);
-        const summary = open?.reportUnderWay;
+        const summary = open?.pendingReport;
         if (!outcome.taken) {
             this.#coordinators.onFailure(to.name, nowMs);
         }
         if (open === undefined || summary === undefined) {
             return [];
         }
-        open.reportUnderWay = undefined;
+        open.pendingReport = undefined;
         if (!outcome.taken) {
             return [];
         }
         open.lastReport = summary;
         open.reportedAtMs = nowMs;
-        const plan = this.#parts.view.rolloutOf(report.service);
+        const plan = this.#deps.view.rolloutOf(report.service);
         return outcome.stop && plan !== undefined && versionOf(plan) === report.version
             ? this.#stopTrial(plan, "coordinator")
             : [];
@@ -174,13 +174,13 @@
         const open = this.#open.get(service);
         if (open !== undefined) {
             open.writing = false;
-            open.mayWriteAtMs = nowMs + statusWriteDelayMs;
+            open.nextWriteAtMs = nowMs + statusWriteDelayMs;
             open.writtenRevision = revision ?? open.writtenRevision;
         }
     }
 
-    #take(plan: RolloutPlan, time: CoordinationTime): readonly RolloutCommand[] {
-        const { rollouts, name, view } = this.#parts;
+    #process(plan: RolloutPlan, time: CoordinationTime): readonly RolloutCommand[] {
+        const { rollouts, name, view } = this.#deps;
         const { nowMs } = time;
         const open = this.#resolveOpen(plan, time);
         open.coordination.observe(plan.service, view, nowMs);
@@ -211,17 +211,20 @@
         names: readonly string[],
         nowMs: number,
     ): readonly RolloutCommand[] {
-        const { trialAnswers, ...seen } = this.#parts.rollouts.createReport(plan);
+        const { trialAnswers, ...evidence } = this.#deps.rollouts.createReport(plan);
         const report = this.#reachesStore(nowMs)
-            ? { ...seen, orderAge: open.coordination.ownOrderAge(nowMs) }
-            : seen;
+            ? { ...evidence, orderAge: open.coordination.ownOrderAge(nowMs) }
+            : evidence;
         // A new coordinator has no reports from this gateway yet.
         const last = open.lastReport.coordinator === to.name ? open.lastReport : noReport;
-        const isNews = trialAnswers > last.answers || report.settled !== last.settled;
-        if (open.reportUnderWay !== undefined || !(isNews || this.#isStandbyDue(plan.service, open, names, nowMs))) {
+        const hasNewEvidence = trialAnswers > last.answers || report.settled !== last.settled;
+        if (
+            open.pendingReport !== undefined
+            || !(hasNewEvidence || this.#isStandbyDue(plan.service, open, names, nowMs))
+        ) {
             return [];
         }
-        open.reportUnderWay = { coordinator: to.name, answers: trialAnswers, settled: report.settled };
+        open.pendingReport = { coordinator: to.name, answers: trialAnswers, settled: report.settled };
         return [{ type: "report", to, report }];
     }
 
@@ -230,7 +233,7 @@
      * reports. So every gateway ends an overdue roll-out itself, with a delay that increases with its rank.
      */
     #overdueWaitMs({ service, order }: RolloutPlan, names: readonly string[]): number {
-        const rank = this.#coordinators.rank(service, names).indexOf(this.#parts.name);
+        const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
         const steps = rank < 0 ? maxOverdueDelaySteps : Math.min(rank, maxOverdueDelaySteps);
         return (order?.allowedMs ?? 0) * overdueDelayShare * steps;
     }
@@ -240,19 +243,19 @@
         if (nowMs - open.reportedAtMs < standbyReportIntervalMs) {
             return false;
         }
-        const rank = this.#coordinators.rank(service, names).indexOf(this.#parts.name);
+        const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
         return rank > 0 && rank <= standbyCoordinators;
     }
 
     #coordinate(plan: RolloutPlan, open: OpenRollout, time: CoordinationTime): readonly RolloutCommand[] {
-        const step = open.coordination.step(plan, this.#parts.view, time);
+        const step = open.coordination.step(plan, this.#deps.view, time);
         const commands: RolloutCommand[] = [];
         if (step.verdict.type === "bad" && !open.isBad) {
             open.isBad = true;
             commands.push({ type: "verdict", plan, step }, ...this.#stopTrial(plan, "coordinator"));
         }
-        const isHeard = plan.statusRevision >= open.writtenRevision;
-        if (step.write !== undefined && isHeard && !open.writing && time.nowMs >= open.mayWriteAtMs) {
+        const isViewCurrent = plan.statusRevision >= open.writtenRevision;
+        if (step.write !== undefined && isViewCurrent && !open.writing && time.nowMs >= open.nextWriteAtMs) {
             open.writing = true;
             commands.push({ type: "write", ...step.write, expectedRevision: plan.statusRevision, plan, step });
         }
@@ -260,7 +263,7 @@
     }
 
     #stopTrial(plan: RolloutPlan, by: StopCause): readonly RolloutCommand[] {
-        return this.#parts.rollouts.stopTrial(plan) ? [{ type: "stopped", plan, by }] : [];
+        return this.#deps.rollouts.stopTrial(plan) ? [{ type: "stopped", plan, by }] : [];
     }
 
     #resolveOpen(plan: RolloutPlan, time: CoordinationTime): OpenRollout {
@@ -272,10 +275,10 @@
         const open: OpenRollout = {
             coordination: new RolloutCoordination(version, time, this.#newOrderAge(time.nowMs)),
             lastReport: noReport,
-            reportUnderWay: undefined,
+            pendingReport: undefined,
             reportedAtMs: time.nowMs,
             writing: false,
-            mayWriteAtMs: -Infinity,
+            nextWriteAtMs: -Infinity,
             writtenRevision: 0,
             isBad: false,
         };
@@ -285,12 +288,12 @@
 
     /** @returns bounds of the age of an order that was not present at the latest tick */
     #newOrderAge(nowMs: number): OrderAge {
-        const isInherited = nowMs - (this.#readAtMs ?? nowMs) < preexistingOrderWindowMs;
-        return isInherited ? unknownOrderAge : { atLeastMs: 0, atMostMs: nowMs - this.#contactMs };
+        const mayPredateFirstRead = nowMs - (this.#syncedAtMs ?? nowMs) < preexistingOrderWindowMs;
+        return mayPredateFirstRead ? unknownOrderAge : { atLeastMs: 0, atMostMs: nowMs - this.#lastStoreContactMs };
     }
 
     #reachesStore(nowMs: number): boolean {
-        return nowMs - this.#parts.view.lastStoreContactMs <= maxStoreContactAgeMs;
+        return nowMs - this.#deps.view.lastStoreContactMs <= maxStoreContactAgeMs;
     }
 }
 
--- a/packages/rollout/src/versionTest.ts
+++ b/packages/rollout/src/versionTest.ts
@@ -60,7 +60,7 @@
     readonly #routes = new Map<string, RouteState>();
 
     override evaluate(routes: readonly RouteEvidence[]): VersionVerdict {
-        const verdicts = routes.map(evidence => this.#look(evidence));
+        const verdicts = routes.map(evidence => this.#evaluateRoute(evidence));
         const bad = verdicts.find(({ type }) => type === "bad");
         if (bad !== undefined) {
             return bad;
@@ -77,20 +77,20 @@
         return verdicts.find(({ type }) => type === "sound") ?? { ...first, type: "open" };
     }
 
-    #look({ route, stable, trial }: RouteEvidence): VersionVerdict {
+    #evaluateRoute({ route, stable, trial }: RouteEvidence): VersionVerdict {
         const state = this.#routes.get(route) ?? createRouteState();
         this.#routes.set(route, state);
         const total = sumTrialCounts(trial);
-        const fresh = subtract(stable, state.stable);
-        state.stableSends = state.stableSends * (1 - stableDecayPerUpdate) + fresh.sends;
-        state.stableBad = state.stableBad * (1 - stableDecayPerUpdate) + fresh.bad;
+        const added = subtract(stable, state.stable);
+        state.stableSends = state.stableSends * (1 - stableDecayPerUpdate) + added.sends;
+        state.stableBad = state.stableBad * (1 - stableDecayPerUpdate) + added.bad;
         const stableShare = resolveStableShare(state);
-        const step = resolveLogOdds(subtract(total, state.trial), stableShare);
-        state.logOdds += step;
-        state.recentLogOdds = Math.max(0, state.recentLogOdds + step);
+        const logOddsChange = computeLogOdds(subtract(total, state.trial), stableShare);
+        state.logOdds += logOddsChange;
+        state.recentLogOdds = Math.max(0, state.recentLogOdds + logOddsChange);
         state.stable = stable;
         state.trial = total;
-        const isBad = state.recentLogOdds >= badLogOddsThreshold && isOfTheVersion(trial);
+        const isBad = state.recentLogOdds >= badLogOddsThreshold && isFaultOfVersion(trial);
         return {
             type: isBad ? "bad" : state.logOdds <= soundLogOddsThreshold ? "sound" : "open",
             route,
@@ -128,16 +128,16 @@
     return Math.max(minBadShare, share + Math.sqrt(share * (1 - share) / sends));
 }
 
-function resolveLogOdds({ sends, bad }: AnswerCounts, stableShare: number): number {
-    const sound = Math.min(0.7, stableShare + soundExcessShare);
-    const poor = Math.min(0.95, sound + badExcessShare - soundExcessShare);
-    return bad * Math.log(poor / sound) + (sends - bad) * Math.log((1 - poor) / (1 - sound));
+function computeLogOdds({ sends, bad }: AnswerCounts, stableShare: number): number {
+    const soundShare = Math.min(0.7, stableShare + soundExcessShare);
+    const badShare = Math.min(0.95, soundShare + badExcessShare - soundExcessShare);
+    return bad * Math.log(badShare / soundShare) + (sends - bad) * Math.log((1 - badShare) / (1 - soundShare));
 }
 
 /**
  * Whether bad responses came from more than one server, if there is more than one: a single server may itself be
  * faulty.
  */
-function isOfTheVersion(trial: readonly AnswerCounts[]): boolean {
+function isFaultOfVersion(trial: readonly AnswerCounts[]): boolean {
     return trial.filter(({ bad }) => bad > 0).length >= Math.min(2, trial.length);
 }
