--- a/packages/fleetState/src/__tests__/fleetView.test.ts
+++ b/packages/fleetState/src/__tests__/fleetView.test.ts
@@ -42,9 +42,12 @@
 
 test("a server that drains or whose entry is deleted gets no more requests", () => {
     const view = createView();
-    const beliefs = view.onChanges({ items: [serverItem("a", { state: "draining" })], deletedKeys: ["servers/b"] }, 1);
+    const fleetChanges = view.onChanges(
+        { items: [serverItem("a", { state: "draining" })], deletedKeys: ["servers/b"] },
+        1,
+    );
     assert.deepEqual(usableIds(view, 1), []);
-    assert.deepEqual(beliefs.map(({ name, change }) => `${name} ${change}`), ["b removed", "a draining"]);
+    assert.deepEqual(fleetChanges.map(({ name, change }) => `${name} ${change}`), ["b removed", "a draining"]);
 });
 
 // Guards against refusing every request for two seconds although all servers work: during a long outage of the store no
@@ -52,15 +55,15 @@
 test("entries that expired during a store outage are kept until servers had time to re-create them", () => {
     const view = createView();
     view.onStoreCallFailed(1_000);
-    const backMs = 1_000 + storeOutageThresholdMs + 1;
-    assert.equal(view.onStoreContact(backMs), storeOutageThresholdMs + 1);
-    view.onFullRead([configurationItem(5)], backMs);
-    assert.deepEqual(usableIds(view, backMs), ["a", "b"]);
-
-    view.onChanges({ items: [serverItem("a")], deletedKeys: [] }, backMs + 500);
-    const overMs = backMs + lapsedEntryGraceMs;
-    assert.deepEqual(usableIds(view, overMs), ["a"], "b has not re-created its entry, so it is removed");
-    assert.deepEqual(view.expire(overMs).map(({ name }) => name), ["b"]);
+    const recoveredMs = 1_000 + storeOutageThresholdMs + 1;
+    assert.equal(view.onStoreContact(recoveredMs), storeOutageThresholdMs + 1);
+    view.onFullRead([configurationItem(5)], recoveredMs);
+    assert.deepEqual(usableIds(view, recoveredMs), ["a", "b"]);
+
+    view.onChanges({ items: [serverItem("a")], deletedKeys: [] }, recoveredMs + 500);
+    const expiryMs = recoveredMs + lapsedEntryGraceMs;
+    assert.deepEqual(usableIds(view, expiryMs), ["a"], "b has not re-created its entry, so it is removed");
+    assert.deepEqual(view.expire(expiryMs).map(({ name }) => name), ["b"]);
 });
 
 test("a single failed call is no outage: an entry that is deleted right after it is removed at once", () => {
@@ -100,9 +103,9 @@
     view.onStoreContact(9_000);
     view.onPeerStoreContact(storeReconnectWindowMs, 9_000);
     view.onFullRead([configurationItem(5), serverItem("a")], 9_000);
-    const overMs = 9_000 + lapsedEntryGraceMs;
-    assert.deepEqual(usableIds(view, overMs - 1), ["a", "b"]);
-    assert.deepEqual(usableIds(view, overMs), ["a"]);
+    const expiryMs = 9_000 + lapsedEntryGraceMs;
+    assert.deepEqual(usableIds(view, expiryMs - 1), ["a", "b"]);
+    assert.deepEqual(usableIds(view, expiryMs), ["a"]);
 });
 
 // Guards against keeping servers that other gateways have already removed: this host was partitioned during an outage
@@ -113,9 +116,9 @@
     view.onStoreContact(9_000);
     view.onPeerStoreContact(storeReconnectWindowMs + 1, 9_000);
     view.onFullRead([configurationItem(5), serverItem("a")], 9_000);
-    const overMs = 9_000 - storeReconnectWindowMs - 1 + lapsedEntryGraceMs;
-    assert.deepEqual(usableIds(view, overMs - 1), ["a", "b"]);
-    assert.deepEqual(usableIds(view, overMs), ["a"]);
+    const expiryMs = 9_000 - storeReconnectWindowMs - 1 + lapsedEntryGraceMs;
+    assert.deepEqual(usableIds(view, expiryMs - 1), ["a", "b"]);
+    assert.deepEqual(usableIds(view, expiryMs), ["a"]);
 });
 
 // Guards against a gateway that makes others remove running servers by vouching for a period in which it did not reach
@@ -152,12 +155,12 @@
 
 test("an entry that becomes malformed removes its server and no other", () => {
     const view = createView();
-    const beliefs = view.onChanges({
+    const fleetChanges = view.onChanges({
         items: [{ type: "ignored", key: "servers/a", reason: "no address" }],
         deletedKeys: [],
     }, 1);
     assert.deepEqual(usableIds(view, 1), ["b"]);
-    assert.ok(beliefs.some(({ name, change }) => name === "servers/a" && change.includes("no address")));
+    assert.ok(fleetChanges.some(({ name, change }) => name === "servers/a" && change.includes("no address")));
 });
 
 test("a server that moved to another service is listed only there", () => {
@@ -169,6 +172,6 @@
 
 test("a new start under a known id is detected as a restart", () => {
     const view = createView();
-    const beliefs = view.onChanges({ items: [serverItem("a", { startedAtEpochMs: 2 })], deletedKeys: [] }, 1);
-    assert.deepEqual(beliefs.map(({ change }) => change), ["restarted"]);
+    const fleetChanges = view.onChanges({ items: [serverItem("a", { startedAtEpochMs: 2 })], deletedKeys: [] }, 1);
+    assert.deepEqual(fleetChanges.map(({ change }) => change), ["restarted"]);
 });
--- a/packages/fleetState/src/__tests__/versionEligibility.test.ts
+++ b/packages/fleetState/src/__tests__/versionEligibility.test.ts
@@ -23,7 +23,7 @@
     serverItem("three", { version: "v3" }),
 ];
 
-function see(...items: readonly StateItem[]): FleetView {
+function createView(...items: readonly StateItem[]): FleetView {
     const view = new FleetView();
     view.onFullRead([...servers, ...items], 0);
     return view;
@@ -38,22 +38,22 @@
 }
 
 test("without a roll-out servers of all versions are used", () => {
-    assert.equal(usable(see()), "one,plain,three,two");
-    assert.equal(onTrial(see()), "");
+    assert.equal(usable(createView()), "one,plain,three,two");
+    assert.equal(onTrial(createView()), "");
 });
 
 test("a version is on trial from its order on and gets all requests once it is shifted", () => {
     for (
         const view of [
-            see(order("v2")),
-            see(order("v2"), status("v2", "trial")),
-            see(order("v2"), status("v2", "widened")),
+            createView(order("v2")),
+            createView(order("v2"), status("v2", "trial")),
+            createView(order("v2"), status("v2", "widened")),
         ]
     ) {
         assert.equal(usable(view), "one,plain,three");
         assert.equal(onTrial(view), "two");
     }
-    const view = see(order("v2"), status("v2", "shifted"));
+    const view = createView(order("v2"), status("v2", "shifted"));
     for (const stage of ["shifted", "completed"] as const) {
         view.onChanges({ items: [status("v2", stage)], deletedKeys: [] }, 0);
         assert.equal(usable(view), "two");
@@ -64,7 +64,7 @@
 // Guards against refusing callers although servers of the old version, which run until the end of the roll-out, could
 // serve them.
 test("the old version serves requests while no server of the new version is available", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [], deletedKeys: ["servers/two"] }, 0);
     assert.equal(usable(view), "one,plain,three");
     assert.equal(view.isUsable("one", 0), true);
@@ -74,10 +74,10 @@
 test("a rejected version stays blocked", () => {
     for (
         const view of [
-            see(order("v2"), status("v2", "rolledBack", ["v2"])),
-            see(status("v2", "rolledBack", ["v2"])),
-            see(order("v3"), status("v3", "trial", ["v2"])),
-            see(order("v2"), status("v3", "completed", ["v2"])),
+            createView(order("v2"), status("v2", "rolledBack", ["v2"])),
+            createView(status("v2", "rolledBack", ["v2"])),
+            createView(order("v3"), status("v3", "trial", ["v2"])),
+            createView(order("v2"), status("v3", "completed", ["v2"])),
         ]
     ) {
         assert.equal(view.isUsable("two", 0), false);
@@ -87,15 +87,15 @@
 });
 
 test("a version whose order is withdrawn or replaced before its completion gets no more requests", () => {
-    assert.equal(usable(see(status("v2", "widened"))), "one,plain,three");
-    assert.equal(onTrial(see(status("v2", "widened"))), "");
-    const replaced = see(order("v3"), status("v2", "shifted"));
+    assert.equal(usable(createView(status("v2", "widened"))), "one,plain,three");
+    assert.equal(onTrial(createView(status("v2", "widened"))), "");
+    const replaced = createView(order("v3"), status("v2", "shifted"));
     assert.equal(usable(replaced), "one,plain");
     assert.equal(onTrial(replaced), "three");
 });
 
 test("a completed version stays in use after its order is deleted", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [status("v2", "completed")], deletedKeys: [] }, 0);
     view.onChanges({ items: [], deletedKeys: ["orders/tables"] }, 0);
     assert.equal(usable(view), "two");
@@ -103,7 +103,7 @@
 
 // Guards against a server that stays idle forever because it joins after the roll-out with another version.
 test("servers that join after the completion of a roll-out are used", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [status("v2", "completed")], deletedKeys: [] }, 0);
     view.onChanges({ items: [serverItem("late", { version: "v1" })], deletedKeys: [] }, 0);
     assert.equal(usable(view), "late,two");
--- a/packages/fleetState/src/fleetView.ts
+++ b/packages/fleetState/src/fleetView.ts
@@ -95,10 +95,10 @@
     onStoreContact(nowMs: number, ageMs = 0): number | undefined {
         const unavailableSinceMs = this.#storeUnavailableSinceMs;
         const wasUnavailable = unavailableSinceMs !== undefined && nowMs - unavailableSinceMs > storeOutageThresholdMs;
-        const wasSilent = nowMs - ageMs - this.#lastStoreContactMs > storeOutageThresholdMs;
+        const hadContactGap = nowMs - ageMs - this.#lastStoreContactMs > storeOutageThresholdMs;
         this.#storeUnavailableSinceMs = undefined;
         this.#lastStoreContactMs = Math.max(this.#lastStoreContactMs, nowMs - ageMs);
-        if (this.#storeReachableSinceMs === undefined || wasUnavailable || wasSilent) {
+        if (this.#storeReachableSinceMs === undefined || wasUnavailable || hadContactGap) {
             this.#storeReachableSinceMs = nowMs;
         }
         if (!wasUnavailable) {
--- a/packages/fleetState/src/gatewayRoster.ts
+++ b/packages/fleetState/src/gatewayRoster.ts
@@ -42,10 +42,10 @@
     }
 
     onUnregistered(name: string, nowMs: number): void {
-        const gone = this.#registered.get(name);
-        if (gone !== undefined) {
+        const departing = this.#registered.get(name);
+        if (departing !== undefined) {
             this.#registered.delete(name);
-            this.#departed.set(name, { availabilityZone: gone.registration?.availabilityZone, atMs: nowMs });
+            this.#departed.set(name, { availabilityZone: departing.registration?.availabilityZone, atMs: nowMs });
             this.#members = undefined;
         }
     }
--- a/packages/fleetState/src/rendezvousRanks.ts
+++ b/packages/fleetState/src/rendezvousRanks.ts
@@ -50,9 +50,9 @@
 
     /** @returns how many gateways rank before this one for a subject */
     rankOf(subject: string): number {
-        const known = this.#ranks.get(subject);
-        if (known !== undefined) {
-            return known;
+        const cached = this.#ranks.get(subject);
+        if (cached !== undefined) {
+            return cached;
         }
         const subjectHash = hashText(subject);
         let rank = 0;
--- a/packages/fleetState/src/watchSourceSelector.ts
+++ b/packages/fleetState/src/watchSourceSelector.ts
@@ -27,7 +27,7 @@
  * slowly than the fleet, while every gateway needs every change: with a watch each, a fleet of 114 gateways makes 40
  * calls per host in 42 s without any changes. So a few gateways of each availability zone watch the store and relay
  * its changes. They are chosen by rendezvous hashing over the registrations, without coordination, and the other
- * gateways poll them.
+ * gateways get the changes from them.
  *
  * The delay is bounded for each gateway by itself, whichever others are partitioned or paused: a gateway whose relay
  * does not answer asks a relay of another zone, and after two failures the store itself. Compared with a watch of its
@@ -39,7 +39,7 @@
     readonly #failedUntilMs = new Map<string, number>();
     /** Failed relays that answered but did not reach the store. */
     readonly #partitionedRelays = new Set<string>();
-    #lastAnswered: string | undefined;
+    #lastAnsweringRelay: string | undefined;
     #consecutiveFailures = 0;
     #directReadUntilMs = -Infinity;
     #peerRequestUntilMs = -Infinity;
@@ -75,13 +75,13 @@
                 type: "peer",
                 name: peer.name,
                 address: peer.peerAddress,
-                answeredLast: peer.name === this.#lastAnswered,
+                answeredLast: peer.name === this.#lastAnsweringRelay,
             };
     }
 
     /** Handles an answer from a relay, with or without changes. */
     onAnswer(name: string): void {
-        this.#lastAnswered = name;
+        this.#lastAnsweringRelay = name;
         this.#consecutiveFailures = 0;
         this.#failedUntilMs.delete(name);
     }
@@ -94,7 +94,7 @@
      * @param answered - whether the peer answered that it does not reach the store
      */
     onFailure(name: string, nowMs: number, answered = false): void {
-        this.#lastAnswered = undefined;
+        this.#lastAnsweringRelay = undefined;
         if (answered) {
             this.#partitionedRelays.add(name);
         }
--- a/packages/reachability/src/handoverTargetSelector.ts
+++ b/packages/reachability/src/handoverTargetSelector.ts
@@ -124,11 +124,11 @@
     choosePeersToQuery(
         service: string,
         gateways: readonly RegisteredGateway[],
-        asked: ReadonlySet<string>,
+        queried: ReadonlySet<string>,
         count: number,
         nowMs: number,
     ): readonly RegisteredGateway[] {
-        const others = gateways.filter(({ name }) => name !== this.#deps.name && !asked.has(name));
+        const others = gateways.filter(({ name }) => name !== this.#deps.name && !queried.has(name));
         const isSuggested = ({ name }: RegisteredGateway): boolean =>
             this.#statusOf(service, name, nowMs)?.reaches === true;
         const suggested = others.filter(isSuggested);
@@ -138,10 +138,10 @@
 
     /** Drops gateways that are no longer registered. */
     retain(gateways: ReadonlySet<string>): void {
-        for (const known of [this.#unresponsiveUntilMs, ...this.#statuses.values()]) {
-            for (const gateway of known.keys()) {
+        for (const byGateway of [this.#unresponsiveUntilMs, ...this.#statuses.values()]) {
+            for (const gateway of byGateway.keys()) {
                 if (!gateways.has(gateway)) {
-                    known.delete(gateway);
+                    byGateway.delete(gateway);
                 }
             }
         }
@@ -196,9 +196,9 @@
     }
 
     #statusesOf(service: string): PeerStatuses {
-        const words = this.#statuses.get(service) ?? new Map<string, PeerStatus>();
-        this.#statuses.set(service, words);
-        return words;
+        const statuses = this.#statuses.get(service) ?? new Map<string, PeerStatus>();
+        this.#statuses.set(service, statuses);
+        return statuses;
     }
 
     #isUnresponsive(gateway: string, nowMs: number): boolean {
--- a/packages/reachability/src/serviceReachability.ts
+++ b/packages/reachability/src/serviceReachability.ts
@@ -37,7 +37,7 @@
 export class ServiceReachability {
     readonly #detector = new LinkFailureDetector();
     #state: ReachabilityState = "reached";
-    #sinceMs = 0;
+    #stateSinceMs = 0;
     #linkFailure: LinkFailure | undefined;
     #successfulRounds = 0;
     #requiredRounds = recoveryRounds;
@@ -94,10 +94,10 @@
     /**
      * Handles the result of one round of probes over new connections.
      *
-     * @param heard - whether any server answered
+     * @param answered - whether any server answered
      */
-    onProbeRound(heard: boolean, nowMs: number): ReachabilityChange | undefined {
-        this.#successfulRounds = heard ? this.#successfulRounds + 1 : 0;
+    onProbeRound(answered: boolean, nowMs: number): ReachabilityChange | undefined {
+        this.#successfulRounds = answered ? this.#successfulRounds + 1 : 0;
         if (this.#state !== "lost" || this.#successfulRounds < this.#requiredRounds) {
             return undefined;
         }
@@ -128,9 +128,9 @@
         if (from === to) {
             return undefined;
         }
-        const afterMs = nowMs - this.#sinceMs;
+        const afterMs = nowMs - this.#stateSinceMs;
         this.#state = to;
-        this.#sinceMs = nowMs;
+        this.#stateSinceMs = nowMs;
         if (to === "lost") {
             this.#successfulRounds = 0;
             this.#requiredRounds = nowMs - this.#recoveredAtMs < relapseWindowMs
--- a/packages/rollout/src/__tests__/orderAge.test.ts
+++ b/packages/rollout/src/__tests__/orderAge.test.ts
@@ -63,23 +63,23 @@
      * @returns the commands of the participant, with their times
      */
     run(fromMs: number, toMs: number): readonly { readonly atMs: number; readonly command: RolloutCommand; }[] {
-        const found = [];
+        const commands = [];
         for (let atMs = fromMs; atMs < toMs; atMs += tickMs) {
             this.view.onStoreContact(atMs);
             for (const command of this.participant.tick({ nowMs: atMs, epochMs: atMs + this.#clockErrorMs })) {
-                found.push({ atMs, command });
+                commands.push({ atMs, command });
                 if (command.type === "write") {
                     this.participant.onStatusWritten(service, undefined, atMs);
                 }
             }
         }
-        return found;
+        return commands;
     }
 }
 
 /** @returns time of the first command to roll back */
-function findRollBack(found: ReturnType<TestParticipant["run"]>): number | undefined {
-    return found.find(({ command }) => command.type === "write" && command.status.stage === "rolledBack")?.atMs;
+function findRollBack(commands: ReturnType<TestParticipant["run"]>): number | undefined {
+    return commands.find(({ command }) => command.type === "write" && command.status.stage === "rolledBack")?.atMs;
 }
 
 test("the age of an order lies within the combined bounds of all gateways, also if reports arrive late", () => {
@@ -164,8 +164,8 @@
         gateway.view.onChanges({ items: [order], deletedKeys: [] }, 1_000);
         gateway.run(1_000, 1_250);
         gateway.view.onChanges({ items: [trialSince(1_000)], deletedKeys: [] }, 1_250);
-        const found = gateway.run(1_250, 20_000);
-        const rolledBackAtMs = findRollBack(found) ?? Infinity;
+        const commands = gateway.run(1_250, 20_000);
+        const rolledBackAtMs = findRollBack(commands) ?? Infinity;
         assert.ok(rolledBackAtMs <= 1_000 + allowedMs, `${name}: ${rolledBackAtMs}`);
         assert.ok(rolledBackAtMs >= 1_000 + allowedMs * 0.9, `${name}: ${rolledBackAtMs}`);
     }
@@ -196,10 +196,12 @@
     gateway.read([], 0);
     gateway.run(0, 1_000);
     gateway.view.onChanges({ items: [order], deletedKeys: [] }, 1_000);
-    const [inTouch] = gateway.run(1_000, 3_000).flatMap(({ command }) => command.type === "report" ? [command] : []);
-    assert.ok(inTouch?.report.orderAge !== undefined);
-    gateway.participant.onReportSent(inTouch, { taken: true, stop: false }, 2_750);
-    const [away] = gateway.participant.tick({ nowMs: 8_000, epochMs: 8_000 })
+    const [connectedReport] = gateway.run(1_000, 3_000).flatMap(({ command }) =>
+        command.type === "report" ? [command] : []
+    );
+    assert.ok(connectedReport?.report.orderAge !== undefined);
+    gateway.participant.onReportSent(connectedReport, { taken: true, stop: false }, 2_750);
+    const [partitionedReport] = gateway.participant.tick({ nowMs: 8_000, epochMs: 8_000 })
         .flatMap(command => command.type === "report" ? [command] : []);
-    assert.ok(away !== undefined && away.report.orderAge === undefined);
+    assert.ok(partitionedReport !== undefined && partitionedReport.report.orderAge === undefined);
 });
--- a/packages/rollout/src/evidence.ts
+++ b/packages/rollout/src/evidence.ts
@@ -72,8 +72,8 @@
     addAll(routes: readonly RouteEvidence[]): void {
         for (const { route, stable, trial } of routes) {
             this.add(route, undefined, stable);
-            for (const each of trial) {
-                this.add(route, each.server, each);
+            for (const serverCounts of trial) {
+                this.add(route, serverCounts.server, serverCounts);
             }
         }
     }
@@ -88,16 +88,16 @@
     }
 
     #countsOf(route: string, server: string | undefined): MutableCounts {
-        const known = this.#routes.get(route) ?? {
+        const routeCounts = this.#routes.get(route) ?? {
             stable: { sends: 0, bad: 0 },
             trial: new Map<string, MutableCounts>(),
         };
-        this.#routes.set(route, known);
+        this.#routes.set(route, routeCounts);
         if (server === undefined) {
-            return known.stable;
+            return routeCounts.stable;
         }
-        const counts = known.trial.get(server) ?? { sends: 0, bad: 0 };
-        known.trial.set(server, counts);
+        const counts = routeCounts.trial.get(server) ?? { sends: 0, bad: 0 };
+        routeCounts.trial.set(server, counts);
         return counts;
     }
 }
--- a/packages/rollout/src/gatewayRollouts.ts
+++ b/packages/rollout/src/gatewayRollouts.ts
@@ -26,7 +26,7 @@
 }
 
 /** State of one roll-out in this gateway. */
-interface GatewayRun {
+interface RolloutRun {
     readonly version: string;
     readonly allowance: TrialAllowance;
     readonly tally: EvidenceTally;
@@ -44,7 +44,7 @@
  */
 export class GatewayRollouts {
     readonly #deps: GatewayRolloutsDeps;
-    readonly #runs = new Map<string, GatewayRun>();
+    readonly #runs = new Map<string, RolloutRun>();
     /** Sends in flight, by service and version. */
     readonly #inFlight = new Map<string, Map<string, number>>();
 
@@ -180,14 +180,14 @@
         });
     }
 
-    #runOf({ service, order, status }: RolloutPlan): GatewayRun {
+    #runOf({ service, order, status }: RolloutPlan): RolloutRun {
         const version = order?.version ?? status?.version ?? "";
-        const known = this.#runs.get(service);
-        if (known?.version === version) {
-            return known;
+        const existing = this.#runs.get(service);
+        if (existing?.version === version) {
+            return existing;
         }
         const { exposureShare, random } = this.#deps;
-        const run: GatewayRun = {
+        const run: RolloutRun = {
             version,
             allowance: new TrialAllowance(exposureShare, random),
             tally: new EvidenceTally(),
--- a/packages/rollout/src/nextRolloutStep.ts
+++ b/packages/rollout/src/nextRolloutStep.ts
@@ -72,8 +72,8 @@
 }
 
 /**
- * Decides whether the allowed time of a roll-out is over. If its order may be too old, it counts as such: servers of
- * the old version are still running, so that a rollback is safe.
+ * Decides whether the allowed time of a roll-out is over. An order that may be too old counts as too old: servers of
+ * the old version are still running, so a rollback is safe.
  *
  * @returns whether an unfinished roll-out is to be rolled back
  */
--- a/packages/rollout/src/rolloutCoordination.ts
+++ b/packages/rollout/src/rolloutCoordination.ts
@@ -101,10 +101,10 @@
         const input = {
             plan,
             verdict,
-            ...this.#sinceOrder(plan, time),
+            ...this.#orderAgeBounds(plan, time),
             sinceStageMs: nowMs - this.#stageFirstSeenMs,
             sendsSinceStage: trialSends - this.#sendsBeforeStage,
-            capacity: this.#capacity(plan.service, view, nowMs),
+            capacity: this.#capacityRatio(plan.service, view, nowMs),
             registered: registered.length,
             settled: registered.filter(({ name }) => settled.has(name)).length,
             epochMs,
@@ -117,7 +117,7 @@
      * no reporting gateway saw the order arrive, and only to end the roll-out: a clock that is ahead must not widen a
      * version early.
      */
-    #sinceOrder(
+    #orderAgeBounds(
         { status }: RolloutPlan,
         { nowMs, epochMs }: CoordinationTime,
     ): { readonly sinceOrderMs: number; readonly sinceOrderAtMostMs: number | undefined; } {
@@ -128,7 +128,7 @@
     }
 
     /** Slots of the new version's warm servers, relative to the slots of the other versions. */
-    #capacity(service: string, view: FleetView, nowMs: number): number {
+    #capacityRatio(service: string, view: FleetView, nowMs: number): number {
         let warm = 0;
         let others = 0;
         for (const server of view.readyServers(service, nowMs)) {
--- a/packages/rollout/src/rolloutParticipant.ts
+++ b/packages/rollout/src/rolloutParticipant.ts
@@ -82,7 +82,7 @@
 export class RolloutParticipant {
     readonly #deps: RolloutParticipantDeps;
     readonly #coordinators: CoordinatorSelector;
-    readonly #open = new Map<string, OpenRollout>();
+    readonly #openRollouts = new Map<string, OpenRollout>();
     #syncedAtMs: number | undefined;
     /**
      * Time of the last answer from the store as of the latest tick: an order that is new since then was given after
@@ -97,7 +97,7 @@
 
     /** @returns the number of open roll-outs */
     countOpen(): number {
-        return this.#open.size;
+        return this.#openRollouts.size;
     }
 
     /**
@@ -113,9 +113,9 @@
         this.#syncedAtMs ??= time.nowMs;
         const plans = view.rollouts().filter(isOpenPlan);
         const services = new Set(plans.map(({ service }) => service));
-        for (const service of this.#open.keys()) {
+        for (const service of this.#openRollouts.keys()) {
             if (!services.has(service)) {
-                this.#open.delete(service);
+                this.#openRollouts.delete(service);
             }
         }
         const commands = plans.flatMap(plan => this.#process(plan, time));
@@ -145,7 +145,7 @@
         outcome: ReportOutcome,
         nowMs: number,
     ): readonly RolloutCommand[] {
-        const open = this.#open.get(report.service);
+        const open = this.#openRollouts.get(report.service);
         const summary = open?.pendingReport;
         if (!outcome.taken) {
             this.#coordinators.onFailure(to.name, nowMs);
@@ -171,7 +171,7 @@
      * @param revision - revision of the write; `undefined` if it failed or its outcome is unknown
      */
     onStatusWritten(service: string, revision: number | undefined, nowMs: number): void {
-        const open = this.#open.get(service);
+        const open = this.#openRollouts.get(service);
         if (open !== undefined) {
             open.writing = false;
             open.nextWriteAtMs = nowMs + statusWriteDelayMs;
@@ -191,7 +191,7 @@
         const gateways = view.registeredGateways();
         const names = gateways.map(gateway => gateway.name);
         const isActing = this.#coordinators.isActing(plan.service, names, nowMs)
-            || open.coordination.isOverdue(plan, nowMs, this.#overdueWaitMs(plan, names));
+            || open.coordination.isOverdue(plan, nowMs, this.#overdueDelayMs(plan, names));
         if (isActing && this.#reachesStore(nowMs)) {
             open.coordination.onReport(rollouts.createReport(plan), nowMs);
             commands.push(...this.#coordinate(plan, open, time));
@@ -232,7 +232,7 @@
      * A coordinator may be unable to write, or know the order for a shorter time than others, while it still accepts
      * reports. So every gateway ends an overdue roll-out itself, with a delay that increases with its rank.
      */
-    #overdueWaitMs({ service, order }: RolloutPlan, names: readonly string[]): number {
+    #overdueDelayMs({ service, order }: RolloutPlan, names: readonly string[]): number {
         const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
         const steps = rank < 0 ? maxOverdueDelaySteps : Math.min(rank, maxOverdueDelaySteps);
         return (order?.allowedMs ?? 0) * overdueDelayShare * steps;
@@ -268,9 +268,9 @@
 
     #resolveOpen(plan: RolloutPlan, time: CoordinationTime): OpenRollout {
         const version = versionOf(plan);
-        const known = this.#open.get(plan.service);
-        if (known?.coordination.version === version) {
-            return known;
+        const existing = this.#openRollouts.get(plan.service);
+        if (existing?.coordination.version === version) {
+            return existing;
         }
         const open: OpenRollout = {
             coordination: new RolloutCoordination(version, time, this.#newOrderAge(time.nowMs)),
@@ -282,7 +282,7 @@
             writtenRevision: 0,
             isBad: false,
         };
-        this.#open.set(plan.service, open);
+        this.#openRollouts.set(plan.service, open);
         return open;
     }
 
