--- a/packages/fleetState/src/__tests__/storeMirror.test.ts
+++ b/packages/fleetState/src/__tests__/storeMirror.test.ts
@@ -7,7 +7,7 @@
     return { key, value: `${key}${modifiedRevision}`, modifiedRevision };
 }
 
-test("what came after a revision is told, and the same for deletions", () => {
+test("changes and deletions after a revision are returned", () => {
     const mirror = new StoreMirror();
     mirror.onFullRead(5, [entry("a", 2), entry("b", 5)]);
     mirror.onChanges({ revision: 7, changed: [entry("c", 6)], deleted: ["a"] });
@@ -15,16 +15,16 @@
     assert.deepEqual(mirror.changesSince(7), { revision: 7, changed: [], deleted: [] });
 });
 
-// The store forgot its history while a server left. The gateway that reads the store learns of it by what a whole
-// reading lacks; the ones that ask it must hear of it too, or they would go on sending to the server.
-test("what a later reading lacks is told as deleted", () => {
+// Guards against followers that keep sending to a server that left: the store has compacted its history meanwhile, so
+// the gateway that reads it learns of the deletion only from a full read, and must pass it on.
+test("an entry that a later full read lacks is returned as deleted", () => {
     const mirror = new StoreMirror();
     mirror.onFullRead(5, [entry("a", 2), entry("b", 5)]);
     mirror.onFullRead(9, [entry("b", 5)]);
     assert.deepEqual(mirror.changesSince(5)?.deleted, ["a"]);
 });
 
-test("nothing is said of a time before the first reading", () => {
+test("changes from before the first full read are unknown", () => {
     const mirror = new StoreMirror();
     assert.equal(mirror.changesSince(0), undefined);
     mirror.onFullRead(5, [entry("a", 2)]);
@@ -32,8 +32,8 @@
     assert.notEqual(mirror.changesSince(5), undefined);
 });
 
-// Gateways follow one mirror or another, from any revision, and must all end up with what the store holds.
-test("whoever follows a mirror from any revision that it knows ends up with the store's keys", () => {
+// Guards against followers that diverge from the store: they follow one mirror or another, from any revision.
+test("a follower of a mirror ends up with the contents of the store from any known revision", () => {
     const steps = fc.array(
         fc.record({ key: fc.constantFrom("a", "b", "c", "d"), deleted: fc.boolean(), batch: fc.boolean() }),
         { minLength: 1, maxLength: 30 },
@@ -42,7 +42,7 @@
         fc.property(steps, fc.nat({ max: 30 }), (writes, from) => {
             const mirror = new StoreMirror();
             mirror.onFullRead(0, []);
-            const held = new Map<string, MirroredEntry>();
+            const stored = new Map<string, MirroredEntry>();
             let followed = new Map<string, MirroredEntry>();
             let revision = 0;
             let changed = new Map<string, MirroredEntry>();
@@ -52,11 +52,11 @@
                 changed.delete(key);
                 deleted.delete(key);
                 if (deletes) {
-                    held.delete(key);
+                    stored.delete(key);
                     deleted.add(key);
                 }
                 else {
-                    held.set(key, entry(key, revision));
+                    stored.set(key, entry(key, revision));
                     changed.set(key, entry(key, revision));
                 }
                 if (!batch) {
@@ -65,20 +65,20 @@
                     deleted = new Set();
                 }
                 if (revision === from && !batch) {
-                    followed = new Map(held);
+                    followed = new Map(stored);
                 }
             }
             mirror.onChanges({ revision, changed: [...changed.values()], deleted: [...deleted] });
             const start = followed.size > 0 ? from : 0;
-            const told = mirror.changesSince(start);
-            assert.ok(told);
-            for (const key of told.deleted) {
+            const result = mirror.changesSince(start);
+            assert.ok(result);
+            for (const key of result.deleted) {
                 followed.delete(key);
             }
-            for (const each of told.changed) {
+            for (const each of result.changed) {
                 followed.set(each.key, each);
             }
-            assert.deepEqual([...followed.entries()].sort(), [...held.entries()].sort());
+            assert.deepEqual([...followed.entries()].sort(), [...stored.entries()].sort());
         }),
         { seed: 1, numRuns: 500 },
     );
--- a/packages/fleetState/src/__tests__/versionEligibility.test.ts
+++ b/packages/fleetState/src/__tests__/versionEligibility.test.ts
@@ -23,7 +23,7 @@
     serverItem("three", { version: "v3" }),
 ];
 
-function see(...items: readonly StateItem[]): FleetView {
+function createView(...items: readonly StateItem[]): FleetView {
     const view = new FleetView();
     view.onFullRead([...servers, ...items], 0);
     return view;
@@ -37,23 +37,23 @@
     return view.trialServers("tables", 0).map(({ id }) => id).sort().join();
 }
 
-test("without a roll-out versions make no difference", () => {
-    assert.equal(usable(see()), "one,plain,three,two");
-    assert.equal(onTrial(see()), "");
+test("without a roll-out servers of all versions are used", () => {
+    assert.equal(usable(createView()), "one,plain,three,two");
+    assert.equal(onTrial(createView()), "");
 });
 
-test("a version is on trial from its order on, and takes over with the shift", () => {
+test("a version is on trial from its order on and gets all requests once it is shifted", () => {
     for (
         const view of [
-            see(order("v2")),
-            see(order("v2"), status("v2", "trial")),
-            see(order("v2"), status("v2", "widened")),
+            createView(order("v2")),
+            createView(order("v2"), status("v2", "trial")),
+            createView(order("v2"), status("v2", "widened")),
         ]
     ) {
         assert.equal(usable(view), "one,plain,three");
         assert.equal(onTrial(view), "two");
     }
-    const view = see(order("v2"), status("v2", "shifted"));
+    const view = createView(order("v2"), status("v2", "shifted"));
     for (const stage of ["shifted", "completed"] as const) {
         view.onChanges({ items: [status("v2", stage)], deletedKeys: [] }, 0);
         assert.equal(usable(view), "two");
@@ -61,22 +61,23 @@
     }
 });
 
-// Servers of the old version run on until the end, so callers are better served there than refused.
-test("the old version serves while none of the new one's servers can", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+// Guards against refusing callers although servers of the old version, which run until the end of the roll-out, could
+// serve them.
+test("the old version serves requests while no server of the new version is available", () => {
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [], deletedKeys: ["servers/two"] }, 0);
     assert.equal(usable(view), "one,plain,three");
     assert.equal(view.isUsable("one", 0), true);
 });
 
-// A version that was rolled back must get no request again, whatever is ordered afterwards.
-test("a rejected version is blocked for good", () => {
+// Guards against sending requests to a version that was rolled back, whatever is ordered afterwards.
+test("a rejected version stays blocked", () => {
     for (
         const view of [
-            see(order("v2"), status("v2", "rolledBack", ["v2"])),
-            see(status("v2", "rolledBack", ["v2"])),
-            see(order("v3"), status("v3", "trial", ["v2"])),
-            see(order("v2"), status("v3", "completed", ["v2"])),
+            createView(order("v2"), status("v2", "rolledBack", ["v2"])),
+            createView(status("v2", "rolledBack", ["v2"])),
+            createView(order("v3"), status("v3", "trial", ["v2"])),
+            createView(order("v2"), status("v3", "completed", ["v2"])),
         ]
     ) {
         assert.equal(view.isUsable("two", 0), false);
@@ -85,24 +86,24 @@
     }
 });
 
-test("a version whose order was withdrawn or replaced before it was proved gets nothing more", () => {
-    assert.equal(usable(see(status("v2", "widened"))), "one,plain,three");
-    assert.equal(onTrial(see(status("v2", "widened"))), "");
-    const replaced = see(order("v3"), status("v2", "shifted"));
+test("a version whose order is withdrawn or replaced before its completion gets no more requests", () => {
+    assert.equal(usable(createView(status("v2", "widened"))), "one,plain,three");
+    assert.equal(onTrial(createView(status("v2", "widened"))), "");
+    const replaced = createView(order("v3"), status("v2", "shifted"));
     assert.equal(usable(replaced), "one,plain");
     assert.equal(onTrial(replaced), "three");
 });
 
-test("an order that goes leaves a completed version in force", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+test("a completed version stays in use after its order is deleted", () => {
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [status("v2", "completed")], deletedKeys: [] }, 0);
     view.onChanges({ items: [], deletedKeys: ["orders/tables"] }, 0);
     assert.equal(usable(view), "two");
 });
 
-// A server that joins after the end would stand idle for good, whatever version it names.
-test("servers that join after a roll-out was completed are used", () => {
-    const view = see(order("v2"), status("v2", "shifted"));
+// Guards against a server that stays idle forever because it joins after the roll-out with another version.
+test("servers that join after the completion of a roll-out are used", () => {
+    const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [status("v2", "completed")], deletedKeys: [] }, 0);
     view.onChanges({ items: [serverItem("late", { version: "v1" })], deletedKeys: [] }, 0);
     assert.equal(usable(view), "late,two");
--- a/packages/fleetState/src/fleetView.ts
+++ b/packages/fleetState/src/fleetView.ts
@@ -17,16 +17,16 @@
 import { type RolloutPlan } from "./versionEligibility.js";
 import { WorkspaceDirectory } from "@galenaglade/workspaces";
 
-/** A configuration in force, ready for look-ups. */
+/** The configuration in force, indexed for lookups. */
 export interface ConfigurationInForce {
     readonly configuration: FleetConfiguration;
     readonly routes: RouteTable;
     readonly services: ReadonlyMap<string, ServiceRules>;
-    /** `undefined` where the configuration has no workspaces. */
+    /** `undefined` if the configuration has no workspaces. */
     readonly workspaces: WorkspaceDirectory | undefined;
 }
 
-/** Something that this process believes from now on, for its log. */
+/** A change of the fleet view, for the log. */
 export interface FleetChange {
     readonly subject: "configuration" | "availabilityZone" | "server" | "gateway" | "rollout" | "crashReport" | "item";
     readonly name: string;
@@ -34,182 +34,193 @@
 }
 
 /**
- * What one process believes of the fleet: the configuration in force, availability zones taken out, backend servers and
- * gateways. Fed by whole readings of the store and by the changes after them; the configuration never goes back.
+ * The state of the fleet as one process sees it: the configuration in force, evacuated availability zones, backend
+ * servers and gateways. It is fed by full reads of the store and by the changes after them. The configuration never
+ * reverts to an older version.
  */
 export class FleetView {
     readonly #directory = new ServerDirectory();
     readonly #roster = new GatewayRoster();
     readonly #rollouts = new RolloutRegistry();
     readonly #itemsByKey = new Map<string, StateItem>();
-    readonly #zonesOut = new Set<string>();
+    readonly #evacuatedZones = new Set<string>();
     readonly #crashReports = new Map<string, StoredCrashReport>();
-    #crashReportChanges = 0;
-    #inForce: ConfigurationInForce | undefined;
-    #lastContactMs = -Infinity;
+    #crashReportsVersion = 0;
+    #configurationInForce: ConfigurationInForce | undefined;
+    #lastStoreContactMs = -Infinity;
     #currentAsOfMs = -Infinity;
-    #awaySinceMs: number | undefined;
-    /** Since when the store has been heard without an outage; `undefined` where that isn't known. */
-    #heardSinceMs: number | undefined;
-    #isRead = false;
-    /** How often the store came back from an older copy, as of the last reading. */
+    #storeUnavailableSinceMs: number | undefined;
+    /** Start of the current period without a store outage; `undefined` if unknown. */
+    #storeReachableSinceMs: number | undefined;
+    #hasSynced = false;
+    /** Term of the store, which counts its restores from older backups, as of the last full read. */
     #term = 0;
-    readonly #restored = new StoreRestoreOverrides();
+    readonly #restoreOverrides = new StoreRestoreOverrides();
 
-    /** `undefined` until the store gave a configuration. */
+    /** `undefined` until the first configuration has been read. */
     get configurationInForce(): ConfigurationInForce | undefined {
-        return this.#inForce;
+        return this.#configurationInForce;
     }
 
-    /** Whether the store has been read in whole. */
+    /** Whether a full read of the store has completed. */
     get hasSynced(): boolean {
-        return this.#isRead;
+        return this.#hasSynced;
     }
 
-    /** When the store last answered. */
+    /** Time of the last answer from the store. */
     get lastStoreContactMs(): number {
-        return this.#lastContactMs;
+        return this.#lastStoreContactMs;
     }
 
     /**
-     * Until when what is believed is known to be the store's present state. Contact alone doesn't show it: a cheap reading may be
-     * seconds old, and tells of no change that came since.
+     * Time as of which this view is known to match the store. The last answer does not show it: an eventually
+     * consistent read may be seconds old and miss later changes.
      */
     get currentAsOfMs(): number {
         return this.#currentAsOfMs;
     }
 
-    /** What is believed was the store's whole state at that time, by a reading that can't be old. */
+    /** This view matched the whole store at that time, according to a read that cannot be stale. */
     markCurrentAsOf(asOfMs: number): void {
         this.#currentAsOfMs = Math.max(this.#currentAsOfMs, asOfMs);
     }
 
     /**
-     * The store answered, whether with changes or without.
+     * Handles an answer from the store, with or without changes.
      *
-     * @param nowMs - the present time
-     * @param ageMs - how long ago, where another gateway passes the answer on
-     * @returns how long it had been away, where it was
+     * @param nowMs - the current time
+     * @param ageMs - age of the answer if another gateway relayed it, in milliseconds
+     * @returns duration of the outage that this answer ends, in milliseconds; `undefined` if there was none
      */
     onStoreContact(nowMs: number, ageMs = 0): number | undefined {
-        const awaySinceMs = this.#awaySinceMs;
-        const wasAway = awaySinceMs !== undefined && nowMs - awaySinceMs > storeOutageThresholdMs;
-        const wasSilent = nowMs - ageMs - this.#lastContactMs > storeOutageThresholdMs;
-        this.#awaySinceMs = undefined;
-        this.#lastContactMs = Math.max(this.#lastContactMs, nowMs - ageMs);
-        if (this.#heardSinceMs === undefined || wasAway || wasSilent) {
-            this.#heardSinceMs = nowMs;
+        const unavailableSinceMs = this.#storeUnavailableSinceMs;
+        const wasUnavailable = unavailableSinceMs !== undefined && nowMs - unavailableSinceMs > storeOutageThresholdMs;
+        const hadContactGap = nowMs - ageMs - this.#lastStoreContactMs > storeOutageThresholdMs;
+        this.#storeUnavailableSinceMs = undefined;
+        this.#lastStoreContactMs = Math.max(this.#lastStoreContactMs, nowMs - ageMs);
+        if (this.#storeReachableSinceMs === undefined || wasUnavailable || hadContactGap) {
+            this.#storeReachableSinceMs = nowMs;
         }
-        if (!wasAway) {
+        if (!wasUnavailable) {
             return undefined;
         }
         this.#directory.onStoreRecovered(nowMs);
-        return nowMs - awaySinceMs;
+        return nowMs - unavailableSinceMs;
     }
 
     /**
-     * @returns for how long the store has been heard without an outage, in milliseconds; `undefined` where this process can't
-     * vouch for the present
+     * @returns for how long the store has been reachable without an outage, in milliseconds; `undefined` if this
+     * process cannot vouch for it now
      */
     storeReachableForMs(nowMs: number): number | undefined {
-        const isHeard = this.#awaySinceMs === undefined && nowMs - this.#lastContactMs <= storeOutageThresholdMs;
-        return isHeard && this.#heardSinceMs !== undefined ? nowMs - this.#heardSinceMs : undefined;
+        const isReachable = this.#storeUnavailableSinceMs === undefined
+            && nowMs - this.#lastStoreContactMs <= storeOutageThresholdMs;
+        return isReachable && this.#storeReachableSinceMs !== undefined
+            ? nowMs - this.#storeReachableSinceMs
+            : undefined;
     }
 
     /**
-     * Another gateway has heard the store without an outage until now. Where this one lost it for longer, it alone was cut off, and
-     * what it misses was deleted.
+     * Another gateway has reached the store without an outage until now. If this gateway lost the store for longer,
+     * only this one was partitioned, and the entries that it finds missing were deleted.
      *
-     * @param forMs - for how long the other one has heard it
-     * @param nowMs - the present time
+     * @param forMs - for how long the other gateway has reached the store, in milliseconds
+     * @param nowMs - the current time
      */
     onPeerStoreContact(forMs: number, nowMs: number): void {
         const sinceMs = nowMs - forMs;
-        if (this.#heardSinceMs !== undefined) {
-            this.#heardSinceMs = Math.min(this.#heardSinceMs, sinceMs);
+        if (this.#storeReachableSinceMs !== undefined) {
+            this.#storeReachableSinceMs = Math.min(this.#storeReachableSinceMs, sinceMs);
         }
         this.#directory.onStoreUpSince(sinceMs);
     }
 
-    /** This host stood still: the store may have been away meanwhile, and nothing here shows it. */
+    /** This host was paused: a store outage may have gone unnoticed meanwhile. */
     onProcessPaused(): void {
-        this.#heardSinceMs = undefined;
+        this.#storeReachableSinceMs = undefined;
     }
 
-    /** @returns whether any server is believed whose entry went missing, because the store may have been away */
+    /** @returns whether any server is kept whose entry is missing, because the store may have been unavailable */
     hasLapsedServers(nowMs: number): boolean {
         return this.#directory.hasLapsedEntries(nowMs);
     }
 
-    /** A call of the store has failed. @param sinceMs - from when on the store may have been away */
+    /**
+     * Handles a failed call to the store.
+     *
+     * @param sinceMs - when the store may have become unavailable
+     */
     onStoreCallFailed(sinceMs: number): void {
-        this.#awaySinceMs ??= sinceMs;
+        this.#storeUnavailableSinceMs ??= sinceMs;
     }
 
-    /** How often the store came back from an older copy, as of the last whole reading. */
+    /** Term of the store, which counts its restores from older backups, as of the last full read. */
     get term(): number {
         return this.#term;
     }
 
     /**
-     * A whole reading: what it lacks is gone. Where the store came back from an older copy, what it lacks may just have been lost, and what
-     * it has may have been changed or withdrawn before.
+     * Applies a full read of the store. Entries that it lacks were deleted. After a restore from an older backup,
+     * however, they may just have been lost, and entries that it has may be outdated or withdrawn.
      *
-     * @param items - everything that was read
-     * @param nowMs - the present time
-     * @param term - of the store, in which it was read
-     * @returns what is believed from now on
+     * @param items - all items that were read
+     * @param nowMs - the current time
+     * @param term - term of the store at the read
+     * @returns the resulting changes
      */
     onFullRead(items: readonly StateItem[], nowMs: number, term = 0): readonly FleetChange[] {
-        const read = new Set(items.map(item => item.key));
-        const lacking = [...this.#itemsByKey.values()].filter(({ key }) => !read.has(key));
+        const readKeys = new Set(items.map(item => item.key));
+        const missing = [...this.#itemsByKey.values()].filter(({ key }) => !readKeys.has(key));
         const deletedKeys: string[] = [];
-        const isRestored = this.#isRead && term > this.#term;
+        const isRestored = this.#hasSynced && term > this.#term;
         if (isRestored) {
-            this.#restored.onStoreRestored(nowMs);
+            this.#restoreOverrides.onStoreRestored(nowMs);
             this.#directory.onStoreRestored(nowMs);
         }
-        for (const item of lacking) {
-            if (item.type === "server" || (!isRestored && !this.#restored.retains(item.key, nowMs))) {
+        for (const item of missing) {
+            if (item.type === "server" || (!isRestored && !this.#restoreOverrides.retains(item.key, nowMs))) {
                 deletedKeys.push(item.key);
             }
             else if (isRestored) {
-                this.#restored.onMissing(item, nowMs);
+                this.#restoreOverrides.onMissing(item, nowMs);
             }
         }
-        this.#isRead = true;
+        this.#hasSynced = true;
         this.#term = Math.max(this.#term, term);
         return this.onChanges({ items: items.filter(item => !this.#isOutdated(item, nowMs)), deletedKeys }, nowMs);
     }
 
-    /** @returns how many keys are believed that the store lacks since it came back from an older copy */
+    /**
+     * @returns how many keys are still in effect although the store has lacked them since its restore from an older
+     * backup
+     */
     countUnconfirmedKeys(): number {
-        return this.#restored.unconfirmedKeys.size;
+        return this.#restoreOverrides.unconfirmedKeys.size;
     }
 
-    /** What changed since the last reading or change. */
+    /** Applies changes since the last full read or change. */
     onChanges(changes: StateChanges, nowMs: number): readonly FleetChange[] {
-        const beliefs: FleetChange[] = [];
+        const fleetChanges: FleetChange[] = [];
         for (const key of changes.deletedKeys) {
-            this.#forget(key, nowMs, beliefs);
+            this.#removeKey(key, nowMs, fleetChanges);
         }
         for (const item of changes.items) {
-            this.#learn(item, nowMs, beliefs);
+            this.#applyItem(item, nowMs, fleetChanges);
         }
-        return beliefs;
+        return fleetChanges;
     }
 
-    /** Lets go of what was believed for a limited time. */
+    /** Ends overrides and lapsed entries whose time is over. */
     expire(nowMs: number): readonly FleetChange[] {
-        const { expiredKeys, confirmedItems } = this.#restored.expire(nowMs);
-        const beliefs = [...this.onChanges({ items: confirmedItems, deletedKeys: expiredKeys }, nowMs)];
+        const { expiredKeys, confirmedItems } = this.#restoreOverrides.expire(nowMs);
+        const fleetChanges = [...this.onChanges({ items: confirmedItems, deletedKeys: expiredKeys }, nowMs)];
         for (const { id, change } of this.#directory.expire(nowMs)) {
-            beliefs.push({ subject: "server", name: id, change });
+            fleetChanges.push({ subject: "server", name: id, change });
         }
-        return beliefs;
+        return fleetChanges;
     }
 
-    /** @returns backend servers of a service that may be given any new work */
+    /** @returns backend servers of a service that may get any new request */
     usableServers(service: string, nowMs: number): readonly RegisteredServer[] {
         const ready = this.readyServers(service, nowMs);
         if (this.#rollouts.planOf(service) === undefined) {
@@ -221,85 +232,87 @@
             : ready.filter(server => this.#rollouts.eligibilityOf(server) === "superseded");
     }
 
-    /** @returns backend servers of a version on trial, which may be given a bounded share of new work */
+    /** @returns backend servers of a version on trial, which may get a bounded share of new requests */
     trialServers(service: string, nowMs: number): readonly RegisteredServer[] {
         return this.#rollouts.planOf(service) === undefined
             ? []
             : this.readyServers(service, nowMs).filter(server => this.#rollouts.eligibilityOf(server) === "trial");
     }
 
-    /** @returns roll-outs of all services, those that have ended included */
+    /** @returns the latest roll-out of each service, including those that have ended */
     rollouts(): readonly RolloutPlan[] {
         return this.#rollouts.plans;
     }
 
-    /** @returns a service's latest roll-out */
+    /** @returns the latest roll-out of a service */
     rolloutOf(service: string): RolloutPlan | undefined {
         return this.#rollouts.planOf(service);
     }
 
-    /** Reports on requests under which servers ended, by gateway. */
+    /** Crash reports by gateway. */
     get crashReports(): ReadonlyMap<string, StoredCrashReport> {
         return this.#crashReports;
     }
 
-    /** Rises with each change of {@link crashReports}. */
+    /** Incremented with each change of {@link crashReports}. */
     get crashReportsVersion(): number {
-        return this.#crashReportChanges;
+        return this.#crashReportsVersion;
     }
 
-    /** @returns whether a server may be given new work; asked again right before a request is written */
+    /** @returns whether a server may get new requests; checked again right before a request is written */
     isUsable(id: string, nowMs: number): boolean {
         const server = this.#directory.get(id);
         if (
             server === undefined || !this.#directory.isReady(id, nowMs)
-            || this.#zonesOut.has(server.availabilityZone)
+            || this.#evacuatedZones.has(server.availabilityZone)
         ) {
             return false;
         }
-        const use = this.#rollouts.eligibilityOf(server);
-        return use === "superseded"
+        const eligibility = this.#rollouts.eligibilityOf(server);
+        return eligibility === "superseded"
             ? this.usableServers(server.service, nowMs).some(other => other.id === id)
-            : use !== "blocked";
+            : eligibility !== "blocked";
     }
 
-    /** @returns backend servers of a service that may be given new work for all that roll-outs don't say */
+    /** @returns backend servers of a service that may get new requests, ignoring roll-outs */
     readyServers(service: string, nowMs: number): readonly RegisteredServer[] {
-        return this.#directory.ready(service, nowMs).filter(server => !this.#zonesOut.has(server.availabilityZone));
+        return this.#directory.ready(service, nowMs).filter(server =>
+            !this.#evacuatedZones.has(server.availabilityZone)
+        );
     }
 
-    /** Every backend server that has an entry, whatever its state. */
+    /** Ids of all known backend servers, whatever their state. */
     knownServerIds(): readonly string[] {
         return this.#directory.ids();
     }
 
-    /** @returns the names of all gateways that count, sorted */
+    /** @returns the names of all member gateways, sorted */
     gatewayNames(nowMs: number): readonly string[] {
         return this.#roster.names(nowMs);
     }
 
-    /** @returns the gateways that count, with their availability zones; the same object while they are the same */
+    /** @returns the member gateways with their availability zones; the same object until the membership changes */
     gatewayMembers(nowMs: number): GatewayMembers {
         return this.#roster.members(nowMs);
     }
 
-    /** @returns the gateways that tell others changes of the store */
+    /** @returns the registered gateways that can relay store changes */
     registeredGateways(): readonly RegisteredGateway[] {
         return this.#roster.registered();
     }
 
-    /** @returns whether a gateway's registration is in the store, as far as is known */
+    /** @returns whether a gateway's registration is in the store, as far as this process knows */
     isRegistered(name: string): boolean {
         return this.#roster.isRegistered(name) && !this.#isUnconfirmedGateway(name);
     }
 
-    /** @returns the lease that a gateway's registration is under, as far as is known */
+    /** @returns the id of the lease that a gateway's registration is attached to, as far as this process knows */
     registrationLease(name: string): string | undefined {
         return this.#isUnconfirmedGateway(name) ? undefined : this.#roster.leaseOf(name);
     }
 
     #isUnconfirmedGateway(name: string): boolean {
-        for (const key of this.#restored.unconfirmedKeys.keys()) {
+        for (const key of this.#restoreOverrides.unconfirmedKeys.keys()) {
             const item = this.#itemsByKey.get(key);
             if (item?.type === "gateway" && item.name === name) {
                 return true;
@@ -308,7 +321,7 @@
         return false;
     }
 
-    /** Whether a reading has something of before what is believed. */
+    /** Whether an item of a full read is older than the known state. */
     #isOutdated(item: StateItem, nowMs: number): boolean {
         if (item.type === "server") {
             return this.#directory.isOutdated(item.server);
@@ -317,42 +330,42 @@
             const known = this.#rollouts.planOf(item.status.service)?.status;
             return known !== undefined && isLaterStatus(known, item.status);
         }
-        return !this.#itemsByKey.has(item.key) && this.#restored.suppresses(item, nowMs);
+        return !this.#itemsByKey.has(item.key) && this.#restoreOverrides.suppresses(item, nowMs);
     }
 
-    #learn(item: StateItem, nowMs: number, beliefs: FleetChange[]): void {
-        this.#restored.onWritten(item.key);
+    #applyItem(item: StateItem, nowMs: number, fleetChanges: FleetChange[]): void {
+        this.#restoreOverrides.onWritten(item.key);
         const before = this.#itemsByKey.get(item.key);
         if (before !== undefined && !isSameSubject(before, item)) {
-            this.#forget(item.key, nowMs, beliefs);
+            this.#removeKey(item.key, nowMs, fleetChanges);
         }
         this.#itemsByKey.set(item.key, item);
         switch (item.type) {
             case "configuration":
-                this.#learnConfiguration(item.configuration, beliefs);
+                this.#applyConfiguration(item.configuration, fleetChanges);
                 return;
             case "zoneOut":
-                if (!this.#zonesOut.has(item.availabilityZone)) {
-                    this.#zonesOut.add(item.availabilityZone);
-                    beliefs.push({ subject: "availabilityZone", name: item.availabilityZone, change: "out" });
+                if (!this.#evacuatedZones.has(item.availabilityZone)) {
+                    this.#evacuatedZones.add(item.availabilityZone);
+                    fleetChanges.push({ subject: "availabilityZone", name: item.availabilityZone, change: "out" });
                 }
                 return;
             case "server": {
                 const change = this.#directory.onEntry(item.server);
                 if (change !== undefined) {
-                    beliefs.push({ subject: "server", name: change.id, change: change.change });
+                    fleetChanges.push({ subject: "server", name: change.id, change: change.change });
                 }
                 return;
             }
             case "gateway":
                 if (!this.#roster.isRegistered(item.name)) {
-                    beliefs.push({ subject: "gateway", name: item.name, change: "present" });
+                    fleetChanges.push({ subject: "gateway", name: item.name, change: "present" });
                 }
                 this.#roster.onRegistered(item.name, item.leaseId, item.registration);
                 return;
             case "rolloutOrder":
                 this.#rollouts.onOrder(item.order);
-                beliefs.push({
+                fleetChanges.push({
                     subject: "rollout",
                     name: item.order.service,
                     change: `ordered ${item.order.version} within ${item.order.allowedMs} ms`,
@@ -360,7 +373,7 @@
                 return;
             case "rolloutStatus":
                 this.#rollouts.onStatus(item.status, item.revision, this.#directory.ready(item.status.service, nowMs));
-                beliefs.push({
+                fleetChanges.push({
                     subject: "rollout",
                     name: item.status.service,
                     change: `${item.status.version} ${item.status.stage}`,
@@ -369,60 +382,60 @@
             case "crashReport": {
                 const { gateway, report, revision } = item;
                 this.#crashReports.set(gateway, { report, revision });
-                this.#crashReportChanges++;
+                this.#crashReportsVersion++;
                 const change = `${report.strikes.length} strikes, ${report.cleared.length} cleared`;
-                beliefs.push({ subject: "crashReport", name: gateway, change });
+                fleetChanges.push({ subject: "crashReport", name: gateway, change });
                 return;
             }
             case "ignored":
                 if (item.reason !== undefined) {
-                    beliefs.push({ subject: "item", name: item.key, change: `ignored: ${item.reason}` });
+                    fleetChanges.push({ subject: "item", name: item.key, change: `ignored: ${item.reason}` });
                 }
         }
     }
 
-    #learnConfiguration(configuration: FleetConfiguration, beliefs: FleetChange[]): void {
-        const current = this.#inForce?.configuration.version ?? -1;
+    #applyConfiguration(configuration: FleetConfiguration, fleetChanges: FleetChange[]): void {
+        const current = this.#configurationInForce?.configuration.version ?? -1;
         if (configuration.version <= current) {
             return;
         }
-        this.#inForce = {
+        this.#configurationInForce = {
             configuration,
             routes: createRouteTable(configuration.routes),
             services: new Map(configuration.services.map(rules => [rules.name, rules])),
             workspaces: configuration.workspaces && new WorkspaceDirectory(configuration.workspaces),
         };
-        beliefs.push({ subject: "configuration", name: String(configuration.version), change: "inForce" });
+        fleetChanges.push({ subject: "configuration", name: String(configuration.version), change: "inForce" });
     }
 
-    #forget(key: string, nowMs: number, beliefs: FleetChange[]): void {
+    #removeKey(key: string, nowMs: number, fleetChanges: FleetChange[]): void {
         const item = this.#itemsByKey.get(key);
         this.#itemsByKey.delete(key);
-        this.#restored.onDeleted(key, item, nowMs);
+        this.#restoreOverrides.onDeleted(key, item, nowMs);
         switch (item?.type) {
             case "zoneOut":
-                this.#zonesOut.delete(item.availabilityZone);
-                beliefs.push({ subject: "availabilityZone", name: item.availabilityZone, change: "in" });
+                this.#evacuatedZones.delete(item.availabilityZone);
+                fleetChanges.push({ subject: "availabilityZone", name: item.availabilityZone, change: "in" });
                 return;
             case "server": {
                 const change = this.#directory.onEntryMissing(item.server.id, nowMs);
                 if (change !== undefined) {
-                    beliefs.push({ subject: "server", name: change.id, change: change.change });
+                    fleetChanges.push({ subject: "server", name: change.id, change: change.change });
                 }
                 return;
             }
             case "gateway":
                 this.#roster.onUnregistered(item.name, nowMs);
-                beliefs.push({ subject: "gateway", name: item.name, change: "gone" });
+                fleetChanges.push({ subject: "gateway", name: item.name, change: "gone" });
                 return;
             case "rolloutOrder":
                 this.#rollouts.onOrderDeleted(item.order);
-                beliefs.push({ subject: "rollout", name: item.order.service, change: "order withdrawn" });
+                fleetChanges.push({ subject: "rollout", name: item.order.service, change: "order withdrawn" });
                 return;
             case "crashReport":
                 this.#crashReports.delete(item.gateway);
-                this.#crashReportChanges++;
-                beliefs.push({ subject: "crashReport", name: item.gateway, change: "gone" });
+                this.#crashReportsVersion++;
+                fleetChanges.push({ subject: "crashReport", name: item.gateway, change: "gone" });
                 return;
             case "rolloutStatus":
                 this.#rollouts.onStatusDeleted(item.status);
--- a/packages/fleetState/src/gatewayRoster.ts
+++ b/packages/fleetState/src/gatewayRoster.ts
@@ -2,11 +2,11 @@
 import { type GatewayRegistration } from "./gatewayRegistration.js";
 import { type RegisteredGateway } from "./watchSourceSelector.js";
 
-/** The gateways that count at one moment. The arrays stay the same while the gateways do. */
+/** The member gateways at one point in time. The arrays are reused until the membership changes. */
 export interface GatewayMembers {
     /** All names, sorted. */
     readonly names: readonly string[];
-    /** Those of each availability zone, as far as their registrations say it. */
+    /** Names by availability zone, for the gateways whose registration tells their zone. */
     readonly byZone: ReadonlyMap<string, readonly string[]>;
 }
 
@@ -15,67 +15,67 @@
     readonly atMs: number;
 }
 
-interface PresentGateway {
+interface RegisteredMember {
     readonly leaseId: string | undefined;
     readonly registration: GatewayRegistration | undefined;
 }
 
 /**
- * The gateways of the fleet, by their registrations in the store. What is dealt out by it (shares of a budget, who
- * may send to a cold server) must hold while gateways see the roster change at different moments, so a gateway leaves
- * it late and joins it at once: the number is rather too large than too small.
+ * Membership of the gateways, based on their registrations in the store. Budgets are divided by it and permissions to
+ * send to cold servers depend on it; both must hold although gateways see a change at different times. So a gateway
+ * joins at once and leaves late: the number of members may be too large for a while, but not too small.
  */
 export class GatewayRoster {
-    readonly #present = new Map<string, PresentGateway>();
+    readonly #registered = new Map<string, RegisteredMember>();
     readonly #departed = new Map<string, DepartedGateway>();
-    #counted: GatewayMembers | undefined;
-    /** When the next departed gateway stops counting. */
-    #countedUntilMs = Infinity;
+    #members: GatewayMembers | undefined;
+    /** When the next departed gateway ceases to be a member. */
+    #membersUntilMs = Infinity;
 
     onRegistered(name: string, leaseId: string | undefined, registration?: GatewayRegistration): void {
-        const before = this.#present.get(name);
-        this.#present.set(name, { leaseId, registration });
+        const before = this.#registered.get(name);
+        this.#registered.set(name, { leaseId, registration });
         this.#departed.delete(name);
         if (before === undefined || before.registration?.availabilityZone !== registration?.availabilityZone) {
-            this.#counted = undefined;
+            this.#members = undefined;
         }
     }
 
     onUnregistered(name: string, nowMs: number): void {
-        const gone = this.#present.get(name);
-        if (gone !== undefined) {
-            this.#present.delete(name);
-            this.#departed.set(name, { availabilityZone: gone.registration?.availabilityZone, atMs: nowMs });
-            this.#counted = undefined;
+        const departing = this.#registered.get(name);
+        if (departing !== undefined) {
+            this.#registered.delete(name);
+            this.#departed.set(name, { availabilityZone: departing.registration?.availabilityZone, atMs: nowMs });
+            this.#members = undefined;
         }
     }
 
-    /** @returns the gateways that count now */
+    /** @returns the current members */
     members(nowMs: number): GatewayMembers {
-        if (this.#counted === undefined || nowMs >= this.#countedUntilMs) {
-            this.#counted = this.#count(nowMs);
+        if (this.#members === undefined || nowMs >= this.#membersUntilMs) {
+            this.#members = this.#computeMembers(nowMs);
         }
-        return this.#counted;
+        return this.#members;
     }
 
-    /** @returns all names that count now, sorted */
+    /** @returns the names of the current members, sorted */
     names(nowMs: number): readonly string[] {
         return this.members(nowMs).names;
     }
 
-    #count(nowMs: number): GatewayMembers {
+    #computeMembers(nowMs: number): GatewayMembers {
         const zones = new Map<string, string | undefined>();
-        for (const [name, { registration }] of this.#present) {
+        for (const [name, { registration }] of this.#registered) {
             zones.set(name, registration?.availabilityZone);
         }
-        this.#countedUntilMs = Infinity;
+        this.#membersUntilMs = Infinity;
         for (const [name, { availabilityZone, atMs }] of this.#departed) {
             if (nowMs - atMs >= departedGatewayGraceMs) {
                 this.#departed.delete(name);
                 continue;
             }
             zones.set(name, availabilityZone);
-            this.#countedUntilMs = Math.min(this.#countedUntilMs, atMs + departedGatewayGraceMs);
+            this.#membersUntilMs = Math.min(this.#membersUntilMs, atMs + departedGatewayGraceMs);
         }
         const names = [...zones.keys()].sort();
         const byZone = new Map<string, string[]>();
@@ -90,20 +90,20 @@
         return { names, byZone };
     }
 
-    /** @returns whether a gateway's registration is there at this moment */
+    /** @returns whether a gateway is registered now */
     isRegistered(name: string): boolean {
-        return this.#present.has(name);
+        return this.#registered.has(name);
     }
 
-    /** @returns the lease of a gateway's registration */
+    /** @returns the id of the lease that a gateway's registration is attached to */
     leaseOf(name: string): string | undefined {
-        return this.#present.get(name)?.leaseId;
+        return this.#registered.get(name)?.leaseId;
     }
 
-    /** @returns the gateways that are registered at this moment and say where they relay changes */
+    /** @returns the gateways that are registered now and have an address for relaying changes */
     registered(): readonly RegisteredGateway[] {
         const gateways: RegisteredGateway[] = [];
-        for (const [name, { registration }] of this.#present) {
+        for (const [name, { registration }] of this.#registered) {
             if (registration !== undefined) {
                 gateways.push({ name, ...registration });
             }
--- a/packages/fleetState/src/serverDirectory.ts
+++ b/packages/fleetState/src/serverDirectory.ts
@@ -1,20 +1,23 @@
 import { lapsedEntryGraceMs, tombstoneRetentionMs, storeReconnectWindowMs } from "./constants.js";
 import { type RegisteredServer } from "./model.js";
 
-/** A backend server with what this process makes of its entry. */
+/** A backend server and the validity of its entry. */
 interface DirectoryEntry {
     readonly server: RegisteredServer;
-    /** When the entry was found missing while the store had just come back; `undefined` while it is there. */
-    readonly believedUntilMs: number | undefined;
+    /**
+     * End of the grace period of an entry that was found missing right after a store outage; `undefined` while the
+     * entry exists.
+     */
+    readonly keptUntilMs: number | undefined;
 }
 
-/** The last entry of a server whose entry is gone. */
-interface EndedServer {
+/** The last entry of a server that is no longer in the store. */
+interface RemovedServer {
     readonly server: RegisteredServer;
     readonly atMs: number;
 }
 
-/** What a change of the directory did to one backend server. */
+/** The effect of a change on one backend server. */
 export interface ServerChange {
     readonly id: string;
     readonly change: "added" | "restarted" | "draining" | "changed" | "lapsed" | "removed";
@@ -23,107 +26,112 @@
 /**
  * The backend servers that registered themselves.
  *
- * While the store is away, servers can't renew their entries, and all of them may be gone from it when it returns.
- * Dropped at once, a whole service would be refused although every server of it works. So an entry that goes missing
- * around an outage is believed a little longer than living servers need to write it again.
+ * Servers cannot renew their entries while the store is unavailable, so all entries may have expired when it returns.
+ * If they were dropped at once, all requests for a service would be refused although every server of it works. So an
+ * entry that goes missing around an outage is kept a little longer than running servers need to re-create it.
  */
 export class ServerDirectory {
     readonly #entries = new Map<string, DirectoryEntry>();
     readonly #byService = new Map<string, Set<string>>();
-    readonly #ended = new Map<string, EndedServer>();
-    #believeLapsedUntilMs = -Infinity;
-    /** When the store was last found again. */
-    #returnedAtMs = -Infinity;
-    /** When the store last came back from an older copy. */
+    readonly #removed = new Map<string, RemovedServer>();
+    #keepLapsedUntilMs = -Infinity;
+    /** When this process last found the store available after an outage. */
+    #recoveredAtMs = -Infinity;
+    /** When the store was last restored from an older backup. */
     #restoredAtMs = -Infinity;
 
     /**
-     * @param server - as a whole reading has it
-     * @returns whether it is an entry of before what is known: the store came back from an older copy
+     * @param server - as read in a full read of the store
+     * @returns whether the entry is older than the known one, as after a restore of the store from an older backup
      */
     isOutdated(server: RegisteredServer): boolean {
         const known = this.#entries.get(server.id)?.server;
         if (known !== undefined) {
             return compareEntries(server, known) < 0;
         }
-        const ended = this.#ended.get(server.id);
-        const order = ended === undefined ? 1 : compareEntries(server, ended.server);
-        return order < 0 || (order === 0 && ended !== undefined && ended.atMs < this.#restoredAtMs);
+        const removed = this.#removed.get(server.id);
+        const order = removed === undefined ? 1 : compareEntries(server, removed.server);
+        return order < 0 || (order === 0 && removed !== undefined && removed.atMs < this.#restoredAtMs);
     }
 
-    /** The store came back from an older copy. */
+    /** The store was restored from an older backup. */
     onStoreRestored(nowMs: number): void {
         this.#restoredAtMs = nowMs;
         this.onStoreRecovered(nowMs);
     }
 
-    /** The store has just come back after an outage: until when lapsed entries are believed. */
+    /** The store has just become available after an outage. Starts the grace period for lapsed entries. */
     onStoreRecovered(nowMs: number): void {
-        this.#returnedAtMs = nowMs;
-        this.#believeLapsedUntilMs = nowMs + lapsedEntryGraceMs;
+        this.#recoveredAtMs = nowMs;
+        this.#keepLapsedUntilMs = nowMs + lapsedEntryGraceMs;
     }
 
     /**
-     * The store has been there without an outage since then. Where this process found it much later than others can have, it was cut
-     * off itself: what lapsed in an outage before is believed no longer than by others, and what went missing later was deleted.
+     * The store has been available without an outage since the given time. If this process reconnected much later than
+     * others can have, it was partitioned itself: entries that lapsed in an outage before are kept no longer than by
+     * others, and entries that went missing later were deleted.
      */
     onStoreUpSince(sinceMs: number): void {
         const untilMs = sinceMs + lapsedEntryGraceMs;
-        if (this.#returnedAtMs - sinceMs <= storeReconnectWindowMs || untilMs >= this.#believeLapsedUntilMs) {
+        if (this.#recoveredAtMs - sinceMs <= storeReconnectWindowMs || untilMs >= this.#keepLapsedUntilMs) {
             return;
         }
-        this.#believeLapsedUntilMs = untilMs;
-        for (const [id, { server, believedUntilMs }] of this.#entries) {
-            if (believedUntilMs !== undefined && believedUntilMs > untilMs) {
-                this.#put(id, { server, believedUntilMs: untilMs });
+        this.#keepLapsedUntilMs = untilMs;
+        for (const [id, { server, keptUntilMs }] of this.#entries) {
+            if (keptUntilMs !== undefined && keptUntilMs > untilMs) {
+                this.#put(id, { server, keptUntilMs: untilMs });
             }
         }
     }
 
-    /** @returns whether any server is believed whose entry went missing */
+    /** @returns whether any server is kept whose entry is missing */
     hasLapsedEntries(nowMs: number): boolean {
-        for (const { believedUntilMs } of this.#entries.values()) {
-            if (believedUntilMs !== undefined && nowMs < believedUntilMs) {
+        for (const { keptUntilMs } of this.#entries.values()) {
+            if (keptUntilMs !== undefined && nowMs < keptUntilMs) {
                 return true;
             }
         }
         return false;
     }
 
-    /** @returns what changed; `undefined` where the entry says nothing new */
+    /** @returns the change; `undefined` if the entry has nothing new */
     onEntry(server: RegisteredServer): ServerChange | undefined {
         const known = this.#entries.get(server.id)?.server;
-        this.#ended.delete(server.id);
-        this.#put(server.id, { server, believedUntilMs: undefined });
+        this.#removed.delete(server.id);
+        this.#put(server.id, { server, keptUntilMs: undefined });
         const change = resolveChange(known, server);
         return change === undefined ? undefined : { id: server.id, change };
     }
 
-    /** The entry is not in the store any more. */
+    /** The entry is no longer in the store. */
     onEntryMissing(id: string, nowMs: number): ServerChange | undefined {
         const entry = this.#entries.get(id);
-        if (entry === undefined || entry.believedUntilMs !== undefined) {
+        if (entry === undefined || entry.keptUntilMs !== undefined) {
             return undefined;
         }
-        this.#ended.set(id, { server: entry.server, atMs: nowMs });
-        if (nowMs < this.#believeLapsedUntilMs && entry.server.state === "ready") {
-            this.#put(id, { server: entry.server, believedUntilMs: this.#believeLapsedUntilMs });
+        this.#removed.set(id, { server: entry.server, atMs: nowMs });
+        if (nowMs < this.#keepLapsedUntilMs && entry.server.state === "ready") {
+            this.#put(id, { server: entry.server, keptUntilMs: this.#keepLapsedUntilMs });
             return { id, change: "lapsed" };
         }
         this.#remove(id);
         return { id, change: "removed" };
     }
 
-    /** @returns the lapsed servers whose time is over, now removed */
+    /**
+     * Removes lapsed servers whose grace period is over.
+     *
+     * @returns the removed servers
+     */
     expire(nowMs: number): readonly ServerChange[] {
         const expired: ServerChange[] = [];
-        for (const [id, { atMs }] of this.#ended) {
+        for (const [id, { atMs }] of this.#removed) {
             if (nowMs - atMs >= tombstoneRetentionMs) {
-                this.#ended.delete(id);
+                this.#removed.delete(id);
             }
         }
-        for (const [id, { believedUntilMs }] of this.#entries) {
-            if (believedUntilMs !== undefined && nowMs >= believedUntilMs) {
+        for (const [id, { keptUntilMs }] of this.#entries) {
+            if (keptUntilMs !== undefined && nowMs >= keptUntilMs) {
                 this.#remove(id);
                 expired.push({ id, change: "removed" });
             }
@@ -135,12 +143,12 @@
         return this.#entries.get(id)?.server;
     }
 
-    /** Every server id that has an entry, or had one that is still believed. */
+    /** Ids of all servers, including those with a lapsed entry. */
     ids(): readonly string[] {
         return [...this.#entries.keys()];
     }
 
-    /** @returns the service's backend servers that may be given new work, for all that the store says */
+    /** @returns the backend servers of a service that may get new requests according to the store */
     ready(service: string, nowMs: number): readonly RegisteredServer[] {
         const ready: RegisteredServer[] = [];
         for (const id of this.#byService.get(service) ?? []) {
@@ -152,7 +160,7 @@
         return ready;
     }
 
-    /** @returns whether the server may be given new work, for all that the store says */
+    /** @returns whether the server may get new requests according to the store */
     isReady(id: string, nowMs: number): boolean {
         return this.#findReady(id, nowMs) !== undefined;
     }
@@ -162,7 +170,7 @@
         if (entry === undefined || entry.server.state !== "ready") {
             return undefined;
         }
-        return entry.believedUntilMs === undefined || nowMs < entry.believedUntilMs ? entry.server : undefined;
+        return entry.keptUntilMs === undefined || nowMs < entry.keptUntilMs ? entry.server : undefined;
     }
 
     #put(id: string, entry: DirectoryEntry): void {
@@ -185,14 +193,14 @@
     }
 }
 
-/** @returns below zero where the first entry is the older one; zero also where they don't say */
+/** @returns a negative number if the first entry is older; 0 if they are of the same age or it is unknown */
 function compareEntries(a: RegisteredServer, b: RegisteredServer): number {
     if (a.startedAtEpochMs !== b.startedAtEpochMs) {
         return (a.startedAtEpochMs ?? 0) - (b.startedAtEpochMs ?? 0);
     }
-    const later = a.sequence === undefined || b.sequence === undefined ? 0 : a.sequence - b.sequence;
-    // A server that leaves doesn't come back in the same start.
-    return later === 0 && a.state === "ready" && b.state === "draining" ? -1 : later;
+    const sequenceOrder = a.sequence === undefined || b.sequence === undefined ? 0 : a.sequence - b.sequence;
+    // A draining server never becomes ready again within the same start.
+    return sequenceOrder === 0 && a.state === "ready" && b.state === "draining" ? -1 : sequenceOrder;
 }
 
 function resolveChange(
@@ -209,6 +217,6 @@
         return before.state === "draining" ? undefined : "draining";
     }
     const moved = before.address.host !== after.address.host || before.address.port !== after.address.port;
-    const isOther = before.service !== after.service || before.version !== after.version;
-    return moved || before.state !== after.state || isOther ? "changed" : undefined;
+    const hasOtherServiceOrVersion = before.service !== after.service || before.version !== after.version;
+    return moved || before.state !== after.state || hasOtherServiceOrVersion ? "changed" : undefined;
 }
--- a/packages/reachability/src/handoverTargetSelector.ts
+++ b/packages/reachability/src/handoverTargetSelector.ts
@@ -8,64 +8,74 @@
     unreachableTtlMs,
 } from "./constants.js";
 
-/** What a board is made with. */
+/** Dependencies and settings of {@link HandoverTargetSelector}. */
 export interface HandoverTargetSelectorDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway, as in its registration. */
     readonly name: string;
-    /** Its own. */
+    /** Availability zone of this gateway. */
     readonly availabilityZone: string;
     readonly random: RandomSource;
 }
 
-interface Word {
+interface PeerStatus {
     readonly reaches: boolean;
     readonly untilMs: number;
 }
 
-/** What is known of other gateways' reach of one service. */
-type Words = Map<string, Word>;
+/** Reachability of one service from other gateways, by gateway name. */
+type PeerStatuses = Map<string, PeerStatus>;
 
-/** Which other gateways can send requests of a service that this host can't, by what they said and what came of requests. */
+/**
+ * Selects other gateways that can send the requests of a service which this host cannot reach, based on their answers
+ * and on the outcomes of requests.
+ */
 export class HandoverTargetSelector {
-    readonly #parts: HandoverTargetSelectorDeps;
-    readonly #words = new Map<string, Words>();
-    readonly #silentUntilMs = new Map<string, number>();
+    readonly #deps: HandoverTargetSelectorDeps;
+    readonly #statuses = new Map<string, PeerStatuses>();
+    readonly #unresponsiveUntilMs = new Map<string, number>();
     readonly #inFlight = new Map<string, number>();
 
-    constructor(parts: HandoverTargetSelectorDeps) {
-        this.#parts = parts;
+    constructor(deps: HandoverTargetSelectorDeps) {
+        this.#deps = deps;
     }
 
-    /** A gateway reaches a service, or doesn't, by its own word or by what became of a request. */
+    /** Records whether a gateway reaches a service, according to its own answer or to the outcome of a request. */
     onReachability(service: string, gateway: string, reaches: boolean, nowMs: number): void {
-        this.#wordsOf(service).set(gateway, {
+        this.#statusesOf(service).set(gateway, {
             reaches,
             untilMs: nowMs + (reaches ? reachableTtlMs : unreachableTtlMs),
         });
-        this.#silentUntilMs.delete(gateway);
+        this.#unresponsiveUntilMs.delete(gateway);
     }
 
-    /** Another gateway has named some that reach a service: taken for true of those of which nothing is known. */
+    /**
+     * Records gateways that another one has suggested as reaching a service. They are used only where nothing else is
+     * known of them.
+     */
     onSuggested(service: string, gateways: readonly string[], nowMs: number): void {
         for (const gateway of gateways.slice(0, maxSuggestedTargets)) {
-            if (this.#wordOf(service, gateway, nowMs) === undefined && gateway !== this.#parts.name) {
-                this.#wordsOf(service).set(gateway, { reaches: true, untilMs: nowMs + unreachableTtlMs });
+            if (this.#statusOf(service, gateway, nowMs) === undefined && gateway !== this.#deps.name) {
+                this.#statusesOf(service).set(gateway, { reaches: true, untilMs: nowMs + unreachableTtlMs });
             }
         }
     }
 
-    /** A gateway didn't answer. */
+    /** Records that a gateway did not answer. */
     onUnresponsive(gateway: string, nowMs: number): void {
-        this.#silentUntilMs.set(gateway, nowMs + peerRetryDelayMs);
+        this.#unresponsiveUntilMs.set(gateway, nowMs + peerRetryDelayMs);
     }
 
-    /** A request is handed to a gateway. @returns called when it has ended */
+    /**
+     * Counts a request that is handed to a gateway.
+     *
+     * @returns a function to call when the request has ended
+     */
     trackRequest(gateway: string): () => void {
         this.#inFlight.set(gateway, this.#load(gateway) + 1);
         return () => {
-            const left = this.#load(gateway) - 1;
-            if (left > 0) {
-                this.#inFlight.set(gateway, left);
+            const remaining = this.#load(gateway) - 1;
+            if (remaining > 0) {
+                this.#inFlight.set(gateway, remaining);
             }
             else {
                 this.#inFlight.delete(gateway);
@@ -73,11 +83,11 @@
         };
     }
 
-    /** @returns gateways that reach a service by what is known, a few of them */
+    /** @returns names of a few gateways that are known to reach a service */
     suggest(service: string, nowMs: number): readonly string[] {
         const names: string[] = [];
-        for (const [gateway, { reaches, untilMs }] of this.#wordsOf(service)) {
-            if (reaches && nowMs < untilMs && !this.#isSilent(gateway, nowMs)) {
+        for (const [gateway, { reaches, untilMs }] of this.#statusesOf(service)) {
+            if (reaches && nowMs < untilMs && !this.#isUnresponsive(gateway, nowMs)) {
                 names.push(gateway);
             }
             if (names.length === maxSuggestedTargets) {
@@ -88,10 +98,11 @@
     }
 
     /**
-     * @param service - that is to be reached
-     * @param gateways - all that are registered
-     * @param tried - that have had the request
-     * @returns the gateway that a request is handed to, the less loaded one of two; `undefined` where none is left
+     * @param service - the service to reach
+     * @param gateways - all registered gateways
+     * @param tried - names of the gateways that have already had the request
+     * @returns the gateway to hand a request to, the less loaded one of two random choices; `undefined` if none is
+     * left
      */
     choose(
         service: string,
@@ -99,95 +110,99 @@
         tried: ReadonlySet<string>,
         nowMs: number,
     ): RegisteredGateway | undefined {
-        const { good, unknown } = this.#sort(service, gateways, tried, nowMs);
-        const explores = unknown.length > 0 && this.#parts.random.next() < explorationShare;
-        const eligible = good.length === 0 || explores ? unknown : this.#findNear(good, gateways);
-        const [a, b] = this.#draw(eligible, 2);
+        const { reaching, unknown } = this.#classify(service, gateways, tried, nowMs);
+        const explores = unknown.length > 0 && this.#deps.random.next() < explorationShare;
+        const eligible = reaching.length === 0 || explores ? unknown : this.#preferOwnZone(reaching, gateways);
+        const [a, b] = this.#drawRandom(eligible, 2);
         if (a === undefined || b === undefined) {
             return a;
         }
         return this.#load(b.name) < this.#load(a.name) ? b : a;
     }
 
-    /** @returns gateways to ask whether they reach a service, those first that others have named */
+    /** @returns gateways to ask whether they reach a service, those first that others have suggested */
     choosePeersToQuery(
         service: string,
         gateways: readonly RegisteredGateway[],
-        asked: ReadonlySet<string>,
+        queried: ReadonlySet<string>,
         count: number,
         nowMs: number,
     ): readonly RegisteredGateway[] {
-        const others = gateways.filter(({ name }) => name !== this.#parts.name && !asked.has(name));
-        const isNamed = ({ name }: RegisteredGateway): boolean => this.#wordOf(service, name, nowMs)?.reaches === true;
-        const named = others.filter(isNamed);
-        const unknown = others.filter(gateway => !isNamed(gateway) && !this.#isSilent(gateway.name, nowMs));
-        return [...this.#draw(named, count), ...this.#draw(unknown, count)].slice(0, count);
+        const others = gateways.filter(({ name }) => name !== this.#deps.name && !queried.has(name));
+        const isSuggested = ({ name }: RegisteredGateway): boolean =>
+            this.#statusOf(service, name, nowMs)?.reaches === true;
+        const suggested = others.filter(isSuggested);
+        const unknown = others.filter(gateway => !isSuggested(gateway) && !this.#isUnresponsive(gateway.name, nowMs));
+        return [...this.#drawRandom(suggested, count), ...this.#drawRandom(unknown, count)].slice(0, count);
     }
 
-    /** Forgets gateways that are no longer registered. */
+    /** Drops gateways that are no longer registered. */
     retain(gateways: ReadonlySet<string>): void {
-        for (const known of [this.#silentUntilMs, ...this.#words.values()]) {
-            for (const gateway of known.keys()) {
+        for (const byGateway of [this.#unresponsiveUntilMs, ...this.#statuses.values()]) {
+            for (const gateway of byGateway.keys()) {
                 if (!gateways.has(gateway)) {
-                    known.delete(gateway);
+                    byGateway.delete(gateway);
                 }
             }
         }
     }
 
-    /** Gateways that a request may be handed to: those that reach the service, and those of which nothing is known. */
-    #sort(
+    /** Gateways that may get a request: those known to reach the service, and those of unknown status. */
+    #classify(
         service: string,
         gateways: readonly RegisteredGateway[],
         tried: ReadonlySet<string>,
         nowMs: number,
-    ): { readonly good: readonly RegisteredGateway[]; readonly unknown: readonly RegisteredGateway[]; } {
-        const good: RegisteredGateway[] = [];
+    ): { readonly reaching: readonly RegisteredGateway[]; readonly unknown: readonly RegisteredGateway[]; } {
+        const reaching: RegisteredGateway[] = [];
         const unknown: RegisteredGateway[] = [];
         for (const gateway of gateways) {
             const { name } = gateway;
-            const word = this.#wordOf(service, name, nowMs);
-            const isLeftOut = name === this.#parts.name || tried.has(name) || word?.reaches === false;
-            if (!isLeftOut && !this.#isSilent(name, nowMs)) {
-                (word === undefined ? unknown : good).push(gateway);
+            const status = this.#statusOf(service, name, nowMs);
+            const isExcluded = name === this.#deps.name || tried.has(name) || status?.reaches === false;
+            if (!isExcluded && !this.#isUnresponsive(name, nowMs)) {
+                (status === undefined ? unknown : reaching).push(gateway);
             }
         }
-        return { good, unknown };
+        return { reaching, unknown };
     }
 
-    /** Those of the own zone, unless they are fewer than half of its gateways: they would get the work of the others. */
-    #findNear(
-        good: readonly RegisteredGateway[],
+    /**
+     * Prefers gateways of the own zone, unless fewer than half of that zone's gateways reach the service: those few
+     * would get the load of all the others.
+     */
+    #preferOwnZone(
+        reaching: readonly RegisteredGateway[],
         gateways: readonly RegisteredGateway[],
     ): readonly RegisteredGateway[] {
-        const isNear = ({ availabilityZone }: RegisteredGateway): boolean =>
-            availabilityZone === this.#parts.availabilityZone;
-        const near = good.filter(isNear);
-        return near.length * 2 >= gateways.filter(isNear).length ? near : good;
+        const isInOwnZone = ({ availabilityZone }: RegisteredGateway): boolean =>
+            availabilityZone === this.#deps.availabilityZone;
+        const inOwnZone = reaching.filter(isInOwnZone);
+        return inOwnZone.length * 2 >= gateways.filter(isInOwnZone).length ? inOwnZone : reaching;
     }
 
-    #draw<T>(values: readonly T[], count: number): readonly T[] {
-        const left = [...values];
+    #drawRandom<T>(values: readonly T[], count: number): readonly T[] {
+        const remaining = [...values];
         const drawn: T[] = [];
-        while (drawn.length < count && left.length > 0) {
-            drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
+        while (drawn.length < count && remaining.length > 0) {
+            drawn.push(...remaining.splice(Math.floor(this.#deps.random.next() * remaining.length), 1));
         }
         return drawn;
     }
 
-    #wordOf(service: string, gateway: string, nowMs: number): Word | undefined {
-        const word = this.#words.get(service)?.get(gateway);
-        return word !== undefined && nowMs < word.untilMs ? word : undefined;
+    #statusOf(service: string, gateway: string, nowMs: number): PeerStatus | undefined {
+        const status = this.#statuses.get(service)?.get(gateway);
+        return status !== undefined && nowMs < status.untilMs ? status : undefined;
     }
 
-    #wordsOf(service: string): Words {
-        const words = this.#words.get(service) ?? new Map<string, Word>();
-        this.#words.set(service, words);
-        return words;
+    #statusesOf(service: string): PeerStatuses {
+        const statuses = this.#statuses.get(service) ?? new Map<string, PeerStatus>();
+        this.#statuses.set(service, statuses);
+        return statuses;
     }
 
-    #isSilent(gateway: string, nowMs: number): boolean {
-        return nowMs < (this.#silentUntilMs.get(gateway) ?? -Infinity);
+    #isUnresponsive(gateway: string, nowMs: number): boolean {
+        return nowMs < (this.#unresponsiveUntilMs.get(gateway) ?? -Infinity);
     }
 
     #load(gateway: string): number {
--- a/packages/rollout/src/gatewayRollouts.ts
+++ b/packages/rollout/src/gatewayRollouts.ts
@@ -13,51 +13,52 @@
 import { TrialAllowance } from "./trialAllowance.js";
 import { SequentialRatioTest, type VersionVerdict } from "./versionTest.js";
 
-/** What one gateway's part in roll-outs is made with. */
+/** Dependencies and settings of {@link GatewayRollouts}. */
 export interface GatewayRolloutsDeps {
     /** Name of this gateway, as in its registration. */
     readonly name: string;
-    /** Differs from life to life. */
+    /** Identifies this incarnation of the gateway. */
     readonly incarnation: string;
     readonly view: FleetView;
     readonly random: RandomSource;
-    /** Share of a service's requests that an unproved version may get. */
+    /** Maximum share of the requests of a service that an unproved version may get. */
     readonly exposureShare: number;
 }
 
-/** What one gateway has done in one roll-out. */
-interface GatewayRun {
+/** State of one roll-out in this gateway. */
+interface RolloutRun {
     readonly version: string;
     readonly allowance: TrialAllowance;
     readonly tally: EvidenceTally;
-    /** By this gateway's own answers alone. */
+    /** Fed with this gateway's own evidence only. */
     readonly ownTest: SequentialRatioTest;
     stopped: boolean;
     trialAnswers: number;
 }
 
 /**
- * One gateway's part in the roll-outs of all services: which requests go to a version on trial, what came of them, and what
- * still runs on the old version. It stops a trial by its own evidence, by the coordinator's word and while it doesn't hear the
- * store, and waits for no write.
+ * The part of one gateway in the roll-outs of all services: it selects the requests that go to a version on trial,
+ * records their outcomes, and tracks what is in flight on the old version. It stops a trial on its own evidence or on
+ * the coordinator's decision, and suspends it while it does not hear from the store. None of this waits for a write to
+ * the store.
  */
 export class GatewayRollouts {
-    readonly #parts: GatewayRolloutsDeps;
-    readonly #runs = new Map<string, GatewayRun>();
-    /** Sends under way, by service and version. */
-    readonly #underWay = new Map<string, Map<string, number>>();
+    readonly #deps: GatewayRolloutsDeps;
+    readonly #runs = new Map<string, RolloutRun>();
+    /** Sends in flight, by service and version. */
+    readonly #inFlight = new Map<string, Map<string, number>>();
 
-    constructor(parts: GatewayRolloutsDeps) {
-        this.#parts = parts;
+    constructor(deps: GatewayRolloutsDeps) {
+        this.#deps = deps;
     }
 
     /**
-     * Chooses whether a request goes to a version on trial.
+     * Decides whether a request goes to a version on trial.
      *
-     * @returns groups of servers to look at one after the other; none where it is the old version's
+     * @returns groups of servers to try one after the other; empty if the request goes to the old version
      */
     trialServerGroups(service: string, nowMs: number): readonly (readonly RegisteredServer[])[] {
-        const { view, random } = this.#parts;
+        const { view, random } = this.#deps;
         const plan = view.rolloutOf(service);
         if (plan === undefined || !isOpenPlan(plan) || nowMs - view.lastStoreContactMs > maxStoreContactAgeMs) {
             return [];
@@ -71,46 +72,54 @@
             return [];
         }
         const servers = view.trialServers(service, nowMs);
-        return isWidened ? [servers] : this.#packed(servers);
+        return isWidened ? [servers] : this.#groupInFillOrder(servers);
     }
 
-    /** A request was given a server of a version on trial. */
+    /** A request was assigned to a server of a version on trial. */
     onTrial(service: string): void {
         this.#runs.get(service)?.allowance.onTrial();
     }
 
     /** A request is sent to a server. */
     onSend({ service, version = "" }: RegisteredServer): void {
-        const plan = this.#parts.view.rolloutOf(service);
+        const plan = this.#deps.view.rolloutOf(service);
         if (plan !== undefined && isOpenPlan(plan)) {
             this.#runOf(plan).allowance.onSend();
         }
-        this.#count(service, version, 1);
+        this.#trackInFlight(service, version, 1);
     }
 
-    /** A send has ended. @param first - how, where it was its request's first send; `undefined` otherwise */
-    onSendEnded(server: RegisteredServer, route: string, first: SendOutcome | undefined): void {
-        this.#count(server.service, server.version ?? "", -1);
-        const plan = this.#parts.view.rolloutOf(server.service);
-        const bad = first === undefined ? undefined : classifyOutcome(first);
+    /**
+     * A send has ended.
+     *
+     * @param firstOutcome - outcome, if it was the first send of its request; `undefined` otherwise
+     */
+    onSendEnded(server: RegisteredServer, route: string, firstOutcome: SendOutcome | undefined): void {
+        this.#trackInFlight(server.service, server.version ?? "", -1);
+        const plan = this.#deps.view.rolloutOf(server.service);
+        const bad = firstOutcome === undefined ? undefined : classifyOutcome(firstOutcome);
         if (bad === undefined || plan === undefined || !isOpenPlan(plan)) {
             return;
         }
         const run = this.#runOf(plan);
-        const isNew = server.version === run.version;
-        run.tally.add(route, isNew ? server.id : undefined, { sends: 1, bad: bad ? 1 : 0 });
-        if (isNew) {
+        const isNewVersion = server.version === run.version;
+        run.tally.add(route, isNewVersion ? server.id : undefined, { sends: 1, bad: bad ? 1 : 0 });
+        if (isNewVersion) {
             run.trialAnswers++;
         }
     }
 
-    /** @returns whether a server is of a version that is still to be proved */
+    /** @returns whether a server is of a version that is on trial */
     isOnTrial({ service, version }: RegisteredServer): boolean {
-        const plan = this.#parts.view.rolloutOf(service);
+        const plan = this.#deps.view.rolloutOf(service);
         return plan !== undefined && isOpenPlan(plan) && resolveVersionEligibility(version, plan) === "trial";
     }
 
-    /** @returns what this gateway's own answers say of a version; a bad one gets nothing more from here */
+    /**
+     * Evaluates this gateway's own evidence. If the version is bad, this gateway sends no more requests to it.
+     *
+     * @returns the verdict
+     */
     evaluateOwnEvidence(plan: RolloutPlan): VersionVerdict {
         const run = this.#runOf(plan);
         const verdict = run.ownTest.evaluate(run.tally.routes);
@@ -120,7 +129,11 @@
         return verdict;
     }
 
-    /** Sends nothing more to a version on trial. @returns whether it did until now */
+    /**
+     * Stops sending requests to a version on trial.
+     *
+     * @returns whether the trial was still running in this gateway
+     */
     stopTrial(plan: RolloutPlan): boolean {
         const run = this.#runOf(plan);
         const wasStopped = run.stopped;
@@ -128,9 +141,9 @@
         return !wasStopped;
     }
 
-    /** @returns all that this gateway has seen of a roll-out */
+    /** @returns everything that this gateway has observed of a roll-out */
     createReport(plan: RolloutPlan): EvidenceReport & { readonly trialAnswers: number; } {
-        const { name, incarnation } = this.#parts;
+        const { name, incarnation } = this.#deps;
         const { version, tally, trialAnswers } = this.#runOf(plan);
         return {
             gateway: name,
@@ -147,7 +160,7 @@
         if (status?.stage !== "shifted") {
             return false;
         }
-        for (const [version, count] of this.#underWay.get(service) ?? []) {
+        for (const [version, count] of this.#inFlight.get(service) ?? []) {
             if (version !== status.version && count > 0) {
                 return false;
             }
@@ -155,26 +168,26 @@
         return true;
     }
 
-    /** Every gateway fills the same servers first. */
-    #packed(servers: readonly RegisteredServer[]): readonly (readonly RegisteredServer[])[] {
+    /** All gateways fill the same servers first. */
+    #groupInFillOrder(servers: readonly RegisteredServer[]): readonly (readonly RegisteredServer[])[] {
         const byId = new Map(servers.map(server => [server.id, server]));
         const [first, second, ...more] = findOwners("trial", [...byId.keys()], maxTrialServers);
-        const beginsWithSecond = this.#parts.random.next() < secondTrialServerShare;
-        const ordered = beginsWithSecond ? [second, first, ...more] : [first, second, ...more];
+        const startsWithSecond = this.#deps.random.next() < secondTrialServerShare;
+        const ordered = startsWithSecond ? [second, first, ...more] : [first, second, ...more];
         return ordered.flatMap(id => {
             const server = id === undefined ? undefined : byId.get(id);
             return server === undefined ? [] : [[server]];
         });
     }
 
-    #runOf({ service, order, status }: RolloutPlan): GatewayRun {
+    #runOf({ service, order, status }: RolloutPlan): RolloutRun {
         const version = order?.version ?? status?.version ?? "";
-        const known = this.#runs.get(service);
-        if (known?.version === version) {
-            return known;
+        const existing = this.#runs.get(service);
+        if (existing?.version === version) {
+            return existing;
         }
-        const { exposureShare, random } = this.#parts;
-        const run: GatewayRun = {
+        const { exposureShare, random } = this.#deps;
+        const run: RolloutRun = {
             version,
             allowance: new TrialAllowance(exposureShare, random),
             tally: new EvidenceTally(),
@@ -186,9 +199,9 @@
         return run;
     }
 
-    #count(service: string, version: string, change: 1 | -1): void {
-        const counts = this.#underWay.get(service) ?? new Map<string, number>();
-        this.#underWay.set(service, counts);
+    #trackInFlight(service: string, version: string, change: 1 | -1): void {
+        const counts = this.#inFlight.get(service) ?? new Map<string, number>();
+        this.#inFlight.set(service, counts);
         counts.set(version, (counts.get(version) ?? 0) + change);
     }
 }
--- a/packages/rollout/src/rolloutCoordination.ts
+++ b/packages/rollout/src/rolloutCoordination.ts
@@ -5,13 +5,13 @@
 import { isTimedOut, nextRolloutStep, type RolloutWrite } from "./nextRolloutStep.js";
 import { SequentialRatioTest, type VersionVerdict } from "./versionTest.js";
 
-/** The moment of a look at a roll-out. */
+/** The current time on the monotonic clock and on the wall clock, in milliseconds. */
 export interface CoordinationTime {
     readonly nowMs: number;
     readonly epochMs: number;
 }
 
-/** What a coordinator found, with what it rests on, for its log. */
+/** The result of one evaluation by a coordinator, with its inputs for the log. */
 export interface CoordinationStep {
     readonly verdict: VersionVerdict;
     readonly write: RolloutWrite | undefined;
@@ -22,85 +22,89 @@
     readonly settled: number;
 }
 
-/** One gateway's account of one roll-out, from which it decides while it is the coordinator. */
+/** The state of one roll-out in one gateway, from which the gateway decides while it is the coordinator. */
 export class RolloutCoordination {
     readonly version: string;
-    readonly #pool = new EvidencePool();
-    readonly #test = new SequentialRatioTest();
-    /** This gateway's own knowledge of the order's age, and everyone's. */
+    readonly #evidence = new EvidencePool();
+    readonly #versionTest = new SequentialRatioTest();
+    /** Bounds of the order's age that this gateway knows by itself, and those from all gateways. */
     readonly #ownAge = new OrderAges();
-    readonly #ages = new OrderAges();
+    readonly #combinedAge = new OrderAges();
     readonly #createdAtMs: number;
-    readonly #serverSeenMs = new Map<string, number>();
+    readonly #serverFirstSeenMs = new Map<string, number>();
     #stage: RolloutStage | undefined;
-    #stageSeenMs: number;
+    #stageFirstSeenMs: number;
     #sendsBeforeStage = 0;
 
-    /** @param orderAge - what this gateway knows now of the order's age */
+    /** @param orderAge - bounds of the order's age that this gateway knows now */
     constructor(version: string, { nowMs }: CoordinationTime, orderAge: OrderAge) {
         this.version = version;
         this.#ownAge.add("own", orderAge, nowMs);
-        this.#ages.add("own", orderAge, nowMs);
+        this.#combinedAge.add("own", orderAge, nowMs);
         this.#createdAtMs = nowMs;
-        this.#stageSeenMs = nowMs;
+        this.#stageFirstSeenMs = nowMs;
     }
 
-    /** A gateway told what it has seen. */
+    /** Adds the report of a gateway. */
     onReport(report: EvidenceReport, nowMs: number): void {
-        this.#pool.add(report);
+        this.#evidence.add(report);
         if (report.orderAge !== undefined) {
-            this.#ages.add(`${report.gateway}\n${report.life}`, report.orderAge, nowMs);
+            this.#combinedAge.add(`${report.gateway}\n${report.life}`, report.orderAge, nowMs);
         }
     }
 
-    /** @returns what this gateway knows by itself of the order's age */
+    /** @returns bounds of the order's age that this gateway knows by itself */
     ownOrderAge(nowMs: number): OrderAge {
         return this.#ownAge.boundsAt(nowMs);
     }
 
     /**
-     * @param waitsMs - how much longer this gateway leaves it to others
-     * @returns whether the roll-out should have been ended by now, whoever coordinates it
+     * @param delayMs - extra time that this gateway leaves to others, in milliseconds
+     * @returns whether the roll-out should have ended by now, whichever gateway coordinates it
      */
-    isOverdue(plan: RolloutPlan, nowMs: number, waitsMs: number): boolean {
+    isOverdue(plan: RolloutPlan, nowMs: number, delayMs: number): boolean {
         const { order, status } = plan;
         if (order === undefined || status?.version !== order.version) {
             return false;
         }
-        // By the lower bound alone: the upper one of a gateway that was cut off for long says nothing, where others know better.
-        const { atLeastMs } = this.#ages.boundsAt(nowMs);
-        return isTimedOut({ sinceOrderMs: atLeastMs - waitsMs }, order.allowedMs);
+        // Uses the lower bound only: the upper bound of a gateway that was partitioned for long is far too high, and
+        // others know better.
+        const { atLeastMs } = this.#combinedAge.boundsAt(nowMs);
+        return isTimedOut({ sinceOrderMs: atLeastMs - delayMs }, order.allowedMs);
     }
 
-    /** Looks at the service's servers, also while another gateway coordinates: how long they have been there counts later. */
+    /**
+     * Records when each server of the new version was first seen, also while another gateway coordinates: their
+     * warm-up is derived from it later.
+     */
     observe(service: string, view: FleetView, nowMs: number): void {
         for (const { id, version } of view.readyServers(service, nowMs)) {
-            if (version === this.version && !this.#serverSeenMs.has(id)) {
-                this.#serverSeenMs.set(id, nowMs);
+            if (version === this.version && !this.#serverFirstSeenMs.has(id)) {
+                this.#serverFirstSeenMs.set(id, nowMs);
             }
         }
     }
 
-    /** @returns what to do next, by all that was told */
+    /** @returns the next step, based on all reports so far */
     step(plan: RolloutPlan, view: FleetView, time: CoordinationTime): CoordinationStep {
         const { nowMs, epochMs } = time;
-        const totals = this.#pool.totals;
-        const verdict = this.#test.evaluate(totals);
+        const totals = this.#evidence.totals;
+        const verdict = this.#versionTest.evaluate(totals);
         const trialSends = totals.reduce((sum, { trial }) => sum + sumTrialCounts(trial).sends, 0);
         if (plan.status?.stage !== this.#stage) {
             this.#stage = plan.status?.stage;
-            this.#stageSeenMs = nowMs;
+            this.#stageFirstSeenMs = nowMs;
             this.#sendsBeforeStage = trialSends;
         }
         const registered = view.registeredGateways();
-        const settled = this.#pool.settled;
+        const settled = this.#evidence.settled;
         const input = {
             plan,
             verdict,
-            ...this.#sinceOrder(plan, time),
-            sinceStageMs: nowMs - this.#stageSeenMs,
+            ...this.#orderAgeBounds(plan, time),
+            sinceStageMs: nowMs - this.#stageFirstSeenMs,
             sendsSinceStage: trialSends - this.#sendsBeforeStage,
-            capacity: this.#capacity(plan.service, view, nowMs),
+            capacity: this.#capacityRatio(plan.service, view, nowMs),
             registered: registered.length,
             settled: registered.filter(({ name }) => settled.has(name)).length,
             epochMs,
@@ -109,21 +113,22 @@
     }
 
     /**
-     * Times of day differ from host to host and may be set meanwhile, so the status's counts only where no gateway that has told
-     * saw the order come, and only to end the roll-out: a version must not be widened early because a clock is ahead.
+     * Wall clocks differ between hosts and may be adjusted meanwhile. So the start time in the status is used only if
+     * no reporting gateway saw the order arrive, and only to end the roll-out: a clock that is ahead must not widen a
+     * version early.
      */
-    #sinceOrder(
+    #orderAgeBounds(
         { status }: RolloutPlan,
         { nowMs, epochMs }: CoordinationTime,
     ): { readonly sinceOrderMs: number; readonly sinceOrderAtMostMs: number | undefined; } {
-        const { atLeastMs, atMostMs } = this.#ages.boundsAt(nowMs);
-        const mayBeTold = nowMs - this.#createdAtMs < orderAgeReportWaitMs;
-        const byTimeOfDayMs = status?.version === this.version ? epochMs - status.startedAtEpochMs : undefined;
-        return { sinceOrderMs: atLeastMs, sinceOrderAtMostMs: mayBeTold ? undefined : atMostMs ?? byTimeOfDayMs };
+        const { atLeastMs, atMostMs } = this.#combinedAge.boundsAt(nowMs);
+        const awaitsReports = nowMs - this.#createdAtMs < orderAgeReportWaitMs;
+        const byWallClockMs = status?.version === this.version ? epochMs - status.startedAtEpochMs : undefined;
+        return { sinceOrderMs: atLeastMs, sinceOrderAtMostMs: awaitsReports ? undefined : atMostMs ?? byWallClockMs };
     }
 
-    /** Slots of the new version's warm servers over those of the others. */
-    #capacity(service: string, view: FleetView, nowMs: number): number {
+    /** Slots of the new version's warm servers, relative to the slots of the other versions. */
+    #capacityRatio(service: string, view: FleetView, nowMs: number): number {
         let warm = 0;
         let others = 0;
         for (const server of view.readyServers(service, nowMs)) {
@@ -138,6 +143,6 @@
     }
 
     #isWarm({ id, coldRemainingMs }: RegisteredServer, nowMs: number): boolean {
-        return nowMs - (this.#serverSeenMs.get(id) ?? nowMs) >= coldRemainingMs;
+        return nowMs - (this.#serverFirstSeenMs.get(id) ?? nowMs) >= coldRemainingMs;
     }
 }
--- a/packages/rollout/src/rolloutParticipant.ts
+++ b/packages/rollout/src/rolloutParticipant.ts
@@ -20,19 +20,19 @@
 import { type GatewayRollouts } from "./gatewayRollouts.js";
 import { type OrderAge, unknownOrderAge } from "./orderAge.js";
 
-/** What a gateway takes part in roll-outs with. */
+/** Dependencies of {@link RolloutParticipant}. */
 export interface RolloutParticipantDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway, as in its registration. */
     readonly name: string;
     readonly view: FleetView;
     readonly rollouts: GatewayRollouts;
 }
 
-/** What to do, or to log. */
+/** An action to carry out, or an event to log. */
 export type RolloutCommand =
-    /** Tell the coordinator what this gateway has seen, and then `onReported`. */
+    /** Send the report to the coordinator, then call `onReportSent`. */
     | { readonly type: "report"; readonly to: RegisteredGateway; readonly report: EvidenceReport; }
-    /** Write a status where the store still has the revision, and then `onWritten`. */
+    /** Write the status if the store still has the expected revision, then call `onStatusWritten`. */
     | {
         readonly type: "write";
         readonly status: RolloutStatus;
@@ -41,18 +41,18 @@
         readonly plan: RolloutPlan;
         readonly step: CoordinationStep;
     }
-    /** As coordinator, this gateway has found the version bad. */
+    /** This gateway, as the coordinator, has found the version bad. */
     | { readonly type: "verdict"; readonly plan: RolloutPlan; readonly step: CoordinationStep; }
-    /** From now on this gateway sends nothing to the version. */
+    /** This gateway has stopped sending requests to the version. */
     | { readonly type: "stopped"; readonly plan: RolloutPlan; readonly by: StopCause; };
 
-/** Whose evidence ends a trial in this gateway. */
+/** Source of the evidence that stopped a trial in this gateway. */
 export type StopCause = "ownAnswers" | "coordinator";
 
-/** How a report went. */
+/** Outcome of sending a report. */
 export type ReportOutcome = { readonly taken: true; readonly stop: boolean; } | { readonly taken: false; };
 
-/** What one report said, and to which coordinator. */
+/** Summary of one report and its recipient. */
 interface ReportSummary {
     readonly coordinator: string | undefined;
     readonly answers: number;
@@ -61,64 +61,75 @@
 
 const noReport: ReportSummary = Object.freeze({ coordinator: undefined, answers: 0, settled: false });
 
-/** What this gateway keeps of one open roll-out. */
+/** State of one open roll-out in this gateway. */
 interface OpenRollout {
     readonly coordination: RolloutCoordination;
-    /** The last report that was taken. */
+    /** The last report that a coordinator accepted. */
     lastReport: ReportSummary;
-    reportUnderWay: ReportSummary | undefined;
+    pendingReport: ReportSummary | undefined;
     reportedAtMs: number;
     writing: boolean;
-    mayWriteAtMs: number;
-    /** Revision of the last write, until the view has heard of it. */
+    nextWriteAtMs: number;
+    /** Revision of the last successful write; no further write until the view has caught up with it. */
     writtenRevision: number;
     isBad: boolean;
 }
 
 /**
- * One gateway's loop over open roll-outs: it reports what it sees to the coordinator, coordinates those that fall to it, and
- * stops trials. Nothing is done while no roll-out is open.
+ * The control loop of one gateway over open roll-outs: it reports its evidence to the coordinator, coordinates the
+ * roll-outs assigned to it, and stops trials. It is idle while no roll-out is open.
  */
 export class RolloutParticipant {
-    readonly #parts: RolloutParticipantDeps;
+    readonly #deps: RolloutParticipantDeps;
     readonly #coordinators: CoordinatorSelector;
-    readonly #open = new Map<string, OpenRollout>();
-    #readAtMs: number | undefined;
-    /** When the store had last answered at the latest look: orders that are new since then were given after that. */
-    #contactMs = -Infinity;
+    readonly #openRollouts = new Map<string, OpenRollout>();
+    #syncedAtMs: number | undefined;
+    /**
+     * Time of the last answer from the store as of the latest tick: an order that is new since then was given after
+     * it.
+     */
+    #lastStoreContactMs = -Infinity;
 
-    constructor(parts: RolloutParticipantDeps) {
-        this.#parts = parts;
-        this.#coordinators = new CoordinatorSelector(parts.name);
+    constructor(deps: RolloutParticipantDeps) {
+        this.#deps = deps;
+        this.#coordinators = new CoordinatorSelector(deps.name);
     }
 
-    /** @returns how many roll-outs are open */
+    /** @returns the number of open roll-outs */
     countOpen(): number {
-        return this.#open.size;
+        return this.#openRollouts.size;
     }
 
-    /** Looks at all open roll-outs. @returns what to do */
+    /**
+     * Processes all open roll-outs.
+     *
+     * @returns the commands to carry out
+     */
     tick(time: CoordinationTime): readonly RolloutCommand[] {
-        const { view } = this.#parts;
+        const { view } = this.#deps;
         if (!view.hasSynced) {
             return [];
         }
-        this.#readAtMs ??= time.nowMs;
+        this.#syncedAtMs ??= time.nowMs;
         const plans = view.rollouts().filter(isOpenPlan);
         const services = new Set(plans.map(({ service }) => service));
-        for (const service of this.#open.keys()) {
+        for (const service of this.#openRollouts.keys()) {
             if (!services.has(service)) {
-                this.#open.delete(service);
+                this.#openRollouts.delete(service);
             }
         }
-        const commands = plans.flatMap(plan => this.#take(plan, time));
-        this.#contactMs = view.lastStoreContactMs;
+        const commands = plans.flatMap(plan => this.#process(plan, time));
+        this.#lastStoreContactMs = view.lastStoreContactMs;
         return commands;
     }
 
-    /** Another gateway tells what it has seen. @returns whether to stop, or `undefined` where this one can't coordinate */
+    /**
+     * Handles a report from another gateway.
+     *
+     * @returns whether that gateway is to stop the trial; `undefined` if this gateway cannot coordinate the roll-out
+     */
     onPeerReport(report: EvidenceReport, time: CoordinationTime): { readonly stop: boolean; } | undefined {
-        const plan = this.#parts.view.rolloutOf(report.service);
+        const plan = this.#deps.view.rolloutOf(report.service);
         if (!this.#reachesStore(time.nowMs) || plan === undefined || versionOf(plan) !== report.version) {
             return undefined;
         }
@@ -128,44 +139,48 @@
         return { stop: open.isBad };
     }
 
-    /** A report has ended. */
+    /** Handles the outcome of sending a report. */
     onReportSent(
         { to, report }: RolloutCommand & { readonly type: "report"; },
         outcome: ReportOutcome,
         nowMs: number,
     ): readonly RolloutCommand[] {
-        const open = this.#open.get(report.service);
-        const summary = open?.reportUnderWay;
+        const open = this.#openRollouts.get(report.service);
+        const summary = open?.pendingReport;
         if (!outcome.taken) {
             this.#coordinators.onFailure(to.name, nowMs);
         }
         if (open === undefined || summary === undefined) {
             return [];
         }
-        open.reportUnderWay = undefined;
+        open.pendingReport = undefined;
         if (!outcome.taken) {
             return [];
         }
         open.lastReport = summary;
         open.reportedAtMs = nowMs;
-        const plan = this.#parts.view.rolloutOf(report.service);
+        const plan = this.#deps.view.rolloutOf(report.service);
         return outcome.stop && plan !== undefined && versionOf(plan) === report.version
             ? this.#stopTrial(plan, "coordinator")
             : [];
     }
 
-    /** A write has ended. @param revision - at which it was done; `undefined` where it wasn't, or nobody knows */
+    /**
+     * Handles the outcome of a write.
+     *
+     * @param revision - revision of the write; `undefined` if it failed or its outcome is unknown
+     */
     onStatusWritten(service: string, revision: number | undefined, nowMs: number): void {
-        const open = this.#open.get(service);
+        const open = this.#openRollouts.get(service);
         if (open !== undefined) {
             open.writing = false;
-            open.mayWriteAtMs = nowMs + statusWriteDelayMs;
+            open.nextWriteAtMs = nowMs + statusWriteDelayMs;
             open.writtenRevision = revision ?? open.writtenRevision;
         }
     }
 
-    #take(plan: RolloutPlan, time: CoordinationTime): readonly RolloutCommand[] {
-        const { rollouts, name, view } = this.#parts;
+    #process(plan: RolloutPlan, time: CoordinationTime): readonly RolloutCommand[] {
+        const { rollouts, name, view } = this.#deps;
         const { nowMs } = time;
         const open = this.#resolveOpen(plan, time);
         open.coordination.observe(plan.service, view, nowMs);
@@ -176,7 +191,7 @@
         const gateways = view.registeredGateways();
         const names = gateways.map(gateway => gateway.name);
         const isActing = this.#coordinators.isActing(plan.service, names, nowMs)
-            || open.coordination.isOverdue(plan, nowMs, this.#overdueWaitMs(plan, names));
+            || open.coordination.isOverdue(plan, nowMs, this.#overdueDelayMs(plan, names));
         if (isActing && this.#reachesStore(nowMs)) {
             open.coordination.onReport(rollouts.createReport(plan), nowMs);
             commands.push(...this.#coordinate(plan, open, time));
@@ -196,48 +211,51 @@
         names: readonly string[],
         nowMs: number,
     ): readonly RolloutCommand[] {
-        const { trialAnswers, ...seen } = this.#parts.rollouts.createReport(plan);
+        const { trialAnswers, ...evidence } = this.#deps.rollouts.createReport(plan);
         const report = this.#reachesStore(nowMs)
-            ? { ...seen, orderAge: open.coordination.ownOrderAge(nowMs) }
-            : seen;
-        // A coordinator that takes over knows nothing yet.
+            ? { ...evidence, orderAge: open.coordination.ownOrderAge(nowMs) }
+            : evidence;
+        // A new coordinator has no reports from this gateway yet.
         const last = open.lastReport.coordinator === to.name ? open.lastReport : noReport;
-        const isNews = trialAnswers > last.answers || report.settled !== last.settled;
-        if (open.reportUnderWay !== undefined || !(isNews || this.#isStandbyDue(plan.service, open, names, nowMs))) {
+        const hasNewEvidence = trialAnswers > last.answers || report.settled !== last.settled;
+        if (
+            open.pendingReport !== undefined
+            || !(hasNewEvidence || this.#isStandbyDue(plan.service, open, names, nowMs))
+        ) {
             return [];
         }
-        open.reportUnderWay = { coordinator: to.name, answers: trialAnswers, settled: report.settled };
+        open.pendingReport = { coordinator: to.name, answers: trialAnswers, settled: report.settled };
         return [{ type: "report", to, report }];
     }
 
     /**
-     * A coordinator may be unable to write, or know the order for a shorter time than others, while it still answers them. So
-     * every gateway ends a roll-out itself whose time is over, those next in rank first.
+     * A coordinator may be unable to write, or know the order for a shorter time than others, while it still accepts
+     * reports. So every gateway ends an overdue roll-out itself, with a delay that increases with its rank.
      */
-    #overdueWaitMs({ service, order }: RolloutPlan, names: readonly string[]): number {
-        const rank = this.#coordinators.rank(service, names).indexOf(this.#parts.name);
+    #overdueDelayMs({ service, order }: RolloutPlan, names: readonly string[]): number {
+        const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
         const steps = rank < 0 ? maxOverdueDelaySteps : Math.min(rank, maxOverdueDelaySteps);
         return (order?.allowedMs ?? 0) * overdueDelayShare * steps;
     }
 
-    /** The gateways next in rank find out a coordinator that is gone, also where there is nothing to report. */
+    /** The gateways next in rank detect a coordinator that is gone, even if they have no new evidence to report. */
     #isStandbyDue(service: string, open: OpenRollout, names: readonly string[], nowMs: number): boolean {
         if (nowMs - open.reportedAtMs < standbyReportIntervalMs) {
             return false;
         }
-        const rank = this.#coordinators.rank(service, names).indexOf(this.#parts.name);
+        const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
         return rank > 0 && rank <= standbyCoordinators;
     }
 
     #coordinate(plan: RolloutPlan, open: OpenRollout, time: CoordinationTime): readonly RolloutCommand[] {
-        const step = open.coordination.step(plan, this.#parts.view, time);
+        const step = open.coordination.step(plan, this.#deps.view, time);
         const commands: RolloutCommand[] = [];
         if (step.verdict.type === "bad" && !open.isBad) {
             open.isBad = true;
             commands.push({ type: "verdict", plan, step }, ...this.#stopTrial(plan, "coordinator"));
         }
-        const isHeard = plan.statusRevision >= open.writtenRevision;
-        if (step.write !== undefined && isHeard && !open.writing && time.nowMs >= open.mayWriteAtMs) {
+        const isViewCurrent = plan.statusRevision >= open.writtenRevision;
+        if (step.write !== undefined && isViewCurrent && !open.writing && time.nowMs >= open.nextWriteAtMs) {
             open.writing = true;
             commands.push({ type: "write", ...step.write, expectedRevision: plan.statusRevision, plan, step });
         }
@@ -245,37 +263,37 @@
     }
 
     #stopTrial(plan: RolloutPlan, by: StopCause): readonly RolloutCommand[] {
-        return this.#parts.rollouts.stopTrial(plan) ? [{ type: "stopped", plan, by }] : [];
+        return this.#deps.rollouts.stopTrial(plan) ? [{ type: "stopped", plan, by }] : [];
     }
 
     #resolveOpen(plan: RolloutPlan, time: CoordinationTime): OpenRollout {
         const version = versionOf(plan);
-        const known = this.#open.get(plan.service);
-        if (known?.coordination.version === version) {
-            return known;
+        const existing = this.#openRollouts.get(plan.service);
+        if (existing?.coordination.version === version) {
+            return existing;
         }
         const open: OpenRollout = {
             coordination: new RolloutCoordination(version, time, this.#newOrderAge(time.nowMs)),
             lastReport: noReport,
-            reportUnderWay: undefined,
+            pendingReport: undefined,
             reportedAtMs: time.nowMs,
             writing: false,
-            mayWriteAtMs: -Infinity,
+            nextWriteAtMs: -Infinity,
             writtenRevision: 0,
             isBad: false,
         };
-        this.#open.set(plan.service, open);
+        this.#openRollouts.set(plan.service, open);
         return open;
     }
 
-    /** @returns the age of an order that was not there at the latest look */
+    /** @returns bounds of the age of an order that was not present at the latest tick */
     #newOrderAge(nowMs: number): OrderAge {
-        const isInherited = nowMs - (this.#readAtMs ?? nowMs) < preexistingOrderWindowMs;
-        return isInherited ? unknownOrderAge : { atLeastMs: 0, atMostMs: nowMs - this.#contactMs };
+        const mayPredateFirstRead = nowMs - (this.#syncedAtMs ?? nowMs) < preexistingOrderWindowMs;
+        return mayPredateFirstRead ? unknownOrderAge : { atLeastMs: 0, atMostMs: nowMs - this.#lastStoreContactMs };
     }
 
     #reachesStore(nowMs: number): boolean {
-        return nowMs - this.#parts.view.lastStoreContactMs <= maxStoreContactAgeMs;
+        return nowMs - this.#deps.view.lastStoreContactMs <= maxStoreContactAgeMs;
     }
 }
 
