--- a/packages/edge/src/__tests__/sendLost.test.ts
+++ b/packages/edge/src/__tests__/sendLost.test.ts
@@ -31,8 +31,8 @@
     return find();
 }
 
-// A server that ends with a request and one that only loses a connection look the same in the answer that callers get.
-test("the log tells a server that ended with a request from one that lost its connection", async t => {
+// Guards against confusing a server that crashed with one that only lost a connection: callers get the same response.
+test("the log distinguishes a server that exited during a request from one that lost its connection", async t => {
     const reset = (req: RawRequest): void => {
         req.socket.resetAndDestroy();
     };
@@ -43,7 +43,7 @@
     await backend.raw.stop();
     const ending = await startBackend(t, "b", req => void ending.raw.stop().then(() => reset(req)));
     registerServer(edge.store, ending);
-    await eventually(() => edge.logs.some(line => line["name"] === "b"), "the server is known");
+    await eventually(() => edge.logs.some(line => line["name"] === "b"), "the server is discovered");
     for (let i = 0; ending.servedRequests().length === 0 && i < 50; i++) {
         await call(edge, "/returns/x", { method: "POST", body: "filed" });
     }
@@ -51,8 +51,8 @@
     assert.deepEqual([lost?.["from"], lost?.["server"]], ["b", "ended"]);
 });
 
-// Without a name for what was asked nobody can see that one caller's request takes server after server down.
-test("requests with the same method, path, caller and body share a content id, and others don't", async t => {
+// Guards against a caller's request that crashes one server after the other without being identifiable in the log.
+test("requests share a content id if and only if their method, path, caller and body are the same", async t => {
     const backend = await startBackend(t, "a", req => req.socket.resetAndDestroy());
     const edge = await startPath(t, backend);
     const large = "x".repeat(50_000);
--- a/packages/edge/src/__tests__/serverConnections.test.ts
+++ b/packages/edge/src/__tests__/serverConnections.test.ts
@@ -27,7 +27,7 @@
     return edge;
 }
 
-test("what must not run twice goes on a connection that was heard on just now, and on no other kept one", () => {
+test("a non-idempotent request uses an idle connection only if a load probe on it was answered just before", () => {
     const connections = new ServerConnectionPool();
     const heard = connections.acquire("a", address);
     connections.release("a", heard, { after: "question", nowMs: 1_000 });
@@ -36,7 +36,7 @@
     connections.close();
 });
 
-test("a connection on which a request has ended is left to settle, also when a question was answered since", () => {
+test("no non-idempotent request follows another soon on a connection, even if a probe was answered since", () => {
     const connections = new ServerConnectionPool();
     const used = connections.acquire("a", address);
     connections.release("a", used, { after: "request", nowMs: 1_000 });
@@ -50,7 +50,7 @@
     connections.close();
 });
 
-test("no more than a few are kept, and none of an address that is another's now", () => {
+test("the number of idle connections is limited, and those to a previous address of the server are closed", () => {
     const connections = new ServerConnectionPool();
     const open = Array.from({ length: maxIdleConnectionsPerServer + 2 }, () => connections.open(address));
     for (const connection of open) {
@@ -62,7 +62,7 @@
     connections.close();
 });
 
-test("a non-idempotent request takes the connection on which its server has just told its load", async t => {
+test("a non-idempotent request uses the connection on which its server has just answered a load probe", async t => {
     const backend = await startBackend(t, "a");
     const edge = await startWith(t, backend);
     assert.equal((await call(edge, "/returns/x", { method: "POST" })).status, 200);
@@ -71,9 +71,9 @@
     assert.equal(sent?.connection, question.connection);
 });
 
-// A server answers a request twice, the second time 30 ms late. A caller whose next request is on that connection by then
-// would lose it: the late answer comes in place of its own, and nobody can say whether it ran.
-test("a late second answer costs no later request its own", async t => {
+// A server responds to a request twice, the second time 30 ms late. Guards against sending the next request on that
+// connection: the late response would replace its own, and it would be unknown whether the request was executed.
+test("a late second response doesn't replace the response to a later request", async t => {
     const backend = await startBackend(t, "a", req => {
         req.socket.write(renderSignedResponse(req, "once"));
         setTimeout(() => req.socket.write(renderSignedResponse(req, "late")), 30);
@@ -85,8 +85,9 @@
     }
 });
 
-// A server's answer bears another request's id. Kept, the connection would give every later request the answer before it.
-test("a connection that gave another request's answer is not used again", async t => {
+// A server's response carries the id of another request. Guards against reusing the connection, on which each later
+// request would receive the response to the previous one.
+test("a connection that received the response to another request is not reused", async t => {
     let spoilt: number | undefined;
     const backend = await startBackend(t, "a", req => {
         const isFirst = spoilt === undefined;
@@ -96,6 +97,9 @@
     });
     const edge = await startWith(t, backend);
     assert.equal((await call(edge, "/returns/x", { method: "POST" })).status, 502);
-    await eventually(async () => (await call(edge, "/returns/y", { method: "POST" })).status === 200, "it is served");
+    await eventually(
+        async () => (await call(edge, "/returns/y", { method: "POST" })).status === 200,
+        "the request is served",
+    );
     assert.equal(backend.raw.requests.filter(({ connection }) => connection === spoilt).length, 2);
 });
--- a/packages/edge/src/__tests__/serverLeaving.test.ts
+++ b/packages/edge/src/__tests__/serverLeaving.test.ts
@@ -4,11 +4,12 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { sendRequestsFor, startAnnouncingFleet } from "./support/announcingServers.js";
 
-/** From a server's word that it leaves on until nothing more may be sent to it. */
+/** Time from a server's announcement that it shuts down until no requests may be sent to it. */
 const drainMs = 2_000;
 
-// Guards against a server that says in its answers that it leaves, and goes on getting new work until the store says so too.
-test("a server that says in its answers that it leaves gets no new work", async t => {
+// Guards against sending new requests to a server that announces its shutdown in responses until the store shows it
+// too.
+test("a server that announces its shutdown in responses gets no new requests", async t => {
     const fleet = await startAnnouncingFleet(t, 2, ["a", "b", "c"]);
     fleet.servers.announceLeaving("a");
     await sendRequestsFor(fleet, 4_000, 15);
@@ -16,8 +17,9 @@
     assert.deepEqual(checkLeavingHeeded(fleet.servers.history, drainMs), []);
 });
 
-// Guards against a word that is forgotten as the store's entries lapse around an outage, while the same server leaves all the same.
-test("a server that leaves gets nothing when its entry is written again, and its next life does", async t => {
+// Guards against forgetting an announced shutdown when the server's entry expires and is written again around a store
+// outage.
+test("a server that shuts down gets no requests when its entry is written again, but does after a restart", async t => {
     const fleet = await startAnnouncingFleet(t, 1, ["a", "b"]);
     fleet.servers.announceLeaving("a");
     await sendRequestsFor(fleet, 500, 15);
@@ -33,8 +35,8 @@
     assert.ok(fleet.servers.countRequests("a", startedAtMs) > 0);
 });
 
-// Guards against a word that is lost with an answer which its caller got the beginning of.
-test("a server that leaves says so in an answer that breaks off midway, and gets nothing more", async t => {
+// Guards against losing the announcement of a shutdown with a response that was already streamed to the caller in part.
+test("a server that announces its shutdown in a truncated response gets no more requests", async t => {
     const fleet = await startAnnouncingFleet(t, 1, ["a"]);
     const [edge] = fleet.edges;
     assert.ok(edge);
--- a/packages/edge/src/__tests__/serverLimit.test.ts
+++ b/packages/edge/src/__tests__/serverLimit.test.ts
@@ -24,7 +24,7 @@
     return { servers, edges };
 }
 
-/** Sends requests to one gateway after the other. */
+/** Sends requests to the gateways in turn for some time. */
 async function sendFor({ servers, edges }: LimitedFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
@@ -37,7 +37,7 @@
     await Promise.all(sent);
 }
 
-/** Refusals, but for those of requests whose questions for load no server answered in time, as on a busy machine. */
+/** Failed requests, except those whose load probes all timed out, as may happen on a busy machine. */
 function findRefusedForLimits({ edges }: LimitedFleet): readonly Readonly<Record<string, unknown>>[] {
     return edges.flatMap(({ logs }) => logs).filter(line =>
         line["message"] === "requestFailed"
@@ -45,8 +45,8 @@
     );
 }
 
-// A server in need that goes on getting its usual load from every gateway that it has told falls over.
-test("a server that names a limit gets no more than that from all gateways together", async t => {
+// Guards against an overloaded server that fails because gateways keep sending their usual load despite its limit.
+test("a server that announces a limit gets no more requests than that from all gateways together", async t => {
     const fleet = await startLimitedFleet(t, 5, ["a", "b", "c"]);
     fleet.servers.setLimit("a", 1.1);
     await sendFor(fleet, 9_000, 15);
@@ -54,7 +54,8 @@
     assert.deepEqual(findRefusedForLimits(fleet), []);
 });
 
-// Kept away for good, gateways would never hear that a server is well again; all at once, they would make it fall over once more.
+// Guards against gateways that stop sending to a server and thus never learn that its limit has ended, and against
+// gateways that all return at once and overload it again.
 test("a server whose limit has ended is used again", async t => {
     const fleet = await startLimitedFleet(t, 3, ["a", "b"]);
     fleet.servers.setLimit("a", 2);
@@ -67,7 +68,7 @@
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
 });
 
-test("where the limits of all servers are used up, a request is refused at once", async t => {
+test("a request is refused at once if the limits of all servers are used up", async t => {
     const fleet = await startLimitedFleet(t, 1, ["a"]);
     const [edge] = fleet.edges;
     assert.ok(edge);
--- a/packages/edge/src/__tests__/serverRest.test.ts
+++ b/packages/edge/src/__tests__/serverRest.test.ts
@@ -6,8 +6,9 @@
 
 const restBounds = { onTheWayMs: 500, allowed: 2 };
 
-// Guards against a server that asks for rest and goes on getting its usual load, or more, since a server that runs nothing looks idle.
-test("a server that asks for rest gets no request of the gateways that it has told until its end", async t => {
+// Guards against sending the usual load, or more, to a server that requested a back-off: since it executes nothing, it
+// looks idle.
+test("a server that requests a back-off gets no requests from the notified gateways until it ends", async t => {
     const fleet = await startAnnouncingFleet(t, 2, ["a", "b", "c"]);
     await sendRequestsFor(fleet, 500, 15);
     fleet.servers.setBackoff("a", 2);
@@ -15,8 +16,8 @@
     assert.deepEqual(checkServerRest(fleet.servers.history, restBounds), []);
 });
 
-// Guards against gateways that keep a server out for good: after its rest it is as good as any other.
-test("a server that has had its rest is used again", async t => {
+// Guards against gateways that exclude a server permanently after its back-off.
+test("a server whose back-off has ended is used again", async t => {
     const fleet = await startAnnouncingFleet(t, 1, ["a", "b"]);
     fleet.servers.setBackoff("a", 1);
     await sendRequestsFor(fleet, 600, 15);
@@ -26,8 +27,8 @@
     assert.ok(fleet.servers.countRequests("a", restedAtMs) > 0);
 });
 
-// Guards against requests that wait, or are sent in vain, while it is known that no server takes any.
-test("where all servers of a service rest, a request is refused at once with the soonest end of it", async t => {
+// Guards against requests that wait or are sent although it is known that all servers would reject them.
+test("while all servers of a service back off, a request is refused at once with the earliest retry time", async t => {
     const fleet = await startAnnouncingFleet(t, 1, ["a", "b"]);
     const [edge] = fleet.edges;
     assert.ok(edge);
@@ -42,8 +43,8 @@
     assert.equal(fleet.servers.countRequests("a", beforeMs) + fleet.servers.countRequests("b", beforeMs), 0);
 });
 
-// Guards against a rest that outlives its server: the next life under its id has asked for none.
-test("a server that was started again isn't held to the rest of its life before", async t => {
+// Guards against a back-off that outlives its server: the next process with its id has requested none.
+test("a restarted server isn't subject to the back-off requested before the restart", async t => {
     const fleet = await startAnnouncingFleet(t, 1, ["a"]);
     fleet.servers.setBackoff("a", 60);
     await sendRequestsFor(fleet, 200, 15);
--- a/packages/edge/src/__tests__/settings.test.ts
+++ b/packages/edge/src/__tests__/settings.test.ts
@@ -21,17 +21,17 @@
     });
 }
 
-test("settings are resolved once, with their defaults, and frozen", () => {
+test("settings are resolved with their defaults, and frozen", () => {
     const settings = resolveEdgeSettings(valid).unsafeCoerce();
     assert.equal(settings.asking.perServerAndSecond, 30);
     assert.ok(Object.isFrozen(settings));
 });
 
-test("fields that aren't known are left alone", () => {
+test("unknown fields are ignored", () => {
     assert.equal(findFaults(`${valid}later: { some: thing }\n`), "");
 });
 
-test("every fault is named, each with its line", () => {
+test("all faults are reported, each with its line", () => {
     const faults = findFaults(
         valid.replace("10.0.0.4:8081", "somewhere").replace("graceSeconds: 6", "graceSeconds: -1"),
     );
@@ -39,11 +39,11 @@
     assert.match(faults, /edge\.yaml:8:.*stopping\.graceSeconds/);
 });
 
-test("a field that is missing is named", () => {
+test("a missing field is reported", () => {
     assert.match(findFaults(valid.replace("availabilityZone: north\n", "")), /availabilityZone/);
     assert.match(findFaults(""), /edge\.yaml/);
 });
 
-test("what is no YAML is refused", () => {
+test("invalid YAML is rejected", () => {
     assert.notEqual(findFaults("name: [entry"), "");
 });
--- a/packages/edge/src/__tests__/support/announcingServers.ts
+++ b/packages/edge/src/__tests__/support/announcingServers.ts
@@ -16,10 +16,13 @@
 } from "./testEdge.js";
 
 const workMs = 20;
-/** More than a gateway holds of an answer. */
+/** Larger than the responses that a gateway buffers. */
 const largeBytes = 400_000;
 
-/** Backend servers that ask for rest and that leave as the test says, and the history of what they got and from whom. */
+/**
+ * Backend servers that request a back-off or announce that they shut down, as set by the test. Records the requests
+ * that they receive and the announcements that gateways receive.
+ */
 export class AnnouncingServers extends RecordedServers {
     readonly #restSeconds = new Map<string, number>();
     readonly #leaving = new Set<string>();
@@ -54,7 +57,7 @@
         registerServer(this.store, backend);
     }
 
-    /** A server turns everything away from now on and asks for so many seconds of rest, or serves again. */
+    /** Makes a server reject all requests and request a back-off of some seconds, or serve again. */
     setBackoff(id: string, seconds: number | undefined): void {
         if (seconds === undefined) {
             this.#restSeconds.delete(id);
@@ -63,18 +66,18 @@
         this.#restSeconds.set(id, seconds);
     }
 
-    /** A server says in its answers from now on that it leaves; its entry in the store says nothing of it. */
+    /** Makes a server announce in its responses that it shuts down, while its entry in the store stays unchanged. */
     announceLeaving(id: string): void {
         this.#leaving.add(id);
     }
 
-    /** A server says so, in an answer too large to be held that breaks off. */
+    /** The same, with responses that are too large to be buffered and end prematurely. */
     announceLeavingInTruncatedResponse(id: string): void {
         this.#leaving.add(id);
         this.#breakingOff.add(id);
     }
 
-    /** A server starts again under its id and address. */
+    /** Restarts a server with the same id and address. */
     restart(id: string, startedAtEpochMs: number): void {
         this.#leaving.delete(id);
         this.#restSeconds.delete(id);
@@ -84,11 +87,12 @@
         }
     }
 
-    /** A server's entry lapses, or is written again by the same server. */
+    /** Removes a server's entry from the store, as if its lease had expired. */
     expireEntry(id: string): void {
         this.store.remove(`servers/${id}`);
     }
 
+    /** Writes a server's entry again, with the same start time. */
     rewriteEntry(id: string): void {
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
@@ -109,7 +113,7 @@
         return got;
     }
 
-    /** Requests that reached a server in a span of time. */
+    /** @returns the number of requests that a server received in a period, including rejected ones */
     countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             (line.type === "serverStarted" || line.type === "serverTurnedAway") && line.server === id
@@ -118,7 +122,7 @@
     }
 }
 
-/** Gateways in front of servers that say something of themselves. */
+/** Gateways with backend servers that announce their state in responses. */
 export interface AnnouncingFleet {
     readonly servers: AnnouncingServers;
     readonly edges: readonly TestEdge[];
@@ -139,7 +143,7 @@
     return { servers, edges };
 }
 
-/** Sends requests to one gateway after the other. @returns their statuses */
+/** Sends requests to the gateways in turn for some time. @returns the status codes of the responses */
 export async function sendRequestsFor(
     { servers, edges }: AnnouncingFleet,
     forMs: number,
--- a/packages/edge/src/__tests__/support/limitedServers.ts
+++ b/packages/edge/src/__tests__/support/limitedServers.ts
@@ -10,7 +10,10 @@
 
 const workMs = 20;
 
-/** Backend servers that name limits as the test says, and the history of what they got and of who was told. */
+/**
+ * Backend servers that announce limits set by the test. Records the requests that they receive and the limits that
+ * gateways receive.
+ */
 export class LimitedServers extends RecordedServers {
     readonly #limits = new Map<string, string>();
 
@@ -24,7 +27,7 @@
         registerServer(this.store, backend);
     }
 
-    /** A server names a limit from now on, or none any more. */
+    /** Makes a server announce a limit from now on, or stop announcing one. */
     setLimit(id: string, perSecond: number | undefined): void {
         this.record({ type: "serverLimited", server: id, perSecond });
         if (perSecond === undefined) {
@@ -53,7 +56,7 @@
         return got;
     }
 
-    /** Requests that a server got in a span of time. */
+    /** @returns the number of requests that a server received in a period */
     countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             line.type === "serverStarted" && line.server === id && line.atMs >= fromMs && line.atMs < toMs
--- a/packages/edge/src/__tests__/support/recordedServers.ts
+++ b/packages/edge/src/__tests__/support/recordedServers.ts
@@ -3,7 +3,7 @@
 import { type TestContext } from "node:test";
 import { type MemoryStore } from "./memoryStore.js";
 
-/** Backend servers of a test, and the history of what callers sent and servers ran. */
+/** Backend servers of a test, with a history of the requests sent by callers and executed by servers. */
 export abstract class RecordedServers {
     readonly history: HistoryLine[] = [];
     protected readonly t: TestContext;
@@ -23,7 +23,7 @@
         this.history.push({ ...event, sequence: this.history.length, atMs: performance.now(), process: "" });
     }
 
-    /** A request begins to run. */
+    /** Records that a server has started to execute a request. */
     protected recordStarted(server: string, req: RawRequest): void {
         this.record({
             type: "serverStarted",
--- a/packages/edge/src/__tests__/support/testCodecs.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -20,7 +20,7 @@
     StateCodec,
 } from "../../index.js";
 
-/** Header names of the tests' callers and backend servers. */
+/** Header names used by the callers and backend servers of tests. */
 export class TestMetadataCodec extends EdgeMetadataCodec {
     override readonly readinessPath = "/ready";
 
@@ -82,7 +82,7 @@
     return text === undefined ? { type: "none" } : { type: "named", perSecond: Number(text) };
 }
 
-/** The tests' keys: each value is the item itself. */
+/** Store keys of tests; each value is the item as JSON. */
 export class TestStateCodec extends StateCodec {
     override isAfterOperatorKeys(key: string): boolean {
         return key > "servers/";
--- a/packages/edge/src/__tests__/support/testEdge.ts
+++ b/packages/edge/src/__tests__/support/testEdge.ts
@@ -9,20 +9,20 @@
 import { type MemoryStore } from "./memoryStore.js";
 import { TestStateCodec, TestMetadataCodec } from "./testCodecs.js";
 
-/** A backend server of the tests: tells its load as the test says, and serves requests as the test says. */
+/** A backend server whose load reports and responses are set by the test. */
 export interface TestBackend {
     readonly id: string;
     readonly raw: RawBackend;
-    /** Requests other than questions for its load. */
+    /** Requests received, without load probes. */
     readonly servedRequests: () => readonly RawRequest[];
-    /** What it answers a question for its load with; `undefined` for no answer. */
+    /** Load reported to load probes; `undefined` to leave them unanswered. */
     load: string | undefined;
     coldMs: number;
-    /** How long it takes to answer a question for its load. */
+    /** Delay of responses to load probes, in milliseconds. */
     loadResponseDelayMs: number;
 }
 
-/** One edge process in the test's own process, with its store. */
+/** An edge process that runs within the test's process, with its store. */
 export interface TestEdge<Store extends KeyValueStore = KeyValueStore> {
     readonly name: string;
     readonly store: Store;
@@ -33,11 +33,11 @@
     readonly metricsUrl: string;
     readonly peersUrl: string;
     readonly logs: readonly Readonly<Record<string, unknown>>[];
-    /** Stops it, once. */
+    /** Stops the edge process; further calls have no effect. */
     readonly stop: () => Promise<void>;
 }
 
-/** @returns an answer to a request as a whole and signed one */
+/** @returns a complete, signed response to a request */
 export function renderSignedResponse(
     req: RawRequest,
     body: string,
@@ -106,7 +106,7 @@
     };
 }
 
-/** Writes a backend server's entry. */
+/** Writes a backend server's entry to the store. */
 export function registerServer(
     store: MemoryStore,
     { id, raw }: TestBackend,
@@ -195,7 +195,7 @@
     };
 }
 
-/** Waits until something holds, for ten seconds at most. */
+/** Waits until a condition holds; throws after ten seconds. */
 export async function eventually(holds: () => boolean | Promise<boolean>, what: string): Promise<void> {
     for (let i = 0; i < 500; i++) {
         if (await holds()) {
@@ -203,10 +203,10 @@
         }
         await sleep(20);
     }
-    throw new Error(`it never came about that ${what}`);
+    throw new Error(`timed out waiting until ${what}`);
 }
 
-/** Waits until the edge process says that it is ready. */
+/** Waits until the edge process reports that it is ready. */
 export async function waitUntilReady({ readinessUrl }: TestEdge): Promise<void> {
     await eventually(async () => {
         const res = await request(readinessUrl);
@@ -215,7 +215,7 @@
     }, "the process is ready");
 }
 
-/** Starts gateways over one store, and waits until each is ready and knows all of them. */
+/** Starts gateways with a common store, and waits until each is ready and has discovered all others. */
 export async function startEdges(
     t: TestContext,
     store: MemoryStore,
@@ -230,12 +230,12 @@
     await Promise.all(edges.map(waitUntilReady));
     await eventually(
         () => edges.every(({ logs }) => logs.filter(line => line["subject"] === "gateway").length >= count),
-        "the gateways know each other",
+        "the gateways have discovered each other",
     );
     return edges;
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export interface CallerResponse {
     readonly status: number;
     readonly body: string;
@@ -244,7 +244,7 @@
 
 let requests = 0;
 
-/** Sends one request as a caller. */
+/** Sends a request as a caller. */
 export async function call(
     { url }: TestEdge,
     path: string,
--- a/packages/edge/src/__tests__/workspaceLimits.test.ts
+++ b/packages/edge/src/__tests__/workspaceLimits.test.ts
@@ -24,7 +24,7 @@
 
 let ids = 0;
 
-/** @returns statuses with the times to come back that came with them */
+/** @returns the status code, and the Retry-After header in seconds or 0 */
 async function ask({ url }: TestEdge, key: string): Promise<{ readonly status: number; readonly after: number; }> {
     const headers = { "host": "survey.example", "x-id": `r${ids++}`, "x-patience-ms": "8000", "x-key": key };
     const res = await request(`${url}/tables/1`, { headers });
@@ -32,10 +32,10 @@
     return { status: res.statusCode, after: Number(res.headers["retry-after"] ?? 0) };
 }
 
-// Guards against a workspace that takes the room of the others: each gateway alone would let its limit through once.
+// Guards against gateways that each admit the whole limit of a workspace, at the expense of other workspaces.
 test("a workspace gets no more than its limit over all gateways, and others are served meanwhile", async t => {
     const edges = await startFleet(t, 3);
-    // Buckets fill up to the burst.
+    // Wait until the buckets are filled up to the burst.
     await sleep(2_500);
     const asked: ReturnType<typeof ask>[] = [];
     const others: ReturnType<typeof ask>[] = [];
@@ -50,9 +50,9 @@
     const served = answers.filter(({ status }) => status === 200).length;
     const refused = answers.filter(({ status }) => status === 429);
     assert.ok(served >= 20 && served <= 1.1 * (5 * 20 + 20) + 20, `${served} served`);
-    assert.ok(refused.length > 0, "some are over the limit");
-    assert.ok(refused.every(({ after }) => after > 0), "each of them is told when to come back");
-    assert.ok((await Promise.all(others)).some(({ status }) => status === 200), "others are served");
+    assert.ok(refused.length > 0, "some requests are refused for the limit");
+    assert.ok(refused.every(({ after }) => after > 0), "each refusal has a retry time");
+    assert.ok((await Promise.all(others)).some(({ status }) => status === 200), "other workspaces are served");
     const line = edges.flatMap(({ logs }) => logs).find(({ message }) => message === "limitRefused");
     assert.deepEqual([line?.["workspace"], line?.["reason"], line?.["perSecond"]], ["limited", "overLimit", 20]);
 });
--- a/packages/edge/src/__tests__/workspaces.test.ts
+++ b/packages/edge/src/__tests__/workspaces.test.ts
@@ -30,8 +30,8 @@
     registerServer(store, backend);
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
-    // From here on it hears of changes as they come.
-    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
+    // From now on, the gateway receives changes as they are written.
+    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway has discovered itself");
     return edge;
 }
 
@@ -42,8 +42,8 @@
     return res.statusCode;
 }
 
-// Guards against requests that run without a key, and against servers that see keys or forged names.
-test("a backend server learns a caller's workspace and not its key, and callers without a key are turned away", async t => {
+// Guards against executing requests without a key, and against forwarding keys or forged workspace names to servers.
+test("servers receive a caller's workspace but not its key, and callers without a key are rejected", async t => {
     const backend = await startBackend(t, "i-1");
     const edge = await start(t, backend);
     assert.equal(await ask(edge, "/tables/1", { "x-key": "k-north", "x-workspace": "forged" }), 200);
@@ -62,8 +62,8 @@
     assert.equal(/k-north|k-other/.test(JSON.stringify(edge.logs)), false, "no key is logged");
 });
 
-// Guards against a request that is sent once more with a key that was withdrawn while its first send was under way.
-test("a request whose key is withdrawn meanwhile is not sent again", async t => {
+// Guards against retrying a request whose key was revoked during its first attempt.
+test("a request whose key is revoked in the meantime is not retried", async t => {
     const backend = await startBackend(t, "i-1", req => {
         edge.store.put("configuration", withWorkspaces(2, []));
         setTimeout(() => {
@@ -74,7 +74,7 @@
     const status = await ask(edge, "/tables/1", { "x-key": "k-north" });
     await eventually(
         () => edge.logs.some(({ name, change }) => name === "2" && change === "inForce"),
-        "it is in force",
+        "the configuration is in force",
     );
     assert.deepEqual([status, backend.servedRequests().length], [401, 1]);
 });
--- a/packages/edge/src/backends/classifyConnectionError.ts
+++ b/packages/edge/src/backends/classifyConnectionError.ts
@@ -3,7 +3,11 @@
 const timeoutCode = "UND_ERR_CONNECT_TIMEOUT";
 const socketCode = "UND_ERR_SOCKET";
 
-/** How an exchange without an answer ended. @param err - as the HTTP client reports it */
+/**
+ * Classifies the error of a request that received no response.
+ *
+ * @param err - as reported by the HTTP client
+ */
 export function classifyConnectionError(err: Error): Exclude<ServerContactResult, "heard"> {
     const { code, syscall } = err as NodeJS.ErrnoException;
     if (code === timeoutCode) {
--- a/packages/edge/src/backends/probeServerLoad.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -10,7 +10,7 @@
 
 const okStatus = 200;
 
-/** What to ask with. */
+/** Options of one load probe. */
 export interface LoadProbeOptions {
     readonly server: RegisteredServer;
     readonly connection: ServerConnection;
@@ -19,25 +19,25 @@
     readonly timeoutMs: number;
 }
 
-/** What a server said when it was asked. */
+/** The load that a server reported. */
 export interface LoadProbeSuccess {
     readonly type: "told";
     readonly offer: ServerStatus;
     readonly metadata: ResponseMetadata;
 }
 
-/** Why a server told nothing; `otherServer` where another one answered. */
+/** Why a load probe failed; `otherServer` if a different server responded. */
 export interface LoadProbeFailure {
     readonly type: "untold";
     readonly reason: Exclude<ServerContactResult, "heard"> | "otherServer";
 }
 
 /**
- * Asks a backend server how loaded it is, right before something is sent to it. Any older figure is worth little: load
- * moves within milliseconds.
+ * Probes the current load of a backend server. It is called right before a request is sent, since load changes within
+ * milliseconds and an older report is of little use.
  *
- * @param input - whom to ask
- * @returns what it said, or why it said nothing in time
+ * @param input - the server, a connection to it and the timeout
+ * @returns the reported load, or the reason why none was received in time
  */
 export function probeServerLoad(input: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
     return new Promise(resolve => {
@@ -57,15 +57,15 @@
     constructor(input: LoadProbeOptions, resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void) {
         this.#input = input;
         this.#resolve = resolve;
-        // After a long turn of the event loop its timers come before what has been received meanwhile. Taken for silent then,
-        // servers would be blamed and connections closed for this process's own delay.
+        // After a long event-loop turn, timers run before I/O that is already received. `setImmediate` lets that I/O be
+        // handled first, so that a delay of this process doesn't count as a timeout of the server.
         this.#timer = setTimeout(() => setImmediate(() => this.#giveUp()), input.timeoutMs);
     }
 
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
         if (this.#settled) {
-            controller.abort(new Error("no answer in time"));
+            controller.abort(new Error("load probe timed out"));
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     onResponseData(): void {
-        // The head says all that is asked.
+        // The load is reported in the headers; the body is ignored.
     }
 
     onResponseEnd(): void {
@@ -91,7 +91,7 @@
             return;
         }
         this.#settle({ type: "untold", reason: "silent" });
-        this.#controller?.abort(new Error("no answer in time"));
+        this.#controller?.abort(new Error("load probe timed out"));
     }
 
     #read(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
--- a/packages/edge/src/backends/readRawHeaders.ts
+++ b/packages/edge/src/backends/readRawHeaders.ts
@@ -1,7 +1,7 @@
 import { type RawHeaders } from "@galenaglade/http-parts";
 import { type Dispatcher } from "undici";
 
-/** Header values are bytes; read in any other way than the one in which they are written, some would change. */
+/** Decodes header values as Latin-1, as they are encoded when forwarded, so that no bytes change. */
 export function readRawHeaders(raw: Dispatcher.DispatchController["rawHeaders"]): RawHeaders {
     if (!Array.isArray(raw)) {
         return [];
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -8,33 +8,36 @@
 import { readRawHeaders } from "./readRawHeaders.js";
 import { type ServerConnection } from "./serverConnection.js";
 
-/** The head of a backend server's answer. */
+/** Status, headers and metadata of a backend server's response. */
 export interface ResponseHead {
     readonly status: number;
     readonly headers: RawHeaders;
     readonly metadata: ResponseMetadata;
 }
 
-/** A backend server's whole answer. */
+/** A backend server's response with its whole body. */
 export interface BufferedResponse extends ResponseHead {
     readonly body: Buffer;
     /**
-     * Whether the server ended it by closing the connection. A server that crashes closes it too, so nobody can tell
-     * whether such an answer is whole.
+     * Whether the end of the body was marked by closing the connection. A crash closes the connection too, so such a
+     * response may be truncated.
      */
     readonly endedByClose: boolean;
 }
 
-/** Gets the bytes of an answer that is too large to be held. */
+/** Receives the body of a response that is too large to be buffered. */
 export abstract class ResponseSink {
-    /** @returns whether more may come at once; otherwise `resume` is called when it may */
+    /** @returns whether more can be written at once; otherwise `resume` is called once it can */
     abstract write(chunk: Buffer, resume: () => void): boolean;
 }
 
-/** One send of one request. */
+/** Options of one attempt to send a request. */
 export interface SendOptions {
     readonly connection: ServerConnection;
-    /** Whether no request was sent on the connection before, so that a request turned away on it can only be this one. */
+    /**
+     * Whether this is the first request on the connection, so that a rejection received on it must refer to this
+     * request.
+     */
     readonly isFirstRequest: boolean;
     readonly method: string;
     readonly path: string;
@@ -44,18 +47,22 @@
     readonly requestId: string | undefined;
     readonly metadataReader: ResponseMetadataReader;
     readonly maxBufferedBytes: number;
-    /** Asked in the turn in which the first byte is written. */
+    /** Called right before the first byte is written. */
     readonly mayWrite: () => boolean;
-    /** Asked once an answer is too large to be held. @returns where its bytes go, or `undefined` to give it up */
+    /**
+     * Called once a response is too large to be buffered.
+     *
+     * @returns the destination of its body, or `undefined` to cancel the request
+     */
     readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
-/** How a send ended. */
+/** Result of one attempt to send a request. */
 export interface SendResult {
     readonly end: SendEnd;
-    /** The whole answer, where it was held. */
+    /** The whole response, if it was buffered. */
     readonly response: BufferedResponse | undefined;
-    /** Whether a sink was opened, so that the caller has had a part of the answer. */
+    /** Whether a sink was opened, so that the caller has received a part of the response. */
     readonly streamed: boolean;
     /** What the answer's head says, where it had one. */
     readonly metadata: ResponseMetadata | undefined;
@@ -65,10 +72,10 @@
     readonly tookMs: number;
 }
 
-/** A send under way. */
+/** An attempt in progress. */
 export interface Send {
     readonly result: Promise<SendResult>;
-    /** Gives it up; its connection is closed, and the server drops the work. */
+    /** Cancels the attempt and closes its connection, so that the server can abort the request. */
     abandon(): void;
 }
 
@@ -77,9 +84,9 @@
 const notModifiedStatus = 304;
 
 /**
- * Sends a request to a backend server over one connection and reads the answer.
+ * Sends a request to a backend server over one connection and reads the response.
  *
- * @param input - what goes where
+ * @param input - the request and its connection
  */
 export function sendRequest(input: SendOptions): Send {
     let handler: SendHandler | undefined;
@@ -115,10 +122,11 @@
         this.#resolve = resolve;
     }
 
-    /** Called in the turn in which the request is written, right before its first byte. */
+    /** Called right before the first byte of the request is written, in the same event-loop turn. */
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
-        // A client that lost its connection may write a request again. What was said of it by then would become untrue.
+        // After a lost connection, the client may write a request a second time. That must not happen once its result
+        // has been reported.
         if (this.#settled || this.#written || !this.#input.mayWrite()) {
             this.#refused = !this.#written;
             controller.abort(new Error("not sent any more"));
@@ -172,7 +180,7 @@
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
         if (!this.#refused) {
-            // Bytes that are no answer came from the other side all the same.
+            // Bytes that aren't valid HTTP still show that the server can be reached.
             this.#contact ??= isParserError(err) ? "heard" : classifyConnectionError(err);
         }
         if (this.#written) {
@@ -194,13 +202,14 @@
             this.#input.connection.destroy();
             return;
         }
-        this.#controller.abort(new Error("given up"));
+        this.#controller.abort(new Error("request cancelled"));
     }
 
-    /** An answer of which something is wrong is nobody's: it may be the end of another one, or half of this. */
+    /** A response with any fault is discarded: it may be the rest of another response, or a part of this one. */
     #findFault({ status, headers, metadata }: ResponseHead): UnknownRunReason | undefined {
         const { requestId, isFirstRequest, connection } = this.#input;
-        // A server that turns a request away may not have read who it is; as the first one here it can mean no other.
+        // A server may reject a request before it has read the request id. On the first request of a connection, the
+        // rejection can't refer to another request.
         const anonymous = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
         if (metadata.requestId !== requestId && !anonymous) {
             return "otherRequestsAnswer";
@@ -218,7 +227,7 @@
         const sink = this.#findFault(head) === undefined ? this.#input.openSink(head) : undefined;
         if (sink === undefined) {
             this.#settle({ type: "unknown", reason: "cutShort" }, "the answer is too large to be held, and not wanted");
-            controller.abort(new Error("not wanted"));
+            controller.abort(new Error("response rejected"));
             return;
         }
         this.#sink = sink;
@@ -256,7 +265,7 @@
     }
 }
 
-/** How an answer's end is marked: RFC 9112, section 6.3. */
+/** @returns whether the body ends with the connection; see RFC 9112, section 6.3 */
 function isEndedByClose(method: string, status: number, headers: RawHeaders): boolean {
     return method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus
         && findHeader(headers, "content-length") === undefined
--- a/packages/edge/src/backends/serverConnection.ts
+++ b/packages/edge/src/backends/serverConnection.ts
@@ -4,7 +4,9 @@
 import { idleConnectionTimeoutMs } from "../constants.js";
 import { type ServerConnector } from "./serverConnector.js";
 
-/** One connection to one backend server, reopened when it is used after it was closed. Carries one request at a time. */
+/**
+ * A connection to a backend server that carries one request at a time and is reopened if it is used after being closed.
+ */
 export class ServerConnection {
     readonly address: ServerAddress;
     readonly #client: Client;
@@ -14,7 +16,7 @@
 
     /**
      * @param address - of the server
-     * @param links - open its sockets
+     * @param links - opens its sockets
      */
     constructor(address: ServerAddress, links: ServerConnector) {
         this.address = address;
@@ -22,7 +24,7 @@
             pipelining: 1,
             keepAliveTimeout: idleConnectionTimeoutMs,
             keepAliveMaxTimeout: idleConnectionTimeoutMs,
-            // Each request has a deadline of its own.
+            // Each request has its own deadline.
             headersTimeout: 0,
             bodyTimeout: 0,
             connect: (_options, callback) => {
@@ -39,8 +41,8 @@
     }
 
     /**
-     * Whether the connection was reset. The client takes an answer without a declared length for whole when its
-     * connection is reset, so that whoever reads one must ask here too.
+     * Whether the connection was reset. The client reports a response without a declared length as complete when its
+     * connection is reset, so readers of such a response must check this as well.
      */
     get socketFailed(): boolean {
         return this.#socketFailed;
@@ -50,22 +52,22 @@
         this.#client.dispatch(options, handler);
     }
 
-    /** Whether an answer has come on it: what fails then says nothing of new connections. */
+    /** Whether a response was received on it; a later failure then doesn't show that new connections would fail. */
     get hasResponded(): boolean {
         return this.#isProved;
     }
 
-    /** An answer has come on it. */
+    /** Records that a response was received. */
     onResponse(): void {
         this.#isProved = true;
     }
 
-    /** Whether it is closed for good. */
+    /** Whether it was closed and won't be reopened. */
     get destroyed(): boolean {
         return this.#destroyed;
     }
 
-    /** Closes the connection for good, whatever is under way on it. */
+    /** Closes the connection permanently and aborts a request in flight. */
     destroy(): void {
         this.#destroyed = true;
         this.#client.destroy().catch(() => undefined);
@@ -77,7 +79,7 @@
         socket.once("close", () => {
             this.#isProved = false;
         });
-        // Placed before the client's own listener, so that the failure is known when the client reports the answer.
+        // Registered before the client's own listener, so that the flag is set when the client reports the response.
         socket.on("error", () => {
             this.#socketFailed = true;
         });
--- a/packages/edge/src/backends/serverConnectionPool.ts
+++ b/packages/edge/src/backends/serverConnectionPool.ts
@@ -3,7 +3,7 @@
 import { ServerConnection } from "./serverConnection.js";
 import { DirectConnector, type ServerConnector } from "./serverConnector.js";
 
-/** What a connection is given back after. */
+/** The use after which a connection is returned to the pool. */
 export interface ConnectionUse {
     readonly after: "question" | "request";
     readonly nowMs: number;
@@ -11,38 +11,39 @@
 
 interface IdleConnection {
     readonly connection: ServerConnection;
-    /** When its server last answered a question on it, if nothing else was sent since. */
+    /** When the last load probe on it was answered, if nothing else was sent since. */
     readonly heardAtMs: number;
-    /** When the last request on it ended. */
+    /** When the last request on it finished. */
     readonly requestAtMs: number;
 }
 
-/** Kept connections to backend servers, by server. */
+/** Pool of connections to backend servers, keyed by server. */
 export class ServerConnectionPool {
     readonly #links: ServerConnector;
     readonly #idle = new Map<string, IdleConnection[]>();
     readonly #requestAtMs = new WeakMap<ServerConnection, number>();
     #opened = 0;
 
-    /** @param links - open the sockets */
+    /** @param links - opens the sockets */
     constructor(links: ServerConnector = new DirectConnector()) {
         this.#links = links;
     }
 
-    /** Connections opened so far, first uses of kept ones included. */
+    /** Number of connections created so far. */
     get openedCount(): number {
         return this.#opened;
     }
 
-    /** @returns a connection that waits for work, the one that was used last, or a new one */
+    /** @returns the most recently used idle connection to the server, or a new one */
     acquire(serverId: string, address: ServerAddress): ServerConnection {
         return this.#takeWhere(serverId, address, () => true) ?? this.open(address);
     }
 
     /**
-     * For what may be sent only once. A server may close a kept connection just as something is written to it, or send a
-     * late answer of a request before, and then nobody can say whether this one ran. Neither is to be feared where the
-     * server answered a question on it a moment ago and no request ended on it for a while.
+     * Acquires a connection for a non-idempotent request. A server may close an idle connection just as a request is
+     * written to it, or send a late second response to an earlier request; then it is unknown whether this request was
+     * executed. Both are unlikely if a load probe was answered on the connection a moment ago and no request has
+     * finished on it for a while.
      *
      * @returns such a connection, or a new one
      */
@@ -55,18 +56,20 @@
         return quiet ?? this.open(address);
     }
 
-    /** @returns whether no request was sent on a connection before; every question on it has had its answer */
+    /**
+     * @returns whether the next request on a connection is its first, apart from load probes, which were all answered
+     */
     isFirstRequest(connection: ServerConnection): boolean {
         return !this.#requestAtMs.has(connection);
     }
 
-    /** @returns a connection that nothing was sent on before */
+    /** @returns a new connection */
     open(address: ServerAddress): ServerConnection {
         this.#opened++;
         return new ServerConnection(address, this.#links);
     }
 
-    /** Keeps a connection on which nothing is under way. */
+    /** Returns a connection without a request in flight to the pool. */
     release(serverId: string, connection: ServerConnection, { after, nowMs }: ConnectionUse): void {
         if (connection.destroyed) {
             return;
@@ -87,7 +90,7 @@
         });
     }
 
-    /** Closes the connections to servers that are no longer there. */
+    /** Closes the idle connections to all servers except the given ones. */
     retain(serverIds: ReadonlySet<string>): void {
         for (const serverId of this.#idle.keys()) {
             if (!serverIds.has(serverId)) {
@@ -96,7 +99,7 @@
         }
     }
 
-    /** Closes the kept connections to one server; what is under way goes on. */
+    /** Closes the idle connections to one server; requests in flight on others continue. */
     closeIdle(serverId: string): void {
         const idle = this.#idle.get(serverId) ?? [];
         this.#idle.delete(serverId);
--- a/packages/edge/src/backends/serverConnector.ts
+++ b/packages/edge/src/backends/serverConnector.ts
@@ -3,26 +3,26 @@
 import { buildConnector } from "undici";
 import { connectTimeoutMs } from "../constants.js";
 
-/** Told of an opened socket, or why there is none. */
+/** Called with the connected socket, or with the error. */
 export type OnConnected = (opened: Socket | Error) => void;
 
 /** Opens sockets to backend servers. */
 export abstract class ServerConnector {
     /**
      * @param address - of the server
-     * @param onOpened - called once
+     * @param onOpened - called exactly once
      */
     abstract connect(address: ServerAddress, onOpened: OnConnected): void;
 }
 
-/** Opens them as the host's network has it. */
+/** Opens sockets directly over the host's network. */
 export class DirectConnector extends ServerConnector {
     readonly #connect: buildConnector.connector;
     readonly #localAddress: string | undefined;
 
     /**
-     * @param timeoutMs - time to open a socket
-     * @param localAddress - from which it is opened; the system's choice where it is missing
+     * @param timeoutMs - connect timeout
+     * @param localAddress - source address of the sockets; chosen by the operating system if missing
      */
     constructor(timeoutMs = connectTimeoutMs, localAddress?: string) {
         super();
--- a/packages/edge/src/backends/serverLivenessChecker.ts
+++ b/packages/edge/src/backends/serverLivenessChecker.ts
@@ -1,23 +1,23 @@
 import { type RegisteredServer, type ServerAddress } from "@galenaglade/fleet-state";
 import { DirectConnector, type ServerConnector } from "./serverConnector.js";
 
-/** What a check of a backend server found: nobody listens there any more, somebody does, or neither is known. */
+/** Result of a liveness check: the server's port refuses connections, accepts them, or neither could be determined. */
 export type ServerLiveness = "ended" | "listening" | "unknown";
 
 /**
- * Checks whether backend servers that lost a request have ended. A connection is opened and closed and nothing is sent, so that a
- * server that is merely full isn't asked for more.
+ * Checks whether backend servers that lost a request have exited. The check opens and closes a connection without
+ * sending anything, so that it adds no load to a server that is merely overloaded.
  */
 export class ServerLivenessChecker {
     readonly #links: ServerConnector;
     readonly #underWay = new Map<string, Promise<ServerLiveness>>();
 
-    /** @param links - open the sockets */
+    /** @param links - opens the sockets */
     constructor(links: ServerConnector = new DirectConnector()) {
         this.#links = links;
     }
 
-    /** @returns the state of a server; requests that were lost together share one check */
+    /** @returns the liveness of a server; concurrent calls for one server share a check */
     check({ id, address }: RegisteredServer): Promise<ServerLiveness> {
         const known = this.#underWay.get(id);
         if (known !== undefined) {
--- a/packages/edge/src/constants.ts
+++ b/packages/edge/src/constants.ts
@@ -1,194 +1,261 @@
-/** Time to open a connection to a backend server, in milliseconds: a lost packet is sent again within it. */
+/** Timeout for connecting to a backend server, in milliseconds; leaves time to retransmit one lost packet. */
 export const connectTimeoutMs = 300;
 
-/** Time in which a backend server tells its load, in milliseconds; it does so without waiting for a slot. */
+/**
+ * Initial timeout for a load probe, in milliseconds. It can be short because a backend server reports its load without
+ * waiting for a free slot.
+ */
 export const loadProbeTimeoutMs = 35;
 
 /**
- * Longest such time, for a request that got no answer before: after a start, or while this host gets little of its
- * processor, answers come later than the first limit although every server is well.
+ * Maximum timeout for a load probe, in milliseconds. It applies to a request whose earlier probes all timed out: after
+ * a start, or while this host gets little CPU time, responses arrive after the initial timeout although the servers are
+ * healthy.
  */
 export const maxLoadProbeTimeoutMs = 150;
 
-/** An idle connection to a backend server is closed after this long, or a little before the server says it would. */
+/**
+ * Idle timeout of a connection to a backend server, in milliseconds. If the server announces a shorter keep-alive
+ * timeout, the connection is closed shortly before that.
+ */
 export const idleConnectionTimeoutMs = 8_000;
 
-/** Idle connections kept to one backend server: some to ask on while requests on the others have ended just now. */
+/**
+ * Maximum number of idle connections kept to one backend server. More than one, so that load probes have a connection
+ * while requests on the others have only just finished.
+ */
 export const maxIdleConnectionsPerServer = 4;
 
-/** How long after an answer on it a connection may be taken for a request that must not run twice, in milliseconds. */
+/**
+ * Maximum time since the last load probe on a pooled connection that may carry a non-idempotent request, in
+ * milliseconds.
+ */
 export const recentProbeMs = 50;
 
-/** How long no request has ended on a connection that is taken for one that must not run twice, in milliseconds. */
+/**
+ * Minimum time since the last request finished on a pooled connection that may carry a non-idempotent request, in
+ * milliseconds.
+ */
 export const minQuietMs = 400;
 
-/** Largest body of a request that is read before anything is sent; a larger one is streamed and sent once. */
+/** Maximum size of a request body that is buffered before sending; a larger body is streamed and sent only once. */
 export const maxBufferedBodyBytes = 1_048_576;
 
-/** Largest answer that is held until it is known to be whole; of a larger one the caller gets the bytes as they come. */
+/**
+ * Maximum size of a response that is buffered until it is complete; a larger response is streamed to the caller as it
+ * arrives.
+ */
 export const maxBufferedResponseBytes = 262_144;
 
-/** Pause between two calls of the store's watch that brought changes, so that changes come in batches. */
+/** Delay after a store watch returned changes until the next watch call, so that changes are received in batches. */
 export const watchBatchDelayMs = 250;
 
 /**
- * Longest time that the store holds a watch open, and the time beyond it in which the answer must come, in milliseconds. Nothing else finds
- * out a connection that went silent while cheap readings are old, and a change must be in force after 2 s.
+ * Time for which the store holds a watch call open, and the additional time allowed for its response, in milliseconds.
+ * While cheap reads return old data, this is the only way to detect a silent connection, and a change must be in force
+ * after 2 s.
  */
 export const watchLongPollMs = 1_000;
 export const watchLongPollGraceMs = 500;
 
-/** Pauses after a failed write to the store: doubled from the first to the last, each drawn from half to the whole. */
+/**
+ * Initial and maximum back-off after a failed write to the store, in milliseconds: doubled with each failure, with a
+ * random jitter between half and all of it.
+ */
 export const initialStoreBackoffMs = 150;
 export const maxStoreBackoffMs = 800;
 
-/** How long the answer to a probe of a store that was lost is waited for, in milliseconds. */
+/** Timeout for a probe of an unavailable store, in milliseconds. */
 export const storeProbeTimeoutMs = 600;
 
 /**
- * From one probe to the next, in milliseconds. A change that is acknowledged at the store's return must be in force after 2 s, and with
- * the time for which lapsed entries are believed, it is below three seconds, after which a server that left must get nothing.
+ * Interval between probes of an unavailable store, in milliseconds. A change acknowledged when the store returns must
+ * be in force after 2 s. Together with the time for which lapsed entries stay valid, the interval is below 3 s, after
+ * which a server that left must not receive requests.
  */
 export const storeProbePeriodMs = 1_000;
 
-/** Shortest time between two probes where other gateways ask meanwhile, in milliseconds: they may have found the store again. */
+/**
+ * Minimum interval between store probes while other gateways ask for the store's state, in milliseconds; those may
+ * already have reached the store again.
+ */
 export const minStoreProbePeriodMs = 250;
 
-/** Longest pause after a failed registration, in milliseconds: doubled up to it with each failure. */
+/** Maximum back-off after a failed registration, in milliseconds; the back-off doubles with each failure. */
 export const maxRegistrationBackoffMs = 3_200;
 
-/** Life of a gateway's registration without renewal: longer than outages of the store that change nothing else. */
+/**
+ * Time to live of a gateway's registration without renewal, in milliseconds; longer than a store outage that must not
+ * change anything else.
+ */
 export const registrationTtlMs = 15_000;
 
-/** Renewals in one life of a registration. */
+/** Number of renewals within the time to live of a registration. */
 export const renewalsPerTtl = 3;
 
 /**
- * Time over which a fleet writes its registrations and crash reports again after the store came back from an older copy, in milliseconds:
- * hundreds of gateways at once would go beyond its rates.
+ * Period over which the gateways of a fleet spread rewriting their registrations and crash reports after the store was
+ * restored from an older copy, in milliseconds. Hundreds of gateways writing at once would exceed the store's rate
+ * limits.
  */
 export const rewriteSpreadMs = 2_500;
 
-/** How often what was believed for a limited time is looked at. */
+/** Interval between checks for expired state, in milliseconds. */
 export const expiryCheckPeriodMs = 100;
 
-/** Connections of callers held at once; the host's other descriptors are for backend servers. */
+/**
+ * Maximum number of open caller connections; the remaining file descriptors of the host are reserved for backend
+ * servers.
+ */
 export const maxCallerConnections = 2_500;
 
-/** Largest request head that is parsed at all; the configuration's own limit is checked on what was parsed. */
+/** Maximum size of a request head that the HTTP parser accepts; the configured limit is checked after parsing. */
 export const maxRequestHeadBytes = 131_072;
 
-/** Time in which a caller must have sent a whole request, its body included. */
+/** Time within which a caller must send a whole request, including its body, in milliseconds. */
 export const requestTimeoutMs = 30_000;
 
-/** How long callers' idle connections are kept before the configuration says how long. */
+/** Keep-alive timeout for idle caller connections until the configuration sets one, in milliseconds. */
 export const initialKeepAliveMs = 15_000;
 
-/** Share of a planned stop in which new connections are still taken, until the balancer has noticed. */
+/** Maximum fraction of the grace period of a planned stop during which new connections are still accepted. */
 export const stopAcceptShare = 0.5;
 
-/** Time at the end of a planned stop that is kept for the last answers to go out. */
+/** Time reserved at the end of a planned stop to flush the last responses, in milliseconds. */
 export const stopMarginMs = 350;
 
-/** Shortest planned stop: the balancer asks once a second and gives up after two misses. */
+/**
+ * Time for which a stopping gateway continues to accept connections, in milliseconds, until the balancer no longer
+ * sends callers: it checks readiness once a second and removes a gateway after two failures.
+ */
 export const balancerDetectionMs = 2_300;
 
-/** How often a stopping process looks whether nothing is in flight any more. */
+/** Interval at which a stopping process checks whether requests are still in flight, in milliseconds. */
 export const stopPollPeriodMs = 50;
 
-/** Lines a second of one kind in the log; what is above is counted and said in the next second. */
+/**
+ * Maximum number of log lines of one kind per second; further lines are dropped, and their number is logged in the next
+ * second.
+ */
 export const maxLogLinesPerSecond = 40;
 
-/** Bytes that the log may hold while its reader is slow; more lines are left out and counted. */
+/** Maximum size of buffered log output while its reader is slow; further lines are dropped and counted. */
 export const maxLogBufferBytes = 262_144;
 
 /**
- * How long a gateway that reads the store holds another's question open for changes, in milliseconds. One that stands still
- * or is cut off is found out this long and the slack after; with the time of a second question that is 1.3 s, and changes
- * must be in force after 2 s.
+ * Time for which a gateway that reads the store holds a long poll of another gateway open, in milliseconds. A relay
+ * that is suspended or unreachable is detected after this time and the grace period; with one poll of another relay
+ * this takes 1.3 s, and changes must be in force after 2 s.
  */
 export const relayLongPollMs = 600;
 
-/** Time beyond the wait in which an answer must come: what a busy host takes for a turn, twice. */
+/**
+ * Additional time after the long-poll timeout within which a response must arrive, in milliseconds: twice the duration
+ * of an event-loop turn on a busy host.
+ */
 export const relayLongPollGraceMs = 350;
 
 /**
- * Gateways that are asked whether the store was away, and the pause until others are asked where none could say. With a third of the
- * hosts cut off, one of four is in touch in 80 of 81 draws.
+ * Number of gateways asked at once whether the store was unavailable, and the delay until others are asked if none of
+ * these knows, in milliseconds. With a third of the hosts cut off, at least one of four random gateways is reachable in
+ * 80 of 81 cases.
  */
 export const outageQueryPeers = 4;
 export const outageQueryDelayMs = 250;
 
 /**
- * Largest answer with changes that a gateway passes on, in bytes. Dozens of larger ones take seconds on a slow host's link, while each gateway
- * gets one from the store within a fraction of that.
+ * Maximum size of a response with changes that a gateway relays to others. Dozens of larger responses take seconds on
+ * the link of a slow host, while each gateway reads them from the store within a fraction of that time.
  */
 export const maxRelayedChangesBytes = 24_576;
 
-/** How long a gateway asks the store itself for changes that are too large to be passed on, in milliseconds. */
+/** Time for which a gateway watches the store itself after changes were too large to be relayed, in milliseconds. */
 export const directWatchMs = 1_500;
 
-/** Time in which another gateway must answer a question that doesn't wait. */
+/** Timeout for a request to another gateway that is answered without a long poll, in milliseconds. */
 export const catchUpTimeoutMs = 300;
 
 /**
- * How often a gateway that watches the store checks that its watch is alive, and how long the check may take. The watch alone would
- * find a cut out after three seconds, and this gateway and all that ask it would be as late.
+ * Interval at which a gateway that watches the store checks that the watch still delivers changes, and the timeout of
+ * one check, in milliseconds. The watch alone would detect a lost connection only after three seconds, delaying this
+ * gateway and all gateways that it relays changes to.
  */
 export const watchCheckPeriodMs = 500;
 export const watchCheckTimeoutMs = 400;
 
-/** Time in which a watch that is alive brings a change that a check has seen, in milliseconds. */
+/** Time within which a working watch must deliver a change that a check has read, in milliseconds. */
 export const maxWatchLagMs = 60;
 
-/** Difference between the two clocks' steps from which this host is taken to have stood still, in milliseconds. */
+/**
+ * Difference between the progress of two clocks above which this host is considered to have been suspended, in
+ * milliseconds.
+ */
 export const hostPauseThresholdMs = 700;
 
-/** Wait of a gateway that is the first of its fleet, as far as it knows, for the others to register, in milliseconds. */
+/**
+ * Delay before the first watch of a gateway that knows of no other gateways in its fleet, so that others can register,
+ * in milliseconds.
+ */
 export const initialWatchDelayMs = 1_200;
 
-/** How often a gateway looks at open roll-outs, in milliseconds. */
+/** Interval at which a gateway evaluates open roll-outs, in milliseconds. */
 export const rolloutCheckPeriodMs = 250;
 
-/** Time in which a roll-out's coordinator must answer a report, in milliseconds. */
+/** Timeout for a report to the coordinator of a roll-out, in milliseconds. */
 export const rolloutReportTimeoutMs = 400;
 
-/** Largest report on a roll-out that is read, in bytes. */
+/** Maximum size of a report on a roll-out that is read. */
 export const maxRolloutReportBytes = 65_536;
 
-/** Age of the store's word up to which a route that it doesn't have doesn't exist, in milliseconds: so long a new one takes to be in force. */
+/**
+ * Maximum age of the state read from the store at which a missing route is answered as not found, in milliseconds; a
+ * new route takes this long to be in force.
+ */
 export const maxNotFoundStalenessMs = 2_000;
 
-/** Servers that are asked over new connections in one round of checks whether a service is reached again. */
+/** Number of servers probed over new connections in each round of checks whether a service is reachable again. */
 export const reachabilityCheckServers = 3;
 
-/** From one round to the next, and the time for each question, in milliseconds. */
+/** Interval between rounds of reachability checks, and the timeout of each probe, in milliseconds. */
 export const reachabilityCheckPeriodMs = 250;
 export const reachabilityCheckTimeoutMs = 150;
 
-/** Age up to which an answer of a server shows that its service is reached, in milliseconds. */
+/** Maximum age of a server's response that proves its service reachable, in milliseconds. */
 export const maxReachabilityAgeMs = 250;
 
-/** Gateways that are asked at once whether they reach a service, and how many times in a row others are where none does. */
+/**
+ * Number of gateways asked at once whether they reach a service, and the maximum number of rounds with different
+ * gateways when none does.
+ */
 export const reachabilityQueryPeers = 4;
 export const maxReachabilityQueries = 3;
 
-/** Time to connect to a gateway that is asked, and for its whole answer: it may ask servers first. In milliseconds. */
+/**
+ * Timeout for connecting to a gateway that is asked whether it reaches a service, and for its whole response, in
+ * milliseconds; the gateway may probe servers before it responds.
+ */
 export const reachabilityConnectTimeoutMs = 150;
 export const reachabilityQueryTimeoutMs = 300;
 
-/** Time to connect to a gateway that a request is handed to, in milliseconds. */
+/** Timeout for connecting to a gateway that a request is handed over to, in milliseconds. */
 export const handoverConnectTimeoutMs = 150;
 
-/** Gateways that one request is handed to, one after the other, at most. */
+/** Maximum number of gateways that one request is handed over to, one after the other. */
 export const maxHandoverAttempts = 4;
 
-/** Requests of other gateways that are under way here at once, at most: beyond them this gateway's own callers would wait. */
+/**
+ * Maximum number of requests from other gateways that this gateway handles at once; more would delay its own callers.
+ */
 export const maxIncomingHandovers = 64;
 
-/** Largest head of another gateway's request: a caller's head and what is added to it, in bytes. */
+/**
+ * Maximum size of the head of a request handed over by another gateway: the caller's head and the headers added to it.
+ */
 export const maxHandoverHeadBytes = maxRequestHeadBytes + 16_384;
 
-/** Other servers that are tried where one refuses connections after it lost a request, and how few of them say nothing. */
+/**
+ * Maximum number of other servers that are checked when a server refuses connections after it lost a request, and the
+ * minimum number needed to draw a conclusion.
+ */
 export const maxComparisonServers = 3;
 export const minComparisonServers = 2;
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -55,7 +55,7 @@
 import { StartTimeline } from "./telemetry/startTimeline.js";
 import { type EdgeMetadataCodec } from "./metadataCodec.js";
 
-/** What an edge process is told and given. */
+/** Dependencies and settings of an edge process. */
 export interface EdgeOptions {
     readonly settings: ResolvedEdgeSettings;
     readonly store: KeyValueStore;
@@ -63,25 +63,29 @@
     readonly metadataCodec: EdgeMetadataCodec;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** Seed of all random choices. */
+    /** Seed of the random number generator. */
     readonly seed: number;
     readonly clock?: Clock;
-    /** Opens sockets to backend servers; directly unless it is given. */
+    /** Opens sockets to backend servers; by default a direct connection. */
     readonly connector?: ServerConnector;
 }
 
 /** A running edge process. */
 export interface Edge {
-    /** Opens the ports. @returns once all of them listen */
+    /** Opens the ports. @returns a promise that resolves once all of them are listening */
     start(): Promise<void>;
-    /** Planned stop: cuts no request in flight. @returns once every one has its answer, or the time is over */
+    /**
+     * Stops gracefully without aborting requests in flight.
+     *
+     * @returns a promise that resolves once all requests are answered or the grace period has ended
+     */
     stop(): Promise<void>;
 }
 
 /**
- * Makes an edge process: callers' requests in, backend servers' answers out, and what decides between them.
+ * Creates an edge process, which routes callers' requests to backend servers and returns their responses.
  *
- * @param parts - what it is told and given
+ * @param parts - dependencies and settings
  * @returns a process that is not started yet
  */
 export function createEdge(parts: EdgeOptions): Edge {
@@ -127,7 +131,7 @@
         log,
         metrics,
         onLinksLost: (servers, kind) => {
-            // Kept connections that nothing passes on would be used again once the links work.
+            // Idle connections over a failed link would be reused once the link works again.
             for (const { id } of kind === "all" ? servers : []) {
                 connections.closeIdle(id);
             }
@@ -160,7 +164,7 @@
     const peers = settings.listen.peers === undefined ? undefined : parseAddress(settings.listen.peers);
     const limits = new WorkspaceLimits({
         name,
-        // Short, since it stands in each datagram.
+        // Short, since it is part of each datagram.
         incarnation: Math.trunc(clock.epochMs() + parts.seed).toString(36),
         view,
         clock,
@@ -279,7 +283,7 @@
         relayServer.stop();
         limits.beginDrain();
         registration.stop();
-        // Callers that the balancer still sends are served, not refused, until it has noticed.
+        // The balancer still sends callers until it has detected the stop; these are served, not refused.
         await sleep(Math.max(Math.min(balancerDetectionMs, graceMs * stopAcceptShare), 0));
         callers.closeIdle(callerServer);
         while (callers.unanswered > 0 && clock.monotonicMs() < lastMs + stopMarginMs / 2) {
@@ -318,7 +322,7 @@
     };
 }
 
-/** Of a gateway that no other one asks: its limits are its own. */
+/** Used by a gateway without a peer address, which enforces rate limits on its own. */
 const anyLoopbackPort: ListenAddress = { address: "127.0.0.1", port: 0 };
 
 function parseAddress(text: string): ListenAddress {
--- a/packages/edge/src/edgeProcess.ts
+++ b/packages/edge/src/edgeProcess.ts
@@ -10,7 +10,7 @@
 import { BoundedOutput } from "./telemetry/boundedOutput.js";
 import { type EdgeMetadataCodec } from "./metadataCodec.js";
 
-/** What ties an edge process to the system that it runs on. */
+/** Platform-specific dependencies of an edge process. */
 export interface EdgeProcessOptions {
     /** Path of the settings file. */
     readonly settingsPath: string;
@@ -24,10 +24,10 @@
 const standardOutput = 1;
 
 /**
- * Runs an edge process to its end: checked settings first, a planned stop at SIGTERM or SIGINT and exit code 0 after it,
- * settings read again at SIGHUP. Exit code 2 means that the settings are faulty; each fault is named with its line.
+ * Runs an edge process until it exits. SIGTERM and SIGINT stop it gracefully with exit code 0; SIGHUP reads the
+ * settings again. With invalid settings it prints each fault with its line and exits with code 2.
  *
- * @param binding - what ties it to its system
+ * @param binding - platform-specific dependencies
  */
 export async function runEdge(binding: EdgeProcessOptions): Promise<void> {
     const settings = loadSettings(binding.settingsPath);
@@ -50,12 +50,12 @@
         metadataCodec: binding.metadataCodec,
         logger,
         metrics: createMetrics("galenaglade-edge"),
-        // Different on every host and in every life, without the time that loading a source of secrets takes.
+        // Differs between hosts and process starts, and avoids the start-up time of loading a crypto module.
         seed: murmurHash(`${settings.name} ${process.pid} ${process.hrtime.bigint()}`).result(),
     });
     process.on("SIGHUP", () => {
         const reloaded = loadSettings(binding.settingsPath);
-        // Addresses and names can't change under a running process; what is faulty changes nothing.
+        // Only validates the file: addresses and names can't change in a running process.
         logger.info("reloaded", {
             valid: reloaded !== undefined,
             changed: JSON.stringify(reloaded) !== JSON.stringify(settings),
@@ -69,7 +69,7 @@
         await edge.start();
     }
     catch (err) {
-        logger.error("unexpected", { error: `can't start: ${String(err)}` });
+        logger.error("unexpected", { error: `failed to start: ${String(err)}` });
         process.exit(failedExitCode);
     }
 }
--- a/packages/edge/src/index.ts
+++ b/packages/edge/src/index.ts
@@ -1,4 +1,6 @@
-/** The edge process: callers' requests in, backend servers' answers out, over an abstract store and vocabulary. */
+/**
+ * The edge process, which proxies callers' requests to backend servers; independent of the store and of header names.
+ */
 export { type OnConnected, ServerConnector } from "./backends/serverConnector.js";
 export { createEdge, type Edge, type EdgeOptions } from "./edge.js";
 export { type EdgeProcessOptions, runEdge } from "./edgeProcess.js";
--- a/packages/edge/src/metadataCodec.ts
+++ b/packages/edge/src/metadataCodec.ts
@@ -2,64 +2,64 @@
 import { type ParsedBackoff, type LoadReport, type ParsedLimit } from "@galenaglade/placement";
 import { type CallerKey } from "@galenaglade/workspaces";
 
-/** What a caller's request says of itself, besides what HTTP says. */
+/** Metadata of a caller's request, read from its headers. */
 export interface RequestMetadata {
-    /** Names this try of the caller's; `undefined` where it sent none. */
+    /** Id of this attempt of the caller; `undefined` if it sent none. */
     readonly requestId: string | undefined;
-    /** How long the caller waits; `undefined` where it doesn't say, or not in numbers. */
+    /** Time that the caller waits for a response; `undefined` if missing or not a number. */
     readonly patienceMs: number | undefined;
     readonly callerKey: CallerKey;
 }
 
-/** On whose behalf a request is sent on. */
+/** Identity of the caller on whose behalf a request is forwarded. */
 export type ForwardIdentity =
-    /** Nobody was asked: what the caller says of itself is passed on. */
+    /** No authentication is configured: the caller's own headers are forwarded unchanged. */
     | { readonly type: "unchecked"; }
-    /** Neither a workspace nor a key. */
+    /** Forwarded without a workspace or a key. */
     | { readonly type: "anonymous"; }
     | { readonly type: "workspace"; readonly name: string; };
 
-/** What the gateway adds to a request for a backend server. */
+/** Metadata that the gateway adds to a request to a backend server. */
 export interface ForwardMetadata {
     readonly serverId: string;
     readonly remainingMs: number;
     readonly identity: ForwardIdentity;
 }
 
-/** What a backend server's answer says of itself, besides what HTTP says. */
+/** Metadata of a backend server's response, read from its headers. */
 export interface ResponseMetadata {
-    /** The request that it answers. */
+    /** Id of the request that this is the response to. */
     readonly requestId: string | undefined;
-    /** Whether it bears the server's proof that the body is its own. */
+    /** Whether the response carries the server's signature, which shows that the body is its own. */
     readonly signed: boolean;
-    /** Whether the server says that the request has not run. */
+    /** Whether the server reports that it did not execute the request. */
     readonly notRun: boolean;
-    /** The server that answered. */
+    /** Id of the server that responded. */
     readonly serverId: string | undefined;
     readonly load: LoadReport | undefined;
     readonly coldRemainingMs: number;
-    /** Requests a second that it takes from all gateways together. */
+    /** Requests per second that the server accepts from all gateways together. */
     readonly limit: ParsedLimit;
-    /** How long the server wants nothing from this gateway. */
+    /** Time for which the server asks this gateway to send no requests. */
     readonly backoff: ParsedBackoff;
-    /** Whether the server says that it leaves. */
+    /** Whether the server reports that it is shutting down. */
     readonly leaving: boolean;
-    /** Headers that say something which nobody here understands. */
+    /** Names of protocol headers that this version doesn't support. */
     readonly unknownHeaders: readonly string[];
 }
 
-/** Reads what answers say of themselves. */
+/** Reads the metadata of responses. */
 export abstract class ResponseMetadataReader {
-    /** @returns what a backend server's answer says, to a request or to a question for its load */
+    /** @returns the metadata of a backend server's response to a request or to a load probe */
     abstract readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 }
 
-/** The names that callers and backend servers use for what the product needs to know of them. */
+/** Maps the headers and paths used by callers and backend servers to request and response metadata. */
 export abstract class EdgeMetadataCodec extends ResponseMetadataReader {
-    /** Path on which the balancer asks for readiness. */
+    /** Path of the balancer's readiness check. */
     abstract readonly readinessPath: string;
-    /** @returns what the headers of a caller's request say */
+    /** @returns the metadata of a caller's request */
     abstract readRequest(headers: RawHeaders): RequestMetadata;
-    /** @returns names and values in turn, for a backend server */
+    /** @returns the headers for a backend server as alternating names and values */
     abstract createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[];
 }
--- a/packages/edge/src/peerServer.ts
+++ b/packages/edge/src/peerServer.ts
@@ -8,23 +8,23 @@
 import { evidencePath } from "./rollout/rolloutMessages.js";
 import { type RelayServer } from "./state/relayServer.js";
 
-/** What answers other gateways. */
+/** Handlers of requests from other gateways. */
 export interface PeerServerDeps {
-    /** Answers questions for changes of the store. */
+    /** Relays changes of the store. */
     readonly relay: RelayServer;
-    /** Takes reports on roll-outs. */
+    /** Receives reports on roll-outs. */
     readonly inbox: EvidenceCollector;
-    /** Says whether servers are reached. */
+    /** Reports whether this gateway reaches backend servers. */
     readonly reachability: ReachabilityProvider;
-    /** Takes requests. */
+    /** Accepts requests that are handed over. */
     readonly handovers: HandoverServer;
 }
 
 /**
- * Makes the server that other gateways call.
+ * Creates the HTTP server for requests from other gateways.
  *
- * @param parts - what answers them
- * @returns a server that doesn't listen yet
+ * @param parts - handlers of the requests
+ * @returns a server that is not listening yet
  */
 export function createPeerServer({ relay, inbox, reachability, handovers }: PeerServerDeps): Server {
     return createServer({ maxHeaderSize: maxHandoverHeadBytes, noDelay: true }, (req, res) => {
--- a/packages/edge/src/settings.ts
+++ b/packages/edge/src/settings.ts
@@ -11,7 +11,7 @@
     windowSeconds: seconds.describe("length of the window"),
 });
 
-/** An edge process's settings as written in YAML. Unknown fields are left alone, so that new ones may come. */
+/** Schema of an edge process's YAML settings. Unknown fields are ignored for forward compatibility. */
 export const edgeSettingsSchema = z.object({
     name: z.string().min(1).max(120).describe("name of this host; its registration goes by it"),
     availabilityZone: z.string().min(1).describe("availability zone in which this host stands"),
@@ -64,14 +64,14 @@
     }).prefault({}),
 });
 
-/** An edge process's settings with every default filled in. */
+/** An edge process's settings with all defaults applied. */
 export type ResolvedEdgeSettings = DeepReadonly<z.output<typeof edgeSettingsSchema>>;
 
 /**
- * Checks an edge process's settings and fills in every default.
+ * Validates an edge process's settings and applies all defaults.
  *
  * @param text - YAML
- * @returns all faults at once, each with its line, or the frozen settings
+ * @returns all faults, each with its line, or the frozen settings
  */
 export function resolveEdgeSettings(text: string): Either<readonly LocatedFault[], ResolvedEdgeSettings> {
     return checkYaml(text, resolveBySchema(edgeSettingsSchema)).map(settings => Object.freeze(settings));
--- a/packages/edge/src/stateCodec.ts
+++ b/packages/edge/src/stateCodec.ts
@@ -1,20 +1,20 @@
 import { type RolloutStatus, type StateItem } from "@galenaglade/fleet-state";
 import { type KeyValue } from "@galenaglade/platform";
 
-/** How the fleet's state is written in the store. */
+/** Encodes and decodes the fleet's state in the store. */
 export abstract class StateCodec {
-    /** Beginning of all keys that matter; one watch serves for all of them. */
+    /** Common prefix of all keys, so that a single watch covers them. */
     abstract readonly prefix: string;
-    /** Decodes one key; what can't be read names nothing and says why. */
+    /** Decodes one entry; an unreadable entry yields an item with the reason. */
     abstract decode(entry: KeyValue): StateItem;
-    /** Where a gateway registers itself. */
+    /** @returns the key of a gateway's registration */
     abstract registrationKey(gateway: string): string;
-    /** Where the status of a service's roll-out stands. */
+    /** @returns the key of the status of a service's roll-out */
     abstract rolloutStatusKey(service: string): string;
-    /** @returns the value of a roll-out's status */
+    /** @returns the encoded status of a roll-out */
     abstract encodeRolloutStatus(status: RolloutStatus): string;
-    /** Where a gateway reports on requests under which servers ended. */
+    /** @returns the key of a gateway's report on requests during which servers crashed */
     abstract crashReportKey(gateway: string): string;
-    /** @returns whether all of the operator's keys come before a key, in the store's order */
+    /** @returns whether a key sorts after all of the operator's keys in the store */
     abstract isAfterOperatorKeys(key: string): boolean;
 }
--- a/packages/rateLimit/src/__tests__/admittedRate.test.ts
+++ b/packages/rateLimit/src/__tests__/admittedRate.test.ts
@@ -9,8 +9,8 @@
     configVersion: 1,
 });
 
-// Guards against callers near a small limit that are refused although the tolerance has room for them.
-test("what the tolerance leaves is admitted, and a small tolerance lowers the rate", () => {
+// Guards against refusing callers near a small limit although the tolerance would allow their requests.
+test("the remaining tolerance raises the admitted rate, and a small tolerance lowers it", () => {
     for (const perSecond of [0.5, 5, 200]) {
         const rate = resolveAdmittedRate(limit(perSecond), defaultTolerance);
         assert.ok(rate > perSecond && 5 * rate + perSecond < 1.1 * 6 * perSecond + 20, `${rate}`);
--- a/packages/rateLimit/src/__tests__/allocator.test.ts
+++ b/packages/rateLimit/src/__tests__/allocator.test.ts
@@ -4,7 +4,7 @@
 import { leaseMs } from "../constants.js";
 import { type LimitResponseMessage, type LimitRequestMessage, protocolVersion } from "../messages.js";
 
-/** One host that talks to one allocator. */
+/** A host that exchanges messages with an allocator. */
 class Talk {
     readonly allocator: Allocator;
     #seq = 0;
@@ -22,7 +22,7 @@
         return this.allocator.onRequest(this.create(more), nowMs);
     }
 
-    /** Tokens that the allocator grants of ten. */
+    /** Requests ten tokens. @returns the number of tokens granted */
     take(
         nowMs: number,
         more: { readonly perSecond?: number; readonly configVersion?: number; readonly givenBack?: number; } = {},
@@ -33,7 +33,7 @@
     }
 }
 
-test("a message without the allocator's time brings no share: it may have been under way for long", () => {
+test("a message without an echoed timestamp delegates no share, since its age is unknown", () => {
     const talk = new Talk();
     talk.ask(0);
     assert.equal(talk.allocator.sharesHeld, 0);
@@ -41,8 +41,8 @@
     assert.equal(talk.allocator.sharesHeld, 1);
 });
 
-// A message that was delayed for most of a lease would extend it, while its host goes elsewhere.
-test("a lease ends its time after the echoed one, whenever the message came", () => {
+// Guards against a delayed message that extends a lease while its host already uses another allocator.
+test("a lease is counted from the echoed timestamp, not from the arrival of the message", () => {
     const talk = new Talk();
     talk.ask(leaseMs - 100, { echo: { life: "a1", atMs: 0 } });
     talk.allocator.advance(leaseMs - 1);
@@ -51,7 +51,7 @@
     assert.equal(talk.allocator.sharesHeld, 0);
 });
 
-test("times of a former life, as after a suspension, bring no share", () => {
+test("timestamps of a previous incarnation, as after a suspension, delegate no share", () => {
     const talk = new Talk();
     talk.ask(0, { echo: { life: "a1", atMs: 0 } });
     talk.allocator.onSuspended("a1.1", 10);
@@ -60,7 +60,7 @@
     assert.equal(talk.allocator.sharesHeld, 0);
 });
 
-test("a retransmission takes no further tokens, and an older message changes nothing", () => {
+test("a retransmission consumes no further tokens, and an outdated message is ignored", () => {
     const talk = new Talk();
     const [older, echo] = [talk.create({ share: 1 }), { life: "a1", atMs: 0 }];
     const entry = { workspace: "w", perSecond: 100, burst: 9, configVersion: 1, wanted: 5, givenBack: 0 };
@@ -73,8 +73,9 @@
     assert.equal(talk.allocator.onRequest(older, 902), undefined);
 });
 
-// A process that was restarted may delegate to another allocator; a late message of the old one would count the share twice.
-test("a new process of a host drops the old one's share, which late messages don't bring back", () => {
+// A restarted process may delegate to another allocator. Guards against a late message of the previous process, with
+// which the share would count twice.
+test("a restarted host's previous share is dropped, and late messages don't restore it", () => {
     const talk = new Talk();
     const echo = { life: "a1", atMs: 0 };
     talk.ask(0, { echo });
@@ -84,7 +85,7 @@
     assert.equal(talk.allocator.sharesHeld, 0);
 });
 
-test("a bucket falls with the shares, refills by them, and takes back no more than it holds", () => {
+test("a bucket's level and refill follow the shares, and returned tokens don't exceed its capacity", () => {
     const talk = new Talk();
     for (let nowMs = 0; nowMs < 4_000; nowMs += 400) {
         talk.ask(nowMs, { echo: { life: "a1", atMs: nowMs } });
@@ -96,7 +97,7 @@
     assert.ok((talk.allocator.snapshot()[0]?.level ?? 9) <= 1.35);
 });
 
-test("the limit of the highest configuration version is in force, whichever host speaks last", () => {
+test("the limit of the highest configuration version applies, whichever host sent the latest message", () => {
     const talk = new Talk();
     talk.take(0, { configVersion: 2, perSecond: 5 });
     talk.take(1, { configVersion: 1, perSecond: 50 });
@@ -105,7 +106,7 @@
     assert.equal(talk.allocator.snapshot()[0]?.perSecond, 7);
 });
 
-test("callers over the limit are told times one after the other, three seconds at most", () => {
+test("callers over the limit get increasing retry delays of at most three seconds", () => {
     const talk = new Talk();
     const entry = { workspace: "w", perSecond: 2, burst: 0, configVersion: 1, wanted: 1, givenBack: 0 };
     const times = Array.from(
@@ -118,7 +119,7 @@
     );
 });
 
-test("an allocator that leaves drops its shares before it says so, and holds none again", () => {
+test("an allocator that shuts down drops its shares before it announces that, and accepts none afterwards", () => {
     const talk = new Talk();
     talk.ask(0, { echo: { life: "a1", atMs: 0 } });
     assert.deepEqual(talk.allocator.releaseShares(5).map(({ to, message }) => [to, message.leaving]), [["h", true]]);
--- a/packages/rateLimit/src/__tests__/isolatedSlots.test.ts
+++ b/packages/rateLimit/src/__tests__/isolatedSlots.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import { IsolatedSlots } from "../isolatedSlots.js";
 
-// Every host is cut off from every other, while callers reach all of them.
-test("isolated hosts that admit whenever they may keep the limit together, from the first moment", () => {
+// Guards against exceeding a limit when all hosts are isolated from each other while callers reach all of them.
+test("isolated hosts that use every available slot keep the limit together, including right after the start", () => {
     const sizes = {
         hosts: fc.integer({ min: 1, max: 312 }),
         perSecond: fc.integer({ min: 1, max: 800 }),
@@ -19,7 +19,7 @@
                 const slots = new IsolatedSlots(name);
                 slots.onRoster(names, 0);
                 for (let nowMs = 0; nowMs <= 5_000; nowMs += 500) {
-                    // The clock of the day is set in between, which must not repeat a slot.
+                    // The wall clock is stepped midway, which must not repeat a slot.
                     const wallMs = 1e12 + nowMs + (nowMs > 2_000 ? step : 0);
                     while (slots.tryTake(rule, 0, nowMs, wallMs)) {
                         admitted++;
@@ -32,7 +32,7 @@
     );
 });
 
-test("a host that doesn't count admits nothing, and unused slots are kept for no longer than a burst", () => {
+test("an unregistered host admits nothing, and unused slots are retained up to the burst", () => {
     const slots = new IsolatedSlots("a");
     const rule = { workspace: "w", perSecond: 100, burst: 20, configVersion: 1 };
     assert.equal(slots.tryTake(rule, -1e6, 0, 1e9), false);
--- a/packages/rateLimit/src/__tests__/limitBound.test.ts
+++ b/packages/rateLimit/src/__tests__/limitBound.test.ts
@@ -10,28 +10,34 @@
 const runs = Number(process.env["LIMIT_RUNS"] ?? 100);
 const firstSeed = Number(process.env["LIMIT_SEED"] ?? 1);
 
-// A workspace takes from backend servers what others paid for, while a fault makes two allocators count one host's share.
-test("no five seconds admit more than the bound, whatever happens to hosts, links, clocks, rosters and limits", t => {
+// Guards against a workspace that exceeds its limit at the expense of others because a fault makes two allocators count
+// the share of one host.
+test("no five-second window exceeds the bound under faults of hosts, links and clocks or new rosters and limits", t => {
     let worst = { part: 0, seed: 0 };
     for (let seed = firstSeed; seed < firstSeed + runs; seed++) {
         const run = new RandomScenario(seed);
         const part = run.run();
         worst = part > worst.part ? { part, seed } : worst;
-        assert.ok(part <= 1, `seed ${seed}: ${part.toFixed(3)} of what a window may admit\n${run.log.join("\n")}`);
+        assert.ok(
+            part <= 1,
+            `seed ${seed}: ${part.toFixed(3)} of the requests allowed in a window\n${run.log.join("\n")}`,
+        );
     }
-    t.diagnostic(`${runs} runs, at most ${worst.part.toFixed(3)} of what a window may admit (seed ${worst.seed})`);
+    t.diagnostic(
+        `${runs} runs, at most ${worst.part.toFixed(3)} of the requests allowed in a window (seed ${worst.seed})`,
+    );
 });
 
-// A check that no way of limiting fails would prove nothing.
-test("a single owner without shares breaks the bound in the same runs", () => {
+// Guards against a check that can't fail: a simpler limiter must exceed the bound in the same scenarios.
+test("a single allocator without shares exceeds the bound in the same scenarios", () => {
     const seeds = Array.from({ length: 30 }, (_, i) => i + 1);
     const broken = seeds.filter(seed => new RandomScenario(seed, name => new SingleOwnerLimiter(name)).run() > 1);
     assert.ok(broken.length > 0);
 });
 
-// Heartbeats that were under way for seconds reach an allocator whose hosts have gone to the next one: a lease that began with their arrival
-// would count their shares at both.
-test("heartbeats that come seconds late don't extend their hosts' leases", () => {
+// Heartbeats delayed by seconds reach an allocator whose hosts have switched to the next one. Leases counted from their
+// arrival would make both allocators hold the shares.
+test("heartbeats that arrive seconds late don't extend leases", () => {
     const world = createFleet({ hosts: 13, perSecond: 200, burst: 0, seed: 1 });
     const workspace = world.hosts[0]?.rule?.workspace ?? "";
     const [first] = findOwners(`rate limits ${groupOf(workspace)}`, world.hosts.map(({ name }) => name), 1);
@@ -42,5 +48,5 @@
     world.run(14_000);
     const admitted = world.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
     const worst = findMaxWindowUsage(admitted, () => maxRequestsInWindow({ perSecond: 200, burst: 0 }));
-    assert.ok(worst <= 1, `${worst.toFixed(3)} of what a window may admit`);
+    assert.ok(worst <= 1, `${worst.toFixed(3)} of the requests allowed in a window`);
 });
--- a/packages/rateLimit/src/__tests__/limitNormalLoad.test.ts
+++ b/packages/rateLimit/src/__tests__/limitNormalLoad.test.ts
@@ -5,7 +5,7 @@
 import { createFleet, offerLoadAtLimit, offerPoissonLoad } from "./support/loads.js";
 import { EqualShareLimiter } from "./support/comparedLimiters.js";
 
-// A caller who keeps its limit is refused for rounding, for delays, or because a token bucket begins empty.
+// Guards against refusing a caller that keeps its limit because of rounding, delays or an initially empty bucket.
 test("a workspace that uses its limit exactly is not refused in normal operation", () => {
     const sizes = [[1, 1], [2, 40], [3, 0.5], [3, 250], [13, 3], [13, 200], [40, 1], [131, 30]] as const;
     for (const [seed, [hosts, perSecond]] of sizes.entries()) {
@@ -22,15 +22,16 @@
     }
 });
 
-test("static equal shares refuse much of the same load, as most parts of it are too small to be used", () => {
+test("static equal shares refuse much of the same load, since most of the shares are too small to be used", () => {
     const world = createFleet({ hosts: 131, perSecond: 100, seed: 5, create: name => new EqualShareLimiter(name) });
     const offered = offerLoadAtLimit(world, { perSecond: 100, burst: 100, fromMs: 5_000, untilMs: 15_000 });
     world.run(16_000);
     assert.ok(world.refusedCallers > offered * 0.2, `${world.refusedCallers} of ${offered} refused`);
 });
 
-// Without a bound on it, a workspace that jumps far over its limit takes the servers from all others; cut too far, it lost what it paid for.
-test("a workspace at 4.5 times its limit gets its limit, and is told when to come back", () => {
+// Guards against a workspace far over its limit that either overloads the servers for all others or is admitted at less
+// than its limit.
+test("a workspace at 4.5 times its limit is admitted at its limit, and never refused for lack of a decision", () => {
     const world = createFleet({ hosts: 13, perSecond: 60, seed: 1 });
     offerPoissonLoad(world, { perSecond: 270, fromMs: 5_000, untilMs: 15_000 });
     world.run(16_000);
@@ -41,8 +42,9 @@
     assert.ok(findMaxWindowUsage(admitted.map(({ atMs }) => atMs), () => maxRequestsInWindow(rule)) <= 1);
 });
 
-// A killed fleet stays without tokens for longer than its processes need to start.
-test("while most hosts are killed for two seconds, under 1 % of a usual demand is refused, where requests can wait a second", () => {
+// Guards against a fleet that, after most hosts were killed, grants no tokens for longer than its processes take to
+// start.
+test("with most hosts down for two seconds, under 1 % of a usual load is refused if requests can wait", () => {
     const world = createFleet({ hosts: 60, perSecond: 100, seed: 2, holdMs: 1_000 });
     const random = createRandomSource(3);
     const offered = offerPoissonLoad(world, { perSecond: 100 / 1.6, fromMs: 5_000, untilMs: 25_000, retries: 2 });
--- a/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
+++ b/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
@@ -4,7 +4,7 @@
 
 const none: readonly Command[] = [];
 
-/** The least tokens that a host keeps, or a share of a small limit would never admit. */
+/** Minimum capacity in tokens; with less, a share of a small limit would never admit a request. */
 const leastCapacity = 1;
 
 abstract class WeighedWay implements Limiter {
@@ -63,7 +63,7 @@
     }
 }
 
-/** Every host has 1/N of each limit, and a bucket of its own. */
+/** Gives each of N hosts 1/N of each limit, in a bucket of its own. */
 export class EqualShareLimiter extends WeighedWay {
     #requests = 0;
 
@@ -73,7 +73,10 @@
     }
 }
 
-/** The first host of the ranks grants all tokens; the next one does while that doesn't answer. */
+/**
+ * Lets the first candidate grant all tokens, and the next one while the first doesn't respond; without shares and
+ * leases.
+ */
 export class SingleOwnerLimiter extends WeighedWay {
     readonly #waiting = new Map<number, { readonly request: TokenRequest; readonly atMs: number; tried: number; }>();
     #lost = new Map<string, number>();
--- a/packages/rateLimit/src/__tests__/support/limitSimulation.ts
+++ b/packages/rateLimit/src/__tests__/support/limitSimulation.ts
@@ -2,25 +2,25 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type Command, type Decision, type LimitMessage, RateLimiter, type TokenRequest } from "../../index.js";
 
-/** What a limiter has to offer, so that the ways that were weighed run on the same loads. */
+/** Interface of a limiter, so that alternatives can be compared under the same loads. */
 export type Limiter = Pick<
     RateLimiter,
     "request" | "onMessage" | "onRoster" | "tick" | "nextTickMs" | "giveBack" | "stop"
 >;
 
-/** One host with clocks of its own; times without a name are the world's. */
+/** A simulated host with its own clocks; other times are those of the simulation. */
 export class SimulatedHost {
     readonly name: string;
     limiter: Limiter | undefined;
     rule: TokenRequest | undefined;
     roster: readonly string[] = [];
-    /** What came while the host was suspended; `undefined` while it runs. */
+    /** Messages received while the host is suspended; `undefined` while it runs. */
     inbox: (() => void)[] | undefined;
     monotonicMs = 0;
     wallMs = 0;
     tickAtMs = Infinity;
     incarnations = 0;
-    /** Callers that wait for a decision. */
+    /** Callers waiting for a decision, by request id. */
     readonly callers = new Map<number, (decision: Decision) => void>();
 
     constructor(name: string) {
@@ -28,30 +28,33 @@
     }
 }
 
-/** A request that was decided. */
+/** The decision on one request. */
 export interface DecisionOutcome {
     readonly atMs: number;
     readonly type: Decision["type"];
 }
 
-/** Hosts with rate limiters on a network that loses, delays, doubles and cuts off, in virtual time. */
+/**
+ * Simulation of hosts with rate limiters in virtual time, on a network that drops, delays and duplicates datagrams and
+ * can be partitioned.
+ */
 export class LimitSimulation {
     readonly queue = new EventQueue();
     readonly hosts: readonly SimulatedHost[];
     readonly outcomes: DecisionOutcome[] = [];
     readonly random: RandomSource;
-    /** Whether a datagram gets through now. */
+    /** Whether a datagram can currently be delivered. */
     isConnected: (from: string, to: string) => boolean = () => true;
     packetLossRate = 0;
-    /** Most time that a datagram is under way. */
+    /** Maximum delay of a datagram. */
     maxDelayMs: (from: string, to: string) => number = () => 3;
     givenBackRate = 0;
-    /** Requests of callers that were refused to the end. */
+    /** Number of callers whose request was refused on all attempts. */
     refusedCallers = 0;
     sentMessages = 0;
     sentBytes = 0;
     isCountingBytes = false;
-    /** Part of the datagrams that come twice. */
+    /** Fraction of datagrams that are delivered twice. */
     duplicationRate = 0;
     readonly #create: (name: string, life: string, startedAtMs: number) => Limiter;
     readonly #byName: ReadonlyMap<string, SimulatedHost>;
@@ -73,7 +76,7 @@
         }
     }
 
-    /** A process starts; its program was loaded for some time before. */
+    /** Starts a process whose program took some time to load before. */
     start(host: SimulatedHost, loadedMs = 0): void {
         const nowMs = this.#nowOf(host);
         host.limiter = this.#create(host.name, `${host.name}:${++host.incarnations}`, nowMs - loadedMs);
@@ -98,7 +101,7 @@
         this.#act(host, limiter => limiter.stop(this.#nowOf(host)));
     }
 
-    /** @param stopsClock - whether the monotonic clock stands still, as with a suspended virtual machine */
+    /** @param stopsClock - whether the monotonic clock stops, as with a suspended virtual machine */
     suspend(host: SimulatedHost, forMs: number, stopsClock: boolean): void {
         if (host.limiter === undefined || host.inbox !== undefined) {
             return;
@@ -125,7 +128,7 @@
         this.queue.runUntil(untilMs, 3_000_000);
     }
 
-    /** A caller asks a host that runs, and another one where it is refused, after the time that it is told. */
+    /** Sends a caller's request to a random running host; if refused, retries on a random one after the retry delay. */
     sendCallerRequest(retries: number): void {
         const hosts = this.hosts.filter(({ limiter, inbox }) => limiter !== undefined && inbox === undefined);
         const host = hosts[this.random.below(hosts.length)];
@@ -150,7 +153,7 @@
         });
     }
 
-    /** Outcomes of one kind from a time on. */
+    /** @returns the number of decisions of one type since a time */
     countOutcomes(type: Decision["type"], fromMs = 0): number {
         return this.outcomes.filter(outcome => outcome.type === type && outcome.atMs >= fromMs).length;
     }
@@ -187,7 +190,7 @@
             return;
         }
         host.tickAtMs = atMs;
-        // Rounded up as timers are, or a tick could come a rounding error early and be due again at once.
+        // Rounded up as timers are; otherwise a rounding error could make a tick early and due again at once.
         this.queue.schedule(atMs - this.queue.nowMs + 0.01, () => {
             if (host.limiter === limiter && host.tickAtMs === atMs && host.inbox === undefined) {
                 host.tickAtMs = Infinity;
@@ -227,15 +230,17 @@
     }
 }
 
-/** What the limits in force allow a workspace in a window of five seconds. */
+/** @returns the maximum number of requests of a workspace in a window of five seconds, including the tolerance */
 export function maxRequestsInWindow({ perSecond, burst }: Pick<TokenRequest, "perSecond" | "burst">): number {
     return 1.1 * (5 * perSecond + burst) + 20;
 }
 
 /**
- * @param admittedMs - rising
- * @param allowed - in the window that begins at a time
- * @returns the most that any window of five seconds admits, as a part of what it may
+ * Finds the window of five seconds with the largest ratio of admitted to allowed requests.
+ *
+ * @param admittedMs - times of the admitted requests, in ascending order
+ * @param allowed - returns the number of requests allowed in the window that starts at a time
+ * @returns the ratio; the bound holds if it is at most 1
  */
 export function findMaxWindowUsage(admittedMs: readonly number[], allowed: (fromMs: number) => number): number {
     let worst = 0;
--- a/packages/rateLimit/src/__tests__/support/loads.ts
+++ b/packages/rateLimit/src/__tests__/support/loads.ts
@@ -1,7 +1,7 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { type Limiter, LimitSimulation } from "./limitSimulation.js";
 
-/** A fleet that has just been started. */
+/** Options of a simulated fleet that is being started. */
 export interface FleetOptions {
     readonly hosts: number;
     readonly perSecond: number;
@@ -11,16 +11,16 @@
     readonly create?: ((name: string) => Limiter) | undefined;
 }
 
-/** Requests of callers, spread over the hosts that run. */
+/** Load of caller requests, spread over the running hosts. */
 export interface OfferedLoad {
     readonly perSecond: number;
     readonly fromMs: number;
     readonly untilMs: number;
-    /** How often a caller that is refused asks another host. */
+    /** Maximum number of retries of a refused caller. */
     readonly retries?: number;
 }
 
-/** @returns a fleet whose hosts started within half a second */
+/** @returns a fleet whose hosts start within half a second */
 export function createFleet(
     { hosts, perSecond, burst = perSecond, seed, holdMs, create }: FleetOptions,
 ): LimitSimulation {
@@ -32,7 +32,7 @@
     return world;
 }
 
-/** @returns how many requests are offered, at random times */
+/** Schedules requests at random times with a constant mean rate. @returns the number of requests */
 export function offerPoissonLoad(
     world: LimitSimulation,
     { perSecond, fromMs, untilMs, retries = 0 }: OfferedLoad,
@@ -46,7 +46,7 @@
     return offered;
 }
 
-/** @returns how many requests are offered: all that a token bucket allows, at once after pauses of different length */
+/** Schedules all requests that a token bucket allows, in bursts after random pauses. @returns the number of requests */
 export function offerLoadAtLimit(world: LimitSimulation, load: OfferedLoad & { readonly burst: number; }): number {
     const random = createRandomSource(7);
     let level = load.burst;
--- a/packages/rateLimit/src/__tests__/support/randomScenario.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -12,7 +12,7 @@
 const endMs = 15_000;
 const usualSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
 
-/** One workspace that asks for more than its limit, on a fleet to which things happen; all of it drawn from a seed. */
+/** A random scenario generated from a seed: a workspace requests more than its limit on a fleet with faults. */
 export class RandomScenario {
     readonly simulation: LimitSimulation;
     readonly log: string[] = [];
@@ -21,9 +21,9 @@
     readonly #cuts: ((from: string, to: string) => boolean)[] = [];
     readonly #delays: ((from: string, to: string) => number)[] = [];
 
-    /** @param create - another limiter than the package's, for comparison */
+    /** @param create - creates another limiter for comparison; the package's by default */
     constructor(seed: number, create?: (name: string) => Limiter) {
-        // Neighbouring seeds would draw alike.
+        // Consecutive seeds would yield similar scenarios.
         const random = this.#random = createRandomSource(Math.imul(seed, 0x9e37_79b1));
         const isLarge = random.next() < 0.01;
         const hosts = this.#pick(isLarge ? [131, 312] : usualSizes);
@@ -46,13 +46,13 @@
         this.#drawLoad(first);
     }
 
-    /** @returns the most that any window admitted, as a part of what it may */
+    /** @returns the maximum over all windows of admitted to allowed requests */
     run(): number {
         this.simulation.run(endMs);
         const admitted = this.simulation.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
         return findMaxWindowUsage(admitted, fromMs => {
             const inForce = this.#rules.filter(each => each.fromMs <= fromMs + 5_000 && each.untilMs > fromMs);
-            // Around a change the larger limit holds, as a whole: the rule knows no rate of one with the burst of the other.
+            // Around a change, the larger limit applies as a whole; rate and burst of different limits aren't combined.
             return Math.max(...inForce.map(({ rule }) => maxRequestsInWindow(rule)));
         });
     }
@@ -66,7 +66,7 @@
     }
 
     #drawRule(configVersion: number, before?: TokenRequest): TokenRequest {
-        // The 20 requests of tolerance hide much below small limits, and large ones cost time.
+        // With small limits, the tolerance of 20 requests would hide faults; large limits take long to simulate.
         const perSecond = this.#random.next() < 0.75
             ? 60 + this.#random.next() * 140
             : 0.5 * 800 ** this.#random.next();
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Floods at all hosts or at some: all the time, or after a pause in which buckets fill. */
+    /** Schedules floods of requests to all or some hosts, continuously or with pauses in which buckets refill. */
     #drawLoad({ perSecond, burst }: TokenRequest): void {
         const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
@@ -96,7 +96,7 @@
             const floodMs = Math.min(endMs - atMs, 500 + this.#random.next() * 6_000);
             const count = Math.ceil(burst + perSecond * this.#pick([1.5, 4.5]) * floodMs / 1_000 + 5);
             for (let i = 0; i < count; i++) {
-                // The burst comes at once.
+                // The burst is sent at once.
                 const afterMs = i < burst ? 0 : this.#random.next() * floodMs;
                 this.#at(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
             }
@@ -120,7 +120,7 @@
         this.#pick(disturbances)();
     }
 
-    /** Allocators fail as often as all other hosts, or most runs would show nothing. */
+    /** Chooses hosts that fail. Half of the time these are allocators, as faults of other hosts have little effect. */
     #victims(): readonly SimulatedHost[] {
         const { hosts } = this.simulation;
         const ranked = this.#ranked();
@@ -175,7 +175,7 @@
         this.#at(this.simulation.queue.nowMs + forMs, () => this.#cuts.splice(this.#cuts.indexOf(cut), 1));
     }
 
-    /** One rank after the other loses all others, with a host or none on its side. */
+    /** Isolates one allocator candidate after the other, together with one random host. */
     #cutInTurn(everyMs: number): void {
         this.#note(`ranks cut off every ${everyMs.toFixed(0)} ms`);
         const { hosts } = this.simulation;
@@ -191,7 +191,7 @@
         const [mostMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
         const slow = new Set(this.simulation.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
         this.#note(`up to ${mostMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
-        // The way to the first rank alone, or to all.
+        // Only messages to the first candidate are delayed, or messages to all hosts.
         const target = this.#random.next() < 0.6 ? this.#ranked()[0] : undefined;
         const delay = (from: string, to: string): number =>
             slow.has(from) && (target === undefined || target === to) ? mostMs : 0;
@@ -212,7 +212,7 @@
         }
     }
 
-    /** A few hosts more or less, of which some hosts hear later: as many as the tolerance covers. */
+    /** Adds or removes hosts, of which the others learn at different times; no more than the tolerance covers. */
     #changeRosters(withinMs: number): void {
         const { hosts } = this.simulation;
         const count = Math.floor(hosts.length * 0.05);
--- a/packages/rateLimit/src/admittedRate.ts
+++ b/packages/rateLimit/src/admittedRate.ts
@@ -1,34 +1,40 @@
 import { type LimitRule } from "./model.js";
 
-/** By how much the requests of a workspace in one window may lie above its limit and its burst, over all hosts together. */
+/** By how much a workspace's requests within one window may exceed its limit and burst, over all hosts together. */
 export interface LimitTolerance {
-    /** Share of what the limit and the burst allow in the window. */
+    /** As a fraction of the requests that limit and burst allow in the window. */
     readonly overshoot: number;
-    /** Requests besides. */
+    /** Additional number of requests. */
     readonly slack: number;
 }
 
 export const defaultTolerance: LimitTolerance = Object.freeze({ overshoot: 0.1, slack: 20 });
 
-/** Length of the windows, in seconds. */
+/** Window length, in seconds. */
 const windowSeconds = 5;
 
-/** Shares that move, buckets that begin and hosts that count different fleets take up to this share of a window, and these requests. */
+/**
+ * Part of the tolerance reserved for errors of the protocol: shares that move between allocators, new buckets, and
+ * hosts with different views of the fleet. A fraction of the window's requests, and a number of requests.
+ */
 const reservedShare = 0.1;
 const reservedRequests = 14;
 
-/** Part of what is left of the tolerance that is admitted; the rest is for the time from a token to its send. */
+/**
+ * Fraction of the remaining tolerance that is admitted; the rest covers the delay between granting a token and sending
+ * its request.
+ */
 const usedShare = 0.75;
 
-/** A tolerance that is too small for the errors of the protocol lowers the rate to this share of the limit at most. */
+/** Minimum admitted rate, as a fraction of the limit, if the tolerance is too small for the errors of the protocol. */
 const leastShare = 0.5;
 
 /**
- * Finds the rate at which a workspace's tokens are dealt out. Callers near their limit are better served by what the tolerance leaves than
- * by an exact limit: a small one is a few requests per second, and 20 more are allowed in each window.
+ * Computes the rate at which a workspace's tokens are granted. The remaining tolerance is used to refuse fewer requests
+ * of callers near their limit: a small limit is a few requests per second, and by default each window allows 20 more.
  *
  * @param rule - the limit
- * @param tolerance - allowed above it
+ * @param tolerance - allowed excess over the limit
  * @returns requests per second
  */
 export function resolveAdmittedRate({ perSecond, burst }: LimitRule, { overshoot, slack }: LimitTolerance): number {
--- a/packages/rateLimit/src/allocator.ts
+++ b/packages/rateLimit/src/allocator.ts
@@ -9,13 +9,13 @@
 import { type WorkspaceSnapshot } from "./model.js";
 import { ShareHistory } from "./shareHistory.js";
 
-/** A host that asks this allocator. */
+/** A host that requests tokens from this allocator. */
 interface Delegator {
     readonly life: string;
-    /** Its process before: messages of it that come late are ignored. */
+    /** Incarnation of its previous process, whose late messages are ignored. */
     readonly formerLife: string | undefined;
     seq: number;
-    /** The answer to the latest message, for its retransmissions. */
+    /** The response to the latest message, sent again if that message is retransmitted. */
     entries: LimitResponseEntry[];
     share: number;
     leaseEndMs: number;
@@ -23,14 +23,14 @@
     creditedAtMs: number;
 }
 
-/** What an allocator is. */
+/** Identity of an allocator. */
 export interface AllocatorOptions {
     readonly name: string;
     readonly incarnation: string;
     readonly group: number;
 }
 
-/** Grants the tokens of one group of workspaces at the rate of the shares that hosts have delegated to it. */
+/** Grants the tokens of one group of workspaces, at a rate given by the shares that hosts have delegated to it. */
 export class Allocator {
     readonly #name: string;
     readonly #group: number;
@@ -39,7 +39,7 @@
     readonly #delegators = new Map<string, Delegator>();
     readonly #buckets = new Map<string, LimitBucket>();
     readonly #history: ShareHistory;
-    /** No lease ends before. */
+    /** Lower bound for the next end of a lease. */
     #nextLeaseEndMs = Infinity;
     #nextForgetMs: number;
 
@@ -51,17 +51,17 @@
         this.#nextForgetMs = nowMs + idleExpiryMs;
     }
 
-    /** Sum of the shares held. */
+    /** Sum of the delegated shares. */
     get sharesHeld(): number {
         return this.#history.sum;
     }
 
-    /** Hosts whose shares are held. */
+    /** Number of hosts with a delegated share. */
     get delegators(): number {
         return [...this.#delegators.values()].filter(({ share }) => share > 0).length;
     }
 
-    /** @returns the answer to a message; `undefined` where a later one has been answered */
+    /** @returns the response to a message; `undefined` if the message is outdated */
     onRequest(ask: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
         this.advance(nowMs);
         const delegator = this.#find(ask);
@@ -72,7 +72,7 @@
         if (this.#isLeaving) {
             return { ...this.#createAnswer(ask, [], nowMs), leaving: true };
         }
-        // A retransmission must not take tokens a second time.
+        // A retransmitted message must not consume tokens again.
         if (ask.seq > delegator.seq) {
             delegator.seq = ask.seq;
             this.#hold(delegator, ask, nowMs);
@@ -81,7 +81,7 @@
         return this.#createAnswer(ask, delegator.entries, nowMs);
     }
 
-    /** Lets shares lapse whose leases have ended. */
+    /** Drops shares whose leases have ended, and expires idle state. */
     advance(nowMs: number): void {
         while (nowMs >= this.#nextLeaseEndMs) {
             const endMs = this.#nextLeaseEndMs;
@@ -106,15 +106,15 @@
     }
 
     /**
-     * This host was suspended, for a time that its clock doesn't show: leases have ended that still seem to run, and messages from before wait
-     * in the socket. Under another life, none of them brings a share.
+     * Handles a suspension of this host that its monotonic clock doesn't show. Leases that seem valid may have ended,
+     * and old messages may be waiting in the socket. With a new incarnation, none of these messages delegates a share.
      */
     onSuspended(life: string, nowMs: number): void {
         this.#life = life;
         this.#dropShares(nowMs);
     }
 
-    /** Gives up all shares for good. @returns what tells their hosts */
+    /** Drops all shares permanently. @returns the messages that notify their hosts */
     releaseShares(nowMs: number): readonly { readonly to: string; readonly message: LimitResponseMessage; }[] {
         this.advance(nowMs);
         const told = [...this.#delegators].filter(([, { share }]) => share > 0);
@@ -126,7 +126,7 @@
         }));
     }
 
-    /** @returns the workspaces that were asked for last; bounded */
+    /** @returns the most recently used workspaces; bounded */
     snapshot(): readonly WorkspaceSnapshot[] {
         return [...this.#buckets]
             .sort(([, a], [, b]) => b.lastUsedAtMs - a.lastUsedAtMs)
@@ -149,7 +149,7 @@
         if (known?.formerLife === life) {
             return undefined;
         }
-        // The share of the process before is dropped: the new one may delegate to somebody else.
+        // Drops the share of the previous process, since the new process may delegate to another allocator.
         const delegator = {
             life,
             formerLife: known?.life,
@@ -168,8 +168,9 @@
     }
 
     /**
-     * The lease ends by this allocator's clock and a time that it gave out itself, so that neither a slow network nor a suspended process
-     * makes it longer. A message without such a time brings no share: it may have been under way for long.
+     * Starts or renews a lease. It is counted from a timestamp of this allocator that the host echoes, so that neither
+     * a slow network nor a suspended process can extend it. A message without an echo delegates no share, since its age
+     * is unknown.
      */
     #hold(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
         const leaseEndMs = echo?.life === this.#life ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
@@ -196,7 +197,9 @@
         });
     }
 
-    /** Levels fall with the shares: what they allowed is admitted by another allocator soon. */
+    /**
+     * Adjusts the buckets to the shares. Levels fall with them, since another allocator will soon grant these tokens.
+     */
     #onShares(): void {
         let sum = 0;
         for (const { share } of this.#delegators.values()) {
@@ -254,7 +257,7 @@
             askerLife: life,
             seq,
             group: this.#group,
-            // Whole milliseconds keep datagrams short; rounded down, they lengthen no lease.
+            // Whole milliseconds keep datagrams short; rounding down never extends a lease.
             atMs: Math.floor(nowMs),
             entries,
         };
--- a/packages/rateLimit/src/allocatorSession.ts
+++ b/packages/rateLimit/src/allocatorSession.ts
@@ -16,37 +16,39 @@
 import { type LimitRule } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
-/** A message under way, and the requests that each of its entries asks for. */
+/** A message in flight, with the requests that each of its entries covers. */
 interface SentMessage {
     readonly message: LimitRequestMessage;
     readonly requests: readonly (readonly PendingRequest[])[];
     readonly firstMs: number;
 }
 
-/** What is the same in all messages of a link. */
+/** Options common to all messages of a session. */
 export interface AllocatorSessionOptions {
     readonly allocator: string;
     readonly name: string;
     readonly incarnation: string;
     readonly group: number;
-    /** Numbers that rise over all links of the process: a link that is made anew must not repeat one. */
+    /**
+     * Returns increasing numbers across all sessions of the process, so that a recreated session doesn't repeat one.
+     */
     readonly nextSeq: () => number;
 }
 
-/** The entries of an answer with the requests that they decide. */
+/** An entry of a response, with the requests that it decides. */
 export type DecidedEntry = LimitResponseMessage["entries"][number] & { readonly requests: readonly PendingRequest[]; };
 
-/** One host's conversation with one allocator of one group: at most one message is under way. */
+/** A session of this host with the allocator of one group, with at most one message in flight. */
 export class AllocatorSession {
-    /** Until when the allocator may count this host's share, by this host's clock. */
+    /** Latest time at which the allocator may still hold this host's share, on this host's clock. */
     shareLeaseEndMs = -Infinity;
-    /** The share was taken back and the allocator hasn't confirmed it. */
+    /** Whether the share was withdrawn and the allocator hasn't confirmed that yet. */
     isReleasing = false;
     readonly #options: AllocatorSessionOptions;
     #echo: { readonly life: string; readonly atMs: number; } | undefined;
     #echoReceivedMs = -Infinity;
     #sent: SentMessage | undefined;
-    /** Latest message with a share and an echo of the allocator's present life, or without. */
+    /** Share sent in the latest message with an echo of the allocator's current incarnation; 0 without an echo. */
     #sentShare = 0;
     #sentMs = -Infinity;
     #unansweredSinceMs: number | undefined;
@@ -61,12 +63,12 @@
         return this.#options.allocator;
     }
 
-    /** Whether the allocator has answered, so that tokens can be asked for. */
+    /** Whether the allocator has responded, so that tokens can be requested from it. */
     get hasResponded(): boolean {
         return this.#echo !== undefined;
     }
 
-    /** Share that the allocator has been told with its own time. */
+    /** Share delegated in the latest message, which takes effect only with an echo of the allocator's timestamp. */
     get delegatedShare(): number {
         return this.#sentShare;
     }
@@ -80,22 +82,23 @@
         return this.#sent !== undefined;
     }
 
-    /** Whether tokens have been asked for and not answered. */
+    /** Whether a request for tokens is in flight. */
     get isAwaitingTokens(): boolean {
         return this.#sent !== undefined && this.#sent.requests.some(requests => requests.length > 0);
     }
 
-    /** When the allocator has to be given up, if nothing comes. */
+    /** When the allocator is considered lost if it doesn't respond. */
     get timeoutAtMs(): number {
         return (this.#unansweredSinceMs ?? Infinity) + allocatorTimeoutMs;
     }
 
-    /** @returns whether the allocator has to be given up */
+    /** @returns whether the allocator is considered lost */
     isTimedOut(nowMs: number): boolean {
         if (nowMs < this.timeoutAtMs) {
             return false;
         }
-        // Where this host itself stood still, the answer may wait in its socket: one more retransmission time lets it be read.
+        // If this host was blocked, the response may be waiting in its socket; one more retransmission period lets it
+        // be read.
         if (!this.#wasPutOff && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
             this.#wasPutOff = true;
             this.#unansweredSinceMs = nowMs - allocatorTimeoutMs + retransmitPeriodMs;
@@ -104,28 +107,33 @@
         return true;
     }
 
-    /** The allocator is the current one from now on: what it left unanswered before doesn't count against it. */
+    /**
+     * Makes this the session with the current allocator. Restarts the timeout, so that earlier unanswered messages
+     * don't count.
+     */
     activate(nowMs: number): void {
         this.isReleasing = false;
         this.#wasPutOff = false;
         this.#unansweredSinceMs = this.#sent === undefined ? undefined : nowMs;
     }
 
-    /** @returns requests that were asked for and are not answered */
+    /** @returns requests for which tokens were requested and no response has arrived */
     unansweredRequests(): readonly PendingRequest[] {
         return this.#sent?.requests.flat() ?? [];
     }
 
-    /** A token comes back unused; the next message tells it. */
+    /** Returns unused tokens with the next message. */
     giveBack(rule: LimitRule, count: number): void {
         const before = this.#givenBack.get(rule.workspace)?.count ?? 0;
         this.#givenBack.set(rule.workspace, { rule, count: before + count });
     }
 
     /**
-     * @param share - delegated from now on
-     * @param requests - taken from its front, as many as a message holds
-     * @returns a new message; the one before is no longer waited for
+     * Creates a message that replaces the one in flight.
+     *
+     * @param share - share to delegate, from 0 to 1
+     * @param requests - requests waiting for tokens; those that fit into the message are removed from the front
+     * @returns the message to be sent
      */
     createMessage(share: number, requests: PendingRequest[], nowMs: number): LimitRequestMessage {
         const { entries, taken } = this.#createEntries(requests);
@@ -151,13 +159,13 @@
         return message;
     }
 
-    /** @returns the message under way, to be sent again */
+    /** @returns the message in flight, to be sent again */
     retransmit(nowMs: number): LimitRequestMessage | undefined {
         this.#sentMs = nowMs;
         return this.#sent?.message;
     }
 
-    /** @returns what an answer decides; `undefined` where it answers nothing that is waited for */
+    /** @returns the entries of a response; `undefined` if it doesn't match the message in flight */
     onResponse(answer: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
         const sent = this.#sent;
         if (answer.leaving === true) {
@@ -171,7 +179,7 @@
         this.#wasPutOff = false;
         const isNewLife = this.#echo !== undefined && this.#echo.life !== answer.life;
         if (isNewLife || sent.message.share === 0) {
-            // The allocator has dropped what it held for its life before, or has confirmed that it holds nothing.
+            // A new incarnation has dropped all shares, and a message without a share confirms that none is held.
             this.shareLeaseEndMs = -Infinity;
             this.#sentShare = 0;
         }
@@ -238,7 +246,10 @@
     }
 }
 
-/** Sizes as JSON, with numbers at their longest; the protocol's own fields and two lives. */
+/**
+ * Maximum sizes as JSON: of a message's fixed fields with two incarnations, and of one entry without the workspace's
+ * name.
+ */
 const emptyMessageBytes = 300;
 const entryBytes = 130;
 
--- a/packages/rateLimit/src/constants.ts
+++ b/packages/rateLimit/src/constants.ts
@@ -1,103 +1,136 @@
-/** Groups of workspaces, each with its own allocator, so that no single host answers for all. */
+/** Number of workspace groups. Each group has its own allocator, so that no single host serves all workspaces. */
 export const groupCount = 2;
 
 /**
- * Hosts that a group's allocator is chosen from, best first: all of them are tried within one lease. With three, one fleet in six of which 55 %
- * was killed had no allocator left.
+ * Number of candidates for a group's allocator, in order of preference; all of them can be tried within one lease. With
+ * three, one in six fleets in which 55 % of the hosts were killed had no allocator left.
  */
 export const allocatorCandidateCount = 6;
 
-/** A share counts this long after the allocator's time that its host has echoed, in milliseconds. */
+/** Lease duration of a share, counted from the allocator's timestamp that the host has echoed, in milliseconds. */
 export const leaseMs = 1_900;
 
-/** Shares are told in these parts, so that datagrams stay short. */
+/** Number of units of a whole share; shares are rounded down to these units, so that datagrams stay short. */
 export const shareUnits = 1_000_000;
 
-/** Added by hosts that wait for the end of a lease, in milliseconds: two clocks may differ by 2 % in speed. */
+/** Added by hosts that wait for a lease to end, in milliseconds: the speed of two clocks may differ by 2 %. */
 export const leaseMarginMs = 20;
 
-/** Time between two heartbeats to an allocator, in milliseconds: with the age of the echo, one may come 300 ms late. */
+/**
+ * Interval between heartbeats to an allocator, in milliseconds. Including the age of the echo, one may arrive 300 ms
+ * late.
+ */
 export const heartbeatPeriodMs = 800;
 
-/** Time after which an unanswered message is sent again, in milliseconds: bad links lose 2.5 % of packets. */
+/** Interval after which an unanswered message is retransmitted, in milliseconds; bad links lose 2.5 % of packets. */
 export const retransmitPeriodMs = 40;
 
-/** Time without an answer after which an allocator is given up, in milliseconds: three retransmissions. */
+/** Time without a response after which an allocator is considered lost, in milliseconds: three retransmissions. */
 export const allocatorTimeoutMs = 150;
 
 /**
- * A give-up that is noticed this late, in milliseconds, is put off once: the host's own event loop stood still, and the answer may wait in
- * its socket.
+ * If the allocator timeout is processed later than this, in milliseconds, it is extended once: the event loop of this
+ * host was blocked, and the response may be waiting in its socket.
  */
 export const lateTickThresholdMs = 25;
 
-/** Time until a better rank that was left is used again, in milliseconds, so that a failing allocator moves no shares to and fro. */
+/**
+ * Delay until a preferred allocator that was lost can be used again, in milliseconds, so that an unstable allocator
+ * doesn't make shares move back and forth.
+ */
 export const failbackDelayMs = 5_000;
 
-/** The same for a rank that had never answered, in milliseconds: in a fleet that starts, hosts come one after the other. */
+/**
+ * The same for an allocator that never responded, in milliseconds; shorter because the hosts of a starting fleet appear
+ * one after the other.
+ */
 export const unknownFailbackDelayMs = 1_000;
 
-/** Time between two probes of a better rank, in milliseconds. */
+/** Interval between probes of a preferred allocator, in milliseconds. */
 export const failbackProbePeriodMs = 1_000;
 
-/** Time between two probes of each rank while no allocator answers, in milliseconds. */
+/** Interval between probes of each candidate while no allocator responds, in milliseconds. */
 export const isolatedProbePeriodMs = 300;
 
-/** Time between two greetings to allocators that may hold a share of this host's previous process, in milliseconds. */
+/** Interval between probes of allocators that may hold a share of this host's previous process, in milliseconds. */
 export const startupProbePeriodMs = 100;
 
-/** How long a request waits for its decision unless it says otherwise, in milliseconds: until an allocator would be given up. */
+/**
+ * Default time that a request waits for its decision, in milliseconds: until an unresponsive allocator is considered
+ * lost.
+ */
 export const defaultDecisionTimeoutMs = allocatorTimeoutMs;
 
-/** Refill and capacity lie above the limit, so that a caller who keeps the limit exactly isn't refused for rounding and delays. */
+/**
+ * Factors by which refill rate and burst capacity exceed the limit, and additional capacity in tokens, so that a caller
+ * that uses exactly its limit isn't refused because of rounding and delays.
+ */
 export const refillFactor = 1.02;
 export const burstFactor = 1.05;
 export const extraBurstTokens = 3;
 
-/** Tokens that a workspace of which nothing was heard has at once. */
+/** Number of tokens that a new workspace gets at once. */
 export const initialTokens = 1;
 
-/** A share that comes to an allocator counts as held for this long before, in milliseconds: until then it was nobody's. */
+/**
+ * A share that is newly delegated to an allocator counts as held for this long before, in milliseconds, since until
+ * then no allocator held it.
+ */
 export const shareCreditMs = 100;
 
-/** A host's share brings that credit once in this time, in milliseconds, or a host that flaps would raise the rate. */
+/**
+ * Minimum interval between two such credits for the share of one host, in milliseconds; otherwise a flapping host would
+ * raise the admitted rate.
+ */
 export const shareCreditPeriodMs = 5_000;
 
-/** Share of the capacity above which hedges are allowed. */
+/** Fraction of the capacity above which hedged requests are allowed. */
 export const plentifulThreshold = 0.5;
 
-/** Longest time that a caller over its limit is told to wait, in milliseconds. */
+/** Maximum retry delay for a caller over its limit, in milliseconds. */
 export const maxRetryAfterMs = 3_000;
 
-/** Retry time where the allocator holds no shares, in milliseconds: they are on their way to it, or to another. */
+/**
+ * Retry delay while the allocator holds no shares, in milliseconds; they are being delegated to it or to another
+ * allocator.
+ */
 export const noSharesRetryAfterMs = 200;
 
-/** Retry time of a refusal by an isolated host, in milliseconds: the caller's retry reaches another host. */
+/** Retry delay after a refusal by an isolated host, in milliseconds; the caller's retry reaches another host. */
 export const isolatedRetryAfterMs = 50;
 
-/** Part of a retry time that is added at random. */
+/** Maximum random addition to a retry delay, as a fraction of it. */
 export const retryJitter = 0.2;
 
-/** Unused time slots that an isolated fleet may keep of one workspace: its burst, or this many if that is less. */
+/** Minimum number of unused time slots of a workspace that an isolated fleet keeps; more if the burst is larger. */
 export const minRetainedSlots = 10;
 
-/** Changes of the shares that an allocator remembers: a workspace that it first hears of gets what these would have left it. */
+/**
+ * Number of changes to the shares that an allocator keeps. The bucket of a new workspace starts with the tokens that
+ * would be left after these changes.
+ */
 export const maxShareChanges = 64;
 
-/** Time until an idle bucket or a silent host is forgotten, in milliseconds: longer than a burst takes to refill. */
+/**
+ * Time after which an idle bucket or an unresponsive host is removed, in milliseconds; longer than a burst takes to
+ * refill.
+ */
 export const idleExpiryMs = 60_000;
 
-/** Datagrams stay below a packet of any network, so that none is sent in two parts, of which each may be lost. */
+/** Maximum size of a datagram: below the MTU of any network, since the loss of one IP fragment loses the datagram. */
 export const maxMessageBytes = 1_150;
 
-/** Entries of a message: the answer to more of them could exceed a packet. */
+/** Maximum number of entries of a message; the response to more could exceed the maximum datagram size. */
 export const maxMessageEntries = 14;
 
-/** Workspaces in a description. */
+/** Maximum number of workspaces in a snapshot. */
 export const maxSnapshotWorkspaces = 200;
 
-/** Changes kept for the log. */
+/** Maximum number of changes kept for the log. */
 export const maxPendingChanges = 100;
 
-/** Jump of the time of day ahead of the monotonic clock that is taken for a suspension of the host, in milliseconds. */
+/**
+ * Advance of the wall clock relative to the monotonic clock above which the host is considered to have been suspended,
+ * in milliseconds.
+ */
 export const suspensionThresholdMs = 100;
--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -20,14 +20,14 @@
 import { type Decision, type GroupSnapshot, type LimitChange, type Token } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
-/** What a delegation decides and sends. */
+/** Receives the messages, decisions and changes of a delegation. */
 export interface DelegationOutput {
     send(to: string, message: LimitRequestMessage): void;
     decide(request: PendingRequest, decision: Decision): void;
     logChange(change: LimitChange): void;
 }
 
-/** What a delegation works with. */
+/** Options of a delegation. */
 export interface DelegationOptions {
     readonly name: string;
     readonly incarnation: string;
@@ -35,7 +35,7 @@
     readonly nextSeq: () => number;
     readonly slots: IsolatedSlots;
     readonly startedAtMs: number;
-    /** Lengthens a retry time at random. */
+    /** Adds random jitter to a retry delay. */
     readonly addJitter: (retryAfterMs: number) => number;
     readonly output: DelegationOutput;
 }
@@ -43,27 +43,28 @@
 const oneSecondMs = 1_000;
 
 /**
- * Whom one host asks for the tokens of one group, and who holds its share. The host may ask a new allocator at once, but gives it its share
- * only when no other can hold it any more: by a confirmation, or by the end of the lease.
+ * Manages a host's delegation of its share of one group: which allocator it requests tokens from, and which may hold
+ * its share. The host can contact a new allocator at once, but delegates its share only when no other allocator can
+ * hold it, that is after a confirmation or the end of the lease.
  */
 export class Delegation {
     readonly #options: DelegationOptions;
     readonly #links = new Map<string, AllocatorSession>();
-    /** Hosts that may be the allocator, best first. */
+    /** Candidates for the allocator, in order of preference. */
     #ranked: readonly string[] = [];
-    /** This host's part of each limit. */
+    /** This host's share of each limit. */
     #part = 0;
     #current: AllocatorSession | undefined;
-    /** A better rank that has answered, to be used when no tokens are being asked for. */
+    /** A preferred allocator that has responded, used once no token request is in flight. */
     #better: AllocatorSession | undefined;
     readonly #leftAtMs = new Map<string, number>();
-    /** Until when an allocator may hold the share of this host's process before. */
+    /** Latest time at which an allocator may hold a share of this host's previous process. */
     #formerUntilMs: number;
-    /** Allocators that have heard of this process, and dropped the share of the one before. */
+    /** Allocators that have responded to this process, and thus dropped the share of the previous one. */
     readonly #greeted = new Set<string>();
     #waiting: PendingRequest[] = [];
     readonly #open = new Set<PendingRequest>();
-    /** Since when the share has been this host's own. */
+    /** Time since which no allocator holds this host's share. */
     #ownSinceMs: number;
 
     constructor(options: DelegationOptions) {
@@ -72,7 +73,7 @@
         this.#ownSinceMs = this.#formerUntilMs;
     }
 
-    /** Names of all hosts that count. */
+    /** Updates the names of all hosts among which limits are divided. */
     onRoster(names: readonly string[], nowMs: number): void {
         this.#ranked = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
         this.#part = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
@@ -91,14 +92,14 @@
         this.#open.add(request);
     }
 
-    /** @returns whether the token goes back to its allocator */
+    /** @returns whether the token can be returned to its allocator */
     giveBack({ grantedBy, rule }: Token): boolean {
         const link = grantedBy === undefined ? undefined : this.#links.get(grantedBy);
         link?.giveBack(rule, 1);
         return link !== undefined;
     }
 
-    /** Nothing is asked any more: the configuration has no limits. */
+    /** Refuses all waiting requests when the configuration no longer has limits. */
     refuseAll(nowMs: number): void {
         for (const request of this.#open) {
             this.#refuse(request, isolatedRetryAfterMs);
@@ -106,7 +107,7 @@
         this.expireRequests(nowMs);
     }
 
-    /** @returns whether the answer was one that is waited for */
+    /** @returns whether the response matched a message in flight */
     onResponse(answer: LimitResponseMessage, nowMs: number): boolean {
         const link = this.#links.get(answer.sender);
         const unanswered = link?.unansweredRequests() ?? [];
@@ -126,7 +127,7 @@
         return true;
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     advance(nowMs: number, wallMs: number): void {
         this.#endStart(nowMs);
         this.expireRequests(nowMs);
@@ -139,7 +140,7 @@
         this.#useSlots(nowMs, wallMs);
     }
 
-    /** @returns when something is due next */
+    /** @returns when the next action is due */
     nextDueAtMs(nowMs: number): number {
         let due = Infinity;
         for (const { deadlineMs } of this.#open) {
@@ -181,7 +182,7 @@
         return undefined;
     }
 
-    /** @returns when the share can be given to the current allocator, or used for slots */
+    /** @returns when the share can be delegated to the current allocator, or used for time slots */
     #freeAtMs(nowMs: number): number {
         const heldUntilMs = this.#holder(nowMs)?.shareLeaseEndMs ?? -Infinity;
         return Math.max(this.#formerUntilMs, heldUntilMs);
@@ -191,7 +192,10 @@
         return this.#freeAtMs(nowMs) > nowMs ? 0 : this.#part;
     }
 
-    /** A new process has its share when all ranks have dropped that of the process before, or its leases have ended. */
+    /**
+     * Ends the start-up phase once all candidates have dropped the share of the previous process; otherwise its leases
+     * must end.
+     */
     #endStart(nowMs: number): void {
         const isGreeted = this.#ranked.length > 0 && this.#ranked.every(name => this.#greeted.has(name));
         if (this.#formerUntilMs > nowMs && isGreeted) {
@@ -212,7 +216,7 @@
         this.#waiting = this.#waiting.filter(({ isPending }) => isPending);
     }
 
-    /** An allocator does not answer, or ends. */
+    /** Handles an allocator that doesn't respond or shuts down. */
     #leave(link: AllocatorSession, unanswered: readonly PendingRequest[], reason: string, nowMs: number): void {
         const { group, output } = this.#options;
         const wasKnown = link.hasResponded || reason === "leaving";
@@ -256,14 +260,14 @@
         return nowMs - (this.#leftAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
     }
 
-    /** An allocator has answered that isn't the current one. */
+    /** Handles a response of an allocator that may not be the current one. */
     #follow(link: AllocatorSession, nowMs: number): void {
         if (link === this.#current) {
             return;
         }
         const isHolder = link.shareLeaseEndMs > nowMs && !link.isReleasing;
         if (isHolder || (this.#current === undefined && !link.isReleasing)) {
-            // Late, but it still has this host's share.
+            // It responded late, but still holds this host's share.
             this.#use(link, nowMs);
         }
         else if (this.#isBetter(link.allocator) && this.#isUsable(link.allocator, nowMs)) {
@@ -293,7 +297,7 @@
         }
     }
 
-    /** Names of allocators, beside the current one, that may have to be sent something. */
+    /** @returns names of the allocators, other than the current one, that may need a probe */
     #probed(): ReadonlySet<string> {
         const names = new Set([...this.#ranked, ...this.#links.keys()]);
         if (this.#current !== undefined) {
@@ -326,7 +330,8 @@
             const atMs = this.#probeAtMs(name, nowMs);
             if (atMs <= nowMs) {
                 const link = this.#linkTo(name);
-                // One that may still hold the share is reminded of the same message, which makes its lease no longer.
+                // To an allocator that may still hold the share the same message is sent, which doesn't extend the
+                // lease.
                 const repeated = link.shareLeaseEndMs > nowMs ? link.retransmit(nowMs) : undefined;
                 this.#send(link, repeated ?? link.createMessage(0, [], nowMs));
             }
@@ -371,7 +376,7 @@
         return ready;
     }
 
-    /** Requests of a host that reaches no allocator. */
+    /** Decides requests by time slots while no allocator can be reached. */
     #useSlots(nowMs: number, wallMs: number): void {
         if (this.#current !== undefined || this.#waiting.length === 0) {
             return;
--- a/packages/rateLimit/src/index.ts
+++ b/packages/rateLimit/src/index.ts
@@ -1,4 +1,4 @@
-/** Rate limits of workspaces over all hosts together: who may admit a request, decided without a store. */
+/** Distributed rate limits of workspaces: hosts coordinate with each other to admit requests, without a store. */
 export { defaultTolerance, type LimitTolerance } from "./admittedRate.js";
 export {
     defaultDecisionTimeoutMs,
--- a/packages/rateLimit/src/isolatedSlots.ts
+++ b/packages/rateLimit/src/isolatedSlots.ts
@@ -4,22 +4,23 @@
 
 const oneSecondMs = 1_000;
 
-/** Workspaces whose slots are remembered; where there are more, the earlier slots of all are given up. */
+/** Maximum number of workspaces whose used slots are tracked; if it is exceeded, all earlier slots are forfeited. */
 const mostSlotWorkspaces = 10_000;
 
 /**
- * Admits requests of a host that reaches no allocator. Of each workspace a slot begins every 1/R seconds of the day, dealt to all hosts in
- * turn by their rendezvous ranks, so that isolated hosts need not hear of each other to admit no more than their share.
+ * Admits requests on a host that can't reach an allocator. For a limit of R requests per second, a time slot begins
+ * every 1/R seconds of wall-clock time. Slots are assigned to all hosts in turn by rendezvous hashing, so that isolated
+ * hosts keep the limit without communicating.
  */
 export class IsolatedSlots {
     readonly #name: string;
     readonly #ranks: RendezvousRanks;
     #hosts: readonly string[] = [];
     #isCounted = false;
-    /** Time of day less monotonic time: read once, so that a step of the clock repeats no slot. */
+    /** Wall-clock time minus monotonic time; read once, so that a step of the wall clock can't repeat a slot. */
     #offsetMs: number | undefined;
     #rosterAtMs = -Infinity;
-    /** Beginning of the latest slot that was used, by workspace. */
+    /** Start of the latest used slot, by workspace. */
     readonly #usedMs = new Map<string, number>();
 
     constructor(name: string) {
@@ -36,16 +37,18 @@
         }
     }
 
-    /** The monotonic clock may have stood still. */
+    /** Resets the clock offset after a suspension, during which the monotonic clock may have stopped. */
     onSuspended(nowMs: number): void {
         this.#offsetMs = undefined;
         this.#rosterAtMs = nowMs;
     }
 
     /**
-     * @param rule - of the request's workspace
-     * @param sinceMs - since when the host has its share to itself: earlier slots were the allocator's
-     * @returns whether a slot was free for the request
+     * Takes a free slot for a request.
+     *
+     * @param rule - limit of the request's workspace
+     * @param sinceMs - time since which no allocator holds the host's share; earlier slots can't be used
+     * @returns whether a slot was free
      */
     tryTake(rule: LimitRule, sinceMs: number, nowMs: number, wallMs: number): boolean {
         if (!this.#isCounted) {
@@ -54,7 +57,7 @@
         const offsetMs = this.#offsetMs ??= wallMs - nowMs;
         const periodMs = this.#hosts.length / rule.perSecond * oneSecondMs;
         const phaseMs = this.#ranks.rankOf(rule.workspace) / rule.perSecond * oneSecondMs;
-        // All hosts together keep as many slots as a full bucket would keep tokens.
+        // All hosts together retain as many unused slots as a full bucket has tokens.
         const validMs = Math.max(rule.burst, minRetainedSlots) / rule.perSecond * oneSecondMs;
         const usedMs = this.#usedMs.get(rule.workspace) ?? -Infinity;
         const afterMs = Math.max(nowMs - validMs, sinceMs, this.#rosterAtMs, usedMs) + offsetMs;
@@ -68,7 +71,7 @@
             this.#ranks.retain(new Set());
             this.#rosterAtMs = nowMs;
         }
-        // Rounding must not find the same slot again.
+        // The offset prevents rounding errors from yielding the same slot again.
         this.#usedMs.set(rule.workspace, slotMs + 0.001);
         return true;
     }
--- a/packages/rateLimit/src/limitBucket.ts
+++ b/packages/rateLimit/src/limitBucket.ts
@@ -13,12 +13,15 @@
 
 const oneSecondMs = 1_000;
 
-/** @returns the most tokens that a bucket holds with some shares; one at least, or few shares of a small limit would never admit */
+/**
+ * @returns the capacity of a bucket for a sum of shares; at least one token, as a small share of a small limit would
+ * never admit a request
+ */
 export function bucketCapacity(rule: LimitRule, sum: number): number {
     return sum > 0 ? Math.max(1, sum * (burstFactor * rule.burst + extraBurstTokens)) : 0;
 }
 
-/** The tokens of one workspace at its allocator. */
+/** Token bucket of one workspace at its allocator. */
 export class LimitBucket {
     granted = 0;
     refused = 0;
@@ -26,9 +29,12 @@
     #rule: LimitRule;
     #level: number;
     #integralMs: number;
-    /** What would be left if all shares were held and nothing was refused: tells a caller over its limit from missing shares. */
+    /**
+     * Level if all shares were held and no request was refused; distinguishes a workspace over its limit from missing
+     * shares.
+     */
     #wholeLevel: number;
-    /** When the latest caller that was given a retry time fits. */
+    /** Time at which the latest refused caller was told to retry. */
     #promisedMs = -Infinity;
 
     constructor(rule: LimitRule, history: ShareHistory, nowMs: number) {
@@ -48,13 +54,13 @@
         return this.#level;
     }
 
-    /** Brings the level up to date; to be called before and after each change of the shares. */
+    /** Refills the bucket; must be called before and after each change of the shares. */
     refill(history: ShareHistory): void {
         this.#level = this.#refill(this.#level, history.integralMs - this.#integralMs, history.sum);
         this.#integralMs = history.integralMs;
     }
 
-    /** What a host says of the workspace's limit. */
+    /** Replaces the limit if a host sends a newer version of it. */
     updateRule(rule: LimitRule, history: ShareHistory): void {
         if (rule.configVersion > this.#rule.configVersion) {
             this.refill(history);
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Takes tokens, after those that come back unused. */
+    /** Adds returned tokens, then takes as many of the requested tokens as available. */
     take(wanted: number, givenBack: number, history: ShareHistory, nowMs: number): LimitResponseEntry {
         this.refill(history);
         const capacity = bucketCapacity(this.#rule, history.sum);
@@ -96,7 +102,9 @@
         return level < wanted;
     }
 
-    /** @returns after what time the first of some refused requests fits, behind those that were given a time before */
+    /**
+     * @returns retry delay of the first of some refused requests, scheduled after the retries of those refused before
+     */
     #promise(count: number, sum: number, nowMs: number): number {
         if (sum <= 0) {
             return noSharesRetryAfterMs;
--- a/packages/rateLimit/src/messages.ts
+++ b/packages/rateLimit/src/messages.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Version of the messages; hosts of another version are not understood. */
+/** Protocol version; messages of other versions are ignored. */
 export const protocolVersion = 1;
 
 const name = z.string().min(1).max(512);
@@ -21,7 +21,7 @@
     granted: count,
     retryAfterMs: amount,
     plentiful: z.boolean(),
-    /** Whether the workspace asks for more than its whole limit allows. */
+    /** Whether the workspace requests more than its whole limit allows. */
     over: z.boolean(),
 });
 
@@ -32,9 +32,9 @@
     life,
     seq: count,
     group: count,
-    /** The part of each limit that the sender delegates. */
+    /** Share of each limit that the sender delegates. */
     share: z.number().min(0).max(1),
-    /** Latest time of the allocator that the sender has received, with the life that it belongs to. */
+    /** Latest timestamp received from the allocator, with the process incarnation that it belongs to. */
     echo: z.object({ life, atMs: z.number() }).optional(),
     entries: z.array(askEntry).max(64),
 });
@@ -43,33 +43,33 @@
     v: z.literal(protocolVersion),
     type: z.literal("answer"),
     sender: name,
-    /** The allocator's. */
+    /** Process incarnation of the allocator. */
     life,
-    /** The life that asked. */
+    /** Process incarnation of the host that sent the request. */
     askerLife: life,
     seq: count,
     group: count,
     /** The allocator's monotonic time. */
     atMs: z.number(),
-    /** The allocator is going away: it has dropped all shares, and holds none from now on. */
+    /** Whether the allocator is shutting down: it has dropped all shares and accepts no more. */
     leaving: z.boolean().optional(),
     entries: z.array(grantEntry).max(64),
 });
 
 const limitMessage = z.discriminatedUnion("type", [ask, answer]);
 
-/** One workspace in a token request. */
+/** A request for the tokens of one workspace. */
 export type LimitRequestEntry = Readonly<z.infer<typeof askEntry>>;
-/** The answer to one entry. */
+/** The response to one entry. */
 export type LimitResponseEntry = Readonly<z.infer<typeof grantEntry>>;
-/** A token request; without entries a heartbeat. */
+/** A request for tokens; a heartbeat if it has no entries. */
 export type LimitRequestMessage = Readonly<z.infer<typeof ask>>;
-/** What the allocator answers. */
+/** The allocator's response. */
 export type LimitResponseMessage = Readonly<z.infer<typeof answer>>;
-/** A datagram between two hosts. */
+/** A message between two hosts, sent as a datagram. */
 export type LimitMessage = LimitRequestMessage | LimitResponseMessage;
 
-/** @returns the message, if it is one */
+/** @returns the message; `undefined` if it is invalid */
 export function parseLimitMessage(json: unknown): LimitMessage | undefined {
     const read = limitMessage.safeParse(json);
     return read.success ? read.data : undefined;
--- a/packages/rateLimit/src/model.ts
+++ b/packages/rateLimit/src/model.ts
@@ -1,13 +1,13 @@
 import { type LimitMessage } from "./messages.js";
 
-/** What a workspace may do according to one version of the configuration. */
+/** Rate limit of a workspace in one version of the configuration. */
 export interface LimitRule {
     readonly workspace: string;
     /** Requests per second over all hosts together; above 0. */
     readonly perSecond: number;
-    /** Requests at once after a pause. */
+    /** Number of requests allowed at once after a pause. */
     readonly burst: number;
-    /** Of two rules for a workspace, the one of the higher version is in force. */
+    /** Of two rules for a workspace, the one with the higher version applies. */
     readonly configVersion: number;
 }
 
@@ -17,30 +17,30 @@
     readonly decisionTimeoutMs?: number | undefined;
 }
 
-/** A token that was granted; to be given back if its request never ran. */
+/** A granted token; to be returned if its request was never executed. */
 export interface Token {
     readonly rule: LimitRule;
-    /** The allocator that granted it; `undefined` for a time slot, which can't be given back. */
+    /** The allocator that granted it; `undefined` for a time slot, which can't be returned. */
     readonly grantedBy: string | undefined;
 }
 
-/** What becomes of a request. */
+/** The decision on a request. */
 export type Decision =
     | {
         readonly type: "admitted";
         readonly token: Token;
-        /** Whether the request may be hedged, and sent again although it may have run. */
+        /** Whether the request may be hedged, or retried although it may have been executed. */
         readonly plentiful: boolean;
     }
     /** The workspace is over its limit (429). */
     | { readonly type: "overLimit"; readonly retryAfterMs: number; }
-    /** Nobody can tell now whether the workspace is below its limit (503). */
+    /** It is currently unknown whether the workspace is below its limit (503). */
     | { readonly type: "unsure"; readonly retryAfterMs: number; };
 
-/** What the program has to do. */
+/** An action to be carried out by the caller of the rate limiter. */
 export type Command =
     | { readonly type: "send"; readonly to: string; readonly message: LimitMessage; }
-    /** Comes exactly once for each request that was not cancelled. */
+    /** Issued exactly once for each request that was not cancelled. */
     | { readonly type: "decide"; readonly requestId: number; readonly decision: Decision; };
 
 /** A change for the log. */
@@ -53,12 +53,12 @@
 /** One group of workspaces, for metrics. */
 export interface GroupSnapshot {
     readonly group: number;
-    /** Whom this host asks; `undefined` while it asks nobody. */
+    /** The allocator that this host requests tokens from; `undefined` while it is isolated. */
     readonly allocator: string | undefined;
     readonly state: "delegating" | "waiting" | "isolated";
     /** Sum of the shares that this host holds as the group's allocator. */
     readonly sharesHeld: number;
-    /** Hosts that have delegated to this one. */
+    /** Number of hosts that have delegated a share to this one. */
     readonly delegators: number;
 }
 
@@ -68,17 +68,17 @@
     readonly perSecond: number;
     readonly level: number;
     readonly capacity: number;
-    /** Since the process started. */
+    /** Number of tokens granted since the bucket was created. */
     readonly granted: number;
     readonly refused: number;
 }
 
-/** State for metrics; bounded. */
+/** State of the rate limiter for metrics; bounded. */
 export interface LimiterSnapshot {
     readonly groups: readonly GroupSnapshot[];
-    /** The busiest {@link mostDescribedWorkspaces}. */
+    /** The most recently used workspaces, up to {@link mostDescribedWorkspaces}. */
     readonly workspaces: readonly WorkspaceSnapshot[];
     readonly messagesSent: number;
-    /** Messages that could not be read or were out of date. */
+    /** Number of messages that were invalid or outdated. */
     readonly messagesIgnored: number;
 }
--- a/packages/rateLimit/src/pendingRequest.ts
+++ b/packages/rateLimit/src/pendingRequest.ts
@@ -1,14 +1,14 @@
 import { defaultDecisionTimeoutMs } from "./constants.js";
 import { type LimitRule, type TokenRequest } from "./model.js";
 
-/** A request that waits for its decision. */
+/** A request waiting for a decision. */
 export class PendingRequest {
     readonly id: number;
     readonly rule: LimitRule;
     readonly deadlineMs: number;
-    /** When it may be asked for again. */
+    /** Earliest time of the next token request for it. */
     notBeforeMs: number;
-    /** Whether its caller still waits for a decision. */
+    /** Whether the decision is outstanding and its caller still waits for it. */
     isPending = true;
 
     constructor(id: number, request: TokenRequest, nowMs: number) {
--- a/packages/rateLimit/src/rateLimiter.ts
+++ b/packages/rateLimit/src/rateLimiter.ts
@@ -22,21 +22,21 @@
 } from "./model.js";
 import { PendingRequest } from "./pendingRequest.js";
 
-/** Who the host is. */
+/** Options of a rate limiter. */
 export interface RateLimiterOptions {
-    /** As in the host's registration. */
+    /** Host name as in its registration. */
     readonly name: string;
-    /** Random id of this process lifetime, up to 48 characters. */
+    /** Random id of this process incarnation, up to 48 characters. */
     readonly incarnation: string;
-    /** Seeded source of numbers from 0 to below 1. */
+    /** Seeded random numbers from 0 (inclusive) to 1 (exclusive). */
     readonly random: () => number;
-    /** When the process was started, on the monotonic clock of all `nowMs`; not after the construction. */
+    /** Start time of the process on the monotonic clock that all `nowMs` use; not later than the construction. */
     readonly startedAtMs: number;
-    /** Allowed above the limits; by default {@link defaultTolerance}. */
+    /** Allowed excess over the limits; {@link defaultTolerance} by default. */
     readonly tolerance?: LimitTolerance | undefined;
 }
 
-/** A group of workspaces: whom this host asks, and what it allocates itself. */
+/** A group of workspaces, with this host's delegation and its own allocator. */
 interface Group {
     readonly delegation: Delegation;
     readonly allocator: Allocator;
@@ -44,9 +44,9 @@
 }
 
 /**
- * Keeps the rate limits of workspaces over all hosts together, for one host: asks the allocators for tokens, and is an allocator itself
- * where it was chosen. `nowMs` is monotonic, `wallMs` the time of day. Each method's commands have to be carried out in their order, and
- * the next tick may be due earlier after each call.
+ * Enforces distributed rate limits of workspaces on one host. It requests tokens from the allocators, and is an
+ * allocator itself for hosts that have chosen it. `nowMs` is monotonic time, `wallMs` wall-clock time. The commands
+ * returned by a method must be carried out in order, and after each call the next tick may be due earlier.
  */
 export class RateLimiter {
     readonly #name: string;
@@ -58,7 +58,7 @@
     readonly #open = new Map<number, PendingRequest>();
     #isActive = false;
     #commands: Command[] = [];
-    /** Messages of this host to itself. */
+    /** Messages from this host to itself. */
     #local: LimitMessage[] = [];
     #changes: LimitChange[] = [];
     #requests = 0;
@@ -68,7 +68,7 @@
     #sent = 0;
     #ignored = 0;
 
-    /** @param options - who the host is */
+    /** @param options - identity of the host, and the tolerance */
     constructor({ name, incarnation, random, startedAtMs, tolerance = defaultTolerance }: RateLimiterOptions) {
         this.#tolerance = tolerance;
         this.#name = name;
@@ -95,7 +95,7 @@
         }));
     }
 
-    /** @returns the request's id and the commands; the decision is among them or comes with a later call */
+    /** @returns the request's id and commands, which include the decision unless a later call returns it */
     request(
         request: TokenRequest,
         nowMs: number,
@@ -114,7 +114,7 @@
         return { requestId: pending.id, commands: this.#run([group], nowMs) };
     }
 
-    /** The request's caller has left before the decision; none will come, and a token granted for it goes back. */
+    /** Cancels a request that awaits its decision. No decision follows, and a token granted for it is returned. */
     cancel(requestId: number): void {
         const pending = this.#open.get(requestId);
         if (pending !== undefined) {
@@ -123,12 +123,12 @@
         }
     }
 
-    /** A granted token was not used: its request never ran, and never will. It goes back with the next message. */
+    /** Returns a token whose request was not and won't be executed; it is sent back with the next message. */
     giveBack(token: Token): void {
         this.#groups[groupOf(token.rule.workspace)]?.delegation.giveBack(token);
     }
 
-    /** A datagram has come, as parsed JSON. `from` is the host that the datagram's address belongs to. */
+    /** Handles a received datagram, given as parsed JSON. `from` is the host that its source address belongs to. */
     onMessage(from: string, json: unknown, nowMs: number, wallMs: number): readonly Command[] {
         this.#checkClocks(nowMs, wallMs);
         const message = parseLimitMessage(json);
@@ -138,14 +138,18 @@
             return [];
         }
         if (this.#isActive) {
-            // What is overdue goes first: an answer that waited while this process stood still grants nothing.
+            // Expires overdue requests first, so that a response that was waiting while this process was blocked grants
+            // nothing.
             group.delegation.expireRequests(nowMs);
         }
         this.#receive(group, message, nowMs);
         return message.type === "ask" ? this.#takeCommands() : this.#run([group], nowMs);
     }
 
-    /** Names of all hosts that count by the registrations, this one among them if it does; the same array while they are the same. */
+    /**
+     * Updates the names of all registered hosts, including this one if it is registered; an unchanged list must be the
+     * same array.
+     */
     onRoster(names: readonly string[], nowMs: number): readonly Command[] {
         this.#slots.onRoster(names, nowMs);
         for (const { delegation } of this.#groups) {
@@ -155,8 +159,8 @@
     }
 
     /**
-     * Whether the configuration in force has limits; inactive at first. While inactive this host asks nothing, but answers hosts that have
-     * another version.
+     * Sets whether the configuration in force has limits; initially inactive. While inactive, this host requests no
+     * tokens, but still responds to hosts that have another configuration version.
      */
     setActive(active: boolean, nowMs: number): readonly Command[] {
         if (this.#isActive && !active) {
@@ -166,7 +170,7 @@
         return this.#run(this.#groups, nowMs);
     }
 
-    /** To be called at {@link RateLimiter.nextTickMs} or soon after. */
+    /** Performs timed actions; to be called as soon as {@link RateLimiter.nextTickMs} has elapsed. */
     tick(nowMs: number, wallMs: number): readonly Command[] {
         this.#checkClocks(nowMs, wallMs);
         for (const [i, group] of this.#groups.entries()) {
@@ -180,7 +184,7 @@
         return this.#run(this.#groups, nowMs);
     }
 
-    /** @returns how long until the next tick is due, in milliseconds; `undefined` where none is */
+    /** @returns time until the next tick is due, in milliseconds; `undefined` if none is */
     nextTickMs(nowMs: number): number | undefined {
         if (!this.#isActive) {
             return undefined;
@@ -190,8 +194,9 @@
     }
 
     /**
-     * The process's host was suspended, with its monotonic clock. Also found by the clocks that other methods are given; to be called
-     * before any message that waited meanwhile.
+     * Handles a suspension of the host during which its monotonic clock stopped. Other methods detect this by the
+     * clocks passed to them too; if it is known otherwise, call this before handling messages that were received during
+     * the suspension.
      */
     onSuspended(nowMs: number): readonly Command[] {
         this.#pauses++;
@@ -202,7 +207,9 @@
         return [];
     }
 
-    /** The process is about to end as planned: the shares that it holds go elsewhere. It may go on asking for tokens. */
+    /**
+     * Prepares for a planned stop: drops the shares that this host holds as an allocator. It can still request tokens.
+     */
     stop(nowMs: number): readonly Command[] {
         for (const { allocator } of this.#groups) {
             for (const { to, message } of allocator.releaseShares(nowMs)) {
@@ -212,12 +219,12 @@
         return this.#run(this.#groups, nowMs);
     }
 
-    /** @returns changes since the last call, for the log; bounded */
+    /** @returns changes since the previous call, for the log; bounded */
     drainChanges(): readonly LimitChange[] {
         return this.#changes.splice(0);
     }
 
-    /** @returns the present state, for metrics */
+    /** @returns the current state, for metrics */
     snapshot(nowMs: number): LimiterSnapshot {
         this.#groups.forEach(({ allocator }) => allocator.advance(nowMs));
         return {
@@ -232,7 +239,10 @@
         };
     }
 
-    /** The time of day runs ahead where the host was suspended. A step of that clock looks the same, and is rare. */
+    /**
+     * Detects a suspension by an advance of the wall clock. A forward step of the wall clock looks the same, but is
+     * rare.
+     */
     #checkClocks(nowMs: number, wallMs: number): void {
         const offsetMs = wallMs - nowMs;
         if (this.#wallOffsetMs !== undefined && offsetMs - this.#wallOffsetMs > suspensionThresholdMs) {
@@ -256,7 +266,7 @@
         }
     }
 
-    /** Does what is due, and what this host has to say to itself. */
+    /** Performs due actions, and handles this host's messages to itself. */
     #run(groups: readonly Group[], nowMs: number): readonly Command[] {
         const wallMs = nowMs + (this.#wallOffsetMs ?? 0);
         if (this.#isActive) {
@@ -305,7 +315,7 @@
     }
 }
 
-/** Shares that come or go before the log hears of it. */
+/** Minimum change of the held shares that is logged. */
 const notedChange = 0.1;
 
 /** @returns the group that a workspace belongs to; the same on all hosts */
--- a/packages/rateLimit/src/shareHistory.ts
+++ b/packages/rateLimit/src/shareHistory.ts
@@ -1,12 +1,12 @@
 import { maxShareChanges } from "./constants.js";
 
-/** A change of the shares, at the integral over time that was reached then. */
+/** A change of the sum of shares, and the value of their time integral at that time. */
 interface ShareChange {
     readonly integralMs: number;
     readonly sum: number;
 }
 
-/** The shares that an allocator holds, at most 1 together, and their integral over time. */
+/** Sum of the shares that an allocator holds, at most 1, and its integral over time. */
 export class ShareHistory {
     #sum = 0;
     #integralMs = 0;
@@ -22,12 +22,14 @@
         return this.#sum;
     }
 
-    /** Time for which all shares would have to be held for the same refill, in milliseconds. */
+    /**
+     * Time integral of the shares, in milliseconds: the time for which holding all shares would give the same refill.
+     */
     get integralMs(): number {
         return this.#integralMs;
     }
 
-    /** Time passes with the present shares. */
+    /** Advances the integral to a time with the current shares. */
     advance(nowMs: number): void {
         if (nowMs > this.#atMs) {
             this.#integralMs += this.#sum * (nowMs - this.#atMs);
@@ -35,7 +37,7 @@
         }
     }
 
-    /** The shares add up to something else from now on. */
+    /** Sets the sum of the shares from now on. */
     setSum(sum: number): void {
         this.#sum = Math.min(1, sum);
         this.#changes.push({ integralMs: this.#integralMs, sum: this.#sum });
@@ -44,15 +46,16 @@
         }
     }
 
-    /** Counts shares as held for some time more. */
+    /** Adds to the integral, as if shares had been held for longer. */
     addCredit(integralMs: number): void {
         this.#integralMs += integralMs;
     }
 
     /**
-     * What a bucket that was never used would hold by now.
+     * Computes the current level of a bucket that was never used.
      *
-     * @param refill - adds the tokens of a span to a level
+     * @param refill - returns a level after a span of time, limited to the capacity for a sum of shares
+     * @returns the level, in tokens
      */
     replay(refill: (level: number, spanMs: number, sum: number) => number): number {
         let level = 0;
--- a/packages/workspaces/src/__tests__/workspaces.test.ts
+++ b/packages/workspaces/src/__tests__/workspaces.test.ts
@@ -6,13 +6,13 @@
 const south: Workspace = { name: "south", keys: ["k-south"] };
 const directory = new WorkspaceDirectory([north, south, { name: "keyless", keys: [] }]);
 
-test("a key is found with whoever holds it", () => {
+test("a key is resolved to the workspace that it belongs to", () => {
     const admission = authenticate({ type: "given", key: "k-north-2" }, directory, false);
     assert.deepEqual(admission, { type: "known", workspace: north, key: "k-north-2" });
 });
 
-// Guards against requests that run without a key that any configuration holds.
-test("requests without a key that is known are turned away with the reason", () => {
+// Guards against requests that are executed without a configured key.
+test("requests without a known key are rejected with the reason", () => {
     assert.equal(authenticate({ type: "none" }, directory, false), "noKey");
     assert.equal(authenticate({ type: "malformed" }, directory, false), "malformedKey");
     assert.equal(authenticate({ type: "given", key: "k-other" }, directory, false), "unknownKey");
@@ -20,7 +20,7 @@
     assert.equal(authenticate({ type: "given", key: "K-SOUTH" }, directory, false), "unknownKey");
 });
 
-test("an open route takes everyone, and knows callers by their key all the same", () => {
+test("an open route accepts anonymous callers and still identifies callers with a key", () => {
     assert.deepEqual(authenticate({ type: "none" }, directory, true), { type: "anonymous" });
     assert.deepEqual(authenticate({ type: "given", key: "k-other" }, directory, true), { type: "anonymous" });
     assert.equal(authenticate({ type: "malformed" }, directory, true) === "malformedKey", false);
@@ -31,12 +31,12 @@
     });
 });
 
-test("nobody is asked for a key where the configuration has no workspaces", () => {
+test("no key is required if the configuration has no workspaces", () => {
     assert.deepEqual(authenticate({ type: "none" }, undefined, false), { type: "unchecked" });
 });
 
-// Guards against requests that wait or are tried again with a key that was revoked or moved meanwhile.
-test("a key that is revoked or moved to another workspace admits its request no longer", () => {
+// Guards against waiting or retried requests that are sent with a key that has been revoked or moved since.
+test("a key that was revoked or moved to another workspace no longer admits its request", () => {
     const admission = authenticate({ type: "given", key: "k-north-1" }, directory, false);
     assert.ok(typeof admission !== "string");
     assert.equal(findKeyChange(admission, directory), undefined);
@@ -48,8 +48,8 @@
     assert.equal(findKeyChange({ type: "unchecked" }, directory), "moved");
 });
 
-// Guards against a key that two workspaces share: whose requests they are could not be told.
-test("faulty workspaces are named, and their keys are not", () => {
+// Guards against a key shared by two workspaces, whose requests could not be attributed to either.
+test("faults name the invalid workspaces, but not their keys", () => {
     assert.equal(WorkspaceDirectory.findFault([north, south]), undefined);
     assert.equal(WorkspaceDirectory.findFault([{ name: "twice", keys: ["a", "a"] }]), undefined);
     assert.equal(
--- a/packages/workspaces/src/authenticate.ts
+++ b/packages/workspaces/src/authenticate.ts
@@ -1,24 +1,24 @@
 import { type CallerKey, type Workspace } from "./model.js";
 import { type WorkspaceDirectory } from "./workspaceDirectory.js";
 
-/** Why a request is turned away for its key. */
+/** Why a request is rejected because of its key. */
 export type RejectionReason = "noKey" | "malformedKey" | "unknownKey";
 
-/** What a request's key says of its caller. */
+/** The identity of a caller, as determined from its key. */
 export type CallerIdentity =
-    /** The configuration has no workspaces, so that nobody is asked for a key. */
+    /** The configuration has no workspaces, so callers need no key. */
     | { readonly type: "unchecked"; }
-    /** A route that is open to everyone, and no key that is known. */
+    /** The route allows anonymous callers, and the request has no known key. */
     | { readonly type: "anonymous"; }
     | { readonly type: "known"; readonly workspace: Workspace; readonly key: string; };
 
 /**
- * Finds the workspace that a request belongs to.
+ * Determines the workspace that a request belongs to.
  *
- * @param callerKey - what the request says
- * @param directory - workspaces in force; `undefined` where the configuration has none
- * @param isOpen - whether the request's route takes callers without a key
- * @returns on whose behalf the request is made, or why it is turned away
+ * @param callerKey - the key sent with the request
+ * @param directory - workspaces in force; `undefined` if the configuration has none
+ * @param isOpen - whether the request's route allows callers without a key
+ * @returns the caller's identity, or why the request is rejected
  */
 export function authenticate(
     callerKey: CallerKey,
@@ -41,15 +41,16 @@
     given: "unknownKey",
 };
 
-/** What became of a request's key since the request arrived. */
+/** How a request's key has changed since the request arrived. */
 export type KeyChange = "revoked" | "moved";
 
 /**
- * Asked again before each send: a key may be revoked or moved while its request waits or is tried again.
+ * Checks whether a request's key is still valid. It is called before each send, since a key may be revoked or moved to
+ * another workspace while its request waits or is retried.
  *
- * @param admission - as decided at the request's arrival
+ * @param admission - the caller's identity when the request arrived
  * @param directory - workspaces in force now
- * @returns what keeps the request from being sent on the same caller's behalf; `undefined` where nothing does
+ * @returns the change because of which the request must not be sent; `undefined` if there is none
  */
 export function findKeyChange(
     admission: CallerIdentity,
@@ -59,7 +60,7 @@
         return undefined;
     }
     if (admission.type === "unchecked") {
-        // It arrived before any workspaces were configured, so that nobody knows whose it is.
+        // It arrived before any workspaces were configured, so its workspace is unknown.
         return "moved";
     }
     const holder = directory.findByKey(admission.key);
--- a/packages/workspaces/src/index.ts
+++ b/packages/workspaces/src/index.ts
@@ -1,4 +1,4 @@
-/** Which workspace a caller's request belongs to, by the caller's key. */
+/** Determines a request's workspace from the caller's key. */
 export {
     type CallerIdentity,
     authenticate,
--- a/packages/workspaces/src/model.ts
+++ b/packages/workspaces/src/model.ts
@@ -1,25 +1,25 @@
-/** Requests that a workspace may make, over all hosts together. */
+/** Rate limit of a workspace over all hosts together. */
 export interface RequestLimit {
     readonly perSecond: number;
-    /** Requests that it may make at once after a pause. */
+    /** Number of requests allowed at once after a pause. */
     readonly burst: number;
 }
 
-/** A group of callers that share keys, a rank and a limit. */
+/** A group of callers that share keys, a priority and a limit. */
 export interface Workspace {
-    /** Unique in one configuration. */
+    /** Unique within a configuration. */
     readonly name: string;
-    /** Secrets: never logged, and never passed on to a backend server. */
+    /** Secrets: never logged, and never forwarded to a backend server. */
     readonly keys: readonly string[];
-    /** Goes before the rank of a request's route; 0 is the most urgent. `undefined` where the route's holds. */
+    /** Overrides the priority of a request's route; 0 is the highest. `undefined` to use the route's. */
     readonly priority?: number | undefined;
     /** `undefined` for no limit. */
     readonly limit?: RequestLimit | undefined;
 }
 
-/** What a request says of its caller's key. */
+/** The key that a request carries. */
 export type CallerKey =
     | { readonly type: "none"; }
     | { readonly type: "given"; readonly key: string; }
-    /** More than one, or something that holds no key. */
+    /** Several keys, or a value that contains no key. */
     | { readonly type: "malformed"; };
--- a/packages/workspaces/src/workspaceDirectory.ts
+++ b/packages/workspaces/src/workspaceDirectory.ts
@@ -1,6 +1,6 @@
 import { type Workspace } from "./model.js";
 
-/** The workspaces of one version of the configuration, by name and by key; never changes. */
+/** Immutable index of the workspaces of one configuration version, by name and by key. */
 export class WorkspaceDirectory {
     readonly #byKey = new Map<string, Workspace>();
     readonly #byName = new Map<string, Workspace>();
@@ -16,10 +16,10 @@
     }
 
     /**
-     * Checks what a configuration says of workspaces.
+     * Validates the workspaces of a configuration.
      *
      * @param workspaces - as read
-     * @returns what is wrong with them, without any key; `undefined` where they are sound
+     * @returns a description of the first fault, without any key; `undefined` if they are valid
      */
     static findFault(workspaces: readonly Workspace[]): string | undefined {
         const holders = new Map<string, string>();
@@ -44,12 +44,12 @@
         return this.#byName.size;
     }
 
-    /** @returns every workspace */
+    /** @returns all workspaces */
     workspaces(): Iterable<Workspace> {
         return this.#byName.values();
     }
 
-    /** @returns the workspace of that name */
+    /** @returns the workspace with that name */
     get(name: string): Workspace | undefined {
         return this.#byName.get(name);
     }
