--- a/packages/edge/src/backends/probeServerLoad.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -36,30 +36,30 @@
  * Probes the current load of a backend server. It is called right before a request is sent, since load changes within
  * milliseconds and an older report is of little use.
  *
- * @param input - the server, a connection to it and the timeout
+ * @param options - the server, a connection to it and the timeout
  * @returns the reported load, or the reason why none was received in time
  */
-export function probeServerLoad(input: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
+export function probeServerLoad(options: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
     return new Promise(resolve => {
-        const handler = new AskHandler(input, resolve);
-        input.connection.dispatch({ method: "GET", path: input.healthPath }, handler);
+        const handler = new LoadProbeHandler(options, resolve);
+        options.connection.dispatch({ method: "GET", path: options.healthPath }, handler);
     });
 }
 
-class AskHandler implements Dispatcher.DispatchHandler {
-    readonly #input: LoadProbeOptions;
+class LoadProbeHandler implements Dispatcher.DispatchHandler {
+    readonly #options: LoadProbeOptions;
     readonly #resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void;
     readonly #timer: NodeJS.Timeout;
     #controller: Dispatcher.DispatchController | undefined;
-    #answer: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
+    #result: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
     #settled = false;
 
     constructor(input: LoadProbeOptions, resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void) {
-        this.#input = input;
+        this.#options = input;
         this.#resolve = resolve;
         // After a long event-loop turn, timers run before I/O that is already received. `setImmediate` lets that I/O be
         // handled first, so that a delay of this process doesn't count as a timeout of the server.
-        this.#timer = setTimeout(() => setImmediate(() => this.#giveUp()), input.timeoutMs);
+        this.#timer = setTimeout(() => setImmediate(() => this.#onTimeout()), input.timeoutMs);
     }
 
     onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -70,8 +70,8 @@
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-        this.#input.connection.onResponse();
-        this.#answer = this.#read(status, readRawHeaders(controller.rawHeaders));
+        this.#options.connection.onResponse();
+        this.#result = this.#readReport(status, readRawHeaders(controller.rawHeaders));
     }
 
     onResponseData(): void {
@@ -79,14 +79,14 @@
     }
 
     onResponseEnd(): void {
-        this.#settle(this.#answer);
+        this.#settle(this.#result);
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
         this.#settle({ type: "untold", reason: classifyConnectionError(err) });
     }
 
-    #giveUp(): void {
+    #onTimeout(): void {
         if (this.#settled) {
             return;
         }
@@ -94,8 +94,8 @@
         this.#controller?.abort(new Error("load probe timed out"));
     }
 
-    #read(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
-        const { server, vocabulary } = this.#input;
+    #readReport(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
+        const { server, vocabulary } = this.#options;
         const signs = vocabulary.readResponse(status, headers);
         if (signs.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -86,39 +86,39 @@
 /**
  * Sends a request to a backend server over one connection and reads the response.
  *
- * @param input - the request and its connection
+ * @param options - the request and its connection
  */
-export function sendRequest(input: SendOptions): Send {
+export function sendRequest(options: SendOptions): Send {
     let handler: SendHandler | undefined;
     const result = new Promise<SendResult>(resolve => {
-        handler = new SendHandler(input, resolve);
-        input.connection.dispatch({
-            method: input.method,
-            path: input.path,
-            headers: input.headers,
-            body: input.body,
-            idempotent: input.idempotent,
+        handler = new SendHandler(options, resolve);
+        options.connection.dispatch({
+            method: options.method,
+            path: options.path,
+            headers: options.headers,
+            body: options.body,
+            idempotent: options.idempotent,
         }, handler);
     });
     return { result, abandon: () => handler?.abandon() };
 }
 
 class SendHandler implements Dispatcher.DispatchHandler {
-    readonly #input: SendOptions;
+    readonly #options: SendOptions;
     readonly #resolve: (result: SendResult) => void;
     readonly #startedAtMs = performance.now();
     readonly #chunks: Buffer[] = [];
-    #heldBytes = 0;
+    #bufferedBytes = 0;
     #controller: Dispatcher.DispatchController | undefined;
-    #written = false;
-    #refused = false;
+    #isWritten = false;
+    #isWriteRefused = false;
     #head: ResponseHead | undefined;
     #contact: ServerContactResult | undefined;
     #sink: ResponseSink | undefined;
-    #settled = false;
+    #isSettled = false;
 
     constructor(input: SendOptions, resolve: (result: SendResult) => void) {
-        this.#input = input;
+        this.#options = input;
         this.#resolve = resolve;
     }
 
@@ -127,37 +127,37 @@
         this.#controller = controller;
         // After a lost connection, the client may write a request a second time. That must not happen once its result
         // has been reported.
-        if (this.#settled || this.#written || !this.#input.mayWrite()) {
-            this.#refused = !this.#written;
+        if (this.#isSettled || this.#isWritten || !this.#options.mayWrite()) {
+            this.#isWriteRefused = !this.#isWritten;
             controller.abort(new Error("not sent any more"));
             return;
         }
-        this.#written = true;
+        this.#isWritten = true;
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
         this.#contact = "heard";
-        this.#input.connection.onResponse();
+        this.#options.connection.onResponse();
         if (status < 200) {
             return;
         }
         const headers = readRawHeaders(controller.rawHeaders);
-        this.#head = { status, headers, metadata: this.#input.metadataReader.readResponse(status, headers) };
+        this.#head = { status, headers, metadata: this.#options.metadataReader.readResponse(status, headers) };
     }
 
     onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-        if (this.#settled || this.#head === undefined) {
+        if (this.#isSettled || this.#head === undefined) {
             return;
         }
         if (this.#sink === undefined) {
             this.#chunks.push(chunk);
-            this.#heldBytes += chunk.length;
-            if (this.#heldBytes > this.#input.maxBufferedBytes) {
+            this.#bufferedBytes += chunk.length;
+            if (this.#bufferedBytes > this.#options.maxBufferedBytes) {
                 this.#openSink(controller, this.#head);
             }
             return;
         }
-        this.#pass(controller, this.#sink, chunk);
+        this.#writeToSink(controller, this.#sink, chunk);
     }
 
     onResponseEnd(): void {
@@ -179,27 +179,27 @@
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-        if (!this.#refused) {
+        if (!this.#isWriteRefused) {
             // Bytes that aren't valid HTTP still show that the server can be reached.
             this.#contact ??= isParserError(err) ? "heard" : classifyConnectionError(err);
         }
-        if (this.#written) {
+        if (this.#isWritten) {
             this.#settle(
-                { type: "unknown", reason: this.#head === undefined ? findLoss(err) : "cutShort" },
+                { type: "unknown", reason: this.#head === undefined ? classifyLoss(err) : "cutShort" },
                 err.message,
             );
             return;
         }
-        this.#settle({ type: "notRun", reason: this.#refused ? "notSent" : "connectFailed" }, err.message);
+        this.#settle({ type: "notRun", reason: this.#isWriteRefused ? "notSent" : "connectFailed" }, err.message);
     }
 
     abandon(): void {
-        if (this.#settled) {
+        if (this.#isSettled) {
             return;
         }
-        this.#settle(this.#written ? { type: "abandoned" } : { type: "notRun", reason: "notSent" }, "given up");
+        this.#settle(this.#isWritten ? { type: "abandoned" } : { type: "notRun", reason: "notSent" }, "given up");
         if (this.#controller === undefined) {
-            this.#input.connection.destroy();
+            this.#options.connection.destroy();
             return;
         }
         this.#controller.abort(new Error("request cancelled"));
@@ -207,53 +207,53 @@
 
     /** A response with any fault is discarded: it may be the rest of another response, or a part of this one. */
     #findFault({ status, headers, metadata }: ResponseHead): UnknownRunReason | undefined {
-        const { requestId, isFirstRequest, connection } = this.#input;
+        const { requestId, isFirstRequest, connection } = this.#options;
         // A server may reject a request before it has read the request id. On the first request of a connection, the
         // rejection can't refer to another request.
-        const anonymous = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
-        if (metadata.requestId !== requestId && !anonymous) {
+        const isUnidentified = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
+        if (metadata.requestId !== requestId && !isUnidentified) {
             return "otherRequestsAnswer";
         }
         if (findHeader(headers, "content-encoding") !== undefined) {
             return "encoded";
         }
-        if (isEndedByClose(this.#input.method, status, headers) && connection.socketFailed) {
+        if (isEndedByClose(this.#options.method, status, headers) && connection.socketFailed) {
             return "cutShort";
         }
         return status < 300 && !metadata.signed ? "notSigned" : undefined;
     }
 
     #openSink(controller: Dispatcher.DispatchController, head: ResponseHead): void {
-        const sink = this.#findFault(head) === undefined ? this.#input.openSink(head) : undefined;
+        const sink = this.#findFault(head) === undefined ? this.#options.openSink(head) : undefined;
         if (sink === undefined) {
             this.#settle({ type: "unknown", reason: "cutShort" }, "the answer is too large to be held, and not wanted");
             controller.abort(new Error("response rejected"));
             return;
         }
         this.#sink = sink;
-        this.#pass(controller, sink, Buffer.concat(this.#chunks));
+        this.#writeToSink(controller, sink, Buffer.concat(this.#chunks));
         this.#chunks.length = 0;
     }
 
-    #pass(controller: Dispatcher.DispatchController, sink: ResponseSink, chunk: Buffer): void {
+    #writeToSink(controller: Dispatcher.DispatchController, sink: ResponseSink, chunk: Buffer): void {
         if (!sink.write(chunk, () => controller.resume())) {
             controller.pause();
         }
     }
 
     #settle(end: SendEnd, detail: string): void {
-        if (this.#settled) {
+        if (this.#isSettled) {
             return;
         }
-        this.#settled = true;
-        const held = this.#head !== undefined && this.#sink === undefined && end.type === "answered";
+        this.#isSettled = true;
+        const isBuffered = this.#head !== undefined && this.#sink === undefined && end.type === "answered";
         this.#resolve({
             end,
-            response: held && this.#head !== undefined
+            response: isBuffered && this.#head !== undefined
                 ? {
                     ...this.#head,
                     body: Buffer.concat(this.#chunks),
-                    endedByClose: isEndedByClose(this.#input.method, this.#head.status, this.#head.headers),
+                    endedByClose: isEndedByClose(this.#options.method, this.#head.status, this.#head.headers),
                 }
                 : undefined,
             streamed: this.#sink !== undefined,
@@ -279,7 +279,7 @@
     return metadata.notRun ? "turnedAway" : undefined;
 }
 
-function findLoss(err: Error): UnknownRunReason {
+function classifyLoss(err: Error): UnknownRunReason {
     return isParserError(err) ? "notAnAnswer" : "connectionLost";
 }
 
--- a/packages/edge/src/backends/serverConnection.ts
+++ b/packages/edge/src/backends/serverConnection.ts
@@ -12,7 +12,7 @@
     readonly #client: Client;
     #socketFailed = false;
     #destroyed = false;
-    #isProved = false;
+    #hasResponded = false;
 
     /**
      * @param address - of the server
@@ -33,7 +33,7 @@
                         callback(opened, null);
                         return;
                     }
-                    this.#watch(opened);
+                    this.#watchSocket(opened);
                     callback(null, opened);
                 });
             },
@@ -54,12 +54,12 @@
 
     /** Whether a response was received on it; a later failure then doesn't show that new connections would fail. */
     get hasResponded(): boolean {
-        return this.#isProved;
+        return this.#hasResponded;
     }
 
     /** Records that a response was received. */
     onResponse(): void {
-        this.#isProved = true;
+        this.#hasResponded = true;
     }
 
     /** Whether it was closed and won't be reopened. */
@@ -73,11 +73,11 @@
         this.#client.destroy().catch(() => undefined);
     }
 
-    #watch(socket: Socket): void {
+    #watchSocket(socket: Socket): void {
         this.#socketFailed = false;
-        this.#isProved = false;
+        this.#hasResponded = false;
         socket.once("close", () => {
-            this.#isProved = false;
+            this.#hasResponded = false;
         });
         // Registered before the client's own listener, so that the flag is set when the client reports the response.
         socket.on("error", () => {
--- a/packages/edge/src/backends/serverConnectionPool.ts
+++ b/packages/edge/src/backends/serverConnectionPool.ts
@@ -12,31 +12,31 @@
 interface IdleConnection {
     readonly connection: ServerConnection;
     /** When the last load probe on it was answered, if nothing else was sent since. */
-    readonly heardAtMs: number;
+    readonly probedAtMs: number;
     /** When the last request on it finished. */
-    readonly requestAtMs: number;
+    readonly lastRequestAtMs: number;
 }
 
 /** Pool of connections to backend servers, keyed by server. */
 export class ServerConnectionPool {
-    readonly #links: ServerConnector;
+    readonly #connector: ServerConnector;
     readonly #idle = new Map<string, IdleConnection[]>();
-    readonly #requestAtMs = new WeakMap<ServerConnection, number>();
-    #opened = 0;
+    readonly #lastRequestAtMs = new WeakMap<ServerConnection, number>();
+    #openedCount = 0;
 
     /** @param links - opens the sockets */
     constructor(links: ServerConnector = new DirectConnector()) {
-        this.#links = links;
+        this.#connector = links;
     }
 
     /** Number of connections created so far. */
     get openedCount(): number {
-        return this.#opened;
+        return this.#openedCount;
     }
 
     /** @returns the most recently used idle connection to the server, or a new one */
     acquire(serverId: string, address: ServerAddress): ServerConnection {
-        return this.#takeWhere(serverId, address, () => true) ?? this.open(address);
+        return this.#acquireWhere(serverId, address, () => true) ?? this.open(address);
     }
 
     /**
@@ -48,10 +48,11 @@
      * @returns such a connection, or a new one
      */
     acquireQuiet(serverId: string, address: ServerAddress, nowMs: number): ServerConnection {
-        const quiet = this.#takeWhere(
+        const quiet = this.#acquireWhere(
             serverId,
             address,
-            ({ heardAtMs, requestAtMs }) => nowMs - heardAtMs <= recentProbeMs && nowMs - requestAtMs >= minQuietMs,
+            ({ probedAtMs, lastRequestAtMs }) =>
+                nowMs - probedAtMs <= recentProbeMs && nowMs - lastRequestAtMs >= minQuietMs,
         );
         return quiet ?? this.open(address);
     }
@@ -60,13 +61,13 @@
      * @returns whether the next request on a connection is its first, apart from load probes, which were all answered
      */
     isFirstRequest(connection: ServerConnection): boolean {
-        return !this.#requestAtMs.has(connection);
+        return !this.#lastRequestAtMs.has(connection);
     }
 
     /** @returns a new connection */
     open(address: ServerAddress): ServerConnection {
-        this.#opened++;
-        return new ServerConnection(address, this.#links);
+        this.#openedCount++;
+        return new ServerConnection(address, this.#connector);
     }
 
     /** Returns a connection without a request in flight to the pool. */
@@ -81,12 +82,12 @@
             return;
         }
         if (after === "request") {
-            this.#requestAtMs.set(connection, nowMs);
+            this.#lastRequestAtMs.set(connection, nowMs);
         }
         idle.push({
             connection,
-            heardAtMs: after === "question" ? nowMs : -Infinity,
-            requestAtMs: this.#requestAtMs.get(connection) ?? -Infinity,
+            probedAtMs: after === "question" ? nowMs : -Infinity,
+            lastRequestAtMs: this.#lastRequestAtMs.get(connection) ?? -Infinity,
         });
     }
 
@@ -112,15 +113,15 @@
         this.retain(new Set());
     }
 
-    #takeWhere(
+    #acquireWhere(
         serverId: string,
         { host, port }: ServerAddress,
-        fits: (idle: IdleConnection) => boolean,
+        isSuitable: (idle: IdleConnection) => boolean,
     ): ServerConnection | undefined {
         const idle = this.#idle.get(serverId) ?? [];
         for (let i = idle.length - 1; i >= 0; i--) {
             const kept = idle[i];
-            if (kept === undefined || !fits(kept)) {
+            if (kept === undefined || !isSuitable(kept)) {
                 continue;
             }
             idle.splice(i, 1);
--- a/packages/edge/src/backends/serverLivenessChecker.ts
+++ b/packages/edge/src/backends/serverLivenessChecker.ts
@@ -9,29 +9,29 @@
  * sending anything, so that it adds no load to a server that is merely overloaded.
  */
 export class ServerLivenessChecker {
-    readonly #links: ServerConnector;
-    readonly #underWay = new Map<string, Promise<ServerLiveness>>();
+    readonly #connector: ServerConnector;
+    readonly #checksInFlight = new Map<string, Promise<ServerLiveness>>();
 
     /** @param links - opens the sockets */
     constructor(links: ServerConnector = new DirectConnector()) {
-        this.#links = links;
+        this.#connector = links;
     }
 
     /** @returns the liveness of a server; concurrent calls for one server share a check */
     check({ id, address }: RegisteredServer): Promise<ServerLiveness> {
-        const known = this.#underWay.get(id);
-        if (known !== undefined) {
-            return known;
+        const inFlight = this.#checksInFlight.get(id);
+        if (inFlight !== undefined) {
+            return inFlight;
         }
-        const check = tryConnect(address, this.#links).finally(() => this.#underWay.delete(id));
-        this.#underWay.set(id, check);
+        const check = tryConnect(address, this.#connector).finally(() => this.#checksInFlight.delete(id));
+        this.#checksInFlight.set(id, check);
         return check;
     }
 }
 
-function tryConnect(address: ServerAddress, links: ServerConnector): Promise<ServerLiveness> {
+function tryConnect(address: ServerAddress, connector: ServerConnector): Promise<ServerLiveness> {
     return new Promise(resolve => {
-        links.connect(address, opened => {
+        connector.connect(address, opened => {
             if (opened instanceof Error) {
                 const { code } = opened as NodeJS.ErrnoException;
                 resolve(code === "ECONNREFUSED" ? "ended" : "unknown");
--- a/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
+++ b/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
@@ -5,9 +5,9 @@
 const none: readonly Command[] = [];
 
 /** Minimum capacity in tokens; with less, a share of a small limit would never admit a request. */
-const leastCapacity = 1;
+const minCapacity = 1;
 
-abstract class WeighedWay implements Limiter {
+abstract class ComparedLimiter implements Limiter {
     protected readonly name: string;
     protected names: readonly string[] = [];
     #level: number | undefined;
@@ -48,7 +48,7 @@
     }
 
     protected take({ perSecond, burst }: LimitRule, part: number, nowMs: number): boolean {
-        const capacity = Math.max(leastCapacity, part * (1.05 * burst + 3));
+        const capacity = Math.max(minCapacity, part * (1.05 * burst + 3));
         const level = this.#level ?? part * 0.1 * perSecond + 1;
         this.#level = Math.min(capacity, level + Math.max(0, nowMs - this.#atMs) * perSecond * part * 1.02 / 1_000);
         this.#atMs = nowMs;
@@ -64,7 +64,7 @@
 }
 
 /** Gives each of N hosts 1/N of each limit, in a bucket of its own. */
-export class EqualShareLimiter extends WeighedWay {
+export class EqualShareLimiter extends ComparedLimiter {
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
@@ -77,15 +77,18 @@
  * Lets the first candidate grant all tokens, and the next one while the first doesn't respond; without shares and
  * leases.
  */
-export class SingleOwnerLimiter extends WeighedWay {
-    readonly #waiting = new Map<number, { readonly request: TokenRequest; readonly atMs: number; tried: number; }>();
-    #lost = new Map<string, number>();
+export class SingleOwnerLimiter extends ComparedLimiter {
+    readonly #waitingRequests = new Map<
+        number,
+        { readonly request: TokenRequest; readonly atMs: number; tried: number; }
+    >();
+    #lostAtMs = new Map<string, number>();
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
         const requestId = this.#requests++;
-        this.#waiting.set(requestId, { request, atMs: nowMs, tried: 0 });
-        return { requestId, commands: this.#ask(requestId, nowMs) };
+        this.#waitingRequests.set(requestId, { request, atMs: nowMs, tried: 0 });
+        return { requestId, commands: this.#requestToken(requestId, nowMs) };
     }
 
     override onMessage(from: string, json: unknown, nowMs: number): readonly Command[] {
@@ -103,42 +106,44 @@
             } as const;
             return [{ type: "send", to: from, message: { ...answer, life: "x", seq: message.seq, group: 0, entries } }];
         }
-        const asked = message === undefined ? undefined : this.#waiting.get(message.seq);
+        const asked = message === undefined ? undefined : this.#waitingRequests.get(message.seq);
         if (message?.type !== "answer" || asked === undefined) {
             return none;
         }
-        this.#waiting.delete(message.seq);
+        this.#waitingRequests.delete(message.seq);
         return [decide(message.seq, message.entries[0]?.granted === 1, asked.request)];
     }
 
     override tick(nowMs = 0): readonly Command[] {
-        const late = [...this.#waiting].filter(([, { atMs, tried }]) => nowMs - atMs >= tried * 150);
+        const late = [...this.#waitingRequests].filter(([, { atMs, tried }]) => nowMs - atMs >= tried * 150);
         return late.flatMap(([requestId]) => {
-            const owner = this.#owner(nowMs);
+            const owner = this.#findOwner(nowMs);
             if (owner !== undefined) {
-                this.#lost.set(owner, nowMs);
+                this.#lostAtMs.set(owner, nowMs);
             }
-            return this.#ask(requestId, nowMs);
+            return this.#requestToken(requestId, nowMs);
         });
     }
 
     override nextTickMs(nowMs = 0): number | undefined {
-        const due = [...this.#waiting.values()].map(({ atMs, tried }) => atMs + tried * 150);
+        const due = [...this.#waitingRequests.values()].map(({ atMs, tried }) => atMs + tried * 150);
         return due.length === 0 ? undefined : Math.max(0, Math.min(...due) - nowMs);
     }
 
-    #owner(nowMs: number): string | undefined {
-        return findOwners("owner", this.names, 6).find(name => nowMs - (this.#lost.get(name) ?? -Infinity) >= 5_000);
+    #findOwner(nowMs: number): string | undefined {
+        return findOwners("owner", this.names, 6).find(name =>
+            nowMs - (this.#lostAtMs.get(name) ?? -Infinity) >= 5_000
+        );
     }
 
-    #ask(requestId: number, nowMs: number): readonly Command[] {
-        const waiting = this.#waiting.get(requestId);
-        const owner = this.#owner(nowMs);
+    #requestToken(requestId: number, nowMs: number): readonly Command[] {
+        const waiting = this.#waitingRequests.get(requestId);
+        const owner = this.#findOwner(nowMs);
         if (waiting === undefined) {
             return none;
         }
         if (owner === undefined || waiting.tried >= 6 || owner === this.name) {
-            this.#waiting.delete(requestId);
+            this.#waitingRequests.delete(requestId);
             return [decide(requestId, owner === this.name && this.take(waiting.request, 1, nowMs), waiting.request)];
         }
         waiting.tried++;
--- a/packages/rateLimit/src/__tests__/support/limitSimulation.ts
+++ b/packages/rateLimit/src/__tests__/support/limitSimulation.ts
@@ -94,11 +94,11 @@
 
     setRoster(host: SimulatedHost, names: readonly string[]): void {
         host.roster = names;
-        this.#act(host, limiter => limiter.onRoster(names, this.#nowOf(host)));
+        this.#perform(host, limiter => limiter.onRoster(names, this.#nowOf(host)));
     }
 
     stop(host: SimulatedHost): void {
-        this.#act(host, limiter => limiter.stop(this.#nowOf(host)));
+        this.#perform(host, limiter => limiter.stop(this.#nowOf(host)));
     }
 
     /** @param stopsClock - whether the monotonic clock stops, as with a suspended virtual machine */
@@ -112,7 +112,7 @@
                 host.monotonicMs -= stopsClock ? forMs : 0;
                 host.inbox = undefined;
                 inbox.forEach(receive => receive());
-                this.#act(host, () => []);
+                this.#perform(host, () => []);
             }
         });
     }
@@ -120,7 +120,7 @@
     requestToken(host: SimulatedHost): void {
         const { rule } = host;
         if (host.inbox === undefined && rule !== undefined) {
-            this.#act(host, limiter => limiter.request(rule, this.#nowOf(host), this.#wallOf(host)).commands);
+            this.#perform(host, limiter => limiter.request(rule, this.#nowOf(host), this.#wallOf(host)).commands);
         }
     }
 
@@ -136,7 +136,7 @@
             return;
         }
         const { limiter, rule } = host;
-        this.#act(host, () => {
+        this.#perform(host, () => {
             const { requestId, commands } = limiter.request(rule, this.#nowOf(host), this.#wallOf(host));
             host.callers.set(requestId, decision => {
                 if (decision.type === "admitted") {
@@ -166,12 +166,12 @@
         return host.wallMs + this.queue.nowMs;
     }
 
-    #act(host: SimulatedHost, act: (limiter: Limiter) => readonly Command[]): void {
+    #perform(host: SimulatedHost, action: (limiter: Limiter) => readonly Command[]): void {
         const { limiter } = host;
         if (limiter === undefined) {
             return;
         }
-        for (const command of act(limiter)) {
+        for (const command of action(limiter)) {
             if (command.type === "send") {
                 this.#send(host.name, command.to, command.message);
             }
@@ -181,10 +181,10 @@
                 host.callers.delete(command.requestId);
             }
         }
-        this.#armTick(host, limiter);
+        this.#scheduleTick(host, limiter);
     }
 
-    #armTick(host: SimulatedHost, limiter: Limiter): void {
+    #scheduleTick(host: SimulatedHost, limiter: Limiter): void {
         const atMs = this.queue.nowMs + (limiter.nextTickMs(this.#nowOf(host)) ?? Infinity);
         if (atMs === Infinity || (host.tickAtMs <= atMs && host.tickAtMs >= this.queue.nowMs)) {
             return;
@@ -194,7 +194,7 @@
         this.queue.schedule(atMs - this.queue.nowMs + 0.01, () => {
             if (host.limiter === limiter && host.tickAtMs === atMs && host.inbox === undefined) {
                 host.tickAtMs = Infinity;
-                this.#act(host, () => limiter.tick(this.#nowOf(host), this.#wallOf(host)));
+                this.#perform(host, () => limiter.tick(this.#nowOf(host), this.#wallOf(host)));
             }
         });
     }
@@ -217,7 +217,7 @@
             host.inbox.push(() => this.#receive(from, to, message));
         }
         else if (host !== undefined) {
-            this.#act(host, limiter => limiter.onMessage(from, message, this.#nowOf(host), this.#wallOf(host)));
+            this.#perform(host, limiter => limiter.onMessage(from, message, this.#nowOf(host), this.#wallOf(host)));
         }
     }
 
--- a/packages/rateLimit/src/__tests__/support/randomScenario.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -10,7 +10,7 @@
 } from "./limitSimulation.js";
 
 const endMs = 15_000;
-const usualSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
+const fleetSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
 
 /** A random scenario generated from a seed: a workspace requests more than its limit on a fleet with faults. */
 export class RandomScenario {
@@ -18,7 +18,7 @@
     readonly log: string[] = [];
     readonly #random: RandomSource;
     readonly #rules: readonly { readonly rule: TokenRequest; fromMs: number; untilMs: number; }[];
-    readonly #cuts: ((from: string, to: string) => boolean)[] = [];
+    readonly #partitions: ((from: string, to: string) => boolean)[] = [];
     readonly #delays: ((from: string, to: string) => number)[] = [];
 
     /** @param create - creates another limiter for comparison; the package's by default */
@@ -26,24 +26,24 @@
         // Consecutive seeds would yield similar scenarios.
         const random = this.#random = createRandomSource(Math.imul(seed, 0x9e37_79b1));
         const isLarge = random.next() < 0.01;
-        const hosts = this.#pick(isLarge ? [131, 312] : usualSizes);
+        const hosts = this.#pick(isLarge ? [131, 312] : fleetSizes);
         this.simulation = new LimitSimulation(hosts, random, create);
-        this.simulation.isConnected = (from, to) => !this.#cuts.some(cut => cut(from, to));
+        this.simulation.isConnected = (from, to) => !this.#partitions.some(cut => cut(from, to));
         this.simulation.maxDelayMs = (from, to) => Math.max(2, ...this.#delays.map(delay => delay(from, to)));
         this.simulation.packetLossRate = this.#pick([0, 0, 0.025, 0.025, 0.2]);
         this.simulation.duplicationRate = 0.01;
         this.simulation.givenBackRate = this.#pick([0, 0, 0.1]);
-        const first = this.#drawRule(1);
+        const first = this.#createRule(1);
         this.#rules = [
             { rule: first, fromMs: 0, untilMs: endMs },
-            { rule: this.#drawRule(2, first), fromMs: Infinity, untilMs: endMs },
+            { rule: this.#createRule(2, first), fromMs: Infinity, untilMs: endMs },
         ];
         this.log.push(`${hosts} hosts, ${JSON.stringify(first)}, loss ${this.simulation.packetLossRate}`);
         this.#startAll(first);
         for (let i = 0; i < 1 + random.below(6); i++) {
-            this.#at(2_000 + random.next() * 9_000, () => this.#disturb());
+            this.#scheduleAt(2_000 + random.next() * 9_000, () => this.#injectFault());
         }
-        this.#drawLoad(first);
+        this.#scheduleLoad(first);
     }
 
     /** @returns the maximum over all windows of admitted to allowed requests */
@@ -61,11 +61,11 @@
         return from[this.#random.below(from.length)] as T;
     }
 
-    #at(atMs: number, run: () => void): void {
+    #scheduleAt(atMs: number, run: () => void): void {
         this.simulation.queue.schedule(atMs - this.simulation.queue.nowMs, run);
     }
 
-    #drawRule(configVersion: number, before?: TokenRequest): TokenRequest {
+    #createRule(configVersion: number, before?: TokenRequest): TokenRequest {
         // With small limits, the tolerance of 20 requests would hide faults; large limits take long to simulate.
         const perSecond = this.#random.next() < 0.75
             ? 60 + this.#random.next() * 140
@@ -83,12 +83,15 @@
         const withinMs = this.#pick([0, 500, 3_000]);
         for (const host of this.simulation.hosts) {
             host.rule = rule;
-            this.#at(this.#random.next() * withinMs, () => this.simulation.start(host, this.#random.next() * 500));
+            this.#scheduleAt(
+                this.#random.next() * withinMs,
+                () => this.simulation.start(host, this.#random.next() * 500),
+            );
         }
     }
 
     /** Schedules floods of requests to all or some hosts, continuously or with pauses in which buckets refill. */
-    #drawLoad({ perSecond, burst }: TokenRequest): void {
+    #scheduleLoad({ perSecond, burst }: TokenRequest): void {
         const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
         for (let atMs = this.#pick([1_000, 5_000, 9_000]); atMs < endMs;) {
@@ -98,71 +101,71 @@
             for (let i = 0; i < count; i++) {
                 // The burst is sent at once.
                 const afterMs = i < burst ? 0 : this.#random.next() * floodMs;
-                this.#at(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
+                this.#scheduleAt(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
             }
             atMs += floodMs + this.#random.next() * pauseMs;
         }
     }
 
-    #disturb(): void {
+    #injectFault(): void {
         const random = this.#random;
         const disturbances = [
-            () => this.#restart(this.#victims(), random.next() * 3_000),
-            () => this.#suspend(this.#victims(), 50 + random.next() * 4_000, random.next() < 0.5),
-            () => this.#cut(100 + random.next() * 6_000),
-            () => this.#cutInTurn(1_000 + random.next() * 500),
+            () => this.#restart(this.#chooseVictims(), random.next() * 3_000),
+            () => this.#suspend(this.#chooseVictims(), 50 + random.next() * 4_000, random.next() < 0.5),
+            () => this.#partition(100 + random.next() * 6_000),
+            () => this.#isolateInTurn(1_000 + random.next() * 500),
             () => this.#delay(500 + random.next() * 5_000),
             () => this.#changeRule(random.next() * 2_000),
             () => this.#changeRosters(random.next() * 3_000),
             () => this.#stepClocks(),
-            () => this.#restart(this.#victims(), random.next() * 3_000, 50 + random.next() * 800),
+            () => this.#restart(this.#chooseVictims(), random.next() * 3_000, 50 + random.next() * 800),
         ];
         this.#pick(disturbances)();
     }
 
     /** Chooses hosts that fail. Half of the time these are allocators, as faults of other hosts have little effect. */
-    #victims(): readonly SimulatedHost[] {
+    #chooseVictims(): readonly SimulatedHost[] {
         const { hosts } = this.simulation;
-        const ranked = this.#ranked();
+        const ranked = this.#findCandidates();
         const part = this.#pick([0.1, 0.33, 0.55, 1]);
         return this.#random.next() < 0.5
             ? hosts.filter(({ name }) => ranked.slice(0, this.#pick([1, 1, 2, 4])).includes(name))
             : hosts.filter(() => this.#random.next() < part);
     }
 
-    #ranked(): readonly string[] {
+    #findCandidates(): readonly string[] {
         const names = this.simulation.hosts.map(({ name }) => name);
         return findOwners(`rate limits ${groupOf(this.#rules[0]?.rule.workspace ?? "")}`, names, 6);
     }
 
-    #note(text: string, hosts?: readonly SimulatedHost[]): void {
+    #logEvent(text: string, hosts?: readonly SimulatedHost[]): void {
         const names = hosts === undefined
             ? ""
             : ` (${hosts.length}: ${hosts.slice(0, 4).map(({ name }) => name).join(" ")})`;
         this.log.push(`${this.simulation.queue.nowMs.toFixed(0)} ms: ${text}${names}`);
     }
 
-    #restart(victims: readonly SimulatedHost[], afterMs: number, noticeMs = 0): void {
-        this.#note(`restart after ${afterMs.toFixed(0)} ms, with notice ${noticeMs.toFixed(0)} ms`, victims);
+    #restart(victims: readonly SimulatedHost[], afterMs: number, stopNoticeMs = 0): void {
+        this.#logEvent(`restart after ${afterMs.toFixed(0)} ms, with notice ${stopNoticeMs.toFixed(0)} ms`, victims);
         for (const host of victims) {
-            if (noticeMs > 0) {
+            if (stopNoticeMs > 0) {
                 this.simulation.stop(host);
             }
-            this.#at(this.simulation.queue.nowMs + noticeMs, () => this.simulation.crash(host));
-            const startMs = this.simulation.queue.nowMs + noticeMs + afterMs + this.#random.next() * 200;
-            this.#at(startMs, () => this.simulation.start(host, Math.min(afterMs, this.#random.next() * 500)));
+            this.#scheduleAt(this.simulation.queue.nowMs + stopNoticeMs, () => this.simulation.crash(host));
+            const startMs = this.simulation.queue.nowMs + stopNoticeMs + afterMs + this.#random.next() * 200;
+            this.#scheduleAt(startMs, () => this.simulation.start(host, Math.min(afterMs, this.#random.next() * 500)));
         }
     }
 
     #suspend(victims: readonly SimulatedHost[], forMs: number, stopsClock: boolean): void {
-        this.#note(`suspended for ${forMs.toFixed(0)} ms, clock ${stopsClock ? "stops" : "runs"}`, victims);
+        this.#logEvent(`suspended for ${forMs.toFixed(0)} ms, clock ${stopsClock ? "stops" : "runs"}`, victims);
         victims.forEach(host => this.simulation.suspend(host, forMs, stopsClock));
     }
 
-    #cut(forMs: number): void {
+    #partition(forMs: number): void {
         const kind = this.#pick(["both", "oneWay", "bridge", "each"]);
         const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.below(3)]));
-        this.#note(`cut ${kind} for ${forMs.toFixed(0)} ms`);
+        this.#logEvent(`cut ${kind} for ${forMs.toFixed(0)} ms`);
         const cuts: Record<string, (from: number, to: number) => boolean> = {
             both: (from, to) => (from === 0) !== (to === 0),
             oneWay: (from, to) => from === 0 && to !== 0,
@@ -171,32 +174,38 @@
         };
         const cut = (from: string, to: string): boolean =>
             from !== to && cuts[kind]?.(sideOf.get(from) ?? 0, sideOf.get(to) ?? 0) === true;
-        this.#cuts.push(cut);
-        this.#at(this.simulation.queue.nowMs + forMs, () => this.#cuts.splice(this.#cuts.indexOf(cut), 1));
+        this.#partitions.push(cut);
+        this.#scheduleAt(
+            this.simulation.queue.nowMs + forMs,
+            () => this.#partitions.splice(this.#partitions.indexOf(cut), 1),
+        );
     }
 
     /** Isolates one allocator candidate after the other, together with one random host. */
-    #cutInTurn(everyMs: number): void {
-        this.#note(`ranks cut off every ${everyMs.toFixed(0)} ms`);
+    #isolateInTurn(everyMs: number): void {
+        this.#logEvent(`ranks cut off every ${everyMs.toFixed(0)} ms`);
         const { hosts } = this.simulation;
-        for (const [i, rank] of this.#ranked().slice(0, 4).entries()) {
+        for (const [i, rank] of this.#findCandidates().slice(0, 4).entries()) {
             const side = new Set([rank, this.#pick(hosts).name]);
             const cut = (from: string, to: string): boolean => side.has(from) !== side.has(to);
-            this.#at(this.simulation.queue.nowMs + i * everyMs, () => this.#cuts.push(cut));
+            this.#scheduleAt(this.simulation.queue.nowMs + i * everyMs, () => this.#partitions.push(cut));
         }
-        this.#at(this.simulation.queue.nowMs + 5 * everyMs, () => this.#cuts.splice(0));
+        this.#scheduleAt(this.simulation.queue.nowMs + 5 * everyMs, () => this.#partitions.splice(0));
     }
 
     #delay(forMs: number): void {
-        const [mostMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
+        const [maxMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
         const slow = new Set(this.simulation.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
-        this.#note(`up to ${mostMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
+        this.#logEvent(`up to ${maxMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
         // Only messages to the first candidate are delayed, or messages to all hosts.
-        const target = this.#random.next() < 0.6 ? this.#ranked()[0] : undefined;
+        const target = this.#random.next() < 0.6 ? this.#findCandidates()[0] : undefined;
         const delay = (from: string, to: string): number =>
-            slow.has(from) && (target === undefined || target === to) ? mostMs : 0;
+            slow.has(from) && (target === undefined || target === to) ? maxMs : 0;
         this.#delays.push(delay);
-        this.#at(this.simulation.queue.nowMs + forMs, () => this.#delays.splice(this.#delays.indexOf(delay), 1));
+        this.#scheduleAt(
+            this.simulation.queue.nowMs + forMs,
+            () => this.#delays.splice(this.#delays.indexOf(delay), 1),
+        );
     }
 
     #changeRule(withinMs: number): void {
@@ -204,11 +213,11 @@
         if (first === undefined || second === undefined || second.fromMs < Infinity) {
             return;
         }
-        this.#note(`limit changes within ${withinMs.toFixed(0)} ms to ${JSON.stringify(second.rule)}`);
+        this.#logEvent(`limit changes within ${withinMs.toFixed(0)} ms to ${JSON.stringify(second.rule)}`);
         second.fromMs = this.simulation.queue.nowMs;
         first.untilMs = second.fromMs + withinMs;
         for (const host of this.simulation.hosts) {
-            this.#at(second.fromMs + this.#random.next() * withinMs, () => host.rule = second.rule);
+            this.#scheduleAt(second.fromMs + this.#random.next() * withinMs, () => host.rule = second.rule);
         }
     }
 
@@ -220,9 +229,9 @@
         const roster = this.#random.next() < 0.5
             ? names.slice(count)
             : [...names, ...names.slice(0, count).map(name => `new-${name}`)];
-        this.#note(`roster of ${roster.length} within ${withinMs.toFixed(0)} ms`);
+        this.#logEvent(`roster of ${roster.length} within ${withinMs.toFixed(0)} ms`);
         for (const host of hosts) {
-            this.#at(
+            this.#scheduleAt(
                 this.simulation.queue.nowMs + this.#random.next() * withinMs,
                 () => this.simulation.setRoster(host, roster),
             );
@@ -230,9 +239,9 @@
     }
 
     #stepClocks(): void {
-        const victims = this.#victims();
+        const victims = this.#chooseVictims();
         const byMs = this.#pick([-3_600_000, -700, 80, 700, 3_600_000]);
-        this.#note(`clock steps by ${byMs} ms`, victims);
+        this.#logEvent(`clock steps by ${byMs} ms`, victims);
         victims.forEach(host => host.wallMs += byMs);
     }
 }
--- a/packages/rateLimit/src/admittedRate.ts
+++ b/packages/rateLimit/src/admittedRate.ts
@@ -17,17 +17,17 @@
  * Part of the tolerance reserved for errors of the protocol: shares that move between allocators, new buckets, and
  * hosts with different views of the fleet. A fraction of the window's requests, and a number of requests.
  */
-const reservedShare = 0.1;
+const reservedFraction = 0.1;
 const reservedRequests = 14;
 
 /**
  * Fraction of the remaining tolerance that is admitted; the rest covers the delay between granting a token and sending
  * its request.
  */
-const usedShare = 0.75;
+const usedFraction = 0.75;
 
 /** Minimum admitted rate, as a fraction of the limit, if the tolerance is too small for the errors of the protocol. */
-const leastShare = 0.5;
+const minRateFraction = 0.5;
 
 /**
  * Computes the rate at which a workspace's tokens are granted. The remaining tolerance is used to refuse fewer requests
@@ -39,6 +39,6 @@
  */
 export function resolveAdmittedRate({ perSecond, burst }: LimitRule, { overshoot, slack }: LimitTolerance): number {
     const window = windowSeconds * perSecond + burst;
-    const spare = slack - reservedRequests + (overshoot - reservedShare) * window;
-    return Math.max(leastShare * perSecond, perSecond + usedShare * spare / windowSeconds);
+    const spare = slack - reservedRequests + (overshoot - reservedFraction) * window;
+    return Math.max(minRateFraction * perSecond, perSecond + usedFraction * spare / windowSeconds);
 }
--- a/packages/rateLimit/src/allocator.ts
+++ b/packages/rateLimit/src/allocator.ts
@@ -11,16 +11,16 @@
 
 /** A host that requests tokens from this allocator. */
 interface Delegator {
-    readonly life: string;
+    readonly incarnation: string;
     /** Incarnation of its previous process, whose late messages are ignored. */
-    readonly formerLife: string | undefined;
+    readonly previousIncarnation: string | undefined;
     seq: number;
     /** The response to the latest message, sent again if that message is retransmitted. */
-    entries: LimitResponseEntry[];
+    responseEntries: LimitResponseEntry[];
     share: number;
     leaseEndMs: number;
-    heardAtMs: number;
-    creditedAtMs: number;
+    lastSeenAtMs: number;
+    lastCreditAtMs: number;
 }
 
 /** Identity of an allocator. */
@@ -34,21 +34,21 @@
 export class Allocator {
     readonly #name: string;
     readonly #group: number;
-    #life: string;
-    #isLeaving = false;
+    #incarnation: string;
+    #isShuttingDown = false;
     readonly #delegators = new Map<string, Delegator>();
     readonly #buckets = new Map<string, LimitBucket>();
     readonly #history: ShareHistory;
     /** Lower bound for the next end of a lease. */
-    #nextLeaseEndMs = Infinity;
-    #nextForgetMs: number;
+    #nextLeaseEndAtMs = Infinity;
+    #nextExpiryAtMs: number;
 
     constructor({ name, incarnation, group }: AllocatorOptions, nowMs: number) {
         this.#name = name;
-        this.#life = incarnation;
+        this.#incarnation = incarnation;
         this.#group = group;
         this.#history = new ShareHistory(nowMs);
-        this.#nextForgetMs = nowMs + idleExpiryMs;
+        this.#nextExpiryAtMs = nowMs + idleExpiryMs;
     }
 
     /** Sum of the delegated shares. */
@@ -62,31 +62,31 @@
     }
 
     /** @returns the response to a message; `undefined` if the message is outdated */
-    onRequest(ask: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
+    onRequest(request: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
         this.advance(nowMs);
-        const delegator = this.#find(ask);
-        if (delegator === undefined || ask.seq < delegator.seq) {
+        const delegator = this.#findDelegator(request);
+        if (delegator === undefined || request.seq < delegator.seq) {
             return undefined;
         }
-        delegator.heardAtMs = nowMs;
-        if (this.#isLeaving) {
-            return { ...this.#createAnswer(ask, [], nowMs), leaving: true };
+        delegator.lastSeenAtMs = nowMs;
+        if (this.#isShuttingDown) {
+            return { ...this.#createResponse(request, [], nowMs), leaving: true };
         }
         // A retransmitted message must not consume tokens again.
-        if (ask.seq > delegator.seq) {
-            delegator.seq = ask.seq;
-            this.#hold(delegator, ask, nowMs);
-            delegator.entries = this.#grant(ask, nowMs);
+        if (request.seq > delegator.seq) {
+            delegator.seq = request.seq;
+            this.#updateLease(delegator, request, nowMs);
+            delegator.responseEntries = this.#grantTokens(request, nowMs);
         }
-        return this.#createAnswer(ask, delegator.entries, nowMs);
+        return this.#createResponse(request, delegator.responseEntries, nowMs);
     }
 
     /** Drops shares whose leases have ended, and expires idle state. */
     advance(nowMs: number): void {
-        while (nowMs >= this.#nextLeaseEndMs) {
-            const endMs = this.#nextLeaseEndMs;
+        while (nowMs >= this.#nextLeaseEndAtMs) {
+            const endMs = this.#nextLeaseEndAtMs;
             this.#history.advance(endMs);
-            this.#nextLeaseEndMs = Infinity;
+            this.#nextLeaseEndAtMs = Infinity;
             let lapsed = false;
             for (const delegator of this.#delegators.values()) {
                 if (delegator.share > 0 && delegator.leaseEndMs <= endMs) {
@@ -94,35 +94,35 @@
                     lapsed = true;
                 }
                 else if (delegator.share > 0) {
-                    this.#nextLeaseEndMs = Math.min(this.#nextLeaseEndMs, delegator.leaseEndMs);
+                    this.#nextLeaseEndAtMs = Math.min(this.#nextLeaseEndAtMs, delegator.leaseEndMs);
                 }
             }
             if (lapsed) {
-                this.#onShares();
+                this.#onSharesChanged();
             }
         }
         this.#history.advance(nowMs);
-        this.#forget(nowMs);
+        this.#expireIdle(nowMs);
     }
 
     /**
      * Handles a suspension of this host that its monotonic clock doesn't show. Leases that seem valid may have ended,
      * and old messages may be waiting in the socket. With a new incarnation, none of these messages delegates a share.
      */
-    onSuspended(life: string, nowMs: number): void {
-        this.#life = life;
+    onSuspended(incarnation: string, nowMs: number): void {
+        this.#incarnation = incarnation;
         this.#dropShares(nowMs);
     }
 
     /** Drops all shares permanently. @returns the messages that notify their hosts */
     releaseShares(nowMs: number): readonly { readonly to: string; readonly message: LimitResponseMessage; }[] {
         this.advance(nowMs);
-        const told = [...this.#delegators].filter(([, { share }]) => share > 0);
-        this.#isLeaving = true;
+        const notified = [...this.#delegators].filter(([, { share }]) => share > 0);
+        this.#isShuttingDown = true;
         this.#dropShares(nowMs);
-        return told.map(([to, { life, seq }]) => ({
+        return notified.map(([to, { incarnation: life, seq }]) => ({
             to,
-            message: { ...this.#createAnswer({ life, seq }, [], nowMs), leaving: true },
+            message: { ...this.#createResponse({ life, seq }, [], nowMs), leaving: true },
         }));
     }
 
@@ -141,28 +141,28 @@
             }));
     }
 
-    #find({ sender, life }: LimitRequestMessage): Delegator | undefined {
+    #findDelegator({ sender, life }: LimitRequestMessage): Delegator | undefined {
         const known = this.#delegators.get(sender);
-        if (known?.life === life) {
+        if (known?.incarnation === life) {
             return known;
         }
-        if (known?.formerLife === life) {
+        if (known?.previousIncarnation === life) {
             return undefined;
         }
         // Drops the share of the previous process, since the new process may delegate to another allocator.
         const delegator = {
-            life,
-            formerLife: known?.life,
+            incarnation: life,
+            previousIncarnation: known?.incarnation,
             seq: -1,
-            entries: [],
+            responseEntries: [],
             share: 0,
             leaseEndMs: -Infinity,
-            heardAtMs: -Infinity,
-            creditedAtMs: known?.creditedAtMs ?? -Infinity,
+            lastSeenAtMs: -Infinity,
+            lastCreditAtMs: known?.lastCreditAtMs ?? -Infinity,
         };
         this.#delegators.set(sender, delegator);
         if (known !== undefined && known.share > 0) {
-            this.#onShares();
+            this.#onSharesChanged();
         }
         return delegator;
     }
@@ -172,23 +172,23 @@
      * a slow network nor a suspended process can extend it. A message without an echo delegates no share, since its age
      * is unknown.
      */
-    #hold(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
-        const leaseEndMs = echo?.life === this.#life ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
+    #updateLease(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
+        const leaseEndMs = echo?.life === this.#incarnation ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
         const before = delegator.share;
         delegator.share = leaseEndMs > nowMs ? share : 0;
         delegator.leaseEndMs = leaseEndMs;
-        this.#nextLeaseEndMs = Math.min(this.#nextLeaseEndMs, delegator.share > 0 ? leaseEndMs : Infinity);
+        this.#nextLeaseEndAtMs = Math.min(this.#nextLeaseEndAtMs, delegator.share > 0 ? leaseEndMs : Infinity);
         if (delegator.share === before) {
             return;
         }
-        this.#onShares();
-        if (before === 0 && nowMs - delegator.creditedAtMs >= shareCreditPeriodMs) {
-            delegator.creditedAtMs = nowMs;
+        this.#onSharesChanged();
+        if (before === 0 && nowMs - delegator.lastCreditAtMs >= shareCreditPeriodMs) {
+            delegator.lastCreditAtMs = nowMs;
             this.#history.addCredit(delegator.share * shareCreditMs);
         }
     }
 
-    #grant({ entries }: LimitRequestMessage, nowMs: number): LimitResponseEntry[] {
+    #grantTokens({ entries }: LimitRequestMessage, nowMs: number): LimitResponseEntry[] {
         return entries.map(({ wanted, givenBack, ...rule }) => {
             const bucket = this.#buckets.get(rule.workspace) ?? new LimitBucket(rule, this.#history, nowMs);
             this.#buckets.set(rule.workspace, bucket);
@@ -200,7 +200,7 @@
     /**
      * Adjusts the buckets to the shares. Levels fall with them, since another allocator will soon grant these tokens.
      */
-    #onShares(): void {
+    #onSharesChanged(): void {
         let sum = 0;
         for (const { share } of this.#delegators.values()) {
             sum += share;
@@ -221,17 +221,17 @@
         for (const delegator of this.#delegators.values()) {
             delegator.share = 0;
         }
-        this.#nextLeaseEndMs = Infinity;
-        this.#onShares();
+        this.#nextLeaseEndAtMs = Infinity;
+        this.#onSharesChanged();
     }
 
-    #forget(nowMs: number): void {
-        if (nowMs < this.#nextForgetMs) {
+    #expireIdle(nowMs: number): void {
+        if (nowMs < this.#nextExpiryAtMs) {
             return;
         }
-        this.#nextForgetMs = nowMs + idleExpiryMs;
-        for (const [name, { heardAtMs }] of this.#delegators) {
-            if (nowMs - heardAtMs >= idleExpiryMs) {
+        this.#nextExpiryAtMs = nowMs + idleExpiryMs;
+        for (const [name, { lastSeenAtMs }] of this.#delegators) {
+            if (nowMs - lastSeenAtMs >= idleExpiryMs) {
                 this.#delegators.delete(name);
             }
         }
@@ -244,7 +244,7 @@
         }
     }
 
-    #createAnswer(
+    #createResponse(
         { life, seq }: Pick<LimitRequestMessage, "life" | "seq">,
         entries: LimitResponseEntry[],
         nowMs: number,
@@ -253,7 +253,7 @@
             v: protocolVersion,
             type: "answer",
             sender: this.#name,
-            life: this.#life,
+            life: this.#incarnation,
             askerLife: life,
             seq,
             group: this.#group,
--- a/packages/rateLimit/src/allocatorSession.ts
+++ b/packages/rateLimit/src/allocatorSession.ts
@@ -20,7 +20,7 @@
 interface SentMessage {
     readonly message: LimitRequestMessage;
     readonly requests: readonly (readonly PendingRequest[])[];
-    readonly firstMs: number;
+    readonly sentAtMs: number;
 }
 
 /** Options common to all messages of a session. */
@@ -46,14 +46,14 @@
     isReleasing = false;
     readonly #options: AllocatorSessionOptions;
     #echo: { readonly life: string; readonly atMs: number; } | undefined;
-    #echoReceivedMs = -Infinity;
-    #sent: SentMessage | undefined;
+    #echoReceivedAtMs = -Infinity;
+    #inFlight: SentMessage | undefined;
     /** Share sent in the latest message with an echo of the allocator's current incarnation; 0 without an echo. */
-    #sentShare = 0;
-    #sentMs = -Infinity;
+    #delegatedShare = 0;
+    #lastSentAtMs = -Infinity;
     #unansweredSinceMs: number | undefined;
-    #wasPutOff = false;
-    readonly #givenBack = new Map<string, { readonly rule: LimitRule; readonly count: number; }>();
+    #wasTimeoutExtended = false;
+    readonly #givenBackTokens = new Map<string, { readonly rule: LimitRule; readonly count: number; }>();
 
     constructor(options: AllocatorSessionOptions) {
         this.#options = options;
@@ -70,21 +70,21 @@
 
     /** Share delegated in the latest message, which takes effect only with an echo of the allocator's timestamp. */
     get delegatedShare(): number {
-        return this.#sentShare;
+        return this.#delegatedShare;
     }
 
     /** When a message was last sent. */
     get lastSentAtMs(): number {
-        return this.#sentMs;
+        return this.#lastSentAtMs;
     }
 
     get hasMessageInFlight(): boolean {
-        return this.#sent !== undefined;
+        return this.#inFlight !== undefined;
     }
 
     /** Whether a request for tokens is in flight. */
     get isAwaitingTokens(): boolean {
-        return this.#sent !== undefined && this.#sent.requests.some(requests => requests.length > 0);
+        return this.#inFlight !== undefined && this.#inFlight.requests.some(requests => requests.length > 0);
     }
 
     /** When the allocator is considered lost if it doesn't respond. */
@@ -99,8 +99,8 @@
         }
         // If this host was blocked, the response may be waiting in its socket; one more retransmission period lets it
         // be read.
-        if (!this.#wasPutOff && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
-            this.#wasPutOff = true;
+        if (!this.#wasTimeoutExtended && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
+            this.#wasTimeoutExtended = true;
             this.#unansweredSinceMs = nowMs - allocatorTimeoutMs + retransmitPeriodMs;
             return false;
         }
@@ -113,19 +113,19 @@
      */
     activate(nowMs: number): void {
         this.isReleasing = false;
-        this.#wasPutOff = false;
-        this.#unansweredSinceMs = this.#sent === undefined ? undefined : nowMs;
+        this.#wasTimeoutExtended = false;
+        this.#unansweredSinceMs = this.#inFlight === undefined ? undefined : nowMs;
     }
 
     /** @returns requests for which tokens were requested and no response has arrived */
     unansweredRequests(): readonly PendingRequest[] {
-        return this.#sent?.requests.flat() ?? [];
+        return this.#inFlight?.requests.flat() ?? [];
     }
 
     /** Returns unused tokens with the next message. */
     giveBack(rule: LimitRule, count: number): void {
-        const before = this.#givenBack.get(rule.workspace)?.count ?? 0;
-        this.#givenBack.set(rule.workspace, { rule, count: before + count });
+        const before = this.#givenBackTokens.get(rule.workspace)?.count ?? 0;
+        this.#givenBackTokens.set(rule.workspace, { rule, count: before + count });
     }
 
     /**
@@ -149,52 +149,55 @@
             echo: this.#echo,
             entries,
         };
-        this.#sent = { message, requests: taken, firstMs: nowMs };
-        this.#sentMs = nowMs;
+        this.#inFlight = { message, requests: taken, sentAtMs: nowMs };
+        this.#lastSentAtMs = nowMs;
         this.#unansweredSinceMs ??= nowMs;
-        this.#sentShare = this.#echo === undefined ? 0 : share;
-        if (this.#sentShare > 0) {
-            this.shareLeaseEndMs = Math.max(this.shareLeaseEndMs, this.#echoReceivedMs + leaseMs + leaseMarginMs);
+        this.#delegatedShare = this.#echo === undefined ? 0 : share;
+        if (this.#delegatedShare > 0) {
+            this.shareLeaseEndMs = Math.max(this.shareLeaseEndMs, this.#echoReceivedAtMs + leaseMs + leaseMarginMs);
         }
         return message;
     }
 
     /** @returns the message in flight, to be sent again */
     retransmit(nowMs: number): LimitRequestMessage | undefined {
-        this.#sentMs = nowMs;
-        return this.#sent?.message;
+        this.#lastSentAtMs = nowMs;
+        return this.#inFlight?.message;
     }
 
     /** @returns the entries of a response; `undefined` if it doesn't match the message in flight */
-    onResponse(answer: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
-        const sent = this.#sent;
-        if (answer.leaving === true) {
-            return this.#onLeaving(answer);
+    onResponse(response: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
+        const inFlight = this.#inFlight;
+        if (response.leaving === true) {
+            return this.#onAllocatorLeaving(response);
         }
-        if (sent === undefined || answer.seq !== sent.message.seq || answer.entries.length !== sent.requests.length) {
+        if (
+            inFlight === undefined || response.seq !== inFlight.message.seq
+            || response.entries.length !== inFlight.requests.length
+        ) {
             return undefined;
         }
-        this.#sent = undefined;
+        this.#inFlight = undefined;
         this.#unansweredSinceMs = undefined;
-        this.#wasPutOff = false;
-        const isNewLife = this.#echo !== undefined && this.#echo.life !== answer.life;
-        if (isNewLife || sent.message.share === 0) {
+        this.#wasTimeoutExtended = false;
+        const isNewIncarnation = this.#echo !== undefined && this.#echo.life !== response.life;
+        if (isNewIncarnation || inFlight.message.share === 0) {
             // A new incarnation has dropped all shares, and a message without a share confirms that none is held.
             this.shareLeaseEndMs = -Infinity;
-            this.#sentShare = 0;
+            this.#delegatedShare = 0;
         }
-        this.#echo = { life: answer.life, atMs: answer.atMs };
-        this.#echoReceivedMs = nowMs;
-        return answer.entries.map((entry, i) => ({ ...entry, requests: sent.requests[i] ?? [] }));
+        this.#echo = { life: response.life, atMs: response.atMs };
+        this.#echoReceivedAtMs = nowMs;
+        return response.entries.map((entry, i) => ({ ...entry, requests: inFlight.requests[i] ?? [] }));
     }
 
-    #onLeaving(answer: LimitResponseMessage): readonly DecidedEntry[] | undefined {
-        if (this.#echo !== undefined && answer.life !== this.#echo.life) {
+    #onAllocatorLeaving(response: LimitResponseMessage): readonly DecidedEntry[] | undefined {
+        if (this.#echo !== undefined && response.life !== this.#echo.life) {
             return undefined;
         }
         this.shareLeaseEndMs = -Infinity;
-        this.#sentShare = 0;
-        this.#sent = undefined;
+        this.#delegatedShare = 0;
+        this.#inFlight = undefined;
         this.#echo = undefined;
         return [];
     }
@@ -202,11 +205,14 @@
     #createEntries(
         requests: PendingRequest[],
     ): { readonly entries: LimitRequestEntry[]; readonly taken: readonly (readonly PendingRequest[])[]; } {
-        const wanted = new Map<string, PendingRequest[]>();
-        let bytes = emptyMessageBytes + byteLength(this.#options.name);
-        const fits = (rule: LimitRule): boolean => {
-            const size = byteLength(rule.workspace) + entryBytes;
-            if (wanted.size > 0 && (bytes + size > maxMessageBytes || wanted.size >= maxMessageEntries)) {
+        const requestsByWorkspace = new Map<string, PendingRequest[]>();
+        let bytes = maxEmptyMessageBytes + byteLength(this.#options.name);
+        const tryReserve = (rule: LimitRule): boolean => {
+            const size = byteLength(rule.workspace) + maxEntryBytes;
+            if (
+                requestsByWorkspace.size > 0
+                && (bytes + size > maxMessageBytes || requestsByWorkspace.size >= maxMessageEntries)
+            ) {
                 return false;
             }
             bytes += size;
@@ -215,34 +221,41 @@
         let count = 0;
         for (const request of requests) {
             const { workspace } = request.rule;
-            const same = wanted.get(workspace);
-            if (same === undefined && !fits(request.rule)) {
+            const same = requestsByWorkspace.get(workspace);
+            if (same === undefined && !tryReserve(request.rule)) {
                 break;
             }
             count++;
-            wanted.set(workspace, [...same ?? [], request]);
+            requestsByWorkspace.set(workspace, [...same ?? [], request]);
         }
         requests.splice(0, count);
-        for (const { rule } of this.#givenBack.values()) {
-            if (!wanted.has(rule.workspace)) {
-                if (!fits(rule)) {
+        for (const { rule } of this.#givenBackTokens.values()) {
+            if (!requestsByWorkspace.has(rule.workspace)) {
+                if (!tryReserve(rule)) {
                     break;
                 }
-                wanted.set(rule.workspace, []);
+                requestsByWorkspace.set(rule.workspace, []);
             }
         }
-        const entries = [...wanted].map(([workspace, same]) => this.#createEntry(workspace, same));
-        return { entries, taken: [...wanted.values()] };
+        const entries = [...requestsByWorkspace].map(([workspace, same]) => this.#createEntry(workspace, same));
+        return { entries, taken: [...requestsByWorkspace.values()] };
     }
 
     #createEntry(workspace: string, requests: readonly PendingRequest[]): LimitRequestEntry {
-        const back = this.#givenBack.get(workspace);
-        this.#givenBack.delete(workspace);
+        const givenBack = this.#givenBackTokens.get(workspace);
+        this.#givenBackTokens.delete(workspace);
         const rules = requests.map(({ rule }) => rule);
-        const first = rules[0] ?? back?.rule;
+        const first = rules[0] ?? givenBack?.rule;
         const rule = rules.reduce((a, b) => b.configVersion > (a?.configVersion ?? -Infinity) ? b : a, first);
         const { perSecond = 1, burst = 0, configVersion = 0 } = rule ?? {};
-        return { workspace, perSecond, burst, configVersion, wanted: requests.length, givenBack: back?.count ?? 0 };
+        return {
+            workspace,
+            perSecond,
+            burst,
+            configVersion,
+            wanted: requests.length,
+            givenBack: givenBack?.count ?? 0,
+        };
     }
 }
 
@@ -250,8 +263,8 @@
  * Maximum sizes as JSON: of a message's fixed fields with two incarnations, and of one entry without the workspace's
  * name.
  */
-const emptyMessageBytes = 300;
-const entryBytes = 130;
+const maxEmptyMessageBytes = 300;
+const maxEntryBytes = 130;
 
 function byteLength(text: string): number {
     return Buffer.byteLength(JSON.stringify(text));
--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -49,59 +49,59 @@
  */
 export class Delegation {
     readonly #options: DelegationOptions;
-    readonly #links = new Map<string, AllocatorSession>();
+    readonly #sessions = new Map<string, AllocatorSession>();
     /** Candidates for the allocator, in order of preference. */
-    #ranked: readonly string[] = [];
+    #candidates: readonly string[] = [];
     /** This host's share of each limit. */
-    #part = 0;
+    #hostShare = 0;
     #current: AllocatorSession | undefined;
     /** A preferred allocator that has responded, used once no token request is in flight. */
-    #better: AllocatorSession | undefined;
-    readonly #leftAtMs = new Map<string, number>();
+    #preferred: AllocatorSession | undefined;
+    readonly #lostAtMs = new Map<string, number>();
     /** Latest time at which an allocator may hold a share of this host's previous process. */
-    #formerUntilMs: number;
+    #previousLeaseEndMs: number;
     /** Allocators that have responded to this process, and thus dropped the share of the previous one. */
-    readonly #greeted = new Set<string>();
-    #waiting: PendingRequest[] = [];
-    readonly #open = new Set<PendingRequest>();
+    readonly #respondedAllocators = new Set<string>();
+    #waitingRequests: PendingRequest[] = [];
+    readonly #pendingRequests = new Set<PendingRequest>();
     /** Time since which no allocator holds this host's share. */
-    #ownSinceMs: number;
+    #shareFreeSinceMs: number;
 
     constructor(options: DelegationOptions) {
         this.#options = options;
-        this.#formerUntilMs = options.startedAtMs + leaseMs + leaseMarginMs;
-        this.#ownSinceMs = this.#formerUntilMs;
+        this.#previousLeaseEndMs = options.startedAtMs + leaseMs + leaseMarginMs;
+        this.#shareFreeSinceMs = this.#previousLeaseEndMs;
     }
 
     /** Updates the names of all hosts among which limits are divided. */
     onRoster(names: readonly string[], nowMs: number): void {
-        this.#ranked = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
-        this.#part = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
-        for (const name of this.#leftAtMs.keys()) {
+        this.#candidates = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
+        this.#hostShare = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
+        for (const name of this.#lostAtMs.keys()) {
             if (!names.includes(name)) {
-                this.#leftAtMs.delete(name);
+                this.#lostAtMs.delete(name);
             }
         }
-        if (this.#current === undefined && this.#ranked.some(name => !this.#leftAtMs.has(name))) {
-            this.#choose(nowMs);
+        if (this.#current === undefined && this.#candidates.some(name => !this.#lostAtMs.has(name))) {
+            this.#chooseAllocator(nowMs);
         }
     }
 
     enqueue(request: PendingRequest): void {
-        this.#waiting.push(request);
-        this.#open.add(request);
+        this.#waitingRequests.push(request);
+        this.#pendingRequests.add(request);
     }
 
     /** @returns whether the token can be returned to its allocator */
     giveBack({ grantedBy, rule }: Token): boolean {
-        const link = grantedBy === undefined ? undefined : this.#links.get(grantedBy);
+        const link = grantedBy === undefined ? undefined : this.#sessions.get(grantedBy);
         link?.giveBack(rule, 1);
         return link !== undefined;
     }
 
     /** Refuses all waiting requests when the configuration no longer has limits. */
     refuseAll(nowMs: number): void {
-        for (const request of this.#open) {
+        for (const request of this.#pendingRequests) {
             this.#refuse(request, isolatedRetryAfterMs);
         }
         this.expireRequests(nowMs);
@@ -109,57 +109,57 @@
 
     /** @returns whether the response matched a message in flight */
     onResponse(answer: LimitResponseMessage, nowMs: number): boolean {
-        const link = this.#links.get(answer.sender);
+        const link = this.#sessions.get(answer.sender);
         const unanswered = link?.unansweredRequests() ?? [];
         const entries = link?.onResponse(answer, nowMs);
         if (link === undefined || entries === undefined) {
             return false;
         }
-        this.#greeted.add(link.allocator);
+        this.#respondedAllocators.add(link.allocator);
         if (answer.leaving === true) {
-            this.#leave(link, unanswered, "leaving", nowMs);
+            this.#abandonAllocator(link, unanswered, "leaving", nowMs);
             return true;
         }
-        this.#follow(link, nowMs);
+        this.#onAllocatorResponse(link, nowMs);
         for (const entry of entries) {
-            this.#settle(link, entry, nowMs);
+            this.#applyEntry(link, entry, nowMs);
         }
         return true;
     }
 
     /** Performs all actions that are due. */
     advance(nowMs: number, wallMs: number): void {
-        this.#endStart(nowMs);
+        this.#endStartup(nowMs);
         this.expireRequests(nowMs);
         if (this.#current?.isTimedOut(nowMs) === true) {
-            this.#leave(this.#current, this.#current.unansweredRequests(), "unanswered", nowMs);
+            this.#abandonAllocator(this.#current, this.#current.unansweredRequests(), "unanswered", nowMs);
         }
-        this.#moveToBetter(nowMs);
-        this.#probe(nowMs);
-        this.#ask(nowMs);
-        this.#useSlots(nowMs, wallMs);
+        this.#moveToPreferred(nowMs);
+        this.#sendProbes(nowMs);
+        this.#requestTokens(nowMs);
+        this.#decideBySlots(nowMs, wallMs);
     }
 
     /** @returns when the next action is due */
     nextDueAtMs(nowMs: number): number {
         let due = Infinity;
-        for (const { deadlineMs } of this.#open) {
+        for (const { deadlineMs } of this.#pendingRequests) {
             due = Math.min(due, deadlineMs);
         }
-        for (const { isPending, notBeforeMs } of this.#waiting) {
+        for (const { isPending, notBeforeMs } of this.#waitingRequests) {
             if (isPending && notBeforeMs > nowMs) {
                 due = Math.min(due, notBeforeMs);
             }
         }
-        for (const name of this.#probed()) {
-            due = Math.min(due, this.#probeAtMs(name, nowMs));
+        for (const name of this.#probeTargets()) {
+            due = Math.min(due, this.#nextProbeAtMs(name, nowMs));
         }
         const current = this.#current;
         if (current !== undefined) {
             const nextMs = current.lastSentAtMs + (current.hasMessageInFlight ? retransmitPeriodMs : heartbeatPeriodMs);
             due = Math.min(due, nextMs, current.timeoutAtMs);
-            if (this.#share(nowMs) === 0 && this.#part > 0) {
-                due = Math.min(due, Math.max(nowMs, this.#freeAtMs(nowMs)));
+            if (this.#availableShare(nowMs) === 0 && this.#hostShare > 0) {
+                due = Math.min(due, Math.max(nowMs, this.#shareFreeAtMs(nowMs)));
             }
         }
         return due;
@@ -173,8 +173,8 @@
     }
 
     /** The allocator, other than the current one, that may still hold the share. */
-    #holder(nowMs: number): AllocatorSession | undefined {
-        for (const link of this.#links.values()) {
+    #findShareHolder(nowMs: number): AllocatorSession | undefined {
+        for (const link of this.#sessions.values()) {
             if (link !== this.#current && link.shareLeaseEndMs > nowMs) {
                 return link;
             }
@@ -183,114 +183,120 @@
     }
 
     /** @returns when the share can be delegated to the current allocator, or used for time slots */
-    #freeAtMs(nowMs: number): number {
-        const heldUntilMs = this.#holder(nowMs)?.shareLeaseEndMs ?? -Infinity;
-        return Math.max(this.#formerUntilMs, heldUntilMs);
+    #shareFreeAtMs(nowMs: number): number {
+        const heldUntilMs = this.#findShareHolder(nowMs)?.shareLeaseEndMs ?? -Infinity;
+        return Math.max(this.#previousLeaseEndMs, heldUntilMs);
     }
 
-    #share(nowMs: number): number {
-        return this.#freeAtMs(nowMs) > nowMs ? 0 : this.#part;
+    #availableShare(nowMs: number): number {
+        return this.#shareFreeAtMs(nowMs) > nowMs ? 0 : this.#hostShare;
     }
 
     /**
      * Ends the start-up phase once all candidates have dropped the share of the previous process; otherwise its leases
      * must end.
      */
-    #endStart(nowMs: number): void {
-        const isGreeted = this.#ranked.length > 0 && this.#ranked.every(name => this.#greeted.has(name));
-        if (this.#formerUntilMs > nowMs && isGreeted) {
-            this.#formerUntilMs = nowMs;
-            this.#ownSinceMs = nowMs;
+    #endStartup(nowMs: number): void {
+        const isGreeted = this.#candidates.length > 0
+            && this.#candidates.every(name => this.#respondedAllocators.has(name));
+        if (this.#previousLeaseEndMs > nowMs && isGreeted) {
+            this.#previousLeaseEndMs = nowMs;
+            this.#shareFreeSinceMs = nowMs;
         }
     }
 
     expireRequests(nowMs: number): void {
-        for (const request of this.#open) {
+        for (const request of this.#pendingRequests) {
             if (!request.isPending) {
-                this.#open.delete(request);
+                this.#pendingRequests.delete(request);
             }
             else if (nowMs >= request.deadlineMs) {
-                this.#refuse(request, Math.max(noSharesRetryAfterMs / 2, this.#freeAtMs(nowMs) - nowMs));
+                this.#refuse(request, Math.max(noSharesRetryAfterMs / 2, this.#shareFreeAtMs(nowMs) - nowMs));
             }
         }
-        this.#waiting = this.#waiting.filter(({ isPending }) => isPending);
+        this.#waitingRequests = this.#waitingRequests.filter(({ isPending }) => isPending);
     }
 
     /** Handles an allocator that doesn't respond or shuts down. */
-    #leave(link: AllocatorSession, unanswered: readonly PendingRequest[], reason: string, nowMs: number): void {
+    #abandonAllocator(
+        link: AllocatorSession,
+        unanswered: readonly PendingRequest[],
+        reason: string,
+        nowMs: number,
+    ): void {
         const { group, output } = this.#options;
         const wasKnown = link.hasResponded || reason === "leaving";
-        this.#leftAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
-        if (this.#better === link) {
-            this.#better = undefined;
+        this.#lostAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
+        if (this.#preferred === link) {
+            this.#preferred = undefined;
         }
         if (link !== this.#current) {
             return;
         }
         output.logChange({ type: "allocatorLost", group, allocator: link.allocator, reason });
-        this.#askAgain(unanswered);
+        this.#requeue(unanswered);
         this.#current = undefined;
-        this.#choose(nowMs);
+        this.#chooseAllocator(nowMs);
     }
 
-    #askAgain(requests: readonly PendingRequest[]): void {
-        this.#waiting.unshift(...requests.filter(({ isPending }) => isPending));
+    #requeue(requests: readonly PendingRequest[]): void {
+        this.#waitingRequests.unshift(...requests.filter(({ isPending }) => isPending));
     }
 
-    #choose(nowMs: number): void {
-        const name = this.#ranked.find(each => this.#isUsable(each, nowMs));
+    #chooseAllocator(nowMs: number): void {
+        const name = this.#candidates.find(each => this.#isUsable(each, nowMs));
         if (name === undefined) {
-            this.#ownSinceMs = Math.max(nowMs, this.#freeAtMs(nowMs));
+            this.#shareFreeSinceMs = Math.max(nowMs, this.#shareFreeAtMs(nowMs));
             this.#options.output.logChange({ type: "isolated", group: this.#options.group });
             return;
         }
-        this.#use(this.#linkTo(name), nowMs);
+        this.#switchTo(this.#sessionFor(name), nowMs);
     }
 
-    #use(link: AllocatorSession, nowMs: number): void {
-        this.#askAgain(this.#current?.unansweredRequests() ?? []);
+    #switchTo(link: AllocatorSession, nowMs: number): void {
+        this.#requeue(this.#current?.unansweredRequests() ?? []);
         this.#current = link;
         link.activate(nowMs);
         const { group, output } = this.#options;
-        const rank = this.#ranked.indexOf(link.allocator);
+        const rank = this.#candidates.indexOf(link.allocator);
         output.logChange({ type: "allocatorChosen", group, allocator: link.allocator, rank });
     }
 
     #isUsable(name: string, nowMs: number): boolean {
-        return nowMs - (this.#leftAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
+        return nowMs - (this.#lostAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
     }
 
     /** Handles a response of an allocator that may not be the current one. */
-    #follow(link: AllocatorSession, nowMs: number): void {
+    #onAllocatorResponse(link: AllocatorSession, nowMs: number): void {
         if (link === this.#current) {
             return;
         }
         const isHolder = link.shareLeaseEndMs > nowMs && !link.isReleasing;
         if (isHolder || (this.#current === undefined && !link.isReleasing)) {
             // It responded late, but still holds this host's share.
-            this.#use(link, nowMs);
+            this.#switchTo(link, nowMs);
         }
-        else if (this.#isBetter(link.allocator) && this.#isUsable(link.allocator, nowMs)) {
-            this.#better = link;
+        else if (this.#isPreferred(link.allocator) && this.#isUsable(link.allocator, nowMs)) {
+            this.#preferred = link;
         }
     }
 
-    #isBetter(name: string): boolean {
-        const rank = this.#ranked.indexOf(name);
-        const currentRank = this.#current === undefined ? -1 : this.#ranked.indexOf(this.#current.allocator);
+    #isPreferred(name: string): boolean {
+        const rank = this.#candidates.indexOf(name);
+        const currentRank = this.#current === undefined ? -1 : this.#candidates.indexOf(this.#current.allocator);
         return rank >= 0 && (currentRank < 0 || rank < currentRank);
     }
 
-    #moveToBetter(nowMs: number): void {
-        const [former, better] = [this.#current, this.#better];
+    #moveToPreferred(nowMs: number): void {
+        const [former, better] = [this.#current, this.#preferred];
         if (better === undefined || former === undefined || former.isAwaitingTokens) {
             return;
         }
-        this.#better = undefined;
-        if (!this.#isBetter(better.allocator) || !this.#isUsable(better.allocator, nowMs)) {
+        this.#preferred = undefined;
+        if (!this.#isPreferred(better.allocator) || !this.#isUsable(better.allocator, nowMs)) {
             return;
         }
-        this.#use(better, nowMs);
+        this.#switchTo(better, nowMs);
         if (former.shareLeaseEndMs > nowMs) {
             former.isReleasing = true;
             this.#send(former, former.createMessage(0, [], nowMs));
@@ -298,50 +304,52 @@
     }
 
     /** @returns names of the allocators, other than the current one, that may need a probe */
-    #probed(): ReadonlySet<string> {
-        const names = new Set([...this.#ranked, ...this.#links.keys()]);
+    #probeTargets(): ReadonlySet<string> {
+        const names = new Set([...this.#candidates, ...this.#sessions.keys()]);
         if (this.#current !== undefined) {
             names.delete(this.#current.allocator);
         }
         return names;
     }
 
-    #probeAtMs(name: string, nowMs: number): number {
-        const link = this.#links.get(name);
+    #nextProbeAtMs(name: string, nowMs: number): number {
+        const link = this.#sessions.get(name);
         const sentMs = link?.lastSentAtMs ?? -Infinity;
         if (link !== undefined && link.shareLeaseEndMs > nowMs) {
             return sentMs + retransmitPeriodMs;
         }
-        if (!this.#ranked.includes(name)) {
+        if (!this.#candidates.includes(name)) {
             return Infinity;
         }
-        if (this.#formerUntilMs > nowMs && !this.#greeted.has(name)) {
+        if (this.#previousLeaseEndMs > nowMs && !this.#respondedAllocators.has(name)) {
             return sentMs + startupProbePeriodMs;
         }
         if (this.#current === undefined) {
             return sentMs + isolatedProbePeriodMs;
         }
-        const leftAtMs = this.#leftAtMs.get(name) ?? -Infinity;
-        return this.#isBetter(name) ? Math.max(sentMs + failbackProbePeriodMs, leftAtMs + failbackDelayMs) : Infinity;
+        const leftAtMs = this.#lostAtMs.get(name) ?? -Infinity;
+        return this.#isPreferred(name)
+            ? Math.max(sentMs + failbackProbePeriodMs, leftAtMs + failbackDelayMs)
+            : Infinity;
     }
 
-    #probe(nowMs: number): void {
-        for (const name of this.#probed()) {
-            const atMs = this.#probeAtMs(name, nowMs);
+    #sendProbes(nowMs: number): void {
+        for (const name of this.#probeTargets()) {
+            const atMs = this.#nextProbeAtMs(name, nowMs);
             if (atMs <= nowMs) {
-                const link = this.#linkTo(name);
+                const link = this.#sessionFor(name);
                 // To an allocator that may still hold the share the same message is sent, which doesn't extend the
                 // lease.
                 const repeated = link.shareLeaseEndMs > nowMs ? link.retransmit(nowMs) : undefined;
                 this.#send(link, repeated ?? link.createMessage(0, [], nowMs));
             }
-            else if (atMs === Infinity && name !== this.#better?.allocator) {
-                this.#links.delete(name);
+            else if (atMs === Infinity && name !== this.#preferred?.allocator) {
+                this.#sessions.delete(name);
             }
         }
     }
 
-    #ask(nowMs: number): void {
+    #requestTokens(nowMs: number): void {
         const current = this.#current;
         if (current === undefined || current.isAwaitingTokens) {
             if (current !== undefined && nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
@@ -349,11 +357,11 @@
             }
             return;
         }
-        const share = this.#share(nowMs);
-        const ready = current.hasResponded ? this.#takeReady(nowMs) : [];
+        const share = this.#availableShare(nowMs);
+        const ready = current.hasResponded ? this.#takeReadyRequests(nowMs) : [];
         if (ready.length > 0) {
             this.#send(current, current.createMessage(share, ready, nowMs));
-            this.#waiting.unshift(...ready);
+            this.#waitingRequests.unshift(...ready);
         }
         else if (current.hasMessageInFlight) {
             if (nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
@@ -368,25 +376,25 @@
         }
     }
 
-    #takeReady(nowMs: number): PendingRequest[] {
-        const ready = this.#waiting.filter(({ isPending, notBeforeMs }) => isPending && notBeforeMs <= nowMs);
+    #takeReadyRequests(nowMs: number): PendingRequest[] {
+        const ready = this.#waitingRequests.filter(({ isPending, notBeforeMs }) => isPending && notBeforeMs <= nowMs);
         if (ready.length > 0) {
-            this.#waiting = this.#waiting.filter(({ notBeforeMs }) => notBeforeMs > nowMs);
+            this.#waitingRequests = this.#waitingRequests.filter(({ notBeforeMs }) => notBeforeMs > nowMs);
         }
         return ready;
     }
 
     /** Decides requests by time slots while no allocator can be reached. */
-    #useSlots(nowMs: number, wallMs: number): void {
-        if (this.#current !== undefined || this.#waiting.length === 0) {
+    #decideBySlots(nowMs: number, wallMs: number): void {
+        if (this.#current !== undefined || this.#waitingRequests.length === 0) {
             return;
         }
-        const freeAtMs = this.#freeAtMs(nowMs);
-        for (const request of this.#takeReady(nowMs)) {
+        const freeAtMs = this.#shareFreeAtMs(nowMs);
+        for (const request of this.#takeReadyRequests(nowMs)) {
             if (freeAtMs > nowMs) {
-                this.#holdOrRefuse(request, freeAtMs - nowMs, nowMs);
+                this.#requeueOrRefuse(request, freeAtMs - nowMs, nowMs);
             }
-            else if (this.#options.slots.tryTake(request.rule, this.#ownSinceMs, nowMs, wallMs)) {
+            else if (this.#options.slots.tryTake(request.rule, this.#shareFreeSinceMs, nowMs, wallMs)) {
                 const token = { rule: request.rule, grantedBy: undefined };
                 this.#decide(request, { type: "admitted", token, plentiful: false });
             }
@@ -396,7 +404,7 @@
         }
     }
 
-    #settle(
+    #applyEntry(
         link: AllocatorSession,
         { granted, retryAfterMs, plentiful, over, requests }: DecidedEntry,
         nowMs: number,
@@ -419,7 +427,7 @@
             }
             else {
                 refused++;
-                this.#holdOrRefuse(request, Math.max(waitMs, this.#freeAtMs(nowMs) - nowMs), nowMs);
+                this.#requeueOrRefuse(request, Math.max(waitMs, this.#shareFreeAtMs(nowMs) - nowMs), nowMs);
             }
         }
         const rule = requests[0]?.rule;
@@ -428,10 +436,10 @@
         }
     }
 
-    #holdOrRefuse(request: PendingRequest, waitMs: number, nowMs: number): void {
+    #requeueOrRefuse(request: PendingRequest, waitMs: number, nowMs: number): void {
         if (nowMs + waitMs < request.deadlineMs) {
             request.notBeforeMs = nowMs + waitMs;
-            this.#waiting.push(request);
+            this.#waitingRequests.push(request);
         }
         else {
             this.#refuse(request, waitMs);
@@ -444,15 +452,15 @@
 
     #decide(request: PendingRequest, decision: Decision): void {
         request.isPending = false;
-        this.#open.delete(request);
+        this.#pendingRequests.delete(request);
         this.#options.output.decide(request, decision);
     }
 
-    #linkTo(name: string): AllocatorSession {
+    #sessionFor(name: string): AllocatorSession {
         const { name: self, incarnation, group, nextSeq } = this.#options;
-        const link = this.#links.get(name)
+        const link = this.#sessions.get(name)
             ?? new AllocatorSession({ allocator: name, name: self, incarnation, group, nextSeq });
-        this.#links.set(name, link);
+        this.#sessions.set(name, link);
         return link;
     }
 
--- a/packages/rateLimit/src/isolatedSlots.ts
+++ b/packages/rateLimit/src/isolatedSlots.ts
@@ -5,7 +5,7 @@
 const oneSecondMs = 1_000;
 
 /** Maximum number of workspaces whose used slots are tracked; if it is exceeded, all earlier slots are forfeited. */
-const mostSlotWorkspaces = 10_000;
+const maxTrackedWorkspaces = 10_000;
 
 /**
  * Admits requests on a host that can't reach an allocator. For a limit of R requests per second, a time slot begins
@@ -16,12 +16,12 @@
     readonly #name: string;
     readonly #ranks: RendezvousRanks;
     #hosts: readonly string[] = [];
-    #isCounted = false;
+    #isRegistered = false;
     /** Wall-clock time minus monotonic time; read once, so that a step of the wall clock can't repeat a slot. */
-    #offsetMs: number | undefined;
-    #rosterAtMs = -Infinity;
+    #wallOffsetMs: number | undefined;
+    #rosterChangedAtMs = -Infinity;
     /** Start of the latest used slot, by workspace. */
-    readonly #usedMs = new Map<string, number>();
+    readonly #lastUsedSlotMs = new Map<string, number>();
 
     constructor(name: string) {
         this.#name = name;
@@ -31,16 +31,16 @@
     onRoster(names: readonly string[], nowMs: number): void {
         if (names !== this.#hosts) {
             this.#hosts = names;
-            this.#isCounted = names.includes(this.#name);
+            this.#isRegistered = names.includes(this.#name);
             this.#ranks.update(names);
-            this.#rosterAtMs = nowMs;
+            this.#rosterChangedAtMs = nowMs;
         }
     }
 
     /** Resets the clock offset after a suspension, during which the monotonic clock may have stopped. */
     onSuspended(nowMs: number): void {
-        this.#offsetMs = undefined;
-        this.#rosterAtMs = nowMs;
+        this.#wallOffsetMs = undefined;
+        this.#rosterChangedAtMs = nowMs;
     }
 
     /**
@@ -51,28 +51,28 @@
      * @returns whether a slot was free
      */
     tryTake(rule: LimitRule, sinceMs: number, nowMs: number, wallMs: number): boolean {
-        if (!this.#isCounted) {
+        if (!this.#isRegistered) {
             return false;
         }
-        const offsetMs = this.#offsetMs ??= wallMs - nowMs;
+        const offsetMs = this.#wallOffsetMs ??= wallMs - nowMs;
         const periodMs = this.#hosts.length / rule.perSecond * oneSecondMs;
         const phaseMs = this.#ranks.rankOf(rule.workspace) / rule.perSecond * oneSecondMs;
         // All hosts together retain as many unused slots as a full bucket has tokens.
         const validMs = Math.max(rule.burst, minRetainedSlots) / rule.perSecond * oneSecondMs;
-        const usedMs = this.#usedMs.get(rule.workspace) ?? -Infinity;
-        const afterMs = Math.max(nowMs - validMs, sinceMs, this.#rosterAtMs, usedMs) + offsetMs;
+        const usedMs = this.#lastUsedSlotMs.get(rule.workspace) ?? -Infinity;
+        const afterMs = Math.max(nowMs - validMs, sinceMs, this.#rosterChangedAtMs, usedMs) + offsetMs;
         const index = Math.floor((afterMs - phaseMs) / periodMs) + 1;
         const slotMs = index * periodMs + phaseMs - offsetMs;
         if (slotMs > nowMs) {
             return false;
         }
-        if (this.#usedMs.size >= mostSlotWorkspaces) {
-            this.#usedMs.clear();
+        if (this.#lastUsedSlotMs.size >= maxTrackedWorkspaces) {
+            this.#lastUsedSlotMs.clear();
             this.#ranks.retain(new Set());
-            this.#rosterAtMs = nowMs;
+            this.#rosterChangedAtMs = nowMs;
         }
         // The offset prevents rounding errors from yielding the same slot again.
-        this.#usedMs.set(rule.workspace, slotMs + 0.001);
+        this.#lastUsedSlotMs.set(rule.workspace, slotMs + 0.001);
         return true;
     }
 }
--- a/packages/rateLimit/src/limitBucket.ts
+++ b/packages/rateLimit/src/limitBucket.ts
@@ -33,16 +33,16 @@
      * Level if all shares were held and no request was refused; distinguishes a workspace over its limit from missing
      * shares.
      */
-    #wholeLevel: number;
+    #fullShareLevel: number;
     /** Time at which the latest refused caller was told to retry. */
-    #promisedMs = -Infinity;
+    #lastRetryAtMs = -Infinity;
 
     constructor(rule: LimitRule, history: ShareHistory, nowMs: number) {
         this.#rule = rule;
         const level = history.replay((before, spanMs, sum) => this.#refill(before, spanMs, sum));
         this.#level = Math.min(level + initialTokens, bucketCapacity(rule, history.sum));
         this.#integralMs = history.integralMs;
-        this.#wholeLevel = bucketCapacity(rule, 1);
+        this.#fullShareLevel = bucketCapacity(rule, 1);
         this.lastUsedAtMs = nowMs;
     }
 
@@ -77,10 +77,10 @@
         const granted = Math.min(wanted, Math.floor(this.#level));
         this.#level -= granted;
         this.granted += granted;
-        const over = this.#isOver(wanted, givenBack, nowMs);
+        const over = this.#isOverLimit(wanted, givenBack, nowMs);
         const missing = wanted - granted;
         this.refused += missing;
-        const retryAfterMs = missing === 0 ? 0 : this.#promise(missing, history.sum, nowMs);
+        const retryAfterMs = missing === 0 ? 0 : this.#scheduleRetry(missing, history.sum, nowMs);
         return {
             granted,
             retryAfterMs,
@@ -94,10 +94,10 @@
         return Math.min(bucketCapacity(this.#rule, sum), level + added);
     }
 
-    #isOver(wanted: number, givenBack: number, nowMs: number): boolean {
+    #isOverLimit(wanted: number, givenBack: number, nowMs: number): boolean {
         const added = (nowMs - this.lastUsedAtMs) * this.#rule.perSecond * refillFactor / oneSecondMs;
-        const level = Math.min(bucketCapacity(this.#rule, 1), this.#wholeLevel + added + givenBack);
-        this.#wholeLevel = Math.max(0, level - wanted);
+        const level = Math.min(bucketCapacity(this.#rule, 1), this.#fullShareLevel + added + givenBack);
+        this.#fullShareLevel = Math.max(0, level - wanted);
         this.lastUsedAtMs = nowMs;
         return level < wanted;
     }
@@ -105,14 +105,14 @@
     /**
      * @returns retry delay of the first of some refused requests, scheduled after the retries of those refused before
      */
-    #promise(count: number, sum: number, nowMs: number): number {
+    #scheduleRetry(count: number, sum: number, nowMs: number): number {
         if (sum <= 0) {
             return noSharesRetryAfterMs;
         }
         const tokenMs = oneSecondMs / this.#rule.perSecond;
         const missingMs = Math.max(0, 1 - this.#level) * tokenMs / (refillFactor * sum);
-        const firstMs = Math.min(nowMs + maxRetryAfterMs, Math.max(nowMs + missingMs, this.#promisedMs + tokenMs));
-        this.#promisedMs = Math.min(nowMs + maxRetryAfterMs, firstMs + (count - 1) * tokenMs);
+        const firstMs = Math.min(nowMs + maxRetryAfterMs, Math.max(nowMs + missingMs, this.#lastRetryAtMs + tokenMs));
+        this.#lastRetryAtMs = Math.min(nowMs + maxRetryAfterMs, firstMs + (count - 1) * tokenMs);
         return Math.ceil(firstMs - nowMs);
     }
 }
--- a/packages/rateLimit/src/messages.ts
+++ b/packages/rateLimit/src/messages.ts
@@ -4,11 +4,11 @@
 export const protocolVersion = 1;
 
 const name = z.string().min(1).max(512);
-const life = z.string().min(1).max(64);
+const incarnation = z.string().min(1).max(64);
 const amount = z.number().min(0);
 const count = z.int().min(0);
 
-const askEntry = z.object({
+const limitRequestEntry = z.object({
     workspace: name,
     perSecond: z.number().positive(),
     burst: amount,
@@ -17,7 +17,7 @@
     givenBack: count,
 });
 
-const grantEntry = z.object({
+const limitResponseEntry = z.object({
     granted: count,
     retryAfterMs: amount,
     plentiful: z.boolean(),
@@ -25,52 +25,52 @@
     over: z.boolean(),
 });
 
-const ask = z.object({
+const limitRequest = z.object({
     v: z.literal(protocolVersion),
     type: z.literal("ask"),
     sender: name,
-    life,
+    life: incarnation,
     seq: count,
     group: count,
     /** Share of each limit that the sender delegates. */
     share: z.number().min(0).max(1),
     /** Latest timestamp received from the allocator, with the process incarnation that it belongs to. */
-    echo: z.object({ life, atMs: z.number() }).optional(),
-    entries: z.array(askEntry).max(64),
+    echo: z.object({ life: incarnation, atMs: z.number() }).optional(),
+    entries: z.array(limitRequestEntry).max(64),
 });
 
-const answer = z.object({
+const limitResponse = z.object({
     v: z.literal(protocolVersion),
     type: z.literal("answer"),
     sender: name,
     /** Process incarnation of the allocator. */
-    life,
+    life: incarnation,
     /** Process incarnation of the host that sent the request. */
-    askerLife: life,
+    askerLife: incarnation,
     seq: count,
     group: count,
     /** The allocator's monotonic time. */
     atMs: z.number(),
     /** Whether the allocator is shutting down: it has dropped all shares and accepts no more. */
     leaving: z.boolean().optional(),
-    entries: z.array(grantEntry).max(64),
+    entries: z.array(limitResponseEntry).max(64),
 });
 
-const limitMessage = z.discriminatedUnion("type", [ask, answer]);
+const limitMessage = z.discriminatedUnion("type", [limitRequest, limitResponse]);
 
 /** A request for the tokens of one workspace. */
-export type LimitRequestEntry = Readonly<z.infer<typeof askEntry>>;
+export type LimitRequestEntry = Readonly<z.infer<typeof limitRequestEntry>>;
 /** The response to one entry. */
-export type LimitResponseEntry = Readonly<z.infer<typeof grantEntry>>;
+export type LimitResponseEntry = Readonly<z.infer<typeof limitResponseEntry>>;
 /** A request for tokens; a heartbeat if it has no entries. */
-export type LimitRequestMessage = Readonly<z.infer<typeof ask>>;
+export type LimitRequestMessage = Readonly<z.infer<typeof limitRequest>>;
 /** The allocator's response. */
-export type LimitResponseMessage = Readonly<z.infer<typeof answer>>;
+export type LimitResponseMessage = Readonly<z.infer<typeof limitResponse>>;
 /** A message between two hosts, sent as a datagram. */
 export type LimitMessage = LimitRequestMessage | LimitResponseMessage;
 
 /** @returns the message; `undefined` if it is invalid */
 export function parseLimitMessage(json: unknown): LimitMessage | undefined {
-    const read = limitMessage.safeParse(json);
-    return read.success ? read.data : undefined;
+    const result = limitMessage.safeParse(json);
+    return result.success ? result.data : undefined;
 }
--- a/packages/rateLimit/src/rateLimiter.ts
+++ b/packages/rateLimit/src/rateLimiter.ts
@@ -40,7 +40,7 @@
 interface Group {
     readonly delegation: Delegation;
     readonly allocator: Allocator;
-    sharesNoted: number;
+    loggedShares: number;
 }
 
 /**
@@ -50,29 +50,29 @@
  */
 export class RateLimiter {
     readonly #name: string;
-    readonly #life: string;
+    readonly #incarnation: string;
     readonly #random: () => number;
     readonly #tolerance: LimitTolerance;
     readonly #slots: IsolatedSlots;
     readonly #groups: readonly Group[];
-    readonly #open = new Map<number, PendingRequest>();
+    readonly #pendingRequests = new Map<number, PendingRequest>();
     #isActive = false;
     #commands: Command[] = [];
     /** Messages from this host to itself. */
-    #local: LimitMessage[] = [];
+    #localMessages: LimitMessage[] = [];
     #changes: LimitChange[] = [];
-    #requests = 0;
-    #messages = 0;
-    #pauses = 0;
+    #requestCount = 0;
+    #messageCount = 0;
+    #suspensionCount = 0;
     #wallOffsetMs: number | undefined;
-    #sent = 0;
-    #ignored = 0;
+    #sentMessages = 0;
+    #ignoredMessages = 0;
 
     /** @param options - identity of the host, and the tolerance */
     constructor({ name, incarnation, random, startedAtMs, tolerance = defaultTolerance }: RateLimiterOptions) {
         this.#tolerance = tolerance;
         this.#name = name;
-        this.#life = incarnation;
+        this.#incarnation = incarnation;
         this.#random = random;
         this.#slots = new IsolatedSlots(name);
         this.#groups = Array.from({ length: groupCount }, (_, group) => ({
@@ -81,17 +81,17 @@
                 incarnation,
                 group,
                 startedAtMs,
-                nextSeq: () => this.#messages++,
+                nextSeq: () => this.#messageCount++,
                 slots: this.#slots,
-                addJitter: retryAfterMs => this.#jitter(retryAfterMs),
+                addJitter: retryAfterMs => this.#addJitter(retryAfterMs),
                 output: {
                     send: (to, message) => this.#send(to, message),
                     decide: (request, decision) => this.#decide(request, decision),
-                    logChange: change => this.#note(change),
+                    logChange: change => this.#logChange(change),
                 },
             }),
             allocator: new Allocator({ name, incarnation, group }, startedAtMs),
-            sharesNoted: 0,
+            loggedShares: 0,
         }));
     }
 
@@ -101,25 +101,25 @@
         nowMs: number,
         wallMs: number,
     ): { readonly requestId: number; readonly commands: readonly Command[]; } {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         const perSecond = resolveAdmittedRate(request, this.#tolerance);
-        const pending = new PendingRequest(this.#requests++, { ...request, perSecond }, nowMs);
+        const pending = new PendingRequest(this.#requestCount++, { ...request, perSecond }, nowMs);
         const group = this.#groups[groupOf(request.workspace)];
         if (!this.#isActive || group === undefined) {
-            this.#decide(pending, { type: "unsure", retryAfterMs: this.#jitter(isolatedRetryAfterMs) });
+            this.#decide(pending, { type: "unsure", retryAfterMs: this.#addJitter(isolatedRetryAfterMs) });
             return { requestId: pending.id, commands: this.#takeCommands() };
         }
-        this.#open.set(pending.id, pending);
+        this.#pendingRequests.set(pending.id, pending);
         group.delegation.enqueue(pending);
-        return { requestId: pending.id, commands: this.#run([group], nowMs) };
+        return { requestId: pending.id, commands: this.#advance([group], nowMs) };
     }
 
     /** Cancels a request that awaits its decision. No decision follows, and a token granted for it is returned. */
     cancel(requestId: number): void {
-        const pending = this.#open.get(requestId);
+        const pending = this.#pendingRequests.get(requestId);
         if (pending !== undefined) {
             pending.isPending = false;
-            this.#open.delete(requestId);
+            this.#pendingRequests.delete(requestId);
         }
     }
 
@@ -130,11 +130,11 @@
 
     /** Handles a received datagram, given as parsed JSON. `from` is the host that its source address belongs to. */
     onMessage(from: string, json: unknown, nowMs: number, wallMs: number): readonly Command[] {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         const message = parseLimitMessage(json);
         const group = message === undefined ? undefined : this.#groups[message.group];
         if (message === undefined || group === undefined || message.sender !== from) {
-            this.#ignored++;
+            this.#ignoredMessages++;
             return [];
         }
         if (this.#isActive) {
@@ -143,7 +143,7 @@
             group.delegation.expireRequests(nowMs);
         }
         this.#receive(group, message, nowMs);
-        return message.type === "ask" ? this.#takeCommands() : this.#run([group], nowMs);
+        return message.type === "ask" ? this.#takeCommands() : this.#advance([group], nowMs);
     }
 
     /**
@@ -155,7 +155,7 @@
         for (const { delegation } of this.#groups) {
             delegation.onRoster(names, nowMs);
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
     /**
@@ -167,21 +167,24 @@
             this.#groups.forEach(({ delegation }) => delegation.refuseAll(nowMs));
         }
         this.#isActive = active;
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
     /** Performs timed actions; to be called as soon as {@link RateLimiter.nextTickMs} has elapsed. */
     tick(nowMs: number, wallMs: number): readonly Command[] {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         for (const [i, group] of this.#groups.entries()) {
             group.allocator.advance(nowMs);
             const shares = group.allocator.sharesHeld;
-            if (Math.abs(shares - group.sharesNoted) >= notedChange || (shares === 0) !== (group.sharesNoted === 0)) {
-                group.sharesNoted = shares;
-                this.#note({ type: "sharesHeld", group: i, shares, hosts: group.allocator.delegators });
+            if (
+                Math.abs(shares - group.loggedShares) >= minLoggedShareChange
+                || (shares === 0) !== (group.loggedShares === 0)
+            ) {
+                group.loggedShares = shares;
+                this.#logChange({ type: "sharesHeld", group: i, shares, hosts: group.allocator.delegators });
             }
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
     /** @returns time until the next tick is due, in milliseconds; `undefined` if none is */
@@ -199,10 +202,10 @@
      * the suspension.
      */
     onSuspended(nowMs: number): readonly Command[] {
-        this.#pauses++;
+        this.#suspensionCount++;
         this.#slots.onSuspended(nowMs);
         for (const { allocator } of this.#groups) {
-            allocator.onSuspended(`${this.#life}.${this.#pauses}`, nowMs);
+            allocator.onSuspended(`${this.#incarnation}.${this.#suspensionCount}`, nowMs);
         }
         return [];
     }
@@ -216,7 +219,7 @@
                 this.#send(to, message);
             }
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
     /** @returns changes since the previous call, for the log; bounded */
@@ -234,8 +237,8 @@
                 delegators: allocator.delegators,
             })),
             workspaces: this.#groups.flatMap(({ allocator }) => allocator.snapshot()).slice(0, maxSnapshotWorkspaces),
-            messagesSent: this.#sent,
-            messagesIgnored: this.#ignored,
+            messagesSent: this.#sentMessages,
+            messagesIgnored: this.#ignoredMessages,
         };
     }
 
@@ -243,7 +246,7 @@
      * Detects a suspension by an advance of the wall clock. A forward step of the wall clock looks the same, but is
      * rare.
      */
-    #checkClocks(nowMs: number, wallMs: number): void {
+    #detectSuspension(nowMs: number, wallMs: number): void {
         const offsetMs = wallMs - nowMs;
         if (this.#wallOffsetMs !== undefined && offsetMs - this.#wallOffsetMs > suspensionThresholdMs) {
             this.onSuspended(nowMs);
@@ -253,26 +256,26 @@
 
     #receive(group: Group, message: LimitMessage, nowMs: number): void {
         if (message.type === "ask") {
-            const answer = group.allocator.onRequest(message, nowMs);
-            if (answer === undefined) {
-                this.#ignored++;
+            const response = group.allocator.onRequest(message, nowMs);
+            if (response === undefined) {
+                this.#ignoredMessages++;
             }
             else {
-                this.#send(message.sender, answer);
+                this.#send(message.sender, response);
             }
         }
-        else if (message.askerLife !== this.#life || !group.delegation.onResponse(message, nowMs)) {
-            this.#ignored++;
+        else if (message.askerLife !== this.#incarnation || !group.delegation.onResponse(message, nowMs)) {
+            this.#ignoredMessages++;
         }
     }
 
     /** Performs due actions, and handles this host's messages to itself. */
-    #run(groups: readonly Group[], nowMs: number): readonly Command[] {
+    #advance(groups: readonly Group[], nowMs: number): readonly Command[] {
         const wallMs = nowMs + (this.#wallOffsetMs ?? 0);
         if (this.#isActive) {
             groups.forEach(({ delegation }) => delegation.advance(nowMs, wallMs));
         }
-        for (let message = this.#local.shift(); message !== undefined; message = this.#local.shift()) {
+        for (let message = this.#localMessages.shift(); message !== undefined; message = this.#localMessages.shift()) {
             const group = this.#groups[message.group];
             if (group !== undefined) {
                 this.#receive(group, message, nowMs);
@@ -286,25 +289,25 @@
 
     #send(to: string, message: LimitMessage): void {
         if (to === this.#name) {
-            this.#local.push(message);
+            this.#localMessages.push(message);
             return;
         }
-        this.#sent++;
+        this.#sentMessages++;
         this.#commands.push({ type: "send", to, message });
     }
 
     #decide(request: PendingRequest, decision: Decision): void {
-        this.#open.delete(request.id);
+        this.#pendingRequests.delete(request.id);
         this.#commands.push({ type: "decide", requestId: request.id, decision });
     }
 
-    #note(change: LimitChange): void {
+    #logChange(change: LimitChange): void {
         if (this.#changes.length < maxPendingChanges) {
             this.#changes.push(change);
         }
     }
 
-    #jitter(retryAfterMs: number): number {
+    #addJitter(retryAfterMs: number): number {
         return Math.ceil(retryAfterMs * (1 + retryJitter * this.#random()));
     }
 
@@ -316,7 +319,7 @@
 }
 
 /** Minimum change of the held shares that is logged. */
-const notedChange = 0.1;
+const minLoggedShareChange = 0.1;
 
 /** @returns the group that a workspace belongs to; the same on all hosts */
 export function groupOf(workspace: string): number {
--- a/packages/rateLimit/src/shareHistory.ts
+++ b/packages/rateLimit/src/shareHistory.ts
@@ -10,11 +10,11 @@
 export class ShareHistory {
     #sum = 0;
     #integralMs = 0;
-    #atMs: number;
+    #updatedAtMs: number;
     readonly #changes: ShareChange[] = [{ integralMs: 0, sum: 0 }];
 
     constructor(nowMs: number) {
-        this.#atMs = nowMs;
+        this.#updatedAtMs = nowMs;
     }
 
     /** Sum of the shares. */
@@ -31,9 +31,9 @@
 
     /** Advances the integral to a time with the current shares. */
     advance(nowMs: number): void {
-        if (nowMs > this.#atMs) {
-            this.#integralMs += this.#sum * (nowMs - this.#atMs);
-            this.#atMs = nowMs;
+        if (nowMs > this.#updatedAtMs) {
+            this.#integralMs += this.#sum * (nowMs - this.#updatedAtMs);
+            this.#updatedAtMs = nowMs;
         }
     }
 
--- a/packages/workspaces/src/authenticate.ts
+++ b/packages/workspaces/src/authenticate.ts
@@ -48,24 +48,24 @@
  * Checks whether a request's key is still valid. It is called before each send, since a key may be revoked or moved to
  * another workspace while its request waits or is retried.
  *
- * @param admission - the caller's identity when the request arrived
+ * @param identity - the caller's identity when the request arrived
  * @param directory - workspaces in force now
  * @returns the change because of which the request must not be sent; `undefined` if there is none
  */
 export function findKeyChange(
-    admission: CallerIdentity,
+    identity: CallerIdentity,
     directory: WorkspaceDirectory | undefined,
 ): KeyChange | undefined {
-    if (directory === undefined || admission.type === "anonymous") {
+    if (directory === undefined || identity.type === "anonymous") {
         return undefined;
     }
-    if (admission.type === "unchecked") {
+    if (identity.type === "unchecked") {
         // It arrived before any workspaces were configured, so its workspace is unknown.
         return "moved";
     }
-    const holder = directory.findByKey(admission.key);
+    const holder = directory.findByKey(identity.key);
     if (holder === undefined) {
         return "revoked";
     }
-    return holder.name === admission.workspace.name ? undefined : "moved";
+    return holder.name === identity.workspace.name ? undefined : "moved";
 }
