--- a/packages/edge/src/__tests__/support/testCodecs.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -33,15 +33,15 @@
         };
     }
 
-    override createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[] {
-        const { identity } = signs;
+    override createForwardHeaders(headers: RawHeaders, metadata: ForwardMetadata): string[] {
+        const { identity } = metadata;
         const isDropped = (name: string): boolean =>
             name === "x-patience-ms" || (identity.type !== "unchecked" && ["x-key", "x-workspace"].includes(name));
         const kept = keepEndToEnd(headers, isDropped);
         if (identity.type === "workspace") {
             kept.push("x-workspace", identity.name);
         }
-        return [...kept, "x-patience-ms", String(signs.remainingMs), "x-for", signs.serverId];
+        return [...kept, "x-patience-ms", String(metadata.remainingMs), "x-for", metadata.serverId];
     }
 
     override readResponse(_status: number, headers: RawHeaders): ResponseMetadata {
--- a/packages/edge/src/backends/probeServerLoad.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -48,23 +48,23 @@
 
 class LoadProbeHandler implements Dispatcher.DispatchHandler {
     readonly #options: LoadProbeOptions;
-    readonly #resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void;
+    readonly #resolve: (result: LoadProbeSuccess | LoadProbeFailure) => void;
     readonly #timer: NodeJS.Timeout;
     #controller: Dispatcher.DispatchController | undefined;
     #result: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
-    #settled = false;
+    #isSettled = false;
 
-    constructor(input: LoadProbeOptions, resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void) {
-        this.#options = input;
+    constructor(options: LoadProbeOptions, resolve: (result: LoadProbeSuccess | LoadProbeFailure) => void) {
+        this.#options = options;
         this.#resolve = resolve;
         // After a long event-loop turn, timers run before I/O that is already received. `setImmediate` lets that I/O be
         // handled first, so that a delay of this process doesn't count as a timeout of the server.
-        this.#timer = setTimeout(() => setImmediate(() => this.#onTimeout()), input.timeoutMs);
+        this.#timer = setTimeout(() => setImmediate(() => this.#onTimeout()), options.timeoutMs);
     }
 
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
-        if (this.#settled) {
+        if (this.#isSettled) {
             controller.abort(new Error("load probe timed out"));
         }
     }
@@ -87,7 +87,7 @@
     }
 
     #onTimeout(): void {
-        if (this.#settled) {
+        if (this.#isSettled) {
             return;
         }
         this.#settle({ type: "untold", reason: "silent" });
@@ -96,27 +96,27 @@
 
     #readReport(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
         const { server, vocabulary } = this.#options;
-        const signs = vocabulary.readResponse(status, headers);
-        if (signs.serverId !== server.id) {
+        const metadata = vocabulary.readResponse(status, headers);
+        if (metadata.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
         }
         const offer: ServerStatus = {
             serverId: server.id,
             availabilityZone: server.availabilityZone,
-            load: signs.load,
+            load: metadata.load,
             slots: server.slots,
             healthy: status === okStatus,
-            coldRemainingMs: signs.coldRemainingMs,
+            coldRemainingMs: metadata.coldRemainingMs,
         };
-        return { type: "told", offer, metadata: signs };
+        return { type: "told", offer, metadata: metadata };
     }
 
-    #settle(answer: LoadProbeSuccess | LoadProbeFailure): void {
-        if (this.#settled) {
+    #settle(result: LoadProbeSuccess | LoadProbeFailure): void {
+        if (this.#isSettled) {
             return;
         }
-        this.#settled = true;
+        this.#isSettled = true;
         clearTimeout(this.#timer);
-        this.#resolve(answer);
+        this.#resolve(result);
     }
 }
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -64,10 +64,10 @@
     readonly response: BufferedResponse | undefined;
     /** Whether a sink was opened, so that the caller has received a part of the response. */
     readonly streamed: boolean;
-    /** What the answer's head says, where it had one. */
+    /** Metadata of the response; `undefined` if no response head was received. */
     readonly metadata: ResponseMetadata | undefined;
     readonly detail: string;
-    /** What it says of the link to the server; `undefined` for nothing. */
+    /** Whether the server could be reached; `undefined` if unknown. */
     readonly contact: ServerContactResult | undefined;
     readonly tookMs: number;
 }
@@ -117,8 +117,8 @@
     #sink: ResponseSink | undefined;
     #isSettled = false;
 
-    constructor(input: SendOptions, resolve: (result: SendResult) => void) {
-        this.#options = input;
+    constructor(options: SendOptions, resolve: (result: SendResult) => void) {
+        this.#options = options;
         this.#resolve = resolve;
     }
 
--- a/packages/edge/src/backends/serverConnection.ts
+++ b/packages/edge/src/backends/serverConnection.ts
@@ -16,9 +16,9 @@
 
     /**
      * @param address - of the server
-     * @param links - opens its sockets
+     * @param connector - opens its sockets
      */
-    constructor(address: ServerAddress, links: ServerConnector) {
+    constructor(address: ServerAddress, connector: ServerConnector) {
         this.address = address;
         this.#client = new Client(`http://${address.host}:${address.port}`, {
             pipelining: 1,
@@ -28,7 +28,7 @@
             headersTimeout: 0,
             bodyTimeout: 0,
             connect: (_options, callback) => {
-                links.connect(address, opened => {
+                connector.connect(address, opened => {
                     if (opened instanceof Error) {
                         callback(opened, null);
                         return;
--- a/packages/edge/src/backends/serverConnectionPool.ts
+++ b/packages/edge/src/backends/serverConnectionPool.ts
@@ -24,9 +24,9 @@
     readonly #lastRequestAtMs = new WeakMap<ServerConnection, number>();
     #openedCount = 0;
 
-    /** @param links - opens the sockets */
-    constructor(links: ServerConnector = new DirectConnector()) {
-        this.#connector = links;
+    /** @param connector - opens the sockets */
+    constructor(connector: ServerConnector = new DirectConnector()) {
+        this.#connector = connector;
     }
 
     /** Number of connections created so far. */
@@ -120,16 +120,16 @@
     ): ServerConnection | undefined {
         const idle = this.#idle.get(serverId) ?? [];
         for (let i = idle.length - 1; i >= 0; i--) {
-            const kept = idle[i];
-            if (kept === undefined || !isSuitable(kept)) {
+            const candidate = idle[i];
+            if (candidate === undefined || !isSuitable(candidate)) {
                 continue;
             }
             idle.splice(i, 1);
-            const { address } = kept.connection;
+            const { address } = candidate.connection;
             if (address.host === host && address.port === port) {
-                return kept.connection;
+                return candidate.connection;
             }
-            kept.connection.destroy();
+            candidate.connection.destroy();
         }
         return undefined;
     }
--- a/packages/edge/src/backends/serverConnector.ts
+++ b/packages/edge/src/backends/serverConnector.ts
@@ -4,15 +4,15 @@
 import { connectTimeoutMs } from "../constants.js";
 
 /** Called with the connected socket, or with the error. */
-export type OnConnected = (opened: Socket | Error) => void;
+export type OnConnected = (result: Socket | Error) => void;
 
 /** Opens sockets to backend servers. */
 export abstract class ServerConnector {
     /**
      * @param address - of the server
-     * @param onOpened - called exactly once
+     * @param onConnected - called exactly once
      */
-    abstract connect(address: ServerAddress, onOpened: OnConnected): void;
+    abstract connect(address: ServerAddress, onConnected: OnConnected): void;
 }
 
 /** Opens sockets directly over the host's network. */
@@ -30,7 +30,7 @@
         this.#connect = buildConnector({ timeout: timeoutMs });
     }
 
-    override connect({ host, port }: ServerAddress, onOpened: OnConnected): void {
+    override connect({ host, port }: ServerAddress, onConnected: OnConnected): void {
         const localAddress = this.#localAddress;
         const options = {
             hostname: host,
@@ -39,6 +39,6 @@
             host: `${host}:${port}`,
             ...(localAddress === undefined ? {} : { localAddress }),
         };
-        this.#connect(options, (...[err, socket]) => onOpened(err ?? socket));
+        this.#connect(options, (...[err, socket]) => onConnected(err ?? socket));
     }
 }
--- a/packages/edge/src/backends/serverLivenessChecker.ts
+++ b/packages/edge/src/backends/serverLivenessChecker.ts
@@ -12,9 +12,9 @@
     readonly #connector: ServerConnector;
     readonly #checksInFlight = new Map<string, Promise<ServerLiveness>>();
 
-    /** @param links - opens the sockets */
-    constructor(links: ServerConnector = new DirectConnector()) {
-        this.#connector = links;
+    /** @param connector - opens the sockets */
+    constructor(connector: ServerConnector = new DirectConnector()) {
+        this.#connector = connector;
     }
 
     /** @returns the liveness of a server; concurrent calls for one server share a check */
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -85,25 +85,25 @@
 /**
  * Creates an edge process, which routes callers' requests to backend servers and returns their responses.
  *
- * @param parts - dependencies and settings
+ * @param options - dependencies and settings
  * @returns a process that is not started yet
  */
-export function createEdge(parts: EdgeOptions): Edge {
-    const { settings, store, codec, metadataCodec } = parts;
+export function createEdge(options: EdgeOptions): Edge {
+    const { settings, store, codec, metadataCodec } = options;
     const { name, availabilityZone } = settings;
-    const clock = parts.clock ?? systemClock;
-    const random = createRandomSource(parts.seed);
-    const log = new EdgeLog(parts.logger, () => clock.monotonicMs());
-    const metrics = new EdgeMetrics(parts.metrics);
+    const clock = options.clock ?? systemClock;
+    const random = createRandomSource(options.seed);
+    const log = new EdgeLog(options.logger, () => clock.monotonicMs());
+    const metrics = new EdgeMetrics(options.metrics);
     const view = new FleetView();
     const timeline = new StartTimeline(log);
     timeline.record("programLoaded");
-    const firstReading = new InitialSyncGate(clock, () => timeline.record("stateRead"));
-    const links = parts.connector ?? new DirectConnector(connectTimeoutMs, settings.servers.connectFrom);
-    const connections = new ServerConnectionPool(links);
-    const callers = new CallerConnections();
+    const initialSyncGate = new InitialSyncGate(clock, () => timeline.record("stateRead"));
+    const connector = options.connector ?? new DirectConnector(connectTimeoutMs, settings.servers.connectFrom);
+    const connections = new ServerConnectionPool(connector);
+    const callerConnections = new CallerConnections();
     const { ratio, slack, windowSeconds } = settings.repeats;
-    const budget = new RepeatBudget({ ratio, slack, windowMs: windowSeconds * 1_000 }, clock.monotonicMs());
+    const repeatBudget = new RepeatBudget({ ratio, slack, windowMs: windowSeconds * 1_000 }, clock.monotonicMs());
     const board = new PlacementState({
         name,
         availabilityZone,
@@ -111,17 +111,17 @@
         probesPerServerAndSecond: settings.asking.perServerAndSecond,
         startedAtMs: clock.monotonicMs(),
     });
-    const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
-    const reach = new ReachabilityMonitor({
+    const metadataRecorder = new ResponseMetadataRecorder({ board, connections, log, metrics });
+    const reachability = new ReachabilityMonitor({
         name,
         availabilityZone,
         view,
         probe: new LoadProbe({
             view,
             board,
-            metadataRecorder: notes,
+            metadataRecorder,
             connections,
-            metadataCodec: metadataCodec,
+            metadataCodec,
             clock,
             metrics,
         }),
@@ -143,38 +143,38 @@
         view,
         availabilityZone,
         board,
-        metadataRecorder: notes,
+        metadataRecorder,
         connections,
-        reachability: reach,
-        metadataCodec: metadataCodec,
+        reachability,
+        metadataCodec,
         clock,
         metrics,
         timeline,
     });
     const rollouts = new GatewayRollouts({
         name,
-        incarnation: `${clock.epochMs()}-${parts.seed}`,
+        incarnation: `${clock.epochMs()}-${options.seed}`,
         view,
         random,
         exposureShare: settings.rollouts.exposureShare,
     });
     const { firstTrialSeconds, secondTrialSeconds } = settings.quarantine;
     const trialAfterMs = [firstTrialSeconds, secondTrialSeconds].map(seconds => seconds * 1_000);
-    const crashes = new CrashReportSync({ name, trialAfterMs, view, store, codec, clock, random, log, metrics });
-    const peers = settings.listen.peers === undefined ? undefined : parseAddress(settings.listen.peers);
+    const crashReports = new CrashReportSync({ name, trialAfterMs, view, store, codec, clock, random, log, metrics });
+    const peerAddress = settings.listen.peers === undefined ? undefined : parseAddress(settings.listen.peers);
     const limits = new WorkspaceLimits({
         name,
         // Short, since it is part of each datagram.
-        incarnation: Math.trunc(clock.epochMs() + parts.seed).toString(36),
+        incarnation: Math.trunc(clock.epochMs() + options.seed).toString(36),
         view,
         clock,
         random,
         log,
         metrics,
         tolerance: settings.workspaceLimits,
-        socket: new UdpSocket(peers ?? anyLoopbackPort, error => log.log("error", "unexpected", { error })),
+        socket: new UdpSocket(peerAddress ?? anyLoopbackPort, error => log.log("error", "unexpected", { error })),
     });
-    let endsAtMs: number | undefined;
+    let stopDeadlineMs: number | undefined;
     const handler = new EdgeHandler({
         name,
         view,
@@ -182,24 +182,24 @@
         random,
         placer,
         board,
-        metadataRecorder: notes,
+        metadataRecorder,
         connections,
         peerConnections,
         configVersionWatermark: new ConfigVersionWatermark(),
-        checks: new ServerLivenessChecker(links),
-        reachability: reach,
-        crashReports: crashes,
+        checks: new ServerLivenessChecker(connector),
+        reachability,
+        crashReports,
         limits,
-        repeatBudget: budget,
+        repeatBudget,
         rollouts,
-        metadataCodec: metadataCodec,
+        metadataCodec,
         log,
         metrics,
         timeline,
-        callerConnections: callers,
-        firstReading,
+        callerConnections,
+        firstReading: initialSyncGate,
         startGate: new StartupGate(clock),
-        stopDeadlineMs: () => endsAtMs,
+        stopDeadlineMs: () => stopDeadlineMs,
     });
     const callerServer = createCallerServer({
         maximumConnections: maxCallerConnections,
@@ -209,7 +209,7 @@
     }, (req, res) => handler.handle(req, res));
 
     const readiness = (): Readiness => {
-        if (endsAtMs !== undefined) {
+        if (stopDeadlineMs !== undefined) {
             return { ready: false, reason: "stopping" };
         }
         return view.configurationInForce === undefined
@@ -217,15 +217,15 @@
             : { ready: true, reason: "ready" };
     };
     const readinessServer = createReadinessServer(metadataCodec.readinessPath, readiness);
-    const metricsServer = createMetricsServer(() => parts.metrics.render());
+    const metricsServer = createMetricsServer(() => options.metrics.render());
 
-    const onChange = (): void => {
+    const onViewChange = (): void => {
         const ids = new Set(view.knownServerIds());
         connections.retain(ids);
         board.retain(ids);
-        reach.onViewChange();
+        reachability.onViewChange();
         peerConnections.retain(new Set(view.registeredGateways().map(gateway => gateway.name)));
-        crashes.onChange();
+        crashReports.onChange();
         registration.onViewChange();
         limits.onViewChange();
         const callerLimits = view.configurationInForce?.configuration.limits;
@@ -236,7 +236,8 @@
     };
     const registration = new Registration({
         name,
-        registration: peers && { availabilityZone, peerAddress: { host: peers.address, port: peers.port } },
+        registration: peerAddress
+            && { availabilityZone, peerAddress: { host: peerAddress.address, port: peerAddress.port } },
         store,
         codec,
         view,
@@ -245,7 +246,7 @@
         log,
         metrics,
     });
-    const sync = new StateSync({
+    const stateSync = new StateSync({
         name,
         availabilityZone,
         store,
@@ -255,45 +256,45 @@
         random,
         log,
         metrics,
-        onViewChange: onChange,
+        onViewChange,
         onRelayFeedChange: () => relayServer.onFeedChange(),
-        initialSyncGate: firstReading,
+        initialSyncGate,
         relayClient: new HttpRelayClient(),
     });
-    const relayServer = new RelayServer(sync);
+    const relayServer = new RelayServer(stateSync);
     const rolloutSync = new RolloutRunner({ name, view, rollouts, store, codec, clock, random, log, metrics });
     const handovers = new HandoverServer({
         view,
-        reachability: reach,
+        reachability,
         handler,
         clock,
         log,
         metrics,
-        isStopping: () => endsAtMs !== undefined,
+        isStopping: () => stopDeadlineMs !== undefined,
     });
-    const peerServer = createPeerServer({ relay: relayServer, inbox: rolloutSync, reachability: reach, handovers });
+    const peerServer = createPeerServer({ relay: relayServer, inbox: rolloutSync, reachability, handovers });
 
     const stop = async (): Promise<void> => {
-        const beganAtMs = clock.monotonicMs();
+        const stopStartedAtMs = clock.monotonicMs();
         const graceMs = settings.stopping.graceSeconds * 1_000;
-        const lastMs = beganAtMs + graceMs - stopMarginMs;
-        endsAtMs = lastMs;
-        log.log("info", "stopping", { unanswered: callers.unanswered, graceMs });
-        callers.beginDrain();
+        const deadlineMs = stopStartedAtMs + graceMs - stopMarginMs;
+        stopDeadlineMs = deadlineMs;
+        log.log("info", "stopping", { unanswered: callerConnections.unanswered, graceMs });
+        callerConnections.beginDrain();
         relayServer.stop();
         limits.beginDrain();
         registration.stop();
         // The balancer still sends callers until it has detected the stop; these are served, not refused.
         await sleep(Math.max(Math.min(balancerDetectionMs, graceMs * stopAcceptShare), 0));
-        callers.closeIdle(callerServer);
-        while (callers.unanswered > 0 && clock.monotonicMs() < lastMs + stopMarginMs / 2) {
+        callerConnections.closeIdle(callerServer);
+        while (callerConnections.unanswered > 0 && clock.monotonicMs() < deadlineMs + stopMarginMs / 2) {
             await sleep(stopPollPeriodMs);
         }
-        sync.stop();
+        stateSync.stop();
         rolloutSync.stop();
-        crashes.stop();
+        crashReports.stop();
         limits.stop();
-        reach.stop();
+        reachability.stop();
         connections.close();
         peerConnections.close();
         callerServer.closeAllConnections();
@@ -301,15 +302,15 @@
         peerServer.closeAllConnections();
         readinessServer.close();
         metricsServer.close();
-        log.log("info", "stopped", { unanswered: callers.unanswered });
+        log.log("info", "stopped", { unanswered: callerConnections.unanswered });
     };
 
     return {
         start: async () => {
-            if (peers !== undefined) {
-                await listen(peerServer, peers);
+            if (peerAddress !== undefined) {
+                await listen(peerServer, peerAddress);
             }
-            sync.start();
+            stateSync.start();
             registration.start();
             rolloutSync.start();
             await listen(readinessServer, parseAddress(settings.listen.readiness));
--- a/packages/edge/src/edgeProcess.ts
+++ b/packages/edge/src/edgeProcess.ts
@@ -19,20 +19,20 @@
     readonly createStore: (settings: ResolvedEdgeSettings) => KeyValueStore;
 }
 
-const badSettingsExitCode = 2;
-const failedExitCode = 1;
+const invalidSettingsExitCode = 2;
+const failureExitCode = 1;
 const standardOutput = 1;
 
 /**
  * Runs an edge process until it exits. SIGTERM and SIGINT stop it gracefully with exit code 0; SIGHUP reads the
  * settings again. With invalid settings it prints each fault with its line and exits with code 2.
  *
- * @param binding - platform-specific dependencies
+ * @param options - platform-specific dependencies
  */
-export async function runEdge(binding: EdgeProcessOptions): Promise<void> {
-    const settings = loadSettings(binding.settingsPath);
+export async function runEdge(options: EdgeProcessOptions): Promise<void> {
+    const settings = loadSettings(options.settingsPath);
     if (settings === undefined) {
-        process.exit(badSettingsExitCode);
+        process.exit(invalidSettingsExitCode);
     }
     const output = new BoundedOutput(
         createWriteStream("", { fd: standardOutput, autoClose: false }),
@@ -45,16 +45,16 @@
     });
     const edge = createEdge({
         settings,
-        store: binding.createStore(settings),
-        codec: binding.codec,
-        metadataCodec: binding.metadataCodec,
+        store: options.createStore(settings),
+        codec: options.codec,
+        metadataCodec: options.metadataCodec,
         logger,
         metrics: createMetrics("galenaglade-edge"),
         // Differs between hosts and process starts, and avoids the start-up time of loading a crypto module.
         seed: murmurHash(`${settings.name} ${process.pid} ${process.hrtime.bigint()}`).result(),
     });
     process.on("SIGHUP", () => {
-        const reloaded = loadSettings(binding.settingsPath);
+        const reloaded = loadSettings(options.settingsPath);
         // Only validates the file: addresses and names can't change in a running process.
         logger.info("reloaded", {
             valid: reloaded !== undefined,
@@ -70,7 +70,7 @@
     }
     catch (err) {
         logger.error("unexpected", { error: `failed to start: ${String(err)}` });
-        process.exit(failedExitCode);
+        process.exit(failureExitCode);
     }
 }
 
--- a/packages/edge/src/metadataCodec.ts
+++ b/packages/edge/src/metadataCodec.ts
@@ -61,5 +61,5 @@
     /** @returns the metadata of a caller's request */
     abstract readRequest(headers: RawHeaders): RequestMetadata;
     /** @returns the headers for a backend server as alternating names and values */
-    abstract createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[];
+    abstract createForwardHeaders(headers: RawHeaders, metadata: ForwardMetadata): string[];
 }
--- a/packages/edge/src/peerServer.ts
+++ b/packages/edge/src/peerServer.ts
@@ -23,7 +23,7 @@
 /**
  * Creates the HTTP server for requests from other gateways.
  *
- * @param parts - handlers of the requests
+ * @param deps - handlers of the requests
  * @returns a server that is not listening yet
  */
 export function createPeerServer({ relay, inbox, reachability, handovers }: PeerServerDeps): Server {
--- a/packages/rateLimit/src/__tests__/limitBound.test.ts
+++ b/packages/rateLimit/src/__tests__/limitBound.test.ts
@@ -13,18 +13,18 @@
 // Guards against a workspace that exceeds its limit at the expense of others because a fault makes two allocators count
 // the share of one host.
 test("no five-second window exceeds the bound under faults of hosts, links and clocks or new rosters and limits", t => {
-    let worst = { part: 0, seed: 0 };
+    let worst = { usage: 0, seed: 0 };
     for (let seed = firstSeed; seed < firstSeed + runs; seed++) {
         const run = new RandomScenario(seed);
-        const part = run.run();
-        worst = part > worst.part ? { part, seed } : worst;
+        const usage = run.run();
+        worst = usage > worst.usage ? { usage, seed } : worst;
         assert.ok(
-            part <= 1,
-            `seed ${seed}: ${part.toFixed(3)} of the requests allowed in a window\n${run.log.join("\n")}`,
+            usage <= 1,
+            `seed ${seed}: ${usage.toFixed(3)} of the requests allowed in a window\n${run.log.join("\n")}`,
         );
     }
     t.diagnostic(
-        `${runs} runs, at most ${worst.part.toFixed(3)} of the requests allowed in a window (seed ${worst.seed})`,
+        `${runs} runs, at most ${worst.usage.toFixed(3)} of the requests allowed in a window (seed ${worst.seed})`,
     );
 });
 
@@ -38,15 +38,15 @@
 // Heartbeats delayed by seconds reach an allocator whose hosts have switched to the next one. Leases counted from their
 // arrival would make both allocators hold the shares.
 test("heartbeats that arrive seconds late don't extend leases", () => {
-    const world = createFleet({ hosts: 13, perSecond: 200, burst: 0, seed: 1 });
-    const workspace = world.hosts[0]?.rule?.workspace ?? "";
-    const [first] = findOwners(`rate limits ${groupOf(workspace)}`, world.hosts.map(({ name }) => name), 1);
-    const near = world.hosts.find(({ name }) => name !== first)?.name;
-    const isSlow = (): boolean => world.queue.nowMs > 6_000 && world.queue.nowMs < 9_000;
-    world.maxDelayMs = (from, to) => isSlow() && to === first && from !== near ? 3_000 : 2;
-    offerPoissonLoad(world, { perSecond: 4_000, fromMs: 4_000, untilMs: 13_000 });
-    world.run(14_000);
-    const admitted = world.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
+    const simulation = createFleet({ hosts: 13, perSecond: 200, burst: 0, seed: 1 });
+    const workspace = simulation.hosts[0]?.rule?.workspace ?? "";
+    const [first] = findOwners(`rate limits ${groupOf(workspace)}`, simulation.hosts.map(({ name }) => name), 1);
+    const near = simulation.hosts.find(({ name }) => name !== first)?.name;
+    const isSlow = (): boolean => simulation.queue.nowMs > 6_000 && simulation.queue.nowMs < 9_000;
+    simulation.maxDelayMs = (from, to) => isSlow() && to === first && from !== near ? 3_000 : 2;
+    offerPoissonLoad(simulation, { perSecond: 4_000, fromMs: 4_000, untilMs: 13_000 });
+    simulation.run(14_000);
+    const admitted = simulation.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
     const worst = findMaxWindowUsage(admitted, () => maxRequestsInWindow({ perSecond: 200, burst: 0 }));
     assert.ok(worst <= 1, `${worst.toFixed(3)} of the requests allowed in a window`);
 });
--- a/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
+++ b/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
@@ -2,7 +2,7 @@
 import { type Command, type LimitRule, protocolVersion, parseLimitMessage, type TokenRequest } from "../../index.js";
 import { type Limiter } from "./limitSimulation.js";
 
-const none: readonly Command[] = [];
+const noCommands: readonly Command[] = [];
 
 /** Minimum capacity in tokens; with less, a share of a small limit would never admit a request. */
 const minCapacity = 1;
@@ -11,7 +11,7 @@
     protected readonly name: string;
     protected names: readonly string[] = [];
     #level: number | undefined;
-    #atMs = 0;
+    #updatedAtMs = 0;
 
     constructor(name: string) {
         this.name = name;
@@ -28,11 +28,11 @@
 
     onRoster(names: readonly string[]): readonly Command[] {
         this.names = names;
-        return none;
+        return noCommands;
     }
 
     tick(): readonly Command[] {
-        return none;
+        return noCommands;
     }
 
     nextTickMs(): number | undefined {
@@ -44,22 +44,25 @@
     }
 
     stop(): readonly Command[] {
-        return none;
+        return noCommands;
     }
 
-    protected take({ perSecond, burst }: LimitRule, part: number, nowMs: number): boolean {
-        const capacity = Math.max(minCapacity, part * (1.05 * burst + 3));
-        const level = this.#level ?? part * 0.1 * perSecond + 1;
-        this.#level = Math.min(capacity, level + Math.max(0, nowMs - this.#atMs) * perSecond * part * 1.02 / 1_000);
-        this.#atMs = nowMs;
+    protected take({ perSecond, burst }: LimitRule, share: number, nowMs: number): boolean {
+        const capacity = Math.max(minCapacity, share * (1.05 * burst + 3));
+        const level = this.#level ?? share * 0.1 * perSecond + 1;
+        this.#level = Math.min(
+            capacity,
+            level + Math.max(0, nowMs - this.#updatedAtMs) * perSecond * share * 1.02 / 1_000,
+        );
+        this.#updatedAtMs = nowMs;
         const isAdmitted = this.#level >= 1;
         this.#level -= isAdmitted ? 1 : 0;
         return isAdmitted;
     }
 
     #ignore(nowMs: number): readonly Command[] {
-        this.#atMs = Math.max(this.#atMs, nowMs);
-        return none;
+        this.#updatedAtMs = Math.max(this.#updatedAtMs, nowMs);
+        return noCommands;
     }
 }
 
@@ -80,14 +83,14 @@
 export class SingleOwnerLimiter extends ComparedLimiter {
     readonly #waitingRequests = new Map<
         number,
-        { readonly request: TokenRequest; readonly atMs: number; tried: number; }
+        { readonly request: TokenRequest; readonly atMs: number; attempts: number; }
     >();
     #lostAtMs = new Map<string, number>();
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
         const requestId = this.#requests++;
-        this.#waitingRequests.set(requestId, { request, atMs: nowMs, tried: 0 });
+        this.#waitingRequests.set(requestId, { request, atMs: nowMs, attempts: 0 });
         return { requestId, commands: this.#requestToken(requestId, nowMs) };
     }
 
@@ -97,26 +100,30 @@
         if (message?.type === "ask" && entry !== undefined) {
             const granted = this.take(entry, 1, nowMs) ? 1 : 0;
             const entries = [{ granted, retryAfterMs: 0, plentiful: false, over: true }];
-            const answer = {
+            const response = {
                 v: protocolVersion,
                 type: "answer",
                 sender: this.name,
                 askerLife: message.life,
                 atMs: nowMs,
             } as const;
-            return [{ type: "send", to: from, message: { ...answer, life: "x", seq: message.seq, group: 0, entries } }];
+            return [{
+                type: "send",
+                to: from,
+                message: { ...response, life: "x", seq: message.seq, group: 0, entries },
+            }];
         }
-        const asked = message === undefined ? undefined : this.#waitingRequests.get(message.seq);
-        if (message?.type !== "answer" || asked === undefined) {
-            return none;
+        const pending = message === undefined ? undefined : this.#waitingRequests.get(message.seq);
+        if (message?.type !== "answer" || pending === undefined) {
+            return noCommands;
         }
         this.#waitingRequests.delete(message.seq);
-        return [decide(message.seq, message.entries[0]?.granted === 1, asked.request)];
+        return [decide(message.seq, message.entries[0]?.granted === 1, pending.request)];
     }
 
     override tick(nowMs = 0): readonly Command[] {
-        const late = [...this.#waitingRequests].filter(([, { atMs, tried }]) => nowMs - atMs >= tried * 150);
-        return late.flatMap(([requestId]) => {
+        const overdue = [...this.#waitingRequests].filter(([, { atMs, attempts }]) => nowMs - atMs >= attempts * 150);
+        return overdue.flatMap(([requestId]) => {
             const owner = this.#findOwner(nowMs);
             if (owner !== undefined) {
                 this.#lostAtMs.set(owner, nowMs);
@@ -126,7 +133,7 @@
     }
 
     override nextTickMs(nowMs = 0): number | undefined {
-        const due = [...this.#waitingRequests.values()].map(({ atMs, tried }) => atMs + tried * 150);
+        const due = [...this.#waitingRequests.values()].map(({ atMs, attempts }) => atMs + attempts * 150);
         return due.length === 0 ? undefined : Math.max(0, Math.min(...due) - nowMs);
     }
 
@@ -140,17 +147,17 @@
         const waiting = this.#waitingRequests.get(requestId);
         const owner = this.#findOwner(nowMs);
         if (waiting === undefined) {
-            return none;
+            return noCommands;
         }
-        if (owner === undefined || waiting.tried >= 6 || owner === this.name) {
+        if (owner === undefined || waiting.attempts >= 6 || owner === this.name) {
             this.#waitingRequests.delete(requestId);
             return [decide(requestId, owner === this.name && this.take(waiting.request, 1, nowMs), waiting.request)];
         }
-        waiting.tried++;
+        waiting.attempts++;
         const { workspace, perSecond, burst, configVersion } = waiting.request;
         const entries = [{ workspace, perSecond, burst, configVersion, wanted: 1, givenBack: 0 }];
-        const ask = { v: protocolVersion, type: "ask", sender: this.name, life: "x", group: 0, share: 0 } as const;
-        return [{ type: "send", to: owner, message: { ...ask, seq: requestId, entries } }];
+        const message = { v: protocolVersion, type: "ask", sender: this.name, life: "x", group: 0, share: 0 } as const;
+        return [{ type: "send", to: owner, message: { ...message, seq: requestId, entries } }];
     }
 }
 
--- a/packages/rateLimit/src/__tests__/support/limitSimulation.ts
+++ b/packages/rateLimit/src/__tests__/support/limitSimulation.ts
@@ -56,13 +56,18 @@
     isCountingBytes = false;
     /** Fraction of datagrams that are delivered twice. */
     duplicationRate = 0;
-    readonly #create: (name: string, life: string, startedAtMs: number) => Limiter;
+    readonly #create: (name: string, incarnation: string, startedAtMs: number) => Limiter;
     readonly #byName: ReadonlyMap<string, SimulatedHost>;
 
     constructor(hosts: number, random: RandomSource, create?: (name: string) => Limiter) {
         this.random = random;
-        this.#create = create ?? ((name, life, startedAtMs) => {
-            const limiter = new RateLimiter({ name, incarnation: life, random: () => random.next(), startedAtMs });
+        this.#create = create ?? ((name, incarnation, startedAtMs) => {
+            const limiter = new RateLimiter({
+                name,
+                incarnation,
+                random: () => random.next(),
+                startedAtMs,
+            });
             limiter.setActive(true, startedAtMs);
             return limiter;
         });
--- a/packages/rateLimit/src/__tests__/support/loads.ts
+++ b/packages/rateLimit/src/__tests__/support/loads.ts
@@ -24,36 +24,36 @@
 export function createFleet(
     { hosts, perSecond, burst = perSecond, seed, holdMs, create }: FleetOptions,
 ): LimitSimulation {
-    const world = new LimitSimulation(hosts, createRandomSource(seed + 1), create);
-    for (const host of world.hosts) {
+    const simulation = new LimitSimulation(hosts, createRandomSource(seed + 1), create);
+    for (const host of simulation.hosts) {
         host.rule = { workspace: `workspace ${seed}`, perSecond, burst, configVersion: 1, decisionTimeoutMs: holdMs };
-        world.queue.schedule(world.random.next() * 500, () => world.start(host, 300));
+        simulation.queue.schedule(simulation.random.next() * 500, () => simulation.start(host, 300));
     }
-    return world;
+    return simulation;
 }
 
 /** Schedules requests at random times with a constant mean rate. @returns the number of requests */
 export function offerPoissonLoad(
-    world: LimitSimulation,
+    simulation: LimitSimulation,
     { perSecond, fromMs, untilMs, retries = 0 }: OfferedLoad,
 ): number {
     const random = createRandomSource(99);
     let offered = 0;
     for (let atMs = fromMs; atMs < untilMs; atMs -= Math.log(1 - random.next()) * 1_000 / perSecond) {
-        world.queue.schedule(atMs, () => world.sendCallerRequest(retries));
+        simulation.queue.schedule(atMs, () => simulation.sendCallerRequest(retries));
         offered++;
     }
     return offered;
 }
 
 /** Schedules all requests that a token bucket allows, in bursts after random pauses. @returns the number of requests */
-export function offerLoadAtLimit(world: LimitSimulation, load: OfferedLoad & { readonly burst: number; }): number {
+export function offerLoadAtLimit(simulation: LimitSimulation, load: OfferedLoad & { readonly burst: number; }): number {
     const random = createRandomSource(7);
     let level = load.burst;
     let offered = 0;
     for (let atMs = load.fromMs; atMs < load.untilMs;) {
         for (; level >= 1; level--) {
-            world.queue.schedule(atMs, () => world.sendCallerRequest(0));
+            simulation.queue.schedule(atMs, () => simulation.sendCallerRequest(0));
             offered++;
         }
         const pauseMs = (random.next() < 0.2 ? random.next() * 3_000 : 10) + 1_000 / load.perSecond * random.next();
--- a/packages/rateLimit/src/__tests__/support/randomScenario.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -65,14 +65,14 @@
         this.simulation.queue.schedule(atMs - this.simulation.queue.nowMs, run);
     }
 
-    #createRule(configVersion: number, before?: TokenRequest): TokenRequest {
+    #createRule(configVersion: number, previous?: TokenRequest): TokenRequest {
         // With small limits, the tolerance of 20 requests would hide faults; large limits take long to simulate.
         const perSecond = this.#random.next() < 0.75
             ? 60 + this.#random.next() * 140
             : 0.5 * 800 ** this.#random.next();
         const burst = perSecond * this.#pick([1, 1, 0, 0, 3]);
         return {
-            workspace: before?.workspace ?? `workspace ${this.#random.below(1_000)}`,
+            workspace: previous?.workspace ?? `workspace ${this.#random.below(1_000)}`,
             perSecond,
             burst,
             configVersion,
@@ -95,13 +95,13 @@
         const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
         for (let atMs = this.#pick([1_000, 5_000, 9_000]); atMs < endMs;) {
-            const some = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
+            const targets = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
             const floodMs = Math.min(endMs - atMs, 500 + this.#random.next() * 6_000);
             const count = Math.ceil(burst + perSecond * this.#pick([1.5, 4.5]) * floodMs / 1_000 + 5);
             for (let i = 0; i < count; i++) {
                 // The burst is sent at once.
                 const afterMs = i < burst ? 0 : this.#random.next() * floodMs;
-                this.#scheduleAt(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
+                this.#scheduleAt(atMs + afterMs, () => this.simulation.requestToken(this.#pick(targets)));
             }
             atMs += floodMs + this.#random.next() * pauseMs;
         }
@@ -109,7 +109,7 @@
 
     #injectFault(): void {
         const random = this.#random;
-        const disturbances = [
+        const faults = [
             () => this.#restart(this.#chooseVictims(), random.next() * 3_000),
             () => this.#suspend(this.#chooseVictims(), 50 + random.next() * 4_000, random.next() < 0.5),
             () => this.#partition(100 + random.next() * 6_000),
@@ -120,17 +120,17 @@
             () => this.#stepClocks(),
             () => this.#restart(this.#chooseVictims(), random.next() * 3_000, 50 + random.next() * 800),
         ];
-        this.#pick(disturbances)();
+        this.#pick(faults)();
     }
 
     /** Chooses hosts that fail. Half of the time these are allocators, as faults of other hosts have little effect. */
     #chooseVictims(): readonly SimulatedHost[] {
         const { hosts } = this.simulation;
-        const ranked = this.#findCandidates();
-        const part = this.#pick([0.1, 0.33, 0.55, 1]);
+        const candidates = this.#findCandidates();
+        const fraction = this.#pick([0.1, 0.33, 0.55, 1]);
         return this.#random.next() < 0.5
-            ? hosts.filter(({ name }) => ranked.slice(0, this.#pick([1, 1, 2, 4])).includes(name))
-            : hosts.filter(() => this.#random.next() < part);
+            ? hosts.filter(({ name }) => candidates.slice(0, this.#pick([1, 1, 2, 4])).includes(name))
+            : hosts.filter(() => this.#random.next() < fraction);
     }
 
     #findCandidates(): readonly string[] {
@@ -165,7 +165,7 @@
     #partition(forMs: number): void {
         const kind = this.#pick(["both", "oneWay", "bridge", "each"]);
         const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.below(3)]));
-        this.#logEvent(`cut ${kind} for ${forMs.toFixed(0)} ms`);
+        this.#logEvent(`partition ${kind} for ${forMs.toFixed(0)} ms`);
         const cuts: Record<string, (from: number, to: number) => boolean> = {
             both: (from, to) => (from === 0) !== (to === 0),
             oneWay: (from, to) => from === 0 && to !== 0,
@@ -181,9 +181,9 @@
         );
     }
 
-    /** Isolates one allocator candidate after the other, together with one random host. */
+    /** Isolates one allocator candidate after the other, each together with at most one other host. */
     #isolateInTurn(everyMs: number): void {
-        this.#logEvent(`ranks cut off every ${everyMs.toFixed(0)} ms`);
+        this.#logEvent(`candidates isolated every ${everyMs.toFixed(0)} ms`);
         const { hosts } = this.simulation;
         for (const [i, rank] of this.#findCandidates().slice(0, 4).entries()) {
             const side = new Set([rank, this.#pick(hosts).name]);
@@ -194,8 +194,10 @@
     }
 
     #delay(forMs: number): void {
-        const [maxMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
-        const slow = new Set(this.simulation.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
+        const [maxMs, fraction] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
+        const slow = new Set(
+            this.simulation.hosts.filter(() => this.#random.next() < fraction).map(({ name }) => name),
+        );
         this.#logEvent(`up to ${maxMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
         // Only messages to the first candidate are delayed, or messages to all hosts.
         const target = this.#random.next() < 0.6 ? this.#findCandidates()[0] : undefined;
--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -94,9 +94,9 @@
 
     /** @returns whether the token can be returned to its allocator */
     giveBack({ grantedBy, rule }: Token): boolean {
-        const link = grantedBy === undefined ? undefined : this.#sessions.get(grantedBy);
-        link?.giveBack(rule, 1);
-        return link !== undefined;
+        const session = grantedBy === undefined ? undefined : this.#sessions.get(grantedBy);
+        session?.giveBack(rule, 1);
+        return session !== undefined;
     }
 
     /** Refuses all waiting requests when the configuration no longer has limits. */
@@ -108,21 +108,21 @@
     }
 
     /** @returns whether the response matched a message in flight */
-    onResponse(answer: LimitResponseMessage, nowMs: number): boolean {
-        const link = this.#sessions.get(answer.sender);
-        const unanswered = link?.unansweredRequests() ?? [];
-        const entries = link?.onResponse(answer, nowMs);
-        if (link === undefined || entries === undefined) {
+    onResponse(response: LimitResponseMessage, nowMs: number): boolean {
+        const session = this.#sessions.get(response.sender);
+        const unanswered = session?.unansweredRequests() ?? [];
+        const entries = session?.onResponse(response, nowMs);
+        if (session === undefined || entries === undefined) {
             return false;
         }
-        this.#respondedAllocators.add(link.allocator);
-        if (answer.leaving === true) {
-            this.#abandonAllocator(link, unanswered, "leaving", nowMs);
+        this.#respondedAllocators.add(session.allocator);
+        if (response.leaving === true) {
+            this.#abandonAllocator(session, unanswered, "leaving", nowMs);
             return true;
         }
-        this.#onAllocatorResponse(link, nowMs);
+        this.#onAllocatorResponse(session, nowMs);
         for (const entry of entries) {
-            this.#applyEntry(link, entry, nowMs);
+            this.#applyEntry(session, entry, nowMs);
         }
         return true;
     }
@@ -174,9 +174,9 @@
 
     /** The allocator, other than the current one, that may still hold the share. */
     #findShareHolder(nowMs: number): AllocatorSession | undefined {
-        for (const link of this.#sessions.values()) {
-            if (link !== this.#current && link.shareLeaseEndMs > nowMs) {
-                return link;
+        for (const session of this.#sessions.values()) {
+            if (session !== this.#current && session.shareLeaseEndMs > nowMs) {
+                return session;
             }
         }
         return undefined;
@@ -184,8 +184,8 @@
 
     /** @returns when the share can be delegated to the current allocator, or used for time slots */
     #shareFreeAtMs(nowMs: number): number {
-        const heldUntilMs = this.#findShareHolder(nowMs)?.shareLeaseEndMs ?? -Infinity;
-        return Math.max(this.#previousLeaseEndMs, heldUntilMs);
+        const leaseEndMs = this.#findShareHolder(nowMs)?.shareLeaseEndMs ?? -Infinity;
+        return Math.max(this.#previousLeaseEndMs, leaseEndMs);
     }
 
     #availableShare(nowMs: number): number {
@@ -197,9 +197,9 @@
      * must end.
      */
     #endStartup(nowMs: number): void {
-        const isGreeted = this.#candidates.length > 0
+        const haveAllResponded = this.#candidates.length > 0
             && this.#candidates.every(name => this.#respondedAllocators.has(name));
-        if (this.#previousLeaseEndMs > nowMs && isGreeted) {
+        if (this.#previousLeaseEndMs > nowMs && haveAllResponded) {
             this.#previousLeaseEndMs = nowMs;
             this.#shareFreeSinceMs = nowMs;
         }
@@ -219,21 +219,21 @@
 
     /** Handles an allocator that doesn't respond or shuts down. */
     #abandonAllocator(
-        link: AllocatorSession,
+        session: AllocatorSession,
         unanswered: readonly PendingRequest[],
         reason: string,
         nowMs: number,
     ): void {
         const { group, output } = this.#options;
-        const wasKnown = link.hasResponded || reason === "leaving";
-        this.#lostAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
-        if (this.#preferred === link) {
+        const hadResponded = session.hasResponded || reason === "leaving";
+        this.#lostAtMs.set(session.allocator, hadResponded ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
+        if (this.#preferred === session) {
             this.#preferred = undefined;
         }
-        if (link !== this.#current) {
+        if (session !== this.#current) {
             return;
         }
-        output.logChange({ type: "allocatorLost", group, allocator: link.allocator, reason });
+        output.logChange({ type: "allocatorLost", group, allocator: session.allocator, reason });
         this.#requeue(unanswered);
         this.#current = undefined;
         this.#chooseAllocator(nowMs);
@@ -253,13 +253,13 @@
         this.#switchTo(this.#sessionFor(name), nowMs);
     }
 
-    #switchTo(link: AllocatorSession, nowMs: number): void {
+    #switchTo(session: AllocatorSession, nowMs: number): void {
         this.#requeue(this.#current?.unansweredRequests() ?? []);
-        this.#current = link;
-        link.activate(nowMs);
+        this.#current = session;
+        session.activate(nowMs);
         const { group, output } = this.#options;
-        const rank = this.#candidates.indexOf(link.allocator);
-        output.logChange({ type: "allocatorChosen", group, allocator: link.allocator, rank });
+        const rank = this.#candidates.indexOf(session.allocator);
+        output.logChange({ type: "allocatorChosen", group, allocator: session.allocator, rank });
     }
 
     #isUsable(name: string, nowMs: number): boolean {
@@ -267,17 +267,17 @@
     }
 
     /** Handles a response of an allocator that may not be the current one. */
-    #onAllocatorResponse(link: AllocatorSession, nowMs: number): void {
-        if (link === this.#current) {
+    #onAllocatorResponse(session: AllocatorSession, nowMs: number): void {
+        if (session === this.#current) {
             return;
         }
-        const isHolder = link.shareLeaseEndMs > nowMs && !link.isReleasing;
-        if (isHolder || (this.#current === undefined && !link.isReleasing)) {
+        const isHolder = session.shareLeaseEndMs > nowMs && !session.isReleasing;
+        if (isHolder || (this.#current === undefined && !session.isReleasing)) {
             // It responded late, but still holds this host's share.
-            this.#switchTo(link, nowMs);
+            this.#switchTo(session, nowMs);
         }
-        else if (this.#isPreferred(link.allocator) && this.#isUsable(link.allocator, nowMs)) {
-            this.#preferred = link;
+        else if (this.#isPreferred(session.allocator) && this.#isUsable(session.allocator, nowMs)) {
+            this.#preferred = session;
         }
     }
 
@@ -288,18 +288,18 @@
     }
 
     #moveToPreferred(nowMs: number): void {
-        const [former, better] = [this.#current, this.#preferred];
-        if (better === undefined || former === undefined || former.isAwaitingTokens) {
+        const [previous, preferred] = [this.#current, this.#preferred];
+        if (preferred === undefined || previous === undefined || previous.isAwaitingTokens) {
             return;
         }
         this.#preferred = undefined;
-        if (!this.#isPreferred(better.allocator) || !this.#isUsable(better.allocator, nowMs)) {
+        if (!this.#isPreferred(preferred.allocator) || !this.#isUsable(preferred.allocator, nowMs)) {
             return;
         }
-        this.#switchTo(better, nowMs);
-        if (former.shareLeaseEndMs > nowMs) {
-            former.isReleasing = true;
-            this.#send(former, former.createMessage(0, [], nowMs));
+        this.#switchTo(preferred, nowMs);
+        if (previous.shareLeaseEndMs > nowMs) {
+            previous.isReleasing = true;
+            this.#send(previous, previous.createMessage(0, [], nowMs));
         }
     }
 
@@ -313,23 +313,23 @@
     }
 
     #nextProbeAtMs(name: string, nowMs: number): number {
-        const link = this.#sessions.get(name);
-        const sentMs = link?.lastSentAtMs ?? -Infinity;
-        if (link !== undefined && link.shareLeaseEndMs > nowMs) {
-            return sentMs + retransmitPeriodMs;
+        const session = this.#sessions.get(name);
+        const lastSentAtMs = session?.lastSentAtMs ?? -Infinity;
+        if (session !== undefined && session.shareLeaseEndMs > nowMs) {
+            return lastSentAtMs + retransmitPeriodMs;
         }
         if (!this.#candidates.includes(name)) {
             return Infinity;
         }
         if (this.#previousLeaseEndMs > nowMs && !this.#respondedAllocators.has(name)) {
-            return sentMs + startupProbePeriodMs;
+            return lastSentAtMs + startupProbePeriodMs;
         }
         if (this.#current === undefined) {
-            return sentMs + isolatedProbePeriodMs;
+            return lastSentAtMs + isolatedProbePeriodMs;
         }
-        const leftAtMs = this.#lostAtMs.get(name) ?? -Infinity;
+        const lostAtMs = this.#lostAtMs.get(name) ?? -Infinity;
         return this.#isPreferred(name)
-            ? Math.max(sentMs + failbackProbePeriodMs, leftAtMs + failbackDelayMs)
+            ? Math.max(lastSentAtMs + failbackProbePeriodMs, lostAtMs + failbackDelayMs)
             : Infinity;
     }
 
@@ -337,11 +337,11 @@
         for (const name of this.#probeTargets()) {
             const atMs = this.#nextProbeAtMs(name, nowMs);
             if (atMs <= nowMs) {
-                const link = this.#sessionFor(name);
+                const session = this.#sessionFor(name);
                 // To an allocator that may still hold the share the same message is sent, which doesn't extend the
                 // lease.
-                const repeated = link.shareLeaseEndMs > nowMs ? link.retransmit(nowMs) : undefined;
-                this.#send(link, repeated ?? link.createMessage(0, [], nowMs));
+                const repeated = session.shareLeaseEndMs > nowMs ? session.retransmit(nowMs) : undefined;
+                this.#send(session, repeated ?? session.createMessage(0, [], nowMs));
             }
             else if (atMs === Infinity && name !== this.#preferred?.allocator) {
                 this.#sessions.delete(name);
@@ -405,11 +405,11 @@
     }
 
     #applyEntry(
-        link: AllocatorSession,
+        session: AllocatorSession,
         { granted, retryAfterMs, plentiful, over, requests }: DecidedEntry,
         nowMs: number,
     ): void {
-        let left = granted;
+        let remaining = granted;
         let refused = 0;
         for (const request of requests) {
             if (!request.isPending) {
@@ -417,9 +417,9 @@
             }
             const { rule } = request;
             const waitMs = retryAfterMs + refused * oneSecondMs / rule.perSecond;
-            if (left > 0) {
-                left--;
-                this.#decide(request, { type: "admitted", token: { rule, grantedBy: link.allocator }, plentiful });
+            if (remaining > 0) {
+                remaining--;
+                this.#decide(request, { type: "admitted", token: { rule, grantedBy: session.allocator }, plentiful });
             }
             else if (over) {
                 refused++;
@@ -431,8 +431,8 @@
             }
         }
         const rule = requests[0]?.rule;
-        if (left > 0 && rule !== undefined) {
-            link.giveBack(rule, left);
+        if (remaining > 0 && rule !== undefined) {
+            session.giveBack(rule, remaining);
         }
     }
 
@@ -458,15 +458,15 @@
 
     #sessionFor(name: string): AllocatorSession {
         const { name: self, incarnation, group, nextSeq } = this.#options;
-        const link = this.#sessions.get(name)
+        const session = this.#sessions.get(name)
             ?? new AllocatorSession({ allocator: name, name: self, incarnation, group, nextSeq });
-        this.#sessions.set(name, link);
-        return link;
+        this.#sessions.set(name, session);
+        return session;
     }
 
-    #send(link: AllocatorSession, message: LimitRequestMessage | undefined): void {
+    #send(session: AllocatorSession, message: LimitRequestMessage | undefined): void {
         if (message !== undefined) {
-            this.#options.output.send(link.allocator, message);
+            this.#options.output.send(session.allocator, message);
         }
     }
 }
