--- a/packages/edge/src/__tests__/sendLost.test.ts
+++ b/packages/edge/src/__tests__/sendLost.test.ts
@@ -16,7 +16,7 @@
 
 type Line = Readonly<Record<string, unknown>>;
 
-async function startPath(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
+async function startEdgeWith(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, backend);
@@ -25,7 +25,7 @@
     return edge;
 }
 
-async function findLost(edge: TestEdge, count: number): Promise<readonly Line[]> {
+async function findLostSends(edge: TestEdge, count: number): Promise<readonly Line[]> {
     const find = (): readonly Line[] => edge.logs.filter(line => line["message"] === "sendLost");
     await eventually(() => find().length >= count, `${count} lost sends are logged`);
     return find();
@@ -37,9 +37,9 @@
         req.socket.resetAndDestroy();
     };
     const backend = await startBackend(t, "a", reset);
-    const edge = await startPath(t, backend);
+    const edge = await startEdgeWith(t, backend);
     await call(edge, "/returns/x", { method: "POST", body: "filed" });
-    assert.deepEqual((await findLost(edge, 1)).map(line => [line["from"], line["server"]]), [["a", "listening"]]);
+    assert.deepEqual((await findLostSends(edge, 1)).map(line => [line["from"], line["server"]]), [["a", "listening"]]);
     await backend.raw.stop();
     const ending = await startBackend(t, "b", req => void ending.raw.stop().then(() => reset(req)));
     registerServer(edge.store, ending);
@@ -47,21 +47,21 @@
     for (let i = 0; ending.servedRequests().length === 0 && i < 50; i++) {
         await call(edge, "/returns/x", { method: "POST", body: "filed" });
     }
-    const [, lost] = await findLost(edge, 2);
+    const [, lost] = await findLostSends(edge, 2);
     assert.deepEqual([lost?.["from"], lost?.["server"]], ["b", "ended"]);
 });
 
 // Guards against a caller's request that crashes one server after the other without being identifiable in the log.
 test("requests share a content id if and only if their method, path, caller and body are the same", async t => {
     const backend = await startBackend(t, "a", req => req.socket.resetAndDestroy());
-    const edge = await startPath(t, backend);
+    const edge = await startEdgeWith(t, backend);
     const large = "x".repeat(50_000);
     const bodies = ["filed", "filed", "other", large, large, `${large}y`];
     for (const body of bodies) {
         await call(edge, "/returns/x", { method: "POST", body });
     }
     await call(edge, "/returns/y", { method: "POST", body: "filed" });
-    const ids = (await findLost(edge, bodies.length + 1)).map(line => String(line["contentId"]));
+    const ids = (await findLostSends(edge, bodies.length + 1)).map(line => String(line["contentId"]));
     assert.equal(ids[0], ids[1]);
     assert.equal(ids[3], ids[4]);
     assert.equal(new Set(ids).size, 5);
--- a/packages/edge/src/__tests__/serverLimit.test.ts
+++ b/packages/edge/src/__tests__/serverLimit.test.ts
@@ -25,7 +25,7 @@
 }
 
 /** Sends requests to the gateways in turn for some time. */
-async function sendFor({ servers, edges }: LimitedFleet, forMs: number, everyMs: number): Promise<void> {
+async function sendRequestsFor({ servers, edges }: LimitedFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
     for (let i = 0; performance.now() < untilMs; i++) {
@@ -49,7 +49,7 @@
 test("a server that announces a limit gets no more requests than that from all gateways together", async t => {
     const fleet = await startLimitedFleet(t, 5, ["a", "b", "c"]);
     fleet.servers.setLimit("a", 1.1);
-    await sendFor(fleet, 9_000, 15);
+    await sendRequestsFor(fleet, 9_000, 15);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
     assert.deepEqual(findRefusedForLimits(fleet), []);
 });
@@ -59,10 +59,10 @@
 test("a server whose limit has ended is used again", async t => {
     const fleet = await startLimitedFleet(t, 3, ["a", "b"]);
     fleet.servers.setLimit("a", 2);
-    await sendFor(fleet, 4_000, 20);
+    await sendRequestsFor(fleet, 4_000, 20);
     fleet.servers.setLimit("a", undefined);
     const endedAtMs = performance.now();
-    await sendFor(fleet, 6_000, 20);
+    await sendRequestsFor(fleet, 6_000, 20);
     const used = fleet.servers.countRequests("a", endedAtMs + 4_000);
     assert.ok(used > 20, `${used} requests in the last two seconds`);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
@@ -74,10 +74,10 @@
     assert.ok(edge);
     fleet.servers.setLimit("a", 0.1);
     assert.equal((await fleet.servers.send(edge)).status, 200);
-    const askedAtMs = performance.now();
-    const got = await fleet.servers.send(edge);
-    assert.equal(got.status, 503);
-    assert.ok(Number(got.headers["retry-after"]) > 0);
+    const sentAtMs = performance.now();
+    const response = await fleet.servers.send(edge);
+    assert.equal(response.status, 503);
+    assert.ok(Number(response.headers["retry-after"]) > 0);
     assert.equal(edge.logs.findLast(line => line["message"] === "requestFailed")?.["detail"], "limited");
-    assert.ok(performance.now() - askedAtMs < 500);
+    assert.ok(performance.now() - sentAtMs < 500);
 });
--- a/packages/edge/src/__tests__/serverRest.test.ts
+++ b/packages/edge/src/__tests__/serverRest.test.ts
@@ -4,7 +4,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { sendRequestsFor, startAnnouncingFleet } from "./support/announcingServers.js";
 
-const restBounds = { onTheWayMs: 500, allowed: 2 };
+const backoffBounds = { onTheWayMs: 500, allowed: 2 };
 
 // Guards against sending the usual load, or more, to a server that requested a back-off: since it executes nothing, it
 // looks idle.
@@ -13,7 +13,7 @@
     await sendRequestsFor(fleet, 500, 15);
     fleet.servers.setBackoff("a", 2);
     await sendRequestsFor(fleet, 5_000, 15);
-    assert.deepEqual(checkServerRest(fleet.servers.history, restBounds), []);
+    assert.deepEqual(checkServerRest(fleet.servers.history, backoffBounds), []);
 });
 
 // Guards against gateways that exclude a server permanently after its back-off.
@@ -22,9 +22,9 @@
     fleet.servers.setBackoff("a", 1);
     await sendRequestsFor(fleet, 600, 15);
     fleet.servers.setBackoff("a", undefined);
-    const restedAtMs = performance.now() + 1_000;
+    const backoffEndMs = performance.now() + 1_000;
     await sendRequestsFor(fleet, 2_000, 15);
-    assert.ok(fleet.servers.countRequests("a", restedAtMs) > 0);
+    assert.ok(fleet.servers.countRequests("a", backoffEndMs) > 0);
 });
 
 // Guards against requests that wait or are sent although it is known that all servers would reject them.
@@ -36,9 +36,9 @@
     fleet.servers.setBackoff("b", 20);
     await sendRequestsFor(fleet, 300, 15);
     const beforeMs = performance.now();
-    const got = await fleet.servers.send(edge);
-    assert.equal(got.status, 503);
-    const retryAfter = Number(got.headers["retry-after"]);
+    const response = await fleet.servers.send(edge);
+    assert.equal(response.status, 503);
+    const retryAfter = Number(response.headers["retry-after"]);
     assert.ok(retryAfter > 15 && retryAfter <= 20.5, `${retryAfter} s`);
     assert.equal(fleet.servers.countRequests("a", beforeMs) + fleet.servers.countRequests("b", beforeMs), 0);
 });
--- a/packages/edge/src/__tests__/support/announcingServers.ts
+++ b/packages/edge/src/__tests__/support/announcingServers.ts
@@ -24,34 +24,34 @@
  * that they receive and the announcements that gateways receive.
  */
 export class AnnouncingServers extends RecordedServers {
-    readonly #restSeconds = new Map<string, number>();
+    readonly #backoffSeconds = new Map<string, number>();
     readonly #leaving = new Set<string>();
-    readonly #breakingOff = new Set<string>();
+    readonly #truncating = new Set<string>();
     readonly #backends = new Map<string, TestBackend>();
 
     async start(id: string): Promise<void> {
         const backend = await startBackend(this.t, id, req => {
-            const rest = this.#restSeconds.get(id);
-            const more = [`x-server: ${id}`, ...(this.#leaving.has(id) ? ["x-leaving: 1"] : [])];
-            if (rest !== undefined) {
+            const backoff = this.#backoffSeconds.get(id);
+            const headers = [`x-server: ${id}`, ...(this.#leaving.has(id) ? ["x-leaving: 1"] : [])];
+            if (backoff !== undefined) {
                 const requestId = req.headers.get("x-id") ?? "";
-                const where = { server: id, availabilityZone: "north", cold: false };
-                this.record({ type: "serverTurnedAway", requestId, ...where, restMs: rest * 1_000 });
+                const serverFields = { server: id, availabilityZone: "north", cold: false };
+                this.record({ type: "serverTurnedAway", requestId, ...serverFields, restMs: backoff * 1_000 });
                 req.socket.write(
-                    renderSignedResponse(req, "", "503 Busy", [...more, "x-not-run: 1", `x-rest: ${rest}`]),
+                    renderSignedResponse(req, "", "503 Busy", [...headers, "x-not-run: 1", `x-rest: ${backoff}`]),
                 );
                 return;
             }
             this.recordStarted(id, req);
-            if (this.#breakingOff.has(id)) {
-                const head = renderSignedResponse(req, "", "200 OK", more).replace(
+            if (this.#truncating.has(id)) {
+                const head = renderSignedResponse(req, "", "200 OK", headers).replace(
                     "content-length: 0",
                     `content-length: ${largeBytes}`,
                 );
                 req.socket.write(head + "x".repeat(largeBytes - 1), () => req.socket.destroy());
                 return;
             }
-            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", headers)), workMs);
         });
         this.#backends.set(id, backend);
         registerServer(this.store, backend);
@@ -60,10 +60,10 @@
     /** Makes a server reject all requests and request a back-off of some seconds, or serve again. */
     setBackoff(id: string, seconds: number | undefined): void {
         if (seconds === undefined) {
-            this.#restSeconds.delete(id);
+            this.#backoffSeconds.delete(id);
             return;
         }
-        this.#restSeconds.set(id, seconds);
+        this.#backoffSeconds.set(id, seconds);
     }
 
     /** Makes a server announce in its responses that it shuts down, while its entry in the store stays unchanged. */
@@ -74,13 +74,13 @@
     /** The same, with responses that are too large to be buffered and end prematurely. */
     announceLeavingInTruncatedResponse(id: string): void {
         this.#leaving.add(id);
-        this.#breakingOff.add(id);
+        this.#truncating.add(id);
     }
 
     /** Restarts a server with the same id and address. */
     restart(id: string, startedAtEpochMs: number): void {
         this.#leaving.delete(id);
-        this.#restSeconds.delete(id);
+        this.#backoffSeconds.delete(id);
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
             registerServer(this.store, backend, { startedAtEpochMs });
@@ -106,11 +106,11 @@
         const gateway = edge.name;
         const idempotent = method === "GET";
         this.record({ type: "callerSent", requestId, service: "tables", idempotent, patienceMs: 8_000, gateway });
-        const got = await call(edge, `/${idempotent ? "tables" : "returns"}/${requestId}`, { requestId, method });
-        if (got.headers["x-leaving"] !== undefined) {
-            this.record({ type: "leavingPassedOn", gateway, server: String(got.headers["x-server"]) });
+        const response = await call(edge, `/${idempotent ? "tables" : "returns"}/${requestId}`, { requestId, method });
+        if (response.headers["x-leaving"] !== undefined) {
+            this.record({ type: "leavingPassedOn", gateway, server: String(response.headers["x-server"]) });
         }
-        return got;
+        return response;
     }
 
     /** @returns the number of requests that a server received in a period, including rejected ones */
--- a/packages/edge/src/__tests__/support/limitedServers.ts
+++ b/packages/edge/src/__tests__/support/limitedServers.ts
@@ -21,8 +21,8 @@
         const backend = await startBackend(this.t, id, req => {
             this.recordStarted(id, req);
             const limit = this.#limits.get(id);
-            const more = [`x-server: ${id}`, ...(limit === undefined ? [] : [`x-limit: ${limit}`])];
-            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
+            const headers = [`x-server: ${id}`, ...(limit === undefined ? [] : [`x-limit: ${limit}`])];
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", headers)), workMs);
         });
         registerServer(this.store, backend);
     }
@@ -49,11 +49,11 @@
             patienceMs: 8_000,
             gateway,
         });
-        const got = await call(edge, `/tables/${requestId}`, { requestId });
-        if (got.headers["x-limit"] !== undefined) {
-            this.record({ type: "limitPassedOn", gateway, server: String(got.headers["x-server"]) });
+        const response = await call(edge, `/tables/${requestId}`, { requestId });
+        if (response.headers["x-limit"] !== undefined) {
+            this.record({ type: "limitPassedOn", gateway, server: String(response.headers["x-server"]) });
         }
-        return got;
+        return response;
     }
 
     /** @returns the number of requests that a server received in a period */
--- a/packages/edge/src/__tests__/support/recordedServers.ts
+++ b/packages/edge/src/__tests__/support/recordedServers.ts
@@ -8,7 +8,7 @@
     readonly history: HistoryLine[] = [];
     protected readonly t: TestContext;
     readonly store: MemoryStore;
-    #sent = 0;
+    #requestCount = 0;
 
     constructor(t: TestContext, store: MemoryStore) {
         this.t = t;
@@ -16,7 +16,7 @@
     }
 
     protected createRequestId(): string {
-        return `q${++this.#sent}`;
+        return `q${++this.#requestCount}`;
     }
 
     protected record(event: HistoryEvent): void {
--- a/packages/edge/src/__tests__/support/testCodecs.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -55,7 +55,7 @@
             load: load === undefined ? undefined : { running, waiting, slots, slowdown },
             coldRemainingMs: Number(findHeader(headers, "x-cold-ms") ?? 0),
             limit: readLimit(findHeader(headers, "x-limit")),
-            backoff: readRest(findHeader(headers, "x-rest")),
+            backoff: readBackoff(findHeader(headers, "x-rest")),
             leaving: findHeader(headers, "x-leaving") !== undefined,
             unknownHeaders: findHeader(headers, "x-riddle") === undefined ? [] : ["x-riddle"],
         };
@@ -63,14 +63,14 @@
 }
 
 function readKey(values: readonly string[]): CallerKey {
-    const [key, ...more] = values;
+    const [key, ...others] = values;
     if (key === undefined) {
         return { type: "none" };
     }
-    return more.length === 0 ? { type: "given", key } : { type: "malformed" };
+    return others.length === 0 ? { type: "given", key } : { type: "malformed" };
 }
 
-function readRest(text: string | undefined): ParsedBackoff {
+function readBackoff(text: string | undefined): ParsedBackoff {
     if (text === undefined) {
         return { type: "none" };
     }
--- a/packages/edge/src/__tests__/support/testEdge.ts
+++ b/packages/edge/src/__tests__/support/testEdge.ts
@@ -42,16 +42,16 @@
     req: RawRequest,
     body: string,
     status = "200 OK",
-    more: readonly string[] = [],
+    extraHeaders: readonly string[] = [],
 ): string {
-    const head = [
+    const lines = [
         `HTTP/1.1 ${status}`,
         `content-length: ${body.length}`,
         `x-id: ${req.headers.get("x-id") ?? ""}`,
         "x-signed: 1",
-        ...more,
+        ...extraHeaders,
     ];
-    return [...head, "", body].join("\r\n");
+    return [...lines, "", body].join("\r\n");
 }
 
 export async function startBackend(
@@ -59,23 +59,23 @@
     id: string,
     serve: (req: RawRequest) => void = req => req.socket.write(renderSignedResponse(req, `from ${id}`)),
 ): Promise<TestBackend> {
-    const served: RawRequest[] = [];
+    const servedRequests: RawRequest[] = [];
     const raw = await startRawBackend(t, req => {
         if (req.path !== "/health") {
-            served.push(req);
+            servedRequests.push(req);
             serve(req);
             return;
         }
         if (backend.load !== undefined) {
             const head = ["HTTP/1.1 200 OK", "content-length: 0", `x-server: ${id}`, `x-load: ${backend.load}`];
-            const answer = [...head, `x-cold-ms: ${backend.coldMs}`, "", ""].join("\r\n");
-            setTimeout(() => req.socket.write(answer), backend.loadResponseDelayMs);
+            const response = [...head, `x-cold-ms: ${backend.coldMs}`, "", ""].join("\r\n");
+            setTimeout(() => req.socket.write(response), backend.loadResponseDelayMs);
         }
     });
     const backend: TestBackend = {
         id,
         raw,
-        servedRequests: () => served,
+        servedRequests: () => servedRequests,
         load: "0,0,3,1",
         coldMs: 0,
         loadResponseDelayMs: 0,
@@ -110,7 +110,7 @@
 export function registerServer(
     store: MemoryStore,
     { id, raw }: TestBackend,
-    more: Partial<RegisteredServer> = {},
+    overrides: Partial<RegisteredServer> = {},
 ): void {
     store.put(
         `servers/${id}`,
@@ -123,7 +123,7 @@
             state: "ready",
             coldRemainingMs: 0,
             startedAtEpochMs: 1,
-            ...more,
+            ...overrides,
         } satisfies RegisteredServer,
     );
 }
@@ -131,7 +131,7 @@
 export async function startEdge<Store extends KeyValueStore>(
     t: TestContext,
     store: Store,
-    more: {
+    options: {
         readonly graceSeconds?: number;
         readonly name?: string;
         readonly asksPerSecond?: number;
@@ -142,9 +142,9 @@
     } = {},
 ): Promise<TestEdge<Store>> {
     const [callers, readiness, free = 0, metrics] = await findFreePorts(4);
-    const peers = more.peersPort ?? free;
+    const peers = options.peersPort ?? free;
     const settings = resolveEdgeSettings(JSON.stringify({
-        name: more.name ?? "edge-1",
+        name: options.name ?? "edge-1",
         availabilityZone: "north",
         listen: {
             callers: `127.0.0.1:${callers}`,
@@ -153,11 +153,11 @@
             metrics: `127.0.0.1:${metrics}`,
         },
         store: { address: "127.0.0.1:1" },
-        stopping: { graceSeconds: more.graceSeconds ?? 3 },
-        asking: { perServerAndSecond: more.asksPerSecond ?? 30 },
+        stopping: { graceSeconds: options.graceSeconds ?? 3 },
+        asking: { perServerAndSecond: options.asksPerSecond ?? 30 },
         repeats: { ratio: 0.2, slack: 100, windowSeconds: 0.01 },
-        quarantine: { firstTrialSeconds: more.firstTrialSeconds ?? 120 },
-        rollouts: more.exposureShare === undefined ? {} : { exposureShare: more.exposureShare },
+        quarantine: { firstTrialSeconds: options.firstTrialSeconds ?? 120 },
+        rollouts: options.exposureShare === undefined ? {} : { exposureShare: options.exposureShare },
     })).unsafeCoerce();
     const logs: Record<string, unknown>[] = [];
     const edge = createEdge({
@@ -172,7 +172,7 @@
         }),
         metrics: createMetrics("test"),
         seed: 1,
-        ...(more.links === undefined ? {} : { connector: more.links }),
+        ...(options.links === undefined ? {} : { connector: options.links }),
     });
     await edge.start();
     let stopped: Promise<void> | undefined;
@@ -196,14 +196,14 @@
 }
 
 /** Waits until a condition holds; throws after ten seconds. */
-export async function eventually(holds: () => boolean | Promise<boolean>, what: string): Promise<void> {
+export async function eventually(condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
     for (let i = 0; i < 500; i++) {
-        if (await holds()) {
+        if (await condition()) {
             return;
         }
         await sleep(20);
     }
-    throw new Error(`timed out waiting until ${what}`);
+    throw new Error(`timed out waiting until ${description}`);
 }
 
 /** Waits until the edge process reports that it is ready. */
@@ -220,12 +220,14 @@
     t: TestContext,
     store: MemoryStore,
     count: number,
-    links: readonly ServerConnector[] = [],
+    connectors: readonly ServerConnector[] = [],
 ): Promise<readonly TestEdge[]> {
     const edges: TestEdge[] = [];
     for (let i = 0; i < count; i++) {
-        const own = links[i];
-        edges.push(await startEdge(t, store, { name: `edge-${i}`, ...(own === undefined ? {} : { links: own }) }));
+        const connector = connectors[i];
+        edges.push(
+            await startEdge(t, store, { name: `edge-${i}`, ...(connector === undefined ? {} : { links: connector }) }),
+        );
     }
     await Promise.all(edges.map(waitUntilReady));
     await eventually(
@@ -242,13 +244,13 @@
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-let requests = 0;
+let requestCount = 0;
 
 /** Sends a request as a caller. */
 export async function call(
     { url }: TestEdge,
     path: string,
-    more: {
+    options: {
         readonly method?: "GET" | "POST";
         readonly body?: string;
         readonly signal?: AbortSignal;
@@ -256,10 +258,14 @@
     } = {},
 ): Promise<CallerResponse> {
     const res = await request(url + path, {
-        method: more.method ?? "GET",
-        headers: { "host": "survey.example", "x-id": more.requestId ?? `r${++requests}`, "x-patience-ms": "8000" },
-        body: more.body ?? null,
-        ...(more.signal === undefined ? {} : { signal: more.signal }),
+        method: options.method ?? "GET",
+        headers: {
+            "host": "survey.example",
+            "x-id": options.requestId ?? `r${++requestCount}`,
+            "x-patience-ms": "8000",
+        },
+        body: options.body ?? null,
+        ...(options.signal === undefined ? {} : { signal: options.signal }),
     });
     return { status: res.statusCode, body: await res.body.text(), headers: res.headers };
 }
--- a/packages/edge/src/__tests__/workspaces.test.ts
+++ b/packages/edge/src/__tests__/workspaces.test.ts
@@ -19,14 +19,14 @@
 
 const north: Workspace = { name: "north", keys: ["k-north"] };
 
-function withWorkspaces(version: number, workspaces: readonly Workspace[]): FleetConfiguration {
+function createWorkspaceConfiguration(version: number, workspaces: readonly Workspace[]): FleetConfiguration {
     const open = { ...tables, name: "open", pathPrefix: "/open/", open: true };
     return { ...createConfiguration(version, [tables, returns, open]), workspaces };
 }
 
-async function start(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
+async function startEdgeWith(t: TestContext, backend: TestBackend): Promise<TestEdge<MemoryStore>> {
     const store = new MemoryStore();
-    store.put("configuration", withWorkspaces(1, [north]));
+    store.put("configuration", createWorkspaceConfiguration(1, [north]));
     registerServer(store, backend);
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
@@ -35,7 +35,11 @@
     return edge;
 }
 
-async function ask({ url }: TestEdge, path: string, headers: Readonly<Record<string, string>>): Promise<number> {
+async function sendRequest(
+    { url }: TestEdge,
+    path: string,
+    headers: Readonly<Record<string, string>>,
+): Promise<number> {
     const own = { "host": "survey.example", "x-id": path, "x-patience-ms": "8000" };
     const res = await request(url + path, { headers: { ...own, ...headers } });
     await res.body.dump();
@@ -45,12 +49,12 @@
 // Guards against executing requests without a key, and against forwarding keys or forged workspace names to servers.
 test("servers receive a caller's workspace but not its key, and callers without a key are rejected", async t => {
     const backend = await startBackend(t, "i-1");
-    const edge = await start(t, backend);
-    assert.equal(await ask(edge, "/tables/1", { "x-key": "k-north", "x-workspace": "forged" }), 200);
-    assert.equal(await ask(edge, "/tables/2", {}), 401);
-    assert.equal(await ask(edge, "/tables/3", { "x-key": "k-other" }), 401);
-    assert.equal(await ask(edge, "/open/4", { "x-workspace": "forged" }), 200);
-    assert.equal(await ask(edge, "/open/5", { "x-key": "k-north" }), 200);
+    const edge = await startEdgeWith(t, backend);
+    assert.equal(await sendRequest(edge, "/tables/1", { "x-key": "k-north", "x-workspace": "forged" }), 200);
+    assert.equal(await sendRequest(edge, "/tables/2", {}), 401);
+    assert.equal(await sendRequest(edge, "/tables/3", { "x-key": "k-other" }), 401);
+    assert.equal(await sendRequest(edge, "/open/4", { "x-workspace": "forged" }), 200);
+    assert.equal(await sendRequest(edge, "/open/5", { "x-key": "k-north" }), 200);
     const seen = backend.servedRequests().map((
         { path, headers },
     ) => [path, headers.get("x-workspace"), headers.get("x-key")]);
@@ -65,13 +69,13 @@
 // Guards against retrying a request whose key was revoked during its first attempt.
 test("a request whose key is revoked in the meantime is not retried", async t => {
     const backend = await startBackend(t, "i-1", req => {
-        edge.store.put("configuration", withWorkspaces(2, []));
+        edge.store.put("configuration", createWorkspaceConfiguration(2, []));
         setTimeout(() => {
             req.socket.write("HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\n\r\n");
         }, 600);
     });
-    const edge = await start(t, backend);
-    const status = await ask(edge, "/tables/1", { "x-key": "k-north" });
+    const edge = await startEdgeWith(t, backend);
+    const status = await sendRequest(edge, "/tables/1", { "x-key": "k-north" });
     await eventually(
         () => edge.logs.some(({ name, change }) => name === "2" && change === "inForce"),
         "the configuration is in force",
--- a/packages/rateLimit/src/allocatorSession.ts
+++ b/packages/rateLimit/src/allocatorSession.ts
@@ -122,7 +122,7 @@
         return this.#inFlight?.requests.flat() ?? [];
     }
 
-    /** Returns unused tokens with the next message. */
+    /** Records unused tokens, which are returned with the next message. */
     giveBack(rule: LimitRule, count: number): void {
         const before = this.#givenBackTokens.get(rule.workspace)?.count ?? 0;
         this.#givenBackTokens.set(rule.workspace, { rule, count: before + count });
--- a/packages/rateLimit/src/model.ts
+++ b/packages/rateLimit/src/model.ts
@@ -13,7 +13,7 @@
 
 /** A request that needs a token. */
 export interface TokenRequest extends LimitRule {
-    /** How long the request can wait for its decision, in milliseconds; by default {@link defaultHoldMs}. */
+    /** How long the request can wait for its decision, in milliseconds; by default {@link defaultDecisionTimeoutMs}. */
     readonly decisionTimeoutMs?: number | undefined;
 }
 
@@ -76,7 +76,7 @@
 /** State of the rate limiter for metrics; bounded. */
 export interface LimiterSnapshot {
     readonly groups: readonly GroupSnapshot[];
-    /** The most recently used workspaces, up to {@link mostDescribedWorkspaces}. */
+    /** The most recently used workspaces, up to {@link maxSnapshotWorkspaces}. */
     readonly workspaces: readonly WorkspaceSnapshot[];
     readonly messagesSent: number;
     /** Number of messages that were invalid or outdated. */
