--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -338,7 +338,7 @@
             const atMs = this.#nextProbeAtMs(name, nowMs);
             if (atMs <= nowMs) {
                 const session = this.#sessionFor(name);
-                // To an allocator that may still hold the share the same message is sent, which doesn't extend the
+                // An allocator that may still hold the share gets the same message again, which doesn't extend its
                 // lease.
                 const repeated = session.shareLeaseEndMs > nowMs ? session.retransmit(nowMs) : undefined;
                 this.#send(session, repeated ?? session.createMessage(0, [], nowMs));
