--- a/packages/edge/src/__tests__/serverLimit.test.ts
+++ b/packages/edge/src/__tests__/serverLimit.test.ts
@@ -24,8 +24,8 @@
     return { servers, edges };
 }
 
-/** Sends requests to one gateway after the other. */
-async function sendFor({ servers, edges }: LimitedFleet, forMs: number, everyMs: number): Promise<void> {
+/** Sends requests to the gateways in turn for some time. */
+async function sendRequestsFor({ servers, edges }: LimitedFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
     for (let i = 0; performance.now() < untilMs; i++) {
@@ -37,7 +37,7 @@
     await Promise.all(sent);
 }
 
-/** Refusals, but for those of requests whose questions for load no server answered in time, as on a busy machine. */
+/** Failed requests, except those whose load probes all timed out, as may happen on a busy machine. */
 function findRefusedForLimits({ edges }: LimitedFleet): readonly Readonly<Record<string, unknown>>[] {
     return edges.flatMap(({ logs }) => logs).filter(line =>
         line["message"] === "requestFailed"
@@ -45,38 +45,39 @@
     );
 }
 
-// A server in need that goes on getting its usual load from every gateway that it has told falls over.
-test("a server that names a limit gets no more than that from all gateways together", async t => {
+// Guards against an overloaded server that fails because gateways keep sending their usual load despite its limit.
+test("a server that announces a limit gets no more requests than that from all gateways together", async t => {
     const fleet = await startLimitedFleet(t, 5, ["a", "b", "c"]);
     fleet.servers.setLimit("a", 1.1);
-    await sendFor(fleet, 9_000, 15);
+    await sendRequestsFor(fleet, 9_000, 15);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
     assert.deepEqual(findRefusedForLimits(fleet), []);
 });
 
-// Kept away for good, gateways would never hear that a server is well again; all at once, they would make it fall over once more.
+// Guards against gateways that stop sending to a server and thus never learn that its limit has ended, and against
+// gateways that all return at once and overload it again.
 test("a server whose limit has ended is used again", async t => {
     const fleet = await startLimitedFleet(t, 3, ["a", "b"]);
     fleet.servers.setLimit("a", 2);
-    await sendFor(fleet, 4_000, 20);
+    await sendRequestsFor(fleet, 4_000, 20);
     fleet.servers.setLimit("a", undefined);
     const endedAtMs = performance.now();
-    await sendFor(fleet, 6_000, 20);
+    await sendRequestsFor(fleet, 6_000, 20);
     const used = fleet.servers.countRequests("a", endedAtMs + 4_000);
     assert.ok(used > 20, `${used} requests in the last two seconds`);
     assert.deepEqual(checkServerLimit(fleet.servers.history, bounds), []);
 });
 
-test("where the limits of all servers are used up, a request is refused at once", async t => {
+test("a request is refused at once if the limits of all servers are used up", async t => {
     const fleet = await startLimitedFleet(t, 1, ["a"]);
     const [edge] = fleet.edges;
     assert.ok(edge);
     fleet.servers.setLimit("a", 0.1);
     assert.equal((await fleet.servers.send(edge)).status, 200);
-    const askedAtMs = performance.now();
-    const got = await fleet.servers.send(edge);
-    assert.equal(got.status, 503);
-    assert.ok(Number(got.headers["retry-after"]) > 0);
+    const sentAtMs = performance.now();
+    const response = await fleet.servers.send(edge);
+    assert.equal(response.status, 503);
+    assert.ok(Number(response.headers["retry-after"]) > 0);
     assert.equal(edge.logs.findLast(line => line["message"] === "requestFailed")?.["detail"], "limited");
-    assert.ok(performance.now() - askedAtMs < 500);
+    assert.ok(performance.now() - sentAtMs < 500);
 });
--- a/packages/edge/src/__tests__/support/announcingServers.ts
+++ b/packages/edge/src/__tests__/support/announcingServers.ts
@@ -16,79 +16,83 @@
 } from "./testEdge.js";
 
 const workMs = 20;
-/** More than a gateway holds of an answer. */
+/** Larger than the responses that a gateway buffers. */
 const largeBytes = 400_000;
 
-/** Backend servers that ask for rest and that leave as the test says, and the history of what they got and from whom. */
+/**
+ * Backend servers that request a back-off or announce that they shut down, as set by the test. Records the requests
+ * that they receive and the announcements that gateways receive.
+ */
 export class AnnouncingServers extends RecordedServers {
-    readonly #restSeconds = new Map<string, number>();
+    readonly #backoffSeconds = new Map<string, number>();
     readonly #leaving = new Set<string>();
-    readonly #breakingOff = new Set<string>();
+    readonly #truncating = new Set<string>();
     readonly #backends = new Map<string, TestBackend>();
 
     async start(id: string): Promise<void> {
         const backend = await startBackend(this.t, id, req => {
-            const rest = this.#restSeconds.get(id);
-            const more = [`x-server: ${id}`, ...(this.#leaving.has(id) ? ["x-leaving: 1"] : [])];
-            if (rest !== undefined) {
+            const backoff = this.#backoffSeconds.get(id);
+            const headers = [`x-server: ${id}`, ...(this.#leaving.has(id) ? ["x-leaving: 1"] : [])];
+            if (backoff !== undefined) {
                 const requestId = req.headers.get("x-id") ?? "";
-                const where = { server: id, availabilityZone: "north", cold: false };
-                this.record({ type: "serverTurnedAway", requestId, ...where, restMs: rest * 1_000 });
+                const serverFields = { server: id, availabilityZone: "north", cold: false };
+                this.record({ type: "serverTurnedAway", requestId, ...serverFields, restMs: backoff * 1_000 });
                 req.socket.write(
-                    renderSignedResponse(req, "", "503 Busy", [...more, "x-not-run: 1", `x-rest: ${rest}`]),
+                    renderSignedResponse(req, "", "503 Busy", [...headers, "x-not-run: 1", `x-rest: ${backoff}`]),
                 );
                 return;
             }
             this.recordStarted(id, req);
-            if (this.#breakingOff.has(id)) {
-                const head = renderSignedResponse(req, "", "200 OK", more).replace(
+            if (this.#truncating.has(id)) {
+                const head = renderSignedResponse(req, "", "200 OK", headers).replace(
                     "content-length: 0",
                     `content-length: ${largeBytes}`,
                 );
                 req.socket.write(head + "x".repeat(largeBytes - 1), () => req.socket.destroy());
                 return;
             }
-            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", headers)), workMs);
         });
         this.#backends.set(id, backend);
         registerServer(this.store, backend);
     }
 
-    /** A server turns everything away from now on and asks for so many seconds of rest, or serves again. */
+    /** Makes a server reject all requests and request a back-off of some seconds, or serve again. */
     setBackoff(id: string, seconds: number | undefined): void {
         if (seconds === undefined) {
-            this.#restSeconds.delete(id);
+            this.#backoffSeconds.delete(id);
             return;
         }
-        this.#restSeconds.set(id, seconds);
+        this.#backoffSeconds.set(id, seconds);
     }
 
-    /** A server says in its answers from now on that it leaves; its entry in the store says nothing of it. */
+    /** Makes a server announce in its responses that it shuts down, while its entry in the store stays unchanged. */
     announceLeaving(id: string): void {
         this.#leaving.add(id);
     }
 
-    /** A server says so, in an answer too large to be held that breaks off. */
+    /** The same, with responses that are too large to be buffered and end prematurely. */
     announceLeavingInTruncatedResponse(id: string): void {
         this.#leaving.add(id);
-        this.#breakingOff.add(id);
+        this.#truncating.add(id);
     }
 
-    /** A server starts again under its id and address. */
+    /** Restarts a server with the same id and address. */
     restart(id: string, startedAtEpochMs: number): void {
         this.#leaving.delete(id);
-        this.#restSeconds.delete(id);
+        this.#backoffSeconds.delete(id);
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
             registerServer(this.store, backend, { startedAtEpochMs });
         }
     }
 
-    /** A server's entry lapses, or is written again by the same server. */
+    /** Removes a server's entry from the store, as if its lease had expired. */
     expireEntry(id: string): void {
         this.store.remove(`servers/${id}`);
     }
 
+    /** Writes a server's entry again, with the same start time. */
     rewriteEntry(id: string): void {
         const backend = this.#backends.get(id);
         if (backend !== undefined) {
@@ -102,14 +106,14 @@
         const gateway = edge.name;
         const idempotent = method === "GET";
         this.record({ type: "callerSent", requestId, service: "tables", idempotent, patienceMs: 8_000, gateway });
-        const got = await call(edge, `/${idempotent ? "tables" : "returns"}/${requestId}`, { requestId, method });
-        if (got.headers["x-leaving"] !== undefined) {
-            this.record({ type: "leavingPassedOn", gateway, server: String(got.headers["x-server"]) });
+        const response = await call(edge, `/${idempotent ? "tables" : "returns"}/${requestId}`, { requestId, method });
+        if (response.headers["x-leaving"] !== undefined) {
+            this.record({ type: "leavingPassedOn", gateway, server: String(response.headers["x-server"]) });
         }
-        return got;
+        return response;
     }
 
-    /** Requests that reached a server in a span of time. */
+    /** @returns the number of requests that a server received in a period, including rejected ones */
     countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             (line.type === "serverStarted" || line.type === "serverTurnedAway") && line.server === id
@@ -118,7 +122,7 @@
     }
 }
 
-/** Gateways in front of servers that say something of themselves. */
+/** Gateways with backend servers that announce their state in responses. */
 export interface AnnouncingFleet {
     readonly servers: AnnouncingServers;
     readonly edges: readonly TestEdge[];
@@ -139,7 +143,7 @@
     return { servers, edges };
 }
 
-/** Sends requests to one gateway after the other. @returns their statuses */
+/** Sends requests to the gateways in turn for some time. @returns the status codes of the responses */
 export async function sendRequestsFor(
     { servers, edges }: AnnouncingFleet,
     forMs: number,
--- a/packages/edge/src/__tests__/support/limitedServers.ts
+++ b/packages/edge/src/__tests__/support/limitedServers.ts
@@ -10,7 +10,10 @@
 
 const workMs = 20;
 
-/** Backend servers that name limits as the test says, and the history of what they got and of who was told. */
+/**
+ * Backend servers that announce limits set by the test. Records the requests that they receive and the limits that
+ * gateways receive.
+ */
 export class LimitedServers extends RecordedServers {
     readonly #limits = new Map<string, string>();
 
@@ -18,13 +21,13 @@
         const backend = await startBackend(this.t, id, req => {
             this.recordStarted(id, req);
             const limit = this.#limits.get(id);
-            const more = [`x-server: ${id}`, ...(limit === undefined ? [] : [`x-limit: ${limit}`])];
-            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", more)), workMs);
+            const headers = [`x-server: ${id}`, ...(limit === undefined ? [] : [`x-limit: ${limit}`])];
+            setTimeout(() => req.socket.write(renderSignedResponse(req, id, "200 OK", headers)), workMs);
         });
         registerServer(this.store, backend);
     }
 
-    /** A server names a limit from now on, or none any more. */
+    /** Makes a server announce a limit from now on, or stop announcing one. */
     setLimit(id: string, perSecond: number | undefined): void {
         this.record({ type: "serverLimited", server: id, perSecond });
         if (perSecond === undefined) {
@@ -46,14 +49,14 @@
             patienceMs: 8_000,
             gateway,
         });
-        const got = await call(edge, `/tables/${requestId}`, { requestId });
-        if (got.headers["x-limit"] !== undefined) {
-            this.record({ type: "limitPassedOn", gateway, server: String(got.headers["x-server"]) });
+        const response = await call(edge, `/tables/${requestId}`, { requestId });
+        if (response.headers["x-limit"] !== undefined) {
+            this.record({ type: "limitPassedOn", gateway, server: String(response.headers["x-server"]) });
         }
-        return got;
+        return response;
     }
 
-    /** Requests that a server got in a span of time. */
+    /** @returns the number of requests that a server received in a period */
     countRequests(id: string, fromMs: number, toMs = Infinity): number {
         return this.history.filter(line =>
             line.type === "serverStarted" && line.server === id && line.atMs >= fromMs && line.atMs < toMs
--- a/packages/edge/src/__tests__/support/testCodecs.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -20,7 +20,7 @@
     StateCodec,
 } from "../../index.js";
 
-/** Header names of the tests' callers and backend servers. */
+/** Header names used by the callers and backend servers of tests. */
 export class TestMetadataCodec extends EdgeMetadataCodec {
     override readonly readinessPath = "/ready";
 
@@ -33,15 +33,15 @@
         };
     }
 
-    override createForwardHeaders(headers: RawHeaders, signs: ForwardMetadata): string[] {
-        const { identity } = signs;
+    override createForwardHeaders(headers: RawHeaders, metadata: ForwardMetadata): string[] {
+        const { identity } = metadata;
         const isDropped = (name: string): boolean =>
             name === "x-patience-ms" || (identity.type !== "unchecked" && ["x-key", "x-workspace"].includes(name));
         const kept = keepEndToEnd(headers, isDropped);
         if (identity.type === "workspace") {
             kept.push("x-workspace", identity.name);
         }
-        return [...kept, "x-patience-ms", String(signs.remainingMs), "x-for", signs.serverId];
+        return [...kept, "x-patience-ms", String(metadata.remainingMs), "x-for", metadata.serverId];
     }
 
     override readResponse(_status: number, headers: RawHeaders): ResponseMetadata {
@@ -55,7 +55,7 @@
             load: load === undefined ? undefined : { running, waiting, slots, slowdown },
             coldRemainingMs: Number(findHeader(headers, "x-cold-ms") ?? 0),
             limit: readLimit(findHeader(headers, "x-limit")),
-            backoff: readRest(findHeader(headers, "x-rest")),
+            backoff: readBackoff(findHeader(headers, "x-rest")),
             leaving: findHeader(headers, "x-leaving") !== undefined,
             unknownHeaders: findHeader(headers, "x-riddle") === undefined ? [] : ["x-riddle"],
         };
@@ -63,14 +63,14 @@
 }
 
 function readKey(values: readonly string[]): CallerKey {
-    const [key, ...more] = values;
+    const [key, ...others] = values;
     if (key === undefined) {
         return { type: "none" };
     }
-    return more.length === 0 ? { type: "given", key } : { type: "malformed" };
+    return others.length === 0 ? { type: "given", key } : { type: "malformed" };
 }
 
-function readRest(text: string | undefined): ParsedBackoff {
+function readBackoff(text: string | undefined): ParsedBackoff {
     if (text === undefined) {
         return { type: "none" };
     }
@@ -82,7 +82,7 @@
     return text === undefined ? { type: "none" } : { type: "named", perSecond: Number(text) };
 }
 
-/** The tests' keys: each value is the item itself. */
+/** Store keys of tests; each value is the item as JSON. */
 export class TestStateCodec extends StateCodec {
     override isAfterOperatorKeys(key: string): boolean {
         return key > "servers/";
--- a/packages/edge/src/backends/probeServerLoad.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -10,7 +10,7 @@
 
 const okStatus = 200;
 
-/** What to ask with. */
+/** Options of one load probe. */
 export interface LoadProbeOptions {
     readonly server: RegisteredServer;
     readonly connection: ServerConnection;
@@ -19,104 +19,104 @@
     readonly timeoutMs: number;
 }
 
-/** What a server said when it was asked. */
+/** The load that a server reported. */
 export interface LoadProbeSuccess {
     readonly type: "told";
     readonly offer: ServerStatus;
     readonly metadata: ResponseMetadata;
 }
 
-/** Why a server told nothing; `otherServer` where another one answered. */
+/** Why a load probe failed; `otherServer` if a different server responded. */
 export interface LoadProbeFailure {
     readonly type: "untold";
     readonly reason: Exclude<ServerContactResult, "heard"> | "otherServer";
 }
 
 /**
- * Asks a backend server how loaded it is, right before something is sent to it. Any older figure is worth little: load
- * moves within milliseconds.
+ * Probes the current load of a backend server. It is called right before a request is sent, since load changes within
+ * milliseconds and an older report is of little use.
  *
- * @param input - whom to ask
- * @returns what it said, or why it said nothing in time
+ * @param options - the server, a connection to it and the timeout
+ * @returns the reported load, or the reason why none was received in time
  */
-export function probeServerLoad(input: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
+export function probeServerLoad(options: LoadProbeOptions): Promise<LoadProbeSuccess | LoadProbeFailure> {
     return new Promise(resolve => {
-        const handler = new AskHandler(input, resolve);
-        input.connection.dispatch({ method: "GET", path: input.healthPath }, handler);
+        const handler = new LoadProbeHandler(options, resolve);
+        options.connection.dispatch({ method: "GET", path: options.healthPath }, handler);
     });
 }
 
-class AskHandler implements Dispatcher.DispatchHandler {
-    readonly #input: LoadProbeOptions;
-    readonly #resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void;
+class LoadProbeHandler implements Dispatcher.DispatchHandler {
+    readonly #options: LoadProbeOptions;
+    readonly #resolve: (result: LoadProbeSuccess | LoadProbeFailure) => void;
     readonly #timer: NodeJS.Timeout;
     #controller: Dispatcher.DispatchController | undefined;
-    #answer: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
-    #settled = false;
+    #result: LoadProbeSuccess | LoadProbeFailure = { type: "untold", reason: "lost" };
+    #isSettled = false;
 
-    constructor(input: LoadProbeOptions, resolve: (answer: LoadProbeSuccess | LoadProbeFailure) => void) {
-        this.#input = input;
+    constructor(options: LoadProbeOptions, resolve: (result: LoadProbeSuccess | LoadProbeFailure) => void) {
+        this.#options = options;
         this.#resolve = resolve;
-        // After a long turn of the event loop its timers come before what has been received meanwhile. Taken for silent then,
-        // servers would be blamed and connections closed for this process's own delay.
-        this.#timer = setTimeout(() => setImmediate(() => this.#giveUp()), input.timeoutMs);
+        // After a long event-loop turn, timers run before I/O that is already received. `setImmediate` lets that I/O be
+        // handled first, so that a delay of this process doesn't count as a timeout of the server.
+        this.#timer = setTimeout(() => setImmediate(() => this.#onTimeout()), options.timeoutMs);
     }
 
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
-        if (this.#settled) {
-            controller.abort(new Error("no answer in time"));
+        if (this.#isSettled) {
+            controller.abort(new Error("load probe timed out"));
         }
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-        this.#input.connection.onResponse();
-        this.#answer = this.#read(status, readRawHeaders(controller.rawHeaders));
+        this.#options.connection.onResponse();
+        this.#result = this.#readReport(status, readRawHeaders(controller.rawHeaders));
     }
 
     onResponseData(): void {
-        // The head says all that is asked.
+        // The load is reported in the headers; the body is ignored.
     }
 
     onResponseEnd(): void {
-        this.#settle(this.#answer);
+        this.#settle(this.#result);
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
         this.#settle({ type: "untold", reason: classifyConnectionError(err) });
     }
 
-    #giveUp(): void {
-        if (this.#settled) {
+    #onTimeout(): void {
+        if (this.#isSettled) {
             return;
         }
         this.#settle({ type: "untold", reason: "silent" });
-        this.#controller?.abort(new Error("no answer in time"));
+        this.#controller?.abort(new Error("load probe timed out"));
     }
 
-    #read(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
-        const { server, vocabulary } = this.#input;
-        const signs = vocabulary.readResponse(status, headers);
-        if (signs.serverId !== server.id) {
+    #readReport(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
+        const { server, vocabulary } = this.#options;
+        const metadata = vocabulary.readResponse(status, headers);
+        if (metadata.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
         }
         const offer: ServerStatus = {
             serverId: server.id,
             availabilityZone: server.availabilityZone,
-            load: signs.load,
+            load: metadata.load,
             slots: server.slots,
             healthy: status === okStatus,
-            coldRemainingMs: signs.coldRemainingMs,
+            coldRemainingMs: metadata.coldRemainingMs,
         };
-        return { type: "told", offer, metadata: signs };
+        return { type: "told", offer, metadata: metadata };
     }
 
-    #settle(answer: LoadProbeSuccess | LoadProbeFailure): void {
-        if (this.#settled) {
+    #settle(result: LoadProbeSuccess | LoadProbeFailure): void {
+        if (this.#isSettled) {
             return;
         }
-        this.#settled = true;
+        this.#isSettled = true;
         clearTimeout(this.#timer);
-        this.#resolve(answer);
+        this.#resolve(result);
     }
 }
--- a/packages/edge/src/backends/sendRequest.ts
+++ b/packages/edge/src/backends/sendRequest.ts
@@ -8,33 +8,36 @@
 import { readRawHeaders } from "./readRawHeaders.js";
 import { type ServerConnection } from "./serverConnection.js";
 
-/** The head of a backend server's answer. */
+/** Status, headers and metadata of a backend server's response. */
 export interface ResponseHead {
     readonly status: number;
     readonly headers: RawHeaders;
     readonly metadata: ResponseMetadata;
 }
 
-/** A backend server's whole answer. */
+/** A backend server's response with its whole body. */
 export interface BufferedResponse extends ResponseHead {
     readonly body: Buffer;
     /**
-     * Whether the server ended it by closing the connection. A server that crashes closes it too, so nobody can tell
-     * whether such an answer is whole.
+     * Whether the end of the body was marked by closing the connection. A crash closes the connection too, so such a
+     * response may be truncated.
      */
     readonly endedByClose: boolean;
 }
 
-/** Gets the bytes of an answer that is too large to be held. */
+/** Receives the body of a response that is too large to be buffered. */
 export abstract class ResponseSink {
-    /** @returns whether more may come at once; otherwise `resume` is called when it may */
+    /** @returns whether more can be written at once; otherwise `resume` is called once it can */
     abstract write(chunk: Buffer, resume: () => void): boolean;
 }
 
-/** One send of one request. */
+/** Options of one attempt to send a request. */
 export interface SendOptions {
     readonly connection: ServerConnection;
-    /** Whether no request was sent on the connection before, so that a request turned away on it can only be this one. */
+    /**
+     * Whether this is the first request on the connection, so that a rejection received on it must refer to this
+     * request.
+     */
     readonly isFirstRequest: boolean;
     readonly method: string;
     readonly path: string;
@@ -44,31 +47,35 @@
     readonly requestId: string | undefined;
     readonly metadataReader: ResponseMetadataReader;
     readonly maxBufferedBytes: number;
-    /** Asked in the turn in which the first byte is written. */
+    /** Called right before the first byte is written. */
     readonly mayWrite: () => boolean;
-    /** Asked once an answer is too large to be held. @returns where its bytes go, or `undefined` to give it up */
+    /**
+     * Called once a response is too large to be buffered.
+     *
+     * @returns the destination of its body, or `undefined` to cancel the request
+     */
     readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
-/** How a send ended. */
+/** Result of one attempt to send a request. */
 export interface SendResult {
     readonly end: SendEnd;
-    /** The whole answer, where it was held. */
+    /** The whole response, if it was buffered. */
     readonly response: BufferedResponse | undefined;
-    /** Whether a sink was opened, so that the caller has had a part of the answer. */
+    /** Whether a sink was opened, so that the caller has received a part of the response. */
     readonly streamed: boolean;
-    /** What the answer's head says, where it had one. */
+    /** Metadata of the response; `undefined` if no response head was received. */
     readonly metadata: ResponseMetadata | undefined;
     readonly detail: string;
-    /** What it says of the link to the server; `undefined` for nothing. */
+    /** Whether the server could be reached; `undefined` if unknown. */
     readonly contact: ServerContactResult | undefined;
     readonly tookMs: number;
 }
 
-/** A send under way. */
+/** An attempt in progress. */
 export interface Send {
     readonly result: Promise<SendResult>;
-    /** Gives it up; its connection is closed, and the server drops the work. */
+    /** Cancels the attempt and closes its connection, so that the server can abort the request. */
     abandon(): void;
 }
 
@@ -77,79 +84,80 @@
 const notModifiedStatus = 304;
 
 /**
- * Sends a request to a backend server over one connection and reads the answer.
+ * Sends a request to a backend server over one connection and reads the response.
  *
- * @param input - what goes where
+ * @param options - the request and its connection
  */
-export function sendRequest(input: SendOptions): Send {
+export function sendRequest(options: SendOptions): Send {
     let handler: SendHandler | undefined;
     const result = new Promise<SendResult>(resolve => {
-        handler = new SendHandler(input, resolve);
-        input.connection.dispatch({
-            method: input.method,
-            path: input.path,
-            headers: input.headers,
-            body: input.body,
-            idempotent: input.idempotent,
+        handler = new SendHandler(options, resolve);
+        options.connection.dispatch({
+            method: options.method,
+            path: options.path,
+            headers: options.headers,
+            body: options.body,
+            idempotent: options.idempotent,
         }, handler);
     });
     return { result, abandon: () => handler?.abandon() };
 }
 
 class SendHandler implements Dispatcher.DispatchHandler {
-    readonly #input: SendOptions;
+    readonly #options: SendOptions;
     readonly #resolve: (result: SendResult) => void;
     readonly #startedAtMs = performance.now();
     readonly #chunks: Buffer[] = [];
-    #heldBytes = 0;
+    #bufferedBytes = 0;
     #controller: Dispatcher.DispatchController | undefined;
-    #written = false;
-    #refused = false;
+    #isWritten = false;
+    #isWriteRefused = false;
     #head: ResponseHead | undefined;
     #contact: ServerContactResult | undefined;
     #sink: ResponseSink | undefined;
-    #settled = false;
+    #isSettled = false;
 
-    constructor(input: SendOptions, resolve: (result: SendResult) => void) {
-        this.#input = input;
+    constructor(options: SendOptions, resolve: (result: SendResult) => void) {
+        this.#options = options;
         this.#resolve = resolve;
     }
 
-    /** Called in the turn in which the request is written, right before its first byte. */
+    /** Called right before the first byte of the request is written, in the same event-loop turn. */
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
-        // A client that lost its connection may write a request again. What was said of it by then would become untrue.
-        if (this.#settled || this.#written || !this.#input.mayWrite()) {
-            this.#refused = !this.#written;
+        // After a lost connection, the client may write a request a second time. That must not happen once its result
+        // has been reported.
+        if (this.#isSettled || this.#isWritten || !this.#options.mayWrite()) {
+            this.#isWriteRefused = !this.#isWritten;
             controller.abort(new Error("not sent any more"));
             return;
         }
-        this.#written = true;
+        this.#isWritten = true;
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
         this.#contact = "heard";
-        this.#input.connection.onResponse();
+        this.#options.connection.onResponse();
         if (status < 200) {
             return;
         }
         const headers = readRawHeaders(controller.rawHeaders);
-        this.#head = { status, headers, metadata: this.#input.metadataReader.readResponse(status, headers) };
+        this.#head = { status, headers, metadata: this.#options.metadataReader.readResponse(status, headers) };
     }
 
     onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-        if (this.#settled || this.#head === undefined) {
+        if (this.#isSettled || this.#head === undefined) {
             return;
         }
         if (this.#sink === undefined) {
             this.#chunks.push(chunk);
-            this.#heldBytes += chunk.length;
-            if (this.#heldBytes > this.#input.maxBufferedBytes) {
+            this.#bufferedBytes += chunk.length;
+            if (this.#bufferedBytes > this.#options.maxBufferedBytes) {
                 this.#openSink(controller, this.#head);
             }
             return;
         }
-        this.#pass(controller, this.#sink, chunk);
+        this.#writeToSink(controller, this.#sink, chunk);
     }
 
     onResponseEnd(): void {
@@ -171,80 +179,81 @@
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-        if (!this.#refused) {
-            // Bytes that are no answer came from the other side all the same.
+        if (!this.#isWriteRefused) {
+            // Bytes that aren't valid HTTP still show that the server can be reached.
             this.#contact ??= isParserError(err) ? "heard" : classifyConnectionError(err);
         }
-        if (this.#written) {
+        if (this.#isWritten) {
             this.#settle(
-                { type: "unknown", reason: this.#head === undefined ? findLoss(err) : "cutShort" },
+                { type: "unknown", reason: this.#head === undefined ? classifyLoss(err) : "cutShort" },
                 err.message,
             );
             return;
         }
-        this.#settle({ type: "notRun", reason: this.#refused ? "notSent" : "connectFailed" }, err.message);
+        this.#settle({ type: "notRun", reason: this.#isWriteRefused ? "notSent" : "connectFailed" }, err.message);
     }
 
     abandon(): void {
-        if (this.#settled) {
+        if (this.#isSettled) {
             return;
         }
-        this.#settle(this.#written ? { type: "abandoned" } : { type: "notRun", reason: "notSent" }, "given up");
+        this.#settle(this.#isWritten ? { type: "abandoned" } : { type: "notRun", reason: "notSent" }, "given up");
         if (this.#controller === undefined) {
-            this.#input.connection.destroy();
+            this.#options.connection.destroy();
             return;
         }
-        this.#controller.abort(new Error("given up"));
+        this.#controller.abort(new Error("request cancelled"));
     }
 
-    /** An answer of which something is wrong is nobody's: it may be the end of another one, or half of this. */
+    /** A response with any fault is discarded: it may be the rest of another response, or a part of this one. */
     #findFault({ status, headers, metadata }: ResponseHead): UnknownRunReason | undefined {
-        const { requestId, isFirstRequest, connection } = this.#input;
-        // A server that turns a request away may not have read who it is; as the first one here it can mean no other.
-        const anonymous = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
-        if (metadata.requestId !== requestId && !anonymous) {
+        const { requestId, isFirstRequest, connection } = this.#options;
+        // A server may reject a request before it has read the request id. On the first request of a connection, the
+        // rejection can't refer to another request.
+        const isUnidentified = metadata.requestId === undefined && isFirstRequest && metadata.notRun;
+        if (metadata.requestId !== requestId && !isUnidentified) {
             return "otherRequestsAnswer";
         }
         if (findHeader(headers, "content-encoding") !== undefined) {
             return "encoded";
         }
-        if (isEndedByClose(this.#input.method, status, headers) && connection.socketFailed) {
+        if (isEndedByClose(this.#options.method, status, headers) && connection.socketFailed) {
             return "cutShort";
         }
         return status < 300 && !metadata.signed ? "notSigned" : undefined;
     }
 
     #openSink(controller: Dispatcher.DispatchController, head: ResponseHead): void {
-        const sink = this.#findFault(head) === undefined ? this.#input.openSink(head) : undefined;
+        const sink = this.#findFault(head) === undefined ? this.#options.openSink(head) : undefined;
         if (sink === undefined) {
             this.#settle({ type: "unknown", reason: "cutShort" }, "the answer is too large to be held, and not wanted");
-            controller.abort(new Error("not wanted"));
+            controller.abort(new Error("response rejected"));
             return;
         }
         this.#sink = sink;
-        this.#pass(controller, sink, Buffer.concat(this.#chunks));
+        this.#writeToSink(controller, sink, Buffer.concat(this.#chunks));
         this.#chunks.length = 0;
     }
 
-    #pass(controller: Dispatcher.DispatchController, sink: ResponseSink, chunk: Buffer): void {
+    #writeToSink(controller: Dispatcher.DispatchController, sink: ResponseSink, chunk: Buffer): void {
         if (!sink.write(chunk, () => controller.resume())) {
             controller.pause();
         }
     }
 
     #settle(end: SendEnd, detail: string): void {
-        if (this.#settled) {
+        if (this.#isSettled) {
             return;
         }
-        this.#settled = true;
-        const held = this.#head !== undefined && this.#sink === undefined && end.type === "answered";
+        this.#isSettled = true;
+        const isBuffered = this.#head !== undefined && this.#sink === undefined && end.type === "answered";
         this.#resolve({
             end,
-            response: held && this.#head !== undefined
+            response: isBuffered && this.#head !== undefined
                 ? {
                     ...this.#head,
                     body: Buffer.concat(this.#chunks),
-                    endedByClose: isEndedByClose(this.#input.method, this.#head.status, this.#head.headers),
+                    endedByClose: isEndedByClose(this.#options.method, this.#head.status, this.#head.headers),
                 }
                 : undefined,
             streamed: this.#sink !== undefined,
@@ -256,7 +265,7 @@
     }
 }
 
-/** How an answer's end is marked: RFC 9112, section 6.3. */
+/** @returns whether the body ends with the connection; see RFC 9112, section 6.3 */
 function isEndedByClose(method: string, status: number, headers: RawHeaders): boolean {
     return method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus
         && findHeader(headers, "content-length") === undefined
@@ -270,7 +279,7 @@
     return metadata.notRun ? "turnedAway" : undefined;
 }
 
-function findLoss(err: Error): UnknownRunReason {
+function classifyLoss(err: Error): UnknownRunReason {
     return isParserError(err) ? "notAnAnswer" : "connectionLost";
 }
 
--- a/packages/edge/src/backends/serverConnection.ts
+++ b/packages/edge/src/backends/serverConnection.ts
@@ -4,34 +4,36 @@
 import { idleConnectionTimeoutMs } from "../constants.js";
 import { type ServerConnector } from "./serverConnector.js";
 
-/** One connection to one backend server, reopened when it is used after it was closed. Carries one request at a time. */
+/**
+ * A connection to a backend server that carries one request at a time and is reopened if it is used after being closed.
+ */
 export class ServerConnection {
     readonly address: ServerAddress;
     readonly #client: Client;
     #socketFailed = false;
     #destroyed = false;
-    #isProved = false;
+    #hasResponded = false;
 
     /**
      * @param address - of the server
-     * @param links - open its sockets
+     * @param connector - opens its sockets
      */
-    constructor(address: ServerAddress, links: ServerConnector) {
+    constructor(address: ServerAddress, connector: ServerConnector) {
         this.address = address;
         this.#client = new Client(`http://${address.host}:${address.port}`, {
             pipelining: 1,
             keepAliveTimeout: idleConnectionTimeoutMs,
             keepAliveMaxTimeout: idleConnectionTimeoutMs,
-            // Each request has a deadline of its own.
+            // Each request has its own deadline.
             headersTimeout: 0,
             bodyTimeout: 0,
             connect: (_options, callback) => {
-                links.connect(address, opened => {
+                connector.connect(address, opened => {
                     if (opened instanceof Error) {
                         callback(opened, null);
                         return;
                     }
-                    this.#watch(opened);
+                    this.#watchSocket(opened);
                     callback(null, opened);
                 });
             },
@@ -39,8 +41,8 @@
     }
 
     /**
-     * Whether the connection was reset. The client takes an answer without a declared length for whole when its
-     * connection is reset, so that whoever reads one must ask here too.
+     * Whether the connection was reset. The client reports a response without a declared length as complete when its
+     * connection is reset, so readers of such a response must check this as well.
      */
     get socketFailed(): boolean {
         return this.#socketFailed;
@@ -50,34 +52,34 @@
         this.#client.dispatch(options, handler);
     }
 
-    /** Whether an answer has come on it: what fails then says nothing of new connections. */
+    /** Whether a response was received on it; a later failure then doesn't show that new connections would fail. */
     get hasResponded(): boolean {
-        return this.#isProved;
+        return this.#hasResponded;
     }
 
-    /** An answer has come on it. */
+    /** Records that a response was received. */
     onResponse(): void {
-        this.#isProved = true;
+        this.#hasResponded = true;
     }
 
-    /** Whether it is closed for good. */
+    /** Whether it was closed and won't be reopened. */
     get destroyed(): boolean {
         return this.#destroyed;
     }
 
-    /** Closes the connection for good, whatever is under way on it. */
+    /** Closes the connection permanently and aborts a request in flight. */
     destroy(): void {
         this.#destroyed = true;
         this.#client.destroy().catch(() => undefined);
     }
 
-    #watch(socket: Socket): void {
+    #watchSocket(socket: Socket): void {
         this.#socketFailed = false;
-        this.#isProved = false;
+        this.#hasResponded = false;
         socket.once("close", () => {
-            this.#isProved = false;
+            this.#hasResponded = false;
         });
-        // Placed before the client's own listener, so that the failure is known when the client reports the answer.
+        // Registered before the client's own listener, so that the flag is set when the client reports the response.
         socket.on("error", () => {
             this.#socketFailed = true;
         });
--- a/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
+++ b/packages/rateLimit/src/__tests__/support/comparedLimiters.ts
@@ -2,16 +2,16 @@
 import { type Command, type LimitRule, protocolVersion, parseLimitMessage, type TokenRequest } from "../../index.js";
 import { type Limiter } from "./limitSimulation.js";
 
-const none: readonly Command[] = [];
+const noCommands: readonly Command[] = [];
 
-/** The least tokens that a host keeps, or a share of a small limit would never admit. */
-const leastCapacity = 1;
+/** Minimum capacity in tokens; with less, a share of a small limit would never admit a request. */
+const minCapacity = 1;
 
-abstract class WeighedWay implements Limiter {
+abstract class ComparedLimiter implements Limiter {
     protected readonly name: string;
     protected names: readonly string[] = [];
     #level: number | undefined;
-    #atMs = 0;
+    #updatedAtMs = 0;
 
     constructor(name: string) {
         this.name = name;
@@ -28,11 +28,11 @@
 
     onRoster(names: readonly string[]): readonly Command[] {
         this.names = names;
-        return none;
+        return noCommands;
     }
 
     tick(): readonly Command[] {
-        return none;
+        return noCommands;
     }
 
     nextTickMs(): number | undefined {
@@ -44,27 +44,30 @@
     }
 
     stop(): readonly Command[] {
-        return none;
+        return noCommands;
     }
 
-    protected take({ perSecond, burst }: LimitRule, part: number, nowMs: number): boolean {
-        const capacity = Math.max(leastCapacity, part * (1.05 * burst + 3));
-        const level = this.#level ?? part * 0.1 * perSecond + 1;
-        this.#level = Math.min(capacity, level + Math.max(0, nowMs - this.#atMs) * perSecond * part * 1.02 / 1_000);
-        this.#atMs = nowMs;
+    protected take({ perSecond, burst }: LimitRule, share: number, nowMs: number): boolean {
+        const capacity = Math.max(minCapacity, share * (1.05 * burst + 3));
+        const level = this.#level ?? share * 0.1 * perSecond + 1;
+        this.#level = Math.min(
+            capacity,
+            level + Math.max(0, nowMs - this.#updatedAtMs) * perSecond * share * 1.02 / 1_000,
+        );
+        this.#updatedAtMs = nowMs;
         const isAdmitted = this.#level >= 1;
         this.#level -= isAdmitted ? 1 : 0;
         return isAdmitted;
     }
 
     #ignore(nowMs: number): readonly Command[] {
-        this.#atMs = Math.max(this.#atMs, nowMs);
-        return none;
+        this.#updatedAtMs = Math.max(this.#updatedAtMs, nowMs);
+        return noCommands;
     }
 }
 
-/** Every host has 1/N of each limit, and a bucket of its own. */
-export class EqualShareLimiter extends WeighedWay {
+/** Gives each of N hosts 1/N of each limit, in a bucket of its own. */
+export class EqualShareLimiter extends ComparedLimiter {
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
@@ -73,16 +76,22 @@
     }
 }
 
-/** The first host of the ranks grants all tokens; the next one does while that doesn't answer. */
-export class SingleOwnerLimiter extends WeighedWay {
-    readonly #waiting = new Map<number, { readonly request: TokenRequest; readonly atMs: number; tried: number; }>();
-    #lost = new Map<string, number>();
+/**
+ * Lets the first candidate grant all tokens, and the next one while the first doesn't respond; without shares and
+ * leases.
+ */
+export class SingleOwnerLimiter extends ComparedLimiter {
+    readonly #waitingRequests = new Map<
+        number,
+        { readonly request: TokenRequest; readonly atMs: number; attempts: number; }
+    >();
+    #lostAtMs = new Map<string, number>();
     #requests = 0;
 
     override request(request: TokenRequest, nowMs: number) {
         const requestId = this.#requests++;
-        this.#waiting.set(requestId, { request, atMs: nowMs, tried: 0 });
-        return { requestId, commands: this.#ask(requestId, nowMs) };
+        this.#waitingRequests.set(requestId, { request, atMs: nowMs, attempts: 0 });
+        return { requestId, commands: this.#requestToken(requestId, nowMs) };
     }
 
     override onMessage(from: string, json: unknown, nowMs: number): readonly Command[] {
@@ -91,58 +100,64 @@
         if (message?.type === "ask" && entry !== undefined) {
             const granted = this.take(entry, 1, nowMs) ? 1 : 0;
             const entries = [{ granted, retryAfterMs: 0, plentiful: false, over: true }];
-            const answer = {
+            const response = {
                 v: protocolVersion,
                 type: "answer",
                 sender: this.name,
                 askerLife: message.life,
                 atMs: nowMs,
             } as const;
-            return [{ type: "send", to: from, message: { ...answer, life: "x", seq: message.seq, group: 0, entries } }];
+            return [{
+                type: "send",
+                to: from,
+                message: { ...response, life: "x", seq: message.seq, group: 0, entries },
+            }];
         }
-        const asked = message === undefined ? undefined : this.#waiting.get(message.seq);
-        if (message?.type !== "answer" || asked === undefined) {
-            return none;
+        const pending = message === undefined ? undefined : this.#waitingRequests.get(message.seq);
+        if (message?.type !== "answer" || pending === undefined) {
+            return noCommands;
         }
-        this.#waiting.delete(message.seq);
-        return [decide(message.seq, message.entries[0]?.granted === 1, asked.request)];
+        this.#waitingRequests.delete(message.seq);
+        return [decide(message.seq, message.entries[0]?.granted === 1, pending.request)];
     }
 
     override tick(nowMs = 0): readonly Command[] {
-        const late = [...this.#waiting].filter(([, { atMs, tried }]) => nowMs - atMs >= tried * 150);
-        return late.flatMap(([requestId]) => {
-            const owner = this.#owner(nowMs);
+        const overdue = [...this.#waitingRequests].filter(([, { atMs, attempts }]) => nowMs - atMs >= attempts * 150);
+        return overdue.flatMap(([requestId]) => {
+            const owner = this.#findOwner(nowMs);
             if (owner !== undefined) {
-                this.#lost.set(owner, nowMs);
+                this.#lostAtMs.set(owner, nowMs);
             }
-            return this.#ask(requestId, nowMs);
+            return this.#requestToken(requestId, nowMs);
         });
     }
 
     override nextTickMs(nowMs = 0): number | undefined {
-        const due = [...this.#waiting.values()].map(({ atMs, tried }) => atMs + tried * 150);
+        const due = [...this.#waitingRequests.values()].map(({ atMs, attempts }) => atMs + attempts * 150);
         return due.length === 0 ? undefined : Math.max(0, Math.min(...due) - nowMs);
     }
 
-    #owner(nowMs: number): string | undefined {
-        return findOwners("owner", this.names, 6).find(name => nowMs - (this.#lost.get(name) ?? -Infinity) >= 5_000);
+    #findOwner(nowMs: number): string | undefined {
+        return findOwners("owner", this.names, 6).find(name =>
+            nowMs - (this.#lostAtMs.get(name) ?? -Infinity) >= 5_000
+        );
     }
 
-    #ask(requestId: number, nowMs: number): readonly Command[] {
-        const waiting = this.#waiting.get(requestId);
-        const owner = this.#owner(nowMs);
+    #requestToken(requestId: number, nowMs: number): readonly Command[] {
+        const waiting = this.#waitingRequests.get(requestId);
+        const owner = this.#findOwner(nowMs);
         if (waiting === undefined) {
-            return none;
+            return noCommands;
         }
-        if (owner === undefined || waiting.tried >= 6 || owner === this.name) {
-            this.#waiting.delete(requestId);
+        if (owner === undefined || waiting.attempts >= 6 || owner === this.name) {
+            this.#waitingRequests.delete(requestId);
             return [decide(requestId, owner === this.name && this.take(waiting.request, 1, nowMs), waiting.request)];
         }
-        waiting.tried++;
+        waiting.attempts++;
         const { workspace, perSecond, burst, configVersion } = waiting.request;
         const entries = [{ workspace, perSecond, burst, configVersion, wanted: 1, givenBack: 0 }];
-        const ask = { v: protocolVersion, type: "ask", sender: this.name, life: "x", group: 0, share: 0 } as const;
-        return [{ type: "send", to: owner, message: { ...ask, seq: requestId, entries } }];
+        const message = { v: protocolVersion, type: "ask", sender: this.name, life: "x", group: 0, share: 0 } as const;
+        return [{ type: "send", to: owner, message: { ...message, seq: requestId, entries } }];
     }
 }
 
--- a/packages/rateLimit/src/__tests__/support/randomScenario.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -10,49 +10,49 @@
 } from "./limitSimulation.js";
 
 const endMs = 15_000;
-const usualSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
+const fleetSizes = [1, 2, 3, 3, 4, 5, 6, 7, 9, 13];
 
-/** One workspace that asks for more than its limit, on a fleet to which things happen; all of it drawn from a seed. */
+/** A random scenario generated from a seed: a workspace requests more than its limit on a fleet with faults. */
 export class RandomScenario {
     readonly simulation: LimitSimulation;
     readonly log: string[] = [];
     readonly #random: RandomSource;
     readonly #rules: readonly { readonly rule: TokenRequest; fromMs: number; untilMs: number; }[];
-    readonly #cuts: ((from: string, to: string) => boolean)[] = [];
+    readonly #partitions: ((from: string, to: string) => boolean)[] = [];
     readonly #delays: ((from: string, to: string) => number)[] = [];
 
-    /** @param create - another limiter than the package's, for comparison */
+    /** @param create - creates another limiter for comparison; the package's by default */
     constructor(seed: number, create?: (name: string) => Limiter) {
-        // Neighbouring seeds would draw alike.
+        // Consecutive seeds would yield similar scenarios.
         const random = this.#random = createRandomSource(Math.imul(seed, 0x9e37_79b1));
         const isLarge = random.next() < 0.01;
-        const hosts = this.#pick(isLarge ? [131, 312] : usualSizes);
+        const hosts = this.#pick(isLarge ? [131, 312] : fleetSizes);
         this.simulation = new LimitSimulation(hosts, random, create);
-        this.simulation.isConnected = (from, to) => !this.#cuts.some(cut => cut(from, to));
+        this.simulation.isConnected = (from, to) => !this.#partitions.some(cut => cut(from, to));
         this.simulation.maxDelayMs = (from, to) => Math.max(2, ...this.#delays.map(delay => delay(from, to)));
         this.simulation.packetLossRate = this.#pick([0, 0, 0.025, 0.025, 0.2]);
         this.simulation.duplicationRate = 0.01;
         this.simulation.givenBackRate = this.#pick([0, 0, 0.1]);
-        const first = this.#drawRule(1);
+        const first = this.#createRule(1);
         this.#rules = [
             { rule: first, fromMs: 0, untilMs: endMs },
-            { rule: this.#drawRule(2, first), fromMs: Infinity, untilMs: endMs },
+            { rule: this.#createRule(2, first), fromMs: Infinity, untilMs: endMs },
         ];
         this.log.push(`${hosts} hosts, ${JSON.stringify(first)}, loss ${this.simulation.packetLossRate}`);
         this.#startAll(first);
         for (let i = 0; i < 1 + random.below(6); i++) {
-            this.#at(2_000 + random.next() * 9_000, () => this.#disturb());
+            this.#scheduleAt(2_000 + random.next() * 9_000, () => this.#injectFault());
         }
-        this.#drawLoad(first);
+        this.#scheduleLoad(first);
     }
 
-    /** @returns the most that any window admitted, as a part of what it may */
+    /** @returns the maximum over all windows of admitted to allowed requests */
     run(): number {
         this.simulation.run(endMs);
         const admitted = this.simulation.outcomes.filter(({ type }) => type === "admitted").map(({ atMs }) => atMs);
         return findMaxWindowUsage(admitted, fromMs => {
             const inForce = this.#rules.filter(each => each.fromMs <= fromMs + 5_000 && each.untilMs > fromMs);
-            // Around a change the larger limit holds, as a whole: the rule knows no rate of one with the burst of the other.
+            // Around a change, the larger limit applies as a whole; rate and burst of different limits aren't combined.
             return Math.max(...inForce.map(({ rule }) => maxRequestsInWindow(rule)));
         });
     }
@@ -61,18 +61,18 @@
         return from[this.#random.below(from.length)] as T;
     }
 
-    #at(atMs: number, run: () => void): void {
+    #scheduleAt(atMs: number, run: () => void): void {
         this.simulation.queue.schedule(atMs - this.simulation.queue.nowMs, run);
     }
 
-    #drawRule(configVersion: number, before?: TokenRequest): TokenRequest {
-        // The 20 requests of tolerance hide much below small limits, and large ones cost time.
+    #createRule(configVersion: number, previous?: TokenRequest): TokenRequest {
+        // With small limits, the tolerance of 20 requests would hide faults; large limits take long to simulate.
         const perSecond = this.#random.next() < 0.75
             ? 60 + this.#random.next() * 140
             : 0.5 * 800 ** this.#random.next();
         const burst = perSecond * this.#pick([1, 1, 0, 0, 3]);
         return {
-            workspace: before?.workspace ?? `workspace ${this.#random.below(1_000)}`,
+            workspace: previous?.workspace ?? `workspace ${this.#random.below(1_000)}`,
             perSecond,
             burst,
             configVersion,
@@ -83,86 +83,89 @@
         const withinMs = this.#pick([0, 500, 3_000]);
         for (const host of this.simulation.hosts) {
             host.rule = rule;
-            this.#at(this.#random.next() * withinMs, () => this.simulation.start(host, this.#random.next() * 500));
+            this.#scheduleAt(
+                this.#random.next() * withinMs,
+                () => this.simulation.start(host, this.#random.next() * 500),
+            );
         }
     }
 
-    /** Floods at all hosts or at some: all the time, or after a pause in which buckets fill. */
-    #drawLoad({ perSecond, burst }: TokenRequest): void {
+    /** Schedules floods of requests to all or some hosts, continuously or with pauses in which buckets refill. */
+    #scheduleLoad({ perSecond, burst }: TokenRequest): void {
         const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
         for (let atMs = this.#pick([1_000, 5_000, 9_000]); atMs < endMs;) {
-            const some = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
+            const targets = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
             const floodMs = Math.min(endMs - atMs, 500 + this.#random.next() * 6_000);
             const count = Math.ceil(burst + perSecond * this.#pick([1.5, 4.5]) * floodMs / 1_000 + 5);
             for (let i = 0; i < count; i++) {
-                // The burst comes at once.
+                // The burst is sent at once.
                 const afterMs = i < burst ? 0 : this.#random.next() * floodMs;
-                this.#at(atMs + afterMs, () => this.simulation.requestToken(this.#pick(some)));
+                this.#scheduleAt(atMs + afterMs, () => this.simulation.requestToken(this.#pick(targets)));
             }
             atMs += floodMs + this.#random.next() * pauseMs;
         }
     }
 
-    #disturb(): void {
+    #injectFault(): void {
         const random = this.#random;
-        const disturbances = [
-            () => this.#restart(this.#victims(), random.next() * 3_000),
-            () => this.#suspend(this.#victims(), 50 + random.next() * 4_000, random.next() < 0.5),
-            () => this.#cut(100 + random.next() * 6_000),
-            () => this.#cutInTurn(1_000 + random.next() * 500),
+        const faults = [
+            () => this.#restart(this.#chooseVictims(), random.next() * 3_000),
+            () => this.#suspend(this.#chooseVictims(), 50 + random.next() * 4_000, random.next() < 0.5),
+            () => this.#partition(100 + random.next() * 6_000),
+            () => this.#isolateInTurn(1_000 + random.next() * 500),
             () => this.#delay(500 + random.next() * 5_000),
             () => this.#changeRule(random.next() * 2_000),
             () => this.#changeRosters(random.next() * 3_000),
             () => this.#stepClocks(),
-            () => this.#restart(this.#victims(), random.next() * 3_000, 50 + random.next() * 800),
+            () => this.#restart(this.#chooseVictims(), random.next() * 3_000, 50 + random.next() * 800),
         ];
-        this.#pick(disturbances)();
+        this.#pick(faults)();
     }
 
-    /** Allocators fail as often as all other hosts, or most runs would show nothing. */
-    #victims(): readonly SimulatedHost[] {
+    /** Chooses hosts that fail. Half of the time these are allocators, as faults of other hosts have little effect. */
+    #chooseVictims(): readonly SimulatedHost[] {
         const { hosts } = this.simulation;
-        const ranked = this.#ranked();
-        const part = this.#pick([0.1, 0.33, 0.55, 1]);
+        const candidates = this.#findCandidates();
+        const fraction = this.#pick([0.1, 0.33, 0.55, 1]);
         return this.#random.next() < 0.5
-            ? hosts.filter(({ name }) => ranked.slice(0, this.#pick([1, 1, 2, 4])).includes(name))
-            : hosts.filter(() => this.#random.next() < part);
+            ? hosts.filter(({ name }) => candidates.slice(0, this.#pick([1, 1, 2, 4])).includes(name))
+            : hosts.filter(() => this.#random.next() < fraction);
     }
 
-    #ranked(): readonly string[] {
+    #findCandidates(): readonly string[] {
         const names = this.simulation.hosts.map(({ name }) => name);
         return findOwners(`rate limits ${groupOf(this.#rules[0]?.rule.workspace ?? "")}`, names, 6);
     }
 
-    #note(text: string, hosts?: readonly SimulatedHost[]): void {
+    #logEvent(text: string, hosts?: readonly SimulatedHost[]): void {
         const names = hosts === undefined
             ? ""
             : ` (${hosts.length}: ${hosts.slice(0, 4).map(({ name }) => name).join(" ")})`;
         this.log.push(`${this.simulation.queue.nowMs.toFixed(0)} ms: ${text}${names}`);
     }
 
-    #restart(victims: readonly SimulatedHost[], afterMs: number, noticeMs = 0): void {
-        this.#note(`restart after ${afterMs.toFixed(0)} ms, with notice ${noticeMs.toFixed(0)} ms`, victims);
+    #restart(victims: readonly SimulatedHost[], afterMs: number, stopNoticeMs = 0): void {
+        this.#logEvent(`restart after ${afterMs.toFixed(0)} ms, with notice ${stopNoticeMs.toFixed(0)} ms`, victims);
         for (const host of victims) {
-            if (noticeMs > 0) {
+            if (stopNoticeMs > 0) {
                 this.simulation.stop(host);
             }
-            this.#at(this.simulation.queue.nowMs + noticeMs, () => this.simulation.crash(host));
-            const startMs = this.simulation.queue.nowMs + noticeMs + afterMs + this.#random.next() * 200;
-            this.#at(startMs, () => this.simulation.start(host, Math.min(afterMs, this.#random.next() * 500)));
+            this.#scheduleAt(this.simulation.queue.nowMs + stopNoticeMs, () => this.simulation.crash(host));
+            const startMs = this.simulation.queue.nowMs + stopNoticeMs + afterMs + this.#random.next() * 200;
+            this.#scheduleAt(startMs, () => this.simulation.start(host, Math.min(afterMs, this.#random.next() * 500)));
         }
     }
 
     #suspend(victims: readonly SimulatedHost[], forMs: number, stopsClock: boolean): void {
-        this.#note(`suspended for ${forMs.toFixed(0)} ms, clock ${stopsClock ? "stops" : "runs"}`, victims);
+        this.#logEvent(`suspended for ${forMs.toFixed(0)} ms, clock ${stopsClock ? "stops" : "runs"}`, victims);
         victims.forEach(host => this.simulation.suspend(host, forMs, stopsClock));
     }
 
-    #cut(forMs: number): void {
+    #partition(forMs: number): void {
         const kind = this.#pick(["both", "oneWay", "bridge", "each"]);
         const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.below(3)]));
-        this.#note(`cut ${kind} for ${forMs.toFixed(0)} ms`);
+        this.#logEvent(`partition ${kind} for ${forMs.toFixed(0)} ms`);
         const cuts: Record<string, (from: number, to: number) => boolean> = {
             both: (from, to) => (from === 0) !== (to === 0),
             oneWay: (from, to) => from === 0 && to !== 0,
@@ -171,32 +174,40 @@
         };
         const cut = (from: string, to: string): boolean =>
             from !== to && cuts[kind]?.(sideOf.get(from) ?? 0, sideOf.get(to) ?? 0) === true;
-        this.#cuts.push(cut);
-        this.#at(this.simulation.queue.nowMs + forMs, () => this.#cuts.splice(this.#cuts.indexOf(cut), 1));
+        this.#partitions.push(cut);
+        this.#scheduleAt(
+            this.simulation.queue.nowMs + forMs,
+            () => this.#partitions.splice(this.#partitions.indexOf(cut), 1),
+        );
     }
 
-    /** One rank after the other loses all others, with a host or none on its side. */
-    #cutInTurn(everyMs: number): void {
-        this.#note(`ranks cut off every ${everyMs.toFixed(0)} ms`);
+    /** Isolates one allocator candidate after the other, each together with at most one other host. */
+    #isolateInTurn(everyMs: number): void {
+        this.#logEvent(`candidates isolated every ${everyMs.toFixed(0)} ms`);
         const { hosts } = this.simulation;
-        for (const [i, rank] of this.#ranked().slice(0, 4).entries()) {
+        for (const [i, rank] of this.#findCandidates().slice(0, 4).entries()) {
             const side = new Set([rank, this.#pick(hosts).name]);
             const cut = (from: string, to: string): boolean => side.has(from) !== side.has(to);
-            this.#at(this.simulation.queue.nowMs + i * everyMs, () => this.#cuts.push(cut));
+            this.#scheduleAt(this.simulation.queue.nowMs + i * everyMs, () => this.#partitions.push(cut));
         }
-        this.#at(this.simulation.queue.nowMs + 5 * everyMs, () => this.#cuts.splice(0));
+        this.#scheduleAt(this.simulation.queue.nowMs + 5 * everyMs, () => this.#partitions.splice(0));
     }
 
     #delay(forMs: number): void {
-        const [mostMs, part] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
-        const slow = new Set(this.simulation.hosts.filter(() => this.#random.next() < part).map(({ name }) => name));
-        this.#note(`up to ${mostMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
-        // The way to the first rank alone, or to all.
-        const target = this.#random.next() < 0.6 ? this.#ranked()[0] : undefined;
+        const [maxMs, fraction] = [this.#pick([100, 600, 2_500, 2_500]), this.#pick([0.2, 0.7, 0.9, 1])];
+        const slow = new Set(
+            this.simulation.hosts.filter(() => this.#random.next() < fraction).map(({ name }) => name),
+        );
+        this.#logEvent(`up to ${maxMs} ms of delay for ${forMs.toFixed(0)} ms from ${slow.size}`);
+        // Only messages to the first candidate are delayed, or messages to all hosts.
+        const target = this.#random.next() < 0.6 ? this.#findCandidates()[0] : undefined;
         const delay = (from: string, to: string): number =>
-            slow.has(from) && (target === undefined || target === to) ? mostMs : 0;
+            slow.has(from) && (target === undefined || target === to) ? maxMs : 0;
         this.#delays.push(delay);
-        this.#at(this.simulation.queue.nowMs + forMs, () => this.#delays.splice(this.#delays.indexOf(delay), 1));
+        this.#scheduleAt(
+            this.simulation.queue.nowMs + forMs,
+            () => this.#delays.splice(this.#delays.indexOf(delay), 1),
+        );
     }
 
     #changeRule(withinMs: number): void {
@@ -204,15 +215,15 @@
         if (first === undefined || second === undefined || second.fromMs < Infinity) {
             return;
         }
-        this.#note(`limit changes within ${withinMs.toFixed(0)} ms to ${JSON.stringify(second.rule)}`);
+        this.#logEvent(`limit changes within ${withinMs.toFixed(0)} ms to ${JSON.stringify(second.rule)}`);
         second.fromMs = this.simulation.queue.nowMs;
         first.untilMs = second.fromMs + withinMs;
         for (const host of this.simulation.hosts) {
-            this.#at(second.fromMs + this.#random.next() * withinMs, () => host.rule = second.rule);
+            this.#scheduleAt(second.fromMs + this.#random.next() * withinMs, () => host.rule = second.rule);
         }
     }
 
-    /** A few hosts more or less, of which some hosts hear later: as many as the tolerance covers. */
+    /** Adds or removes hosts, of which the others learn at different times; no more than the tolerance covers. */
     #changeRosters(withinMs: number): void {
         const { hosts } = this.simulation;
         const count = Math.floor(hosts.length * 0.05);
@@ -220,9 +231,9 @@
         const roster = this.#random.next() < 0.5
             ? names.slice(count)
             : [...names, ...names.slice(0, count).map(name => `new-${name}`)];
-        this.#note(`roster of ${roster.length} within ${withinMs.toFixed(0)} ms`);
+        this.#logEvent(`roster of ${roster.length} within ${withinMs.toFixed(0)} ms`);
         for (const host of hosts) {
-            this.#at(
+            this.#scheduleAt(
                 this.simulation.queue.nowMs + this.#random.next() * withinMs,
                 () => this.simulation.setRoster(host, roster),
             );
@@ -230,9 +241,9 @@
     }
 
     #stepClocks(): void {
-        const victims = this.#victims();
+        const victims = this.#chooseVictims();
         const byMs = this.#pick([-3_600_000, -700, 80, 700, 3_600_000]);
-        this.#note(`clock steps by ${byMs} ms`, victims);
+        this.#logEvent(`clock steps by ${byMs} ms`, victims);
         victims.forEach(host => host.wallMs += byMs);
     }
 }
--- a/packages/rateLimit/src/allocator.ts
+++ b/packages/rateLimit/src/allocator.ts
@@ -9,84 +9,84 @@
 import { type WorkspaceSnapshot } from "./model.js";
 import { ShareHistory } from "./shareHistory.js";
 
-/** A host that asks this allocator. */
+/** A host that requests tokens from this allocator. */
 interface Delegator {
-    readonly life: string;
-    /** Its process before: messages of it that come late are ignored. */
-    readonly formerLife: string | undefined;
+    readonly incarnation: string;
+    /** Incarnation of its previous process, whose late messages are ignored. */
+    readonly previousIncarnation: string | undefined;
     seq: number;
-    /** The answer to the latest message, for its retransmissions. */
-    entries: LimitResponseEntry[];
+    /** The response to the latest message, sent again if that message is retransmitted. */
+    responseEntries: LimitResponseEntry[];
     share: number;
     leaseEndMs: number;
-    heardAtMs: number;
-    creditedAtMs: number;
+    lastSeenAtMs: number;
+    lastCreditAtMs: number;
 }
 
-/** What an allocator is. */
+/** Identity of an allocator. */
 export interface AllocatorOptions {
     readonly name: string;
     readonly incarnation: string;
     readonly group: number;
 }
 
-/** Grants the tokens of one group of workspaces at the rate of the shares that hosts have delegated to it. */
+/** Grants the tokens of one group of workspaces, at a rate given by the shares that hosts have delegated to it. */
 export class Allocator {
     readonly #name: string;
     readonly #group: number;
-    #life: string;
-    #isLeaving = false;
+    #incarnation: string;
+    #isShuttingDown = false;
     readonly #delegators = new Map<string, Delegator>();
     readonly #buckets = new Map<string, LimitBucket>();
     readonly #history: ShareHistory;
-    /** No lease ends before. */
-    #nextLeaseEndMs = Infinity;
-    #nextForgetMs: number;
+    /** Lower bound for the next end of a lease. */
+    #nextLeaseEndAtMs = Infinity;
+    #nextExpiryAtMs: number;
 
     constructor({ name, incarnation, group }: AllocatorOptions, nowMs: number) {
         this.#name = name;
-        this.#life = incarnation;
+        this.#incarnation = incarnation;
         this.#group = group;
         this.#history = new ShareHistory(nowMs);
-        this.#nextForgetMs = nowMs + idleExpiryMs;
+        this.#nextExpiryAtMs = nowMs + idleExpiryMs;
     }
 
-    /** Sum of the shares held. */
+    /** Sum of the delegated shares. */
     get sharesHeld(): number {
         return this.#history.sum;
     }
 
-    /** Hosts whose shares are held. */
+    /** Number of hosts with a delegated share. */
     get delegators(): number {
         return [...this.#delegators.values()].filter(({ share }) => share > 0).length;
     }
 
-    /** @returns the answer to a message; `undefined` where a later one has been answered */
-    onRequest(ask: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
+    /** @returns the response to a message; `undefined` if the message is outdated */
+    onRequest(request: LimitRequestMessage, nowMs: number): LimitResponseMessage | undefined {
         this.advance(nowMs);
-        const delegator = this.#find(ask);
-        if (delegator === undefined || ask.seq < delegator.seq) {
+        const delegator = this.#findDelegator(request);
+        if (delegator === undefined || request.seq < delegator.seq) {
             return undefined;
         }
-        delegator.heardAtMs = nowMs;
-        if (this.#isLeaving) {
-            return { ...this.#createAnswer(ask, [], nowMs), leaving: true };
+        delegator.lastSeenAtMs = nowMs;
+        if (this.#isShuttingDown) {
+            return { ...this.#createResponse(request, [], nowMs), leaving: true };
         }
-        // A retransmission must not take tokens a second time.
-        if (ask.seq > delegator.seq) {
-            delegator.seq = ask.seq;
-            this.#hold(delegator, ask, nowMs);
-            delegator.entries = this.#grant(ask, nowMs);
+        // A retransmitted message must not consume tokens again.
+        if (request.seq > delegator.seq) {
+            delegator.seq = request.seq;
+            this.#updateLease(delegator, request, nowMs);
+            delegator.responseEntries = this.#grantTokens(request, nowMs);
         }
-        return this.#createAnswer(ask, delegator.entries, nowMs);
+        return this.#createResponse(request, delegator.responseEntries, nowMs);
     }
 
-    /** Lets shares lapse whose leases have ended. */
+    /** Drops shares whose leases have ended, and expires idle state. */
     advance(nowMs: number): void {
-        while (nowMs >= this.#nextLeaseEndMs) {
-            const endMs = this.#nextLeaseEndMs;
+        while (nowMs >= this.#nextLeaseEndAtMs) {
+            const endMs = this.#nextLeaseEndAtMs;
             this.#history.advance(endMs);
-            this.#nextLeaseEndMs = Infinity;
+            this.#nextLeaseEndAtMs = Infinity;
             let lapsed = false;
             for (const delegator of this.#delegators.values()) {
                 if (delegator.share > 0 && delegator.leaseEndMs <= endMs) {
@@ -94,39 +94,39 @@
                     lapsed = true;
                 }
                 else if (delegator.share > 0) {
-                    this.#nextLeaseEndMs = Math.min(this.#nextLeaseEndMs, delegator.leaseEndMs);
+                    this.#nextLeaseEndAtMs = Math.min(this.#nextLeaseEndAtMs, delegator.leaseEndMs);
                 }
             }
             if (lapsed) {
-                this.#onShares();
+                this.#onSharesChanged();
             }
         }
         this.#history.advance(nowMs);
-        this.#forget(nowMs);
+        this.#expireIdle(nowMs);
     }
 
     /**
-     * This host was suspended, for a time that its clock doesn't show: leases have ended that still seem to run, and messages from before wait
-     * in the socket. Under another life, none of them brings a share.
+     * Handles a suspension of this host that its monotonic clock doesn't show. Leases that seem valid may have ended,
+     * and old messages may be waiting in the socket. With a new incarnation, none of these messages delegates a share.
      */
-    onSuspended(life: string, nowMs: number): void {
-        this.#life = life;
+    onSuspended(incarnation: string, nowMs: number): void {
+        this.#incarnation = incarnation;
         this.#dropShares(nowMs);
     }
 
-    /** Gives up all shares for good. @returns what tells their hosts */
+    /** Drops all shares permanently. @returns the messages that notify their hosts */
     releaseShares(nowMs: number): readonly { readonly to: string; readonly message: LimitResponseMessage; }[] {
         this.advance(nowMs);
-        const told = [...this.#delegators].filter(([, { share }]) => share > 0);
-        this.#isLeaving = true;
+        const notified = [...this.#delegators].filter(([, { share }]) => share > 0);
+        this.#isShuttingDown = true;
         this.#dropShares(nowMs);
-        return told.map(([to, { life, seq }]) => ({
+        return notified.map(([to, { incarnation: life, seq }]) => ({
             to,
-            message: { ...this.#createAnswer({ life, seq }, [], nowMs), leaving: true },
+            message: { ...this.#createResponse({ life, seq }, [], nowMs), leaving: true },
         }));
     }
 
-    /** @returns the workspaces that were asked for last; bounded */
+    /** @returns the most recently used workspaces; bounded */
     snapshot(): readonly WorkspaceSnapshot[] {
         return [...this.#buckets]
             .sort(([, a], [, b]) => b.lastUsedAtMs - a.lastUsedAtMs)
@@ -141,53 +141,54 @@
             }));
     }
 
-    #find({ sender, life }: LimitRequestMessage): Delegator | undefined {
+    #findDelegator({ sender, life }: LimitRequestMessage): Delegator | undefined {
         const known = this.#delegators.get(sender);
-        if (known?.life === life) {
+        if (known?.incarnation === life) {
             return known;
         }
-        if (known?.formerLife === life) {
+        if (known?.previousIncarnation === life) {
             return undefined;
         }
-        // The share of the process before is dropped: the new one may delegate to somebody else.
+        // Drops the share of the previous process, since the new process may delegate to another allocator.
         const delegator = {
-            life,
-            formerLife: known?.life,
+            incarnation: life,
+            previousIncarnation: known?.incarnation,
             seq: -1,
-            entries: [],
+            responseEntries: [],
             share: 0,
             leaseEndMs: -Infinity,
-            heardAtMs: -Infinity,
-            creditedAtMs: known?.creditedAtMs ?? -Infinity,
+            lastSeenAtMs: -Infinity,
+            lastCreditAtMs: known?.lastCreditAtMs ?? -Infinity,
         };
         this.#delegators.set(sender, delegator);
         if (known !== undefined && known.share > 0) {
-            this.#onShares();
+            this.#onSharesChanged();
         }
         return delegator;
     }
 
     /**
-     * The lease ends by this allocator's clock and a time that it gave out itself, so that neither a slow network nor a suspended process
-     * makes it longer. A message without such a time brings no share: it may have been under way for long.
+     * Starts or renews a lease. It is counted from a timestamp of this allocator that the host echoes, so that neither
+     * a slow network nor a suspended process can extend it. A message without an echo delegates no share, since its age
+     * is unknown.
      */
-    #hold(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
-        const leaseEndMs = echo?.life === this.#life ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
+    #updateLease(delegator: Delegator, { echo, share }: LimitRequestMessage, nowMs: number): void {
+        const leaseEndMs = echo?.life === this.#incarnation ? Math.min(echo.atMs, nowMs) + leaseMs : -Infinity;
         const before = delegator.share;
         delegator.share = leaseEndMs > nowMs ? share : 0;
         delegator.leaseEndMs = leaseEndMs;
-        this.#nextLeaseEndMs = Math.min(this.#nextLeaseEndMs, delegator.share > 0 ? leaseEndMs : Infinity);
+        this.#nextLeaseEndAtMs = Math.min(this.#nextLeaseEndAtMs, delegator.share > 0 ? leaseEndMs : Infinity);
         if (delegator.share === before) {
             return;
         }
-        this.#onShares();
-        if (before === 0 && nowMs - delegator.creditedAtMs >= shareCreditPeriodMs) {
-            delegator.creditedAtMs = nowMs;
+        this.#onSharesChanged();
+        if (before === 0 && nowMs - delegator.lastCreditAtMs >= shareCreditPeriodMs) {
+            delegator.lastCreditAtMs = nowMs;
             this.#history.addCredit(delegator.share * shareCreditMs);
         }
     }
 
-    #grant({ entries }: LimitRequestMessage, nowMs: number): LimitResponseEntry[] {
+    #grantTokens({ entries }: LimitRequestMessage, nowMs: number): LimitResponseEntry[] {
         return entries.map(({ wanted, givenBack, ...rule }) => {
             const bucket = this.#buckets.get(rule.workspace) ?? new LimitBucket(rule, this.#history, nowMs);
             this.#buckets.set(rule.workspace, bucket);
@@ -196,8 +197,10 @@
         });
     }
 
-    /** Levels fall with the shares: what they allowed is admitted by another allocator soon. */
-    #onShares(): void {
+    /**
+     * Adjusts the buckets to the shares. Levels fall with them, since another allocator will soon grant these tokens.
+     */
+    #onSharesChanged(): void {
         let sum = 0;
         for (const { share } of this.#delegators.values()) {
             sum += share;
@@ -218,17 +221,17 @@
         for (const delegator of this.#delegators.values()) {
             delegator.share = 0;
         }
-        this.#nextLeaseEndMs = Infinity;
-        this.#onShares();
+        this.#nextLeaseEndAtMs = Infinity;
+        this.#onSharesChanged();
     }
 
-    #forget(nowMs: number): void {
-        if (nowMs < this.#nextForgetMs) {
+    #expireIdle(nowMs: number): void {
+        if (nowMs < this.#nextExpiryAtMs) {
             return;
         }
-        this.#nextForgetMs = nowMs + idleExpiryMs;
-        for (const [name, { heardAtMs }] of this.#delegators) {
-            if (nowMs - heardAtMs >= idleExpiryMs) {
+        this.#nextExpiryAtMs = nowMs + idleExpiryMs;
+        for (const [name, { lastSeenAtMs }] of this.#delegators) {
+            if (nowMs - lastSeenAtMs >= idleExpiryMs) {
                 this.#delegators.delete(name);
             }
         }
@@ -241,7 +244,7 @@
         }
     }
 
-    #createAnswer(
+    #createResponse(
         { life, seq }: Pick<LimitRequestMessage, "life" | "seq">,
         entries: LimitResponseEntry[],
         nowMs: number,
@@ -250,11 +253,11 @@
             v: protocolVersion,
             type: "answer",
             sender: this.#name,
-            life: this.#life,
+            life: this.#incarnation,
             askerLife: life,
             seq,
             group: this.#group,
-            // Whole milliseconds keep datagrams short; rounded down, they lengthen no lease.
+            // Whole milliseconds keep datagrams short; rounding down never extends a lease.
             atMs: Math.floor(nowMs),
             entries,
         };
--- a/packages/rateLimit/src/allocatorSession.ts
+++ b/packages/rateLimit/src/allocatorSession.ts
@@ -16,42 +16,44 @@
 import { type LimitRule } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
-/** A message under way, and the requests that each of its entries asks for. */
+/** A message in flight, with the requests that each of its entries covers. */
 interface SentMessage {
     readonly message: LimitRequestMessage;
     readonly requests: readonly (readonly PendingRequest[])[];
-    readonly firstMs: number;
+    readonly sentAtMs: number;
 }
 
-/** What is the same in all messages of a link. */
+/** Options common to all messages of a session. */
 export interface AllocatorSessionOptions {
     readonly allocator: string;
     readonly name: string;
     readonly incarnation: string;
     readonly group: number;
-    /** Numbers that rise over all links of the process: a link that is made anew must not repeat one. */
+    /**
+     * Returns increasing numbers across all sessions of the process, so that a recreated session doesn't repeat one.
+     */
     readonly nextSeq: () => number;
 }
 
-/** The entries of an answer with the requests that they decide. */
+/** An entry of a response, with the requests that it decides. */
 export type DecidedEntry = LimitResponseMessage["entries"][number] & { readonly requests: readonly PendingRequest[]; };
 
-/** One host's conversation with one allocator of one group: at most one message is under way. */
+/** A session of this host with the allocator of one group, with at most one message in flight. */
 export class AllocatorSession {
-    /** Until when the allocator may count this host's share, by this host's clock. */
+    /** Latest time at which the allocator may still hold this host's share, on this host's clock. */
     shareLeaseEndMs = -Infinity;
-    /** The share was taken back and the allocator hasn't confirmed it. */
+    /** Whether the share was withdrawn and the allocator hasn't confirmed that yet. */
     isReleasing = false;
     readonly #options: AllocatorSessionOptions;
     #echo: { readonly life: string; readonly atMs: number; } | undefined;
-    #echoReceivedMs = -Infinity;
-    #sent: SentMessage | undefined;
-    /** Latest message with a share and an echo of the allocator's present life, or without. */
-    #sentShare = 0;
-    #sentMs = -Infinity;
+    #echoReceivedAtMs = -Infinity;
+    #inFlight: SentMessage | undefined;
+    /** Share sent in the latest message with an echo of the allocator's current incarnation; 0 without an echo. */
+    #delegatedShare = 0;
+    #lastSentAtMs = -Infinity;
     #unansweredSinceMs: number | undefined;
-    #wasPutOff = false;
-    readonly #givenBack = new Map<string, { readonly rule: LimitRule; readonly count: number; }>();
+    #wasTimeoutExtended = false;
+    readonly #givenBackTokens = new Map<string, { readonly rule: LimitRule; readonly count: number; }>();
 
     constructor(options: AllocatorSessionOptions) {
         this.#options = options;
@@ -61,71 +63,77 @@
         return this.#options.allocator;
     }
 
-    /** Whether the allocator has answered, so that tokens can be asked for. */
+    /** Whether the allocator has responded, so that tokens can be requested from it. */
     get hasResponded(): boolean {
         return this.#echo !== undefined;
     }
 
-    /** Share that the allocator has been told with its own time. */
+    /** Share delegated in the latest message, which takes effect only with an echo of the allocator's timestamp. */
     get delegatedShare(): number {
-        return this.#sentShare;
+        return this.#delegatedShare;
     }
 
     /** When a message was last sent. */
     get lastSentAtMs(): number {
-        return this.#sentMs;
+        return this.#lastSentAtMs;
     }
 
     get hasMessageInFlight(): boolean {
-        return this.#sent !== undefined;
+        return this.#inFlight !== undefined;
     }
 
-    /** Whether tokens have been asked for and not answered. */
+    /** Whether a request for tokens is in flight. */
     get isAwaitingTokens(): boolean {
-        return this.#sent !== undefined && this.#sent.requests.some(requests => requests.length > 0);
+        return this.#inFlight !== undefined && this.#inFlight.requests.some(requests => requests.length > 0);
     }
 
-    /** When the allocator has to be given up, if nothing comes. */
+    /** When the allocator is considered lost if it doesn't respond. */
     get timeoutAtMs(): number {
         return (this.#unansweredSinceMs ?? Infinity) + allocatorTimeoutMs;
     }
 
-    /** @returns whether the allocator has to be given up */
+    /** @returns whether the allocator is considered lost */
     isTimedOut(nowMs: number): boolean {
         if (nowMs < this.timeoutAtMs) {
             return false;
         }
-        // Where this host itself stood still, the answer may wait in its socket: one more retransmission time lets it be read.
-        if (!this.#wasPutOff && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
-            this.#wasPutOff = true;
+        // If this host was blocked, the response may be waiting in its socket; one more retransmission period lets it
+        // be read.
+        if (!this.#wasTimeoutExtended && nowMs - this.timeoutAtMs > lateTickThresholdMs) {
+            this.#wasTimeoutExtended = true;
             this.#unansweredSinceMs = nowMs - allocatorTimeoutMs + retransmitPeriodMs;
             return false;
         }
         return true;
     }
 
-    /** The allocator is the current one from now on: what it left unanswered before doesn't count against it. */
+    /**
+     * Makes this the session with the current allocator. Restarts the timeout, so that earlier unanswered messages
+     * don't count.
+     */
     activate(nowMs: number): void {
         this.isReleasing = false;
-        this.#wasPutOff = false;
-        this.#unansweredSinceMs = this.#sent === undefined ? undefined : nowMs;
+        this.#wasTimeoutExtended = false;
+        this.#unansweredSinceMs = this.#inFlight === undefined ? undefined : nowMs;
     }
 
-    /** @returns requests that were asked for and are not answered */
+    /** @returns requests for which tokens were requested and no response has arrived */
     unansweredRequests(): readonly PendingRequest[] {
-        return this.#sent?.requests.flat() ?? [];
+        return this.#inFlight?.requests.flat() ?? [];
     }
 
-    /** A token comes back unused; the next message tells it. */
+    /** Records unused tokens, which are returned with the next message. */
     giveBack(rule: LimitRule, count: number): void {
-        const before = this.#givenBack.get(rule.workspace)?.count ?? 0;
-        this.#givenBack.set(rule.workspace, { rule, count: before + count });
+        const before = this.#givenBackTokens.get(rule.workspace)?.count ?? 0;
+        this.#givenBackTokens.set(rule.workspace, { rule, count: before + count });
     }
 
     /**
-     * @param share - delegated from now on
-     * @param requests - taken from its front, as many as a message holds
-     * @returns a new message; the one before is no longer waited for
+     * Creates a message that replaces the one in flight.
+     *
+     * @param share - share to delegate, from 0 to 1
+     * @param requests - requests waiting for tokens; those that fit into the message are removed from the front
+     * @returns the message to be sent
      */
     createMessage(share: number, requests: PendingRequest[], nowMs: number): LimitRequestMessage {
         const { entries, taken } = this.#createEntries(requests);
@@ -141,52 +149,55 @@
             echo: this.#echo,
             entries,
         };
-        this.#sent = { message, requests: taken, firstMs: nowMs };
-        this.#sentMs = nowMs;
+        this.#inFlight = { message, requests: taken, sentAtMs: nowMs };
+        this.#lastSentAtMs = nowMs;
         this.#unansweredSinceMs ??= nowMs;
-        this.#sentShare = this.#echo === undefined ? 0 : share;
-        if (this.#sentShare > 0) {
-            this.shareLeaseEndMs = Math.max(this.shareLeaseEndMs, this.#echoReceivedMs + leaseMs + leaseMarginMs);
+        this.#delegatedShare = this.#echo === undefined ? 0 : share;
+        if (this.#delegatedShare > 0) {
+            this.shareLeaseEndMs = Math.max(this.shareLeaseEndMs, this.#echoReceivedAtMs + leaseMs + leaseMarginMs);
         }
         return message;
     }
 
-    /** @returns the message under way, to be sent again */
+    /** @returns the message in flight, to be sent again */
     retransmit(nowMs: number): LimitRequestMessage | undefined {
-        this.#sentMs = nowMs;
-        return this.#sent?.message;
+        this.#lastSentAtMs = nowMs;
+        return this.#inFlight?.message;
     }
 
-    /** @returns what an answer decides; `undefined` where it answers nothing that is waited for */
-    onResponse(answer: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
-        const sent = this.#sent;
-        if (answer.leaving === true) {
-            return this.#onLeaving(answer);
+    /** @returns the entries of a response; `undefined` if it doesn't match the message in flight */
+    onResponse(response: LimitResponseMessage, nowMs: number): readonly DecidedEntry[] | undefined {
+        const inFlight = this.#inFlight;
+        if (response.leaving === true) {
+            return this.#onAllocatorLeaving(response);
         }
-        if (sent === undefined || answer.seq !== sent.message.seq || answer.entries.length !== sent.requests.length) {
+        if (
+            inFlight === undefined || response.seq !== inFlight.message.seq
+            || response.entries.length !== inFlight.requests.length
+        ) {
             return undefined;
         }
-        this.#sent = undefined;
+        this.#inFlight = undefined;
         this.#unansweredSinceMs = undefined;
-        this.#wasPutOff = false;
-        const isNewLife = this.#echo !== undefined && this.#echo.life !== answer.life;
-        if (isNewLife || sent.message.share === 0) {
-            // The allocator has dropped what it held for its life before, or has confirmed that it holds nothing.
+        this.#wasTimeoutExtended = false;
+        const isNewIncarnation = this.#echo !== undefined && this.#echo.life !== response.life;
+        if (isNewIncarnation || inFlight.message.share === 0) {
+            // A new incarnation has dropped all shares, and a message without a share confirms that none is held.
             this.shareLeaseEndMs = -Infinity;
-            this.#sentShare = 0;
+            this.#delegatedShare = 0;
         }
-        this.#echo = { life: answer.life, atMs: answer.atMs };
-        this.#echoReceivedMs = nowMs;
-        return answer.entries.map((entry, i) => ({ ...entry, requests: sent.requests[i] ?? [] }));
+        this.#echo = { life: response.life, atMs: response.atMs };
+        this.#echoReceivedAtMs = nowMs;
+        return response.entries.map((entry, i) => ({ ...entry, requests: inFlight.requests[i] ?? [] }));
     }
 
-    #onLeaving(answer: LimitResponseMessage): readonly DecidedEntry[] | undefined {
-        if (this.#echo !== undefined && answer.life !== this.#echo.life) {
+    #onAllocatorLeaving(response: LimitResponseMessage): readonly DecidedEntry[] | undefined {
+        if (this.#echo !== undefined && response.life !== this.#echo.life) {
             return undefined;
         }
         this.shareLeaseEndMs = -Infinity;
-        this.#sentShare = 0;
-        this.#sent = undefined;
+        this.#delegatedShare = 0;
+        this.#inFlight = undefined;
         this.#echo = undefined;
         return [];
     }
@@ -194,11 +205,14 @@
     #createEntries(
         requests: PendingRequest[],
     ): { readonly entries: LimitRequestEntry[]; readonly taken: readonly (readonly PendingRequest[])[]; } {
-        const wanted = new Map<string, PendingRequest[]>();
-        let bytes = emptyMessageBytes + byteLength(this.#options.name);
-        const fits = (rule: LimitRule): boolean => {
-            const size = byteLength(rule.workspace) + entryBytes;
-            if (wanted.size > 0 && (bytes + size > maxMessageBytes || wanted.size >= maxMessageEntries)) {
+        const requestsByWorkspace = new Map<string, PendingRequest[]>();
+        let bytes = maxEmptyMessageBytes + byteLength(this.#options.name);
+        const tryReserve = (rule: LimitRule): boolean => {
+            const size = byteLength(rule.workspace) + maxEntryBytes;
+            if (
+                requestsByWorkspace.size > 0
+                && (bytes + size > maxMessageBytes || requestsByWorkspace.size >= maxMessageEntries)
+            ) {
                 return false;
             }
             bytes += size;
@@ -207,40 +221,50 @@
         let count = 0;
         for (const request of requests) {
             const { workspace } = request.rule;
-            const same = wanted.get(workspace);
-            if (same === undefined && !fits(request.rule)) {
+            const same = requestsByWorkspace.get(workspace);
+            if (same === undefined && !tryReserve(request.rule)) {
                 break;
             }
             count++;
-            wanted.set(workspace, [...same ?? [], request]);
+            requestsByWorkspace.set(workspace, [...same ?? [], request]);
         }
         requests.splice(0, count);
-        for (const { rule } of this.#givenBack.values()) {
-            if (!wanted.has(rule.workspace)) {
-                if (!fits(rule)) {
+        for (const { rule } of this.#givenBackTokens.values()) {
+            if (!requestsByWorkspace.has(rule.workspace)) {
+                if (!tryReserve(rule)) {
                     break;
                 }
-                wanted.set(rule.workspace, []);
+                requestsByWorkspace.set(rule.workspace, []);
             }
         }
-        const entries = [...wanted].map(([workspace, same]) => this.#createEntry(workspace, same));
-        return { entries, taken: [...wanted.values()] };
+        const entries = [...requestsByWorkspace].map(([workspace, same]) => this.#createEntry(workspace, same));
+        return { entries, taken: [...requestsByWorkspace.values()] };
     }
 
     #createEntry(workspace: string, requests: readonly PendingRequest[]): LimitRequestEntry {
-        const back = this.#givenBack.get(workspace);
-        this.#givenBack.delete(workspace);
+        const givenBack = this.#givenBackTokens.get(workspace);
+        this.#givenBackTokens.delete(workspace);
         const rules = requests.map(({ rule }) => rule);
-        const first = rules[0] ?? back?.rule;
+        const first = rules[0] ?? givenBack?.rule;
         const rule = rules.reduce((a, b) => b.configVersion > (a?.configVersion ?? -Infinity) ? b : a, first);
         const { perSecond = 1, burst = 0, configVersion = 0 } = rule ?? {};
-        return { workspace, perSecond, burst, configVersion, wanted: requests.length, givenBack: back?.count ?? 0 };
+        return {
+            workspace,
+            perSecond,
+            burst,
+            configVersion,
+            wanted: requests.length,
+            givenBack: givenBack?.count ?? 0,
+        };
     }
 }
 
-/** Sizes as JSON, with numbers at their longest; the protocol's own fields and two lives. */
-const emptyMessageBytes = 300;
-const entryBytes = 130;
+/**
+ * Maximum sizes as JSON: of a message's fixed fields with two incarnations, and of one entry without the workspace's
+ * name.
+ */
+const maxEmptyMessageBytes = 300;
+const maxEntryBytes = 130;
 
 function byteLength(text: string): number {
     return Buffer.byteLength(JSON.stringify(text));
--- a/packages/rateLimit/src/delegation.ts
+++ b/packages/rateLimit/src/delegation.ts
@@ -20,14 +20,14 @@
 import { type Decision, type GroupSnapshot, type LimitChange, type Token } from "./model.js";
 import { type PendingRequest } from "./pendingRequest.js";
 
-/** What a delegation decides and sends. */
+/** Receives the messages, decisions and changes of a delegation. */
 export interface DelegationOutput {
     send(to: string, message: LimitRequestMessage): void;
     decide(request: PendingRequest, decision: Decision): void;
     logChange(change: LimitChange): void;
 }
 
-/** What a delegation works with. */
+/** Options of a delegation. */
 export interface DelegationOptions {
     readonly name: string;
     readonly incarnation: string;
@@ -35,7 +35,7 @@
     readonly nextSeq: () => number;
     readonly slots: IsolatedSlots;
     readonly startedAtMs: number;
-    /** Lengthens a retry time at random. */
+    /** Adds random jitter to a retry delay. */
     readonly addJitter: (retryAfterMs: number) => number;
     readonly output: DelegationOutput;
 }
@@ -43,122 +43,123 @@
 const oneSecondMs = 1_000;
 
 /**
- * Whom one host asks for the tokens of one group, and who holds its share. The host may ask a new allocator at once, but gives it its share
- * only when no other can hold it any more: by a confirmation, or by the end of the lease.
+ * Manages a host's delegation of its share of one group: which allocator it requests tokens from, and which may hold
+ * its share. The host can contact a new allocator at once, but delegates its share only when no other allocator can
+ * hold it, that is after a confirmation or the end of the lease.
  */
 export class Delegation {
     readonly #options: DelegationOptions;
-    readonly #links = new Map<string, AllocatorSession>();
-    /** Hosts that may be the allocator, best first. */
-    #ranked: readonly string[] = [];
-    /** This host's part of each limit. */
-    #part = 0;
+    readonly #sessions = new Map<string, AllocatorSession>();
+    /** Candidates for the allocator, in order of preference. */
+    #candidates: readonly string[] = [];
+    /** This host's share of each limit. */
+    #hostShare = 0;
     #current: AllocatorSession | undefined;
-    /** A better rank that has answered, to be used when no tokens are being asked for. */
-    #better: AllocatorSession | undefined;
-    readonly #leftAtMs = new Map<string, number>();
-    /** Until when an allocator may hold the share of this host's process before. */
-    #formerUntilMs: number;
-    /** Allocators that have heard of this process, and dropped the share of the one before. */
-    readonly #greeted = new Set<string>();
-    #waiting: PendingRequest[] = [];
-    readonly #open = new Set<PendingRequest>();
-    /** Since when the share has been this host's own. */
-    #ownSinceMs: number;
+    /** A preferred allocator that has responded, used once no token request is in flight. */
+    #preferred: AllocatorSession | undefined;
+    readonly #lostAtMs = new Map<string, number>();
+    /** Latest time at which an allocator may hold a share of this host's previous process. */
+    #previousLeaseEndMs: number;
+    /** Allocators that have responded to this process, and thus dropped the share of the previous one. */
+    readonly #respondedAllocators = new Set<string>();
+    #waitingRequests: PendingRequest[] = [];
+    readonly #pendingRequests = new Set<PendingRequest>();
+    /** Time since which no allocator holds this host's share. */
+    #shareFreeSinceMs: number;
 
     constructor(options: DelegationOptions) {
         this.#options = options;
-        this.#formerUntilMs = options.startedAtMs + leaseMs + leaseMarginMs;
-        this.#ownSinceMs = this.#formerUntilMs;
+        this.#previousLeaseEndMs = options.startedAtMs + leaseMs + leaseMarginMs;
+        this.#shareFreeSinceMs = this.#previousLeaseEndMs;
     }
 
-    /** Names of all hosts that count. */
+    /** Updates the names of all hosts among which limits are divided. */
     onRoster(names: readonly string[], nowMs: number): void {
-        this.#ranked = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
-        this.#part = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
-        for (const name of this.#leftAtMs.keys()) {
+        this.#candidates = findOwners(`rate limits ${this.#options.group}`, names, allocatorCandidateCount);
+        this.#hostShare = names.includes(this.#options.name) ? Math.floor(shareUnits / names.length) / shareUnits : 0;
+        for (const name of this.#lostAtMs.keys()) {
             if (!names.includes(name)) {
-                this.#leftAtMs.delete(name);
+                this.#lostAtMs.delete(name);
             }
         }
-        if (this.#current === undefined && this.#ranked.some(name => !this.#leftAtMs.has(name))) {
-            this.#choose(nowMs);
+        if (this.#current === undefined && this.#candidates.some(name => !this.#lostAtMs.has(name))) {
+            this.#chooseAllocator(nowMs);
         }
     }
 
     enqueue(request: PendingRequest): void {
-        this.#waiting.push(request);
-        this.#open.add(request);
+        this.#waitingRequests.push(request);
+        this.#pendingRequests.add(request);
     }
 
-    /** @returns whether the token goes back to its allocator */
+    /** @returns whether the token can be returned to its allocator */
     giveBack({ grantedBy, rule }: Token): boolean {
-        const link = grantedBy === undefined ? undefined : this.#links.get(grantedBy);
-        link?.giveBack(rule, 1);
-        return link !== undefined;
+        const session = grantedBy === undefined ? undefined : this.#sessions.get(grantedBy);
+        session?.giveBack(rule, 1);
+        return session !== undefined;
     }
 
-    /** Nothing is asked any more: the configuration has no limits. */
+    /** Refuses all waiting requests when the configuration no longer has limits. */
     refuseAll(nowMs: number): void {
-        for (const request of this.#open) {
+        for (const request of this.#pendingRequests) {
             this.#refuse(request, isolatedRetryAfterMs);
         }
         this.expireRequests(nowMs);
     }
 
-    /** @returns whether the answer was one that is waited for */
-    onResponse(answer: LimitResponseMessage, nowMs: number): boolean {
-        const link = this.#links.get(answer.sender);
-        const unanswered = link?.unansweredRequests() ?? [];
-        const entries = link?.onResponse(answer, nowMs);
-        if (link === undefined || entries === undefined) {
+    /** @returns whether the response matched a message in flight */
+    onResponse(response: LimitResponseMessage, nowMs: number): boolean {
+        const session = this.#sessions.get(response.sender);
+        const unanswered = session?.unansweredRequests() ?? [];
+        const entries = session?.onResponse(response, nowMs);
+        if (session === undefined || entries === undefined) {
             return false;
         }
-        this.#greeted.add(link.allocator);
-        if (answer.leaving === true) {
-            this.#leave(link, unanswered, "leaving", nowMs);
+        this.#respondedAllocators.add(session.allocator);
+        if (response.leaving === true) {
+            this.#abandonAllocator(session, unanswered, "leaving", nowMs);
             return true;
         }
-        this.#follow(link, nowMs);
+        this.#onAllocatorResponse(session, nowMs);
         for (const entry of entries) {
-            this.#settle(link, entry, nowMs);
+            this.#applyEntry(session, entry, nowMs);
         }
         return true;
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     advance(nowMs: number, wallMs: number): void {
-        this.#endStart(nowMs);
+        this.#endStartup(nowMs);
         this.expireRequests(nowMs);
         if (this.#current?.isTimedOut(nowMs) === true) {
-            this.#leave(this.#current, this.#current.unansweredRequests(), "unanswered", nowMs);
+            this.#abandonAllocator(this.#current, this.#current.unansweredRequests(), "unanswered", nowMs);
         }
-        this.#moveToBetter(nowMs);
-        this.#probe(nowMs);
-        this.#ask(nowMs);
-        this.#useSlots(nowMs, wallMs);
+        this.#moveToPreferred(nowMs);
+        this.#sendProbes(nowMs);
+        this.#requestTokens(nowMs);
+        this.#decideBySlots(nowMs, wallMs);
     }
 
-    /** @returns when something is due next */
+    /** @returns when the next action is due */
     nextDueAtMs(nowMs: number): number {
         let due = Infinity;
-        for (const { deadlineMs } of this.#open) {
+        for (const { deadlineMs } of this.#pendingRequests) {
             due = Math.min(due, deadlineMs);
         }
-        for (const { isPending, notBeforeMs } of this.#waiting) {
+        for (const { isPending, notBeforeMs } of this.#waitingRequests) {
             if (isPending && notBeforeMs > nowMs) {
                 due = Math.min(due, notBeforeMs);
             }
         }
-        for (const name of this.#probed()) {
-            due = Math.min(due, this.#probeAtMs(name, nowMs));
+        for (const name of this.#probeTargets()) {
+            due = Math.min(due, this.#nextProbeAtMs(name, nowMs));
         }
         const current = this.#current;
         if (current !== undefined) {
             const nextMs = current.lastSentAtMs + (current.hasMessageInFlight ? retransmitPeriodMs : heartbeatPeriodMs);
             due = Math.min(due, nextMs, current.timeoutAtMs);
-            if (this.#share(nowMs) === 0 && this.#part > 0) {
-                due = Math.min(due, Math.max(nowMs, this.#freeAtMs(nowMs)));
+            if (this.#availableShare(nowMs) === 0 && this.#hostShare > 0) {
+                due = Math.min(due, Math.max(nowMs, this.#shareFreeAtMs(nowMs)));
             }
         }
         return due;
@@ -172,171 +173,183 @@
     }
 
     /** The allocator, other than the current one, that may still hold the share. */
-    #holder(nowMs: number): AllocatorSession | undefined {
-        for (const link of this.#links.values()) {
-            if (link !== this.#current && link.shareLeaseEndMs > nowMs) {
-                return link;
+    #findShareHolder(nowMs: number): AllocatorSession | undefined {
+        for (const session of this.#sessions.values()) {
+            if (session !== this.#current && session.shareLeaseEndMs > nowMs) {
+                return session;
             }
         }
         return undefined;
     }
 
-    /** @returns when the share can be given to the current allocator, or used for slots */
-    #freeAtMs(nowMs: number): number {
-        const heldUntilMs = this.#holder(nowMs)?.shareLeaseEndMs ?? -Infinity;
-        return Math.max(this.#formerUntilMs, heldUntilMs);
+    /** @returns when the share can be delegated to the current allocator, or used for time slots */
+    #shareFreeAtMs(nowMs: number): number {
+        const leaseEndMs = this.#findShareHolder(nowMs)?.shareLeaseEndMs ?? -Infinity;
+        return Math.max(this.#previousLeaseEndMs, leaseEndMs);
     }
 
-    #share(nowMs: number): number {
-        return this.#freeAtMs(nowMs) > nowMs ? 0 : this.#part;
+    #availableShare(nowMs: number): number {
+        return this.#shareFreeAtMs(nowMs) > nowMs ? 0 : this.#hostShare;
     }
 
-    /** A new process has its share when all ranks have dropped that of the process before, or its leases have ended. */
-    #endStart(nowMs: number): void {
-        const isGreeted = this.#ranked.length > 0 && this.#ranked.every(name => this.#greeted.has(name));
-        if (this.#formerUntilMs > nowMs && isGreeted) {
-            this.#formerUntilMs = nowMs;
-            this.#ownSinceMs = nowMs;
+    /**
+     * Ends the start-up phase once all candidates have dropped the share of the previous process; otherwise its leases
+     * must end.
+     */
+    #endStartup(nowMs: number): void {
+        const haveAllResponded = this.#candidates.length > 0
+            && this.#candidates.every(name => this.#respondedAllocators.has(name));
+        if (this.#previousLeaseEndMs > nowMs && haveAllResponded) {
+            this.#previousLeaseEndMs = nowMs;
+            this.#shareFreeSinceMs = nowMs;
         }
     }
 
     expireRequests(nowMs: number): void {
-        for (const request of this.#open) {
+        for (const request of this.#pendingRequests) {
             if (!request.isPending) {
-                this.#open.delete(request);
+                this.#pendingRequests.delete(request);
             }
             else if (nowMs >= request.deadlineMs) {
-                this.#refuse(request, Math.max(noSharesRetryAfterMs / 2, this.#freeAtMs(nowMs) - nowMs));
+                this.#refuse(request, Math.max(noSharesRetryAfterMs / 2, this.#shareFreeAtMs(nowMs) - nowMs));
             }
         }
-        this.#waiting = this.#waiting.filter(({ isPending }) => isPending);
+        this.#waitingRequests = this.#waitingRequests.filter(({ isPending }) => isPending);
     }
 
-    /** An allocator does not answer, or ends. */
-    #leave(link: AllocatorSession, unanswered: readonly PendingRequest[], reason: string, nowMs: number): void {
+    /** Handles an allocator that doesn't respond or shuts down. */
+    #abandonAllocator(
+        session: AllocatorSession,
+        unanswered: readonly PendingRequest[],
+        reason: string,
+        nowMs: number,
+    ): void {
         const { group, output } = this.#options;
-        const wasKnown = link.hasResponded || reason === "leaving";
-        this.#leftAtMs.set(link.allocator, wasKnown ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
-        if (this.#better === link) {
-            this.#better = undefined;
+        const hadResponded = session.hasResponded || reason === "leaving";
+        this.#lostAtMs.set(session.allocator, hadResponded ? nowMs : nowMs - failbackDelayMs + unknownFailbackDelayMs);
+        if (this.#preferred === session) {
+            this.#preferred = undefined;
         }
-        if (link !== this.#current) {
+        if (session !== this.#current) {
             return;
         }
-        output.logChange({ type: "allocatorLost", group, allocator: link.allocator, reason });
-        this.#askAgain(unanswered);
+        output.logChange({ type: "allocatorLost", group, allocator: session.allocator, reason });
+        this.#requeue(unanswered);
         this.#current = undefined;
-        this.#choose(nowMs);
+        this.#chooseAllocator(nowMs);
     }
 
-    #askAgain(requests: readonly PendingRequest[]): void {
-        this.#waiting.unshift(...requests.filter(({ isPending }) => isPending));
+    #requeue(requests: readonly PendingRequest[]): void {
+        this.#waitingRequests.unshift(...requests.filter(({ isPending }) => isPending));
     }
 
-    #choose(nowMs: number): void {
-        const name = this.#ranked.find(each => this.#isUsable(each, nowMs));
+    #chooseAllocator(nowMs: number): void {
+        const name = this.#candidates.find(each => this.#isUsable(each, nowMs));
         if (name === undefined) {
-            this.#ownSinceMs = Math.max(nowMs, this.#freeAtMs(nowMs));
+            this.#shareFreeSinceMs = Math.max(nowMs, this.#shareFreeAtMs(nowMs));
             this.#options.output.logChange({ type: "isolated", group: this.#options.group });
             return;
         }
-        this.#use(this.#linkTo(name), nowMs);
+        this.#switchTo(this.#sessionFor(name), nowMs);
     }
 
-    #use(link: AllocatorSession, nowMs: number): void {
-        this.#askAgain(this.#current?.unansweredRequests() ?? []);
-        this.#current = link;
-        link.activate(nowMs);
+    #switchTo(session: AllocatorSession, nowMs: number): void {
+        this.#requeue(this.#current?.unansweredRequests() ?? []);
+        this.#current = session;
+        session.activate(nowMs);
         const { group, output } = this.#options;
-        const rank = this.#ranked.indexOf(link.allocator);
-        output.logChange({ type: "allocatorChosen", group, allocator: link.allocator, rank });
+        const rank = this.#candidates.indexOf(session.allocator);
+        output.logChange({ type: "allocatorChosen", group, allocator: session.allocator, rank });
     }
 
     #isUsable(name: string, nowMs: number): boolean {
-        return nowMs - (this.#leftAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
+        return nowMs - (this.#lostAtMs.get(name) ?? -Infinity) >= failbackDelayMs;
     }
 
-    /** An allocator has answered that isn't the current one. */
-    #follow(link: AllocatorSession, nowMs: number): void {
-        if (link === this.#current) {
+    /** Handles a response of an allocator that may not be the current one. */
+    #onAllocatorResponse(session: AllocatorSession, nowMs: number): void {
+        if (session === this.#current) {
             return;
         }
-        const isHolder = link.shareLeaseEndMs > nowMs && !link.isReleasing;
-        if (isHolder || (this.#current === undefined && !link.isReleasing)) {
-            // Late, but it still has this host's share.
-            this.#use(link, nowMs);
+        const isHolder = session.shareLeaseEndMs > nowMs && !session.isReleasing;
+        if (isHolder || (this.#current === undefined && !session.isReleasing)) {
+            // It responded late, but still holds this host's share.
+            this.#switchTo(session, nowMs);
         }
-        else if (this.#isBetter(link.allocator) && this.#isUsable(link.allocator, nowMs)) {
-            this.#better = link;
+        else if (this.#isPreferred(session.allocator) && this.#isUsable(session.allocator, nowMs)) {
+            this.#preferred = session;
         }
     }
 
-    #isBetter(name: string): boolean {
-        const rank = this.#ranked.indexOf(name);
-        const currentRank = this.#current === undefined ? -1 : this.#ranked.indexOf(this.#current.allocator);
+    #isPreferred(name: string): boolean {
+        const rank = this.#candidates.indexOf(name);
+        const currentRank = this.#current === undefined ? -1 : this.#candidates.indexOf(this.#current.allocator);
         return rank >= 0 && (currentRank < 0 || rank < currentRank);
     }
 
-    #moveToBetter(nowMs: number): void {
-        const [former, better] = [this.#current, this.#better];
-        if (better === undefined || former === undefined || former.isAwaitingTokens) {
+    #moveToPreferred(nowMs: number): void {
+        const [previous, preferred] = [this.#current, this.#preferred];
+        if (preferred === undefined || previous === undefined || previous.isAwaitingTokens) {
             return;
         }
-        this.#better = undefined;
-        if (!this.#isBetter(better.allocator) || !this.#isUsable(better.allocator, nowMs)) {
+        this.#preferred = undefined;
+        if (!this.#isPreferred(preferred.allocator) || !this.#isUsable(preferred.allocator, nowMs)) {
             return;
         }
-        this.#use(better, nowMs);
-        if (former.shareLeaseEndMs > nowMs) {
-            former.isReleasing = true;
-            this.#send(former, former.createMessage(0, [], nowMs));
+        this.#switchTo(preferred, nowMs);
+        if (previous.shareLeaseEndMs > nowMs) {
+            previous.isReleasing = true;
+            this.#send(previous, previous.createMessage(0, [], nowMs));
         }
     }
 
-    /** Names of allocators, beside the current one, that may have to be sent something. */
-    #probed(): ReadonlySet<string> {
-        const names = new Set([...this.#ranked, ...this.#links.keys()]);
+    /** @returns names of the allocators, other than the current one, that may need a probe */
+    #probeTargets(): ReadonlySet<string> {
+        const names = new Set([...this.#candidates, ...this.#sessions.keys()]);
         if (this.#current !== undefined) {
             names.delete(this.#current.allocator);
         }
         return names;
     }
 
-    #probeAtMs(name: string, nowMs: number): number {
-        const link = this.#links.get(name);
-        const sentMs = link?.lastSentAtMs ?? -Infinity;
-        if (link !== undefined && link.shareLeaseEndMs > nowMs) {
-            return sentMs + retransmitPeriodMs;
+    #nextProbeAtMs(name: string, nowMs: number): number {
+        const session = this.#sessions.get(name);
+        const lastSentAtMs = session?.lastSentAtMs ?? -Infinity;
+        if (session !== undefined && session.shareLeaseEndMs > nowMs) {
+            return lastSentAtMs + retransmitPeriodMs;
         }
-        if (!this.#ranked.includes(name)) {
+        if (!this.#candidates.includes(name)) {
             return Infinity;
         }
-        if (this.#formerUntilMs > nowMs && !this.#greeted.has(name)) {
-            return sentMs + startupProbePeriodMs;
+        if (this.#previousLeaseEndMs > nowMs && !this.#respondedAllocators.has(name)) {
+            return lastSentAtMs + startupProbePeriodMs;
         }
         if (this.#current === undefined) {
-            return sentMs + isolatedProbePeriodMs;
+            return lastSentAtMs + isolatedProbePeriodMs;
         }
-        const leftAtMs = this.#leftAtMs.get(name) ?? -Infinity;
-        return this.#isBetter(name) ? Math.max(sentMs + failbackProbePeriodMs, leftAtMs + failbackDelayMs) : Infinity;
+        const lostAtMs = this.#lostAtMs.get(name) ?? -Infinity;
+        return this.#isPreferred(name)
+            ? Math.max(lastSentAtMs + failbackProbePeriodMs, lostAtMs + failbackDelayMs)
+            : Infinity;
     }
 
-    #probe(nowMs: number): void {
-        for (const name of this.#probed()) {
-            const atMs = this.#probeAtMs(name, nowMs);
+    #sendProbes(nowMs: number): void {
+        for (const name of this.#probeTargets()) {
+            const atMs = this.#nextProbeAtMs(name, nowMs);
             if (atMs <= nowMs) {
-                const link = this.#linkTo(name);
-                // One that may still hold the share is reminded of the same message, which makes its lease no longer.
-                const repeated = link.shareLeaseEndMs > nowMs ? link.retransmit(nowMs) : undefined;
-                this.#send(link, repeated ?? link.createMessage(0, [], nowMs));
+                const session = this.#sessionFor(name);
+                // An allocator that may still hold the share gets the same message again, which doesn't extend its
+                // lease.
+                const repeated = session.shareLeaseEndMs > nowMs ? session.retransmit(nowMs) : undefined;
+                this.#send(session, repeated ?? session.createMessage(0, [], nowMs));
             }
-            else if (atMs === Infinity && name !== this.#better?.allocator) {
-                this.#links.delete(name);
+            else if (atMs === Infinity && name !== this.#preferred?.allocator) {
+                this.#sessions.delete(name);
             }
         }
     }
 
-    #ask(nowMs: number): void {
+    #requestTokens(nowMs: number): void {
         const current = this.#current;
         if (current === undefined || current.isAwaitingTokens) {
             if (current !== undefined && nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
@@ -344,11 +357,11 @@
             }
             return;
         }
-        const share = this.#share(nowMs);
-        const ready = current.hasResponded ? this.#takeReady(nowMs) : [];
+        const share = this.#availableShare(nowMs);
+        const ready = current.hasResponded ? this.#takeReadyRequests(nowMs) : [];
         if (ready.length > 0) {
             this.#send(current, current.createMessage(share, ready, nowMs));
-            this.#waiting.unshift(...ready);
+            this.#waitingRequests.unshift(...ready);
         }
         else if (current.hasMessageInFlight) {
             if (nowMs - current.lastSentAtMs >= retransmitPeriodMs) {
@@ -363,25 +376,25 @@
         }
     }
 
-    #takeReady(nowMs: number): PendingRequest[] {
-        const ready = this.#waiting.filter(({ isPending, notBeforeMs }) => isPending && notBeforeMs <= nowMs);
+    #takeReadyRequests(nowMs: number): PendingRequest[] {
+        const ready = this.#waitingRequests.filter(({ isPending, notBeforeMs }) => isPending && notBeforeMs <= nowMs);
         if (ready.length > 0) {
-            this.#waiting = this.#waiting.filter(({ notBeforeMs }) => notBeforeMs > nowMs);
+            this.#waitingRequests = this.#waitingRequests.filter(({ notBeforeMs }) => notBeforeMs > nowMs);
         }
         return ready;
     }
 
-    /** Requests of a host that reaches no allocator. */
-    #useSlots(nowMs: number, wallMs: number): void {
-        if (this.#current !== undefined || this.#waiting.length === 0) {
+    /** Decides requests by time slots while no allocator can be reached. */
+    #decideBySlots(nowMs: number, wallMs: number): void {
+        if (this.#current !== undefined || this.#waitingRequests.length === 0) {
             return;
         }
-        const freeAtMs = this.#freeAtMs(nowMs);
-        for (const request of this.#takeReady(nowMs)) {
+        const freeAtMs = this.#shareFreeAtMs(nowMs);
+        for (const request of this.#takeReadyRequests(nowMs)) {
             if (freeAtMs > nowMs) {
-                this.#holdOrRefuse(request, freeAtMs - nowMs, nowMs);
+                this.#requeueOrRefuse(request, freeAtMs - nowMs, nowMs);
             }
-            else if (this.#options.slots.tryTake(request.rule, this.#ownSinceMs, nowMs, wallMs)) {
+            else if (this.#options.slots.tryTake(request.rule, this.#shareFreeSinceMs, nowMs, wallMs)) {
                 const token = { rule: request.rule, grantedBy: undefined };
                 this.#decide(request, { type: "admitted", token, plentiful: false });
             }
@@ -391,12 +404,12 @@
         }
     }
 
-    #settle(
-        link: AllocatorSession,
+    #applyEntry(
+        session: AllocatorSession,
         { granted, retryAfterMs, plentiful, over, requests }: DecidedEntry,
         nowMs: number,
     ): void {
-        let left = granted;
+        let remaining = granted;
         let refused = 0;
         for (const request of requests) {
             if (!request.isPending) {
@@ -404,9 +417,9 @@
             }
             const { rule } = request;
             const waitMs = retryAfterMs + refused * oneSecondMs / rule.perSecond;
-            if (left > 0) {
-                left--;
-                this.#decide(request, { type: "admitted", token: { rule, grantedBy: link.allocator }, plentiful });
+            if (remaining > 0) {
+                remaining--;
+                this.#decide(request, { type: "admitted", token: { rule, grantedBy: session.allocator }, plentiful });
             }
             else if (over) {
                 refused++;
@@ -414,19 +427,19 @@
             }
             else {
                 refused++;
-                this.#holdOrRefuse(request, Math.max(waitMs, this.#freeAtMs(nowMs) - nowMs), nowMs);
+                this.#requeueOrRefuse(request, Math.max(waitMs, this.#shareFreeAtMs(nowMs) - nowMs), nowMs);
             }
         }
         const rule = requests[0]?.rule;
-        if (left > 0 && rule !== undefined) {
-            link.giveBack(rule, left);
+        if (remaining > 0 && rule !== undefined) {
+            session.giveBack(rule, remaining);
         }
     }
 
-    #holdOrRefuse(request: PendingRequest, waitMs: number, nowMs: number): void {
+    #requeueOrRefuse(request: PendingRequest, waitMs: number, nowMs: number): void {
         if (nowMs + waitMs < request.deadlineMs) {
             request.notBeforeMs = nowMs + waitMs;
-            this.#waiting.push(request);
+            this.#waitingRequests.push(request);
         }
         else {
             this.#refuse(request, waitMs);
@@ -439,21 +452,21 @@
 
     #decide(request: PendingRequest, decision: Decision): void {
         request.isPending = false;
-        this.#open.delete(request);
+        this.#pendingRequests.delete(request);
         this.#options.output.decide(request, decision);
     }
 
-    #linkTo(name: string): AllocatorSession {
+    #sessionFor(name: string): AllocatorSession {
         const { name: self, incarnation, group, nextSeq } = this.#options;
-        const link = this.#links.get(name)
+        const session = this.#sessions.get(name)
             ?? new AllocatorSession({ allocator: name, name: self, incarnation, group, nextSeq });
-        this.#links.set(name, link);
-        return link;
+        this.#sessions.set(name, session);
+        return session;
     }
 
-    #send(link: AllocatorSession, message: LimitRequestMessage | undefined): void {
+    #send(session: AllocatorSession, message: LimitRequestMessage | undefined): void {
         if (message !== undefined) {
-            this.#options.output.send(link.allocator, message);
+            this.#options.output.send(session.allocator, message);
         }
     }
 }
--- a/packages/rateLimit/src/limitBucket.ts
+++ b/packages/rateLimit/src/limitBucket.ts
@@ -13,12 +13,15 @@
 
 const oneSecondMs = 1_000;
 
-/** @returns the most tokens that a bucket holds with some shares; one at least, or few shares of a small limit would never admit */
+/**
+ * @returns the capacity of a bucket for a sum of shares; at least one token, as a small share of a small limit would
+ * never admit a request
+ */
 export function bucketCapacity(rule: LimitRule, sum: number): number {
     return sum > 0 ? Math.max(1, sum * (burstFactor * rule.burst + extraBurstTokens)) : 0;
 }
 
-/** The tokens of one workspace at its allocator. */
+/** Token bucket of one workspace at its allocator. */
 export class LimitBucket {
     granted = 0;
     refused = 0;
@@ -26,17 +29,20 @@
     #rule: LimitRule;
     #level: number;
     #integralMs: number;
-    /** What would be left if all shares were held and nothing was refused: tells a caller over its limit from missing shares. */
-    #wholeLevel: number;
-    /** When the latest caller that was given a retry time fits. */
-    #promisedMs = -Infinity;
+    /**
+     * Level if all shares were held and no request was refused; distinguishes a workspace over its limit from missing
+     * shares.
+     */
+    #fullShareLevel: number;
+    /** Time at which the latest refused caller was told to retry. */
+    #lastRetryAtMs = -Infinity;
 
     constructor(rule: LimitRule, history: ShareHistory, nowMs: number) {
         this.#rule = rule;
         const level = history.replay((before, spanMs, sum) => this.#refill(before, spanMs, sum));
         this.#level = Math.min(level + initialTokens, bucketCapacity(rule, history.sum));
         this.#integralMs = history.integralMs;
-        this.#wholeLevel = bucketCapacity(rule, 1);
+        this.#fullShareLevel = bucketCapacity(rule, 1);
         this.lastUsedAtMs = nowMs;
     }
 
@@ -48,13 +54,13 @@
         return this.#level;
     }
 
-    /** Brings the level up to date; to be called before and after each change of the shares. */
+    /** Refills the bucket; must be called before and after each change of the shares. */
     refill(history: ShareHistory): void {
         this.#level = this.#refill(this.#level, history.integralMs - this.#integralMs, history.sum);
         this.#integralMs = history.integralMs;
     }
 
-    /** What a host says of the workspace's limit. */
+    /** Replaces the limit if a host sends a newer version of it. */
     updateRule(rule: LimitRule, history: ShareHistory): void {
         if (rule.configVersion > this.#rule.configVersion) {
             this.refill(history);
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Takes tokens, after those that come back unused. */
+    /** Adds returned tokens, then takes as many of the requested tokens as available. */
     take(wanted: number, givenBack: number, history: ShareHistory, nowMs: number): LimitResponseEntry {
         this.refill(history);
         const capacity = bucketCapacity(this.#rule, history.sum);
@@ -71,10 +77,10 @@
         const granted = Math.min(wanted, Math.floor(this.#level));
         this.#level -= granted;
         this.granted += granted;
-        const over = this.#isOver(wanted, givenBack, nowMs);
+        const over = this.#isOverLimit(wanted, givenBack, nowMs);
         const missing = wanted - granted;
         this.refused += missing;
-        const retryAfterMs = missing === 0 ? 0 : this.#promise(missing, history.sum, nowMs);
+        const retryAfterMs = missing === 0 ? 0 : this.#scheduleRetry(missing, history.sum, nowMs);
         return {
             granted,
             retryAfterMs,
@@ -88,23 +94,25 @@
         return Math.min(bucketCapacity(this.#rule, sum), level + added);
     }
 
-    #isOver(wanted: number, givenBack: number, nowMs: number): boolean {
+    #isOverLimit(wanted: number, givenBack: number, nowMs: number): boolean {
         const added = (nowMs - this.lastUsedAtMs) * this.#rule.perSecond * refillFactor / oneSecondMs;
-        const level = Math.min(bucketCapacity(this.#rule, 1), this.#wholeLevel + added + givenBack);
-        this.#wholeLevel = Math.max(0, level - wanted);
+        const level = Math.min(bucketCapacity(this.#rule, 1), this.#fullShareLevel + added + givenBack);
+        this.#fullShareLevel = Math.max(0, level - wanted);
         this.lastUsedAtMs = nowMs;
         return level < wanted;
     }
 
-    /** @returns after what time the first of some refused requests fits, behind those that were given a time before */
-    #promise(count: number, sum: number, nowMs: number): number {
+    /**
+     * @returns retry delay of the first of some refused requests, scheduled after the retries of those refused before
+     */
+    #scheduleRetry(count: number, sum: number, nowMs: number): number {
         if (sum <= 0) {
             return noSharesRetryAfterMs;
         }
         const tokenMs = oneSecondMs / this.#rule.perSecond;
         const missingMs = Math.max(0, 1 - this.#level) * tokenMs / (refillFactor * sum);
-        const firstMs = Math.min(nowMs + maxRetryAfterMs, Math.max(nowMs + missingMs, this.#promisedMs + tokenMs));
-        this.#promisedMs = Math.min(nowMs + maxRetryAfterMs, firstMs + (count - 1) * tokenMs);
+        const firstMs = Math.min(nowMs + maxRetryAfterMs, Math.max(nowMs + missingMs, this.#lastRetryAtMs + tokenMs));
+        this.#lastRetryAtMs = Math.min(nowMs + maxRetryAfterMs, firstMs + (count - 1) * tokenMs);
         return Math.ceil(firstMs - nowMs);
     }
 }
--- a/packages/rateLimit/src/rateLimiter.ts
+++ b/packages/rateLimit/src/rateLimiter.ts
@@ -22,57 +22,57 @@
 } from "./model.js";
 import { PendingRequest } from "./pendingRequest.js";
 
-/** Who the host is. */
+/** Options of a rate limiter. */
 export interface RateLimiterOptions {
-    /** As in the host's registration. */
+    /** Host name as in its registration. */
     readonly name: string;
-    /** Random id of this process lifetime, up to 48 characters. */
+    /** Random id of this process incarnation, up to 48 characters. */
     readonly incarnation: string;
-    /** Seeded source of numbers from 0 to below 1. */
+    /** Seeded random numbers from 0 (inclusive) to 1 (exclusive). */
     readonly random: () => number;
-    /** When the process was started, on the monotonic clock of all `nowMs`; not after the construction. */
+    /** Start time of the process on the monotonic clock that all `nowMs` use; not later than the construction. */
     readonly startedAtMs: number;
-    /** Allowed above the limits; by default {@link defaultTolerance}. */
+    /** Allowed excess over the limits; {@link defaultTolerance} by default. */
     readonly tolerance?: LimitTolerance | undefined;
 }
 
-/** A group of workspaces: whom this host asks, and what it allocates itself. */
+/** A group of workspaces, with this host's delegation and its own allocator. */
 interface Group {
     readonly delegation: Delegation;
     readonly allocator: Allocator;
-    sharesNoted: number;
+    loggedShares: number;
 }
 
 /**
- * Keeps the rate limits of workspaces over all hosts together, for one host: asks the allocators for tokens, and is an allocator itself
- * where it was chosen. `nowMs` is monotonic, `wallMs` the time of day. Each method's commands have to be carried out in their order, and
- * the next tick may be due earlier after each call.
+ * Enforces distributed rate limits of workspaces on one host. It requests tokens from the allocators, and is an
+ * allocator itself for hosts that have chosen it. `nowMs` is monotonic time, `wallMs` wall-clock time. The commands
+ * returned by a method must be carried out in order, and after each call the next tick may be due earlier.
  */
 export class RateLimiter {
     readonly #name: string;
-    readonly #life: string;
+    readonly #incarnation: string;
     readonly #random: () => number;
     readonly #tolerance: LimitTolerance;
     readonly #slots: IsolatedSlots;
     readonly #groups: readonly Group[];
-    readonly #open = new Map<number, PendingRequest>();
+    readonly #pendingRequests = new Map<number, PendingRequest>();
     #isActive = false;
     #commands: Command[] = [];
-    /** Messages of this host to itself. */
-    #local: LimitMessage[] = [];
+    /** Messages from this host to itself. */
+    #localMessages: LimitMessage[] = [];
     #changes: LimitChange[] = [];
-    #requests = 0;
-    #messages = 0;
-    #pauses = 0;
+    #requestCount = 0;
+    #messageCount = 0;
+    #suspensionCount = 0;
     #wallOffsetMs: number | undefined;
-    #sent = 0;
-    #ignored = 0;
+    #sentMessages = 0;
+    #ignoredMessages = 0;
 
-    /** @param options - who the host is */
+    /** @param options - identity of the host, and the tolerance */
     constructor({ name, incarnation, random, startedAtMs, tolerance = defaultTolerance }: RateLimiterOptions) {
         this.#tolerance = tolerance;
         this.#name = name;
-        this.#life = incarnation;
+        this.#incarnation = incarnation;
         this.#random = random;
         this.#slots = new IsolatedSlots(name);
         this.#groups = Array.from({ length: groupCount }, (_, group) => ({
@@ -81,106 +81,113 @@
                 incarnation,
                 group,
                 startedAtMs,
-                nextSeq: () => this.#messages++,
+                nextSeq: () => this.#messageCount++,
                 slots: this.#slots,
-                addJitter: retryAfterMs => this.#jitter(retryAfterMs),
+                addJitter: retryAfterMs => this.#addJitter(retryAfterMs),
                 output: {
                     send: (to, message) => this.#send(to, message),
                     decide: (request, decision) => this.#decide(request, decision),
-                    logChange: change => this.#note(change),
+                    logChange: change => this.#logChange(change),
                 },
             }),
             allocator: new Allocator({ name, incarnation, group }, startedAtMs),
-            sharesNoted: 0,
+            loggedShares: 0,
         }));
     }
 
-    /** @returns the request's id and the commands; the decision is among them or comes with a later call */
+    /** @returns the request's id and commands, which include the decision unless a later call returns it */
     request(
         request: TokenRequest,
         nowMs: number,
         wallMs: number,
     ): { readonly requestId: number; readonly commands: readonly Command[]; } {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         const perSecond = resolveAdmittedRate(request, this.#tolerance);
-        const pending = new PendingRequest(this.#requests++, { ...request, perSecond }, nowMs);
+        const pending = new PendingRequest(this.#requestCount++, { ...request, perSecond }, nowMs);
         const group = this.#groups[groupOf(request.workspace)];
         if (!this.#isActive || group === undefined) {
-            this.#decide(pending, { type: "unsure", retryAfterMs: this.#jitter(isolatedRetryAfterMs) });
+            this.#decide(pending, { type: "unsure", retryAfterMs: this.#addJitter(isolatedRetryAfterMs) });
             return { requestId: pending.id, commands: this.#takeCommands() };
         }
-        this.#open.set(pending.id, pending);
+        this.#pendingRequests.set(pending.id, pending);
         group.delegation.enqueue(pending);
-        return { requestId: pending.id, commands: this.#run([group], nowMs) };
+        return { requestId: pending.id, commands: this.#advance([group], nowMs) };
     }
 
-    /** The request's caller has left before the decision; none will come, and a token granted for it goes back. */
+    /** Cancels a request that awaits its decision. No decision follows, and a token granted for it is returned. */
     cancel(requestId: number): void {
-        const pending = this.#open.get(requestId);
+        const pending = this.#pendingRequests.get(requestId);
         if (pending !== undefined) {
             pending.isPending = false;
-            this.#open.delete(requestId);
+            this.#pendingRequests.delete(requestId);
         }
     }
 
-    /** A granted token was not used: its request never ran, and never will. It goes back with the next message. */
+    /** Returns a token whose request was not and won't be executed; it is sent back with the next message. */
     giveBack(token: Token): void {
         this.#groups[groupOf(token.rule.workspace)]?.delegation.giveBack(token);
     }
 
-    /** A datagram has come, as parsed JSON. `from` is the host that the datagram's address belongs to. */
+    /** Handles a received datagram, given as parsed JSON. `from` is the host that its source address belongs to. */
     onMessage(from: string, json: unknown, nowMs: number, wallMs: number): readonly Command[] {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         const message = parseLimitMessage(json);
         const group = message === undefined ? undefined : this.#groups[message.group];
         if (message === undefined || group === undefined || message.sender !== from) {
-            this.#ignored++;
+            this.#ignoredMessages++;
             return [];
         }
         if (this.#isActive) {
-            // What is overdue goes first: an answer that waited while this process stood still grants nothing.
+            // Expires overdue requests first, so that a response that was waiting while this process was blocked grants
+            // nothing.
             group.delegation.expireRequests(nowMs);
         }
         this.#receive(group, message, nowMs);
-        return message.type === "ask" ? this.#takeCommands() : this.#run([group], nowMs);
+        return message.type === "ask" ? this.#takeCommands() : this.#advance([group], nowMs);
     }
 
-    /** Names of all hosts that count by the registrations, this one among them if it does; the same array while they are the same. */
+    /**
+     * Updates the names of all registered hosts, including this one if it is registered; an unchanged list must be the
+     * same array.
+     */
     onRoster(names: readonly string[], nowMs: number): readonly Command[] {
         this.#slots.onRoster(names, nowMs);
         for (const { delegation } of this.#groups) {
             delegation.onRoster(names, nowMs);
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
     /**
-     * Whether the configuration in force has limits; inactive at first. While inactive this host asks nothing, but answers hosts that have
-     * another version.
+     * Sets whether the configuration in force has limits; initially inactive. While inactive, this host requests no
+     * tokens, but still responds to hosts that have another configuration version.
      */
     setActive(active: boolean, nowMs: number): readonly Command[] {
         if (this.#isActive && !active) {
             this.#groups.forEach(({ delegation }) => delegation.refuseAll(nowMs));
         }
         this.#isActive = active;
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
-    /** To be called at {@link RateLimiter.nextTickMs} or soon after. */
+    /** Performs timed actions; to be called as soon as {@link RateLimiter.nextTickMs} has elapsed. */
     tick(nowMs: number, wallMs: number): readonly Command[] {
-        this.#checkClocks(nowMs, wallMs);
+        this.#detectSuspension(nowMs, wallMs);
         for (const [i, group] of this.#groups.entries()) {
             group.allocator.advance(nowMs);
             const shares = group.allocator.sharesHeld;
-            if (Math.abs(shares - group.sharesNoted) >= notedChange || (shares === 0) !== (group.sharesNoted === 0)) {
-                group.sharesNoted = shares;
-                this.#note({ type: "sharesHeld", group: i, shares, hosts: group.allocator.delegators });
+            if (
+                Math.abs(shares - group.loggedShares) >= minLoggedShareChange
+                || (shares === 0) !== (group.loggedShares === 0)
+            ) {
+                group.loggedShares = shares;
+                this.#logChange({ type: "sharesHeld", group: i, shares, hosts: group.allocator.delegators });
             }
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
-    /** @returns how long until the next tick is due, in milliseconds; `undefined` where none is */
+    /** @returns time until the next tick is due, in milliseconds; `undefined` if none is */
     nextTickMs(nowMs: number): number | undefined {
         if (!this.#isActive) {
             return undefined;
@@ -190,34 +197,37 @@
     }
 
     /**
-     * The process's host was suspended, with its monotonic clock. Also found by the clocks that other methods are given; to be called
-     * before any message that waited meanwhile.
+     * Handles a suspension of the host during which its monotonic clock stopped. Other methods detect this by the
+     * clocks passed to them too; if it is known otherwise, call this before handling messages that were received during
+     * the suspension.
      */
     onSuspended(nowMs: number): readonly Command[] {
-        this.#pauses++;
+        this.#suspensionCount++;
         this.#slots.onSuspended(nowMs);
         for (const { allocator } of this.#groups) {
-            allocator.onSuspended(`${this.#life}.${this.#pauses}`, nowMs);
+            allocator.onSuspended(`${this.#incarnation}.${this.#suspensionCount}`, nowMs);
         }
         return [];
     }
 
-    /** The process is about to end as planned: the shares that it holds go elsewhere. It may go on asking for tokens. */
+    /**
+     * Prepares for a planned stop: drops the shares that this host holds as an allocator. It can still request tokens.
+     */
     stop(nowMs: number): readonly Command[] {
         for (const { allocator } of this.#groups) {
             for (const { to, message } of allocator.releaseShares(nowMs)) {
                 this.#send(to, message);
             }
         }
-        return this.#run(this.#groups, nowMs);
+        return this.#advance(this.#groups, nowMs);
     }
 
-    /** @returns changes since the last call, for the log; bounded */
+    /** @returns changes since the previous call, for the log; bounded */
     drainChanges(): readonly LimitChange[] {
         return this.#changes.splice(0);
     }
 
-    /** @returns the present state, for metrics */
+    /** @returns the current state, for metrics */
     snapshot(nowMs: number): LimiterSnapshot {
         this.#groups.forEach(({ allocator }) => allocator.advance(nowMs));
         return {
@@ -227,13 +237,16 @@
                 delegators: allocator.delegators,
             })),
             workspaces: this.#groups.flatMap(({ allocator }) => allocator.snapshot()).slice(0, maxSnapshotWorkspaces),
-            messagesSent: this.#sent,
-            messagesIgnored: this.#ignored,
+            messagesSent: this.#sentMessages,
+            messagesIgnored: this.#ignoredMessages,
         };
     }
 
-    /** The time of day runs ahead where the host was suspended. A step of that clock looks the same, and is rare. */
-    #checkClocks(nowMs: number, wallMs: number): void {
+    /**
+     * Detects a suspension by an advance of the wall clock. A forward step of the wall clock looks the same, but is
+     * rare.
+     */
+    #detectSuspension(nowMs: number, wallMs: number): void {
         const offsetMs = wallMs - nowMs;
         if (this.#wallOffsetMs !== undefined && offsetMs - this.#wallOffsetMs > suspensionThresholdMs) {
             this.onSuspended(nowMs);
@@ -243,26 +256,26 @@
 
     #receive(group: Group, message: LimitMessage, nowMs: number): void {
         if (message.type === "ask") {
-            const answer = group.allocator.onRequest(message, nowMs);
-            if (answer === undefined) {
-                this.#ignored++;
+            const response = group.allocator.onRequest(message, nowMs);
+            if (response === undefined) {
+                this.#ignoredMessages++;
             }
             else {
-                this.#send(message.sender, answer);
+                this.#send(message.sender, response);
             }
         }
-        else if (message.askerLife !== this.#life || !group.delegation.onResponse(message, nowMs)) {
-            this.#ignored++;
+        else if (message.askerLife !== this.#incarnation || !group.delegation.onResponse(message, nowMs)) {
+            this.#ignoredMessages++;
         }
     }
 
-    /** Does what is due, and what this host has to say to itself. */
-    #run(groups: readonly Group[], nowMs: number): readonly Command[] {
+    /** Performs due actions, and handles this host's messages to itself. */
+    #advance(groups: readonly Group[], nowMs: number): readonly Command[] {
         const wallMs = nowMs + (this.#wallOffsetMs ?? 0);
         if (this.#isActive) {
             groups.forEach(({ delegation }) => delegation.advance(nowMs, wallMs));
         }
-        for (let message = this.#local.shift(); message !== undefined; message = this.#local.shift()) {
+        for (let message = this.#localMessages.shift(); message !== undefined; message = this.#localMessages.shift()) {
             const group = this.#groups[message.group];
             if (group !== undefined) {
                 this.#receive(group, message, nowMs);
@@ -276,25 +289,25 @@
 
     #send(to: string, message: LimitMessage): void {
         if (to === this.#name) {
-            this.#local.push(message);
+            this.#localMessages.push(message);
             return;
         }
-        this.#sent++;
+        this.#sentMessages++;
         this.#commands.push({ type: "send", to, message });
     }
 
     #decide(request: PendingRequest, decision: Decision): void {
-        this.#open.delete(request.id);
+        this.#pendingRequests.delete(request.id);
         this.#commands.push({ type: "decide", requestId: request.id, decision });
     }
 
-    #note(change: LimitChange): void {
+    #logChange(change: LimitChange): void {
         if (this.#changes.length < maxPendingChanges) {
             this.#changes.push(change);
         }
     }
 
-    #jitter(retryAfterMs: number): number {
+    #addJitter(retryAfterMs: number): number {
         return Math.ceil(retryAfterMs * (1 + retryJitter * this.#random()));
     }
 
@@ -305,8 +318,8 @@
     }
 }
 
-/** Shares that come or go before the log hears of it. */
-const notedChange = 0.1;
+/** Minimum change of the held shares that is logged. */
+const minLoggedShareChange = 0.1;
 
 /** @returns the group that a workspace belongs to; the same on all hosts */
 export function groupOf(workspace: string): number {
