--- a/packages/edge/src/__tests__/edgeLog.test.ts
+++ b/packages/edge/src/__tests__/edgeLog.test.ts
@@ -17,7 +17,7 @@
     return { lines, error: add, warn: add, info: add, debug: add };
 }
 
-test("a flood of one event leaves the others room, and says how many lines it cost", () => {
+test("a flood of one event doesn't suppress other events, and the number of dropped lines is logged", () => {
     let nowMs = 0;
     const logger = createMemoryLogger();
     const log = new EdgeLog(logger, () => nowMs);
@@ -35,7 +35,7 @@
     });
 });
 
-test("an output whose reader stands still holds nobody up", () => {
+test("a reader that stalls doesn't block the process, and buffered lines stay bounded", () => {
     const resume: (() => void)[] = [];
     const written: string[] = [];
     const stuck = new Writable({
--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -13,7 +13,7 @@
     verdict: { type: "refused", reason: "busy", named: [] },
 };
 
-/** One gateway that is cut off from its servers, beside stand-ins for other gateways. */
+/** Starts a gateway that is cut off from its servers, next to fake gateways. */
 async function startCutGateway(
     t: TestContext,
     ...conducts: readonly FakeGatewayBehavior[]
@@ -26,70 +26,71 @@
     const { logs } = fleet.edgeOf(0);
     await eventually(
         () => helpers.every(({ name }) => logs.some(line => line["name"] === name)),
-        "the helpers are known",
+        "the gateway knows the fake gateways",
     );
     fleet.cut(0, "reset");
     await eventually(async () => {
         await fleet.send(0);
         return logs.some(line => line["to"] === "lost");
-    }, "the links are known to be lost");
+    }, "the gateway detects that its links are lost");
     conducts.forEach((conduct, i) => {
         const helper = helpers[i];
-        assert.ok(helper, "it was started");
+        assert.ok(helper, "the fake gateway was started");
         helper.requests.length = 0;
         helper.behavior = conduct;
     });
     return { fleet, helpers };
 }
 
-/** From a gateway's start until requests don't take turns any more, in milliseconds. */
+/** Time after a gateway's start in which requests need permits to look for servers, in milliseconds. */
 const startTurnsMs = 4_000;
 
 const answered: FakeGatewayBehavior = { type: "answer", body: "from a helper" };
 
-// Guards against a request that runs twice: whoever lost the answer can't know that it hasn't run.
-test("a non-idempotent request whose helper is lost isn't sent again, nor said not to have run", async t => {
+// Guards against running a non-idempotent request twice: once the response is lost, it may have run.
+test("a non-idempotent request whose handover is cut off is neither retried nor reported as not run", async t => {
     const { fleet, helpers } = await startCutGateway(t, { type: "lose" }, { type: "lose" });
     const { status } = await fleet.send(0, "POST");
     assert.ok(status === 502 || status === 504, `${status}`);
     assert.equal(helpers.reduce((sum, { requests }) => sum + requests.length, 0), 1);
 });
 
-// Guards against callers who lose their answers with the helper although another one has time to run the request.
-test("an idempotent request whose helper is lost goes to another one", async t => {
+// Guards against failing a request when a handover's connection is lost, although another gateway has time to run it.
+test("an idempotent request whose handover is cut off goes to another gateway", async t => {
     const loseFirst: FakeGatewayBehavior = { type: "loseFirst", lost: new Set() };
     const { fleet, helpers } = await startCutGateway(t, loseFirst, loseFirst);
     assert.equal((await fleet.send(0)).status, 200);
     assert.deepEqual(helpers.map(({ requests }) => requests.length), [1, 1]);
 });
 
-// Guards against a helper that stands still with all that is handed to it.
-test("an idempotent request whose helper says nothing goes to another one", async t => {
+// Guards against a gateway that hangs and holds every request that is handed over to it.
+test("an idempotent request whose handover gets no response goes to another gateway", async t => {
     const { fleet, helpers } = await startCutGateway(t, { type: "freeze" }, { type: "freeze" });
     const waiting = fleet.send(0);
-    await eventually(() => helpers.some(({ requests }) => requests.length > 0), "it was handed over");
+    await eventually(() => helpers.some(({ requests }) => requests.length > 0), "the request is handed over");
     for (const helper of helpers) {
         helper.behavior = answered;
     }
     assert.equal((await waiting).status, 200);
 });
 
-// Guards against a roll of the gateways: programs of before answer the path of handovers like any other that they don't know.
-test("a gateway whose program knows no handovers is passed over", async t => {
+// Guards against failures during an upgrade of the gateways: older versions fail the handover path like any unknown
+// path.
+test("a gateway whose version doesn't support handovers is skipped", async t => {
     const { fleet } = await startCutGateway(t, { type: "unknownPath" }, { type: "unknownPath" }, answered);
     assert.deepEqual([(await fleet.send(0, "POST")).status, (await fleet.send(0)).status], [200, 200]);
 });
 
-// Guards against a helper's refusal that ends a request which another helper could have run.
-test("a helper that takes nothing is passed over, and what it says to callers isn't passed on", async t => {
+// Guards against failing a request because one gateway refuses it although another could run it.
+test("a gateway that refuses handovers is skipped, and its handover header doesn't reach the caller", async t => {
     const { fleet } = await startCutGateway(t, busy, busy, answered);
     const got = await fleet.send(0, "POST");
     assert.equal(got.status, 200);
     assert.equal(got.headers["galenaglade-handover"], undefined);
 });
 
-// Guards against a time to come back that is lost on the way, so that callers return too soon.
-test("a helper's true refusal reaches the caller as it is", async t => {
+// Guards against a Retry-After that is lost in the handover, so that callers retry too soon.
+test("a failure that another gateway reports reaches the caller unchanged, with its Retry-After", async t => {
     const verdict = {
         type: "failed",
         kind: "overloaded",
@@ -103,8 +104,8 @@
     assert.deepEqual([got.status, got.headers["retry-after"], helpers[0]?.requests.length], [503, "0.75", 1]);
 });
 
-// Guards against an order that says more than is true: the helper runs what the order says.
-test("a helper is told what is left of the request's time and runs, and of whom it is", async t => {
+// Guards against metadata that grants more time or runs than are left: the other gateway acts on it.
+test("a handover carries the sending gateway, and the time and runs that are left", async t => {
     const { fleet, helpers } = await startCutGateway(t, answered);
     await fleet.send(0);
     const order = JSON.parse(helpers[0]?.requests[0]?.headers.get("galenaglade-handover") ?? "{}") as Record<
@@ -113,14 +114,14 @@
     >;
     assert.deepEqual([order["from"], order["service"], order["version"], order["runs"]], ["edge-0", "tables", 1, 1]);
     const { ageMs, remainingMs } = order;
-    assert.ok(typeof ageMs === "number" && typeof remainingMs === "number", "both are told");
+    assert.ok(typeof ageMs === "number" && typeof remainingMs === "number", "both are sent");
     assert.ok(Math.abs(ageMs + remainingMs - 1_500) < 1, `${ageMs} + ${remainingMs}`);
 });
 
-// Guards against requests that go from host to host while none of them reaches a server.
-test("where no gateway reaches a server, requests are refused at once with a time to come back", async t => {
+// Guards against requests that travel from gateway to gateway while none of them reaches a server.
+test("requests are rejected at once with a Retry-After when no gateway reaches a server", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
-    // Requests wait for their turn for a while after a start.
+    // Right after a start, requests wait for permits.
     await sleep(startTurnsMs);
     for (let i = 0; i < 3; i++) {
         fleet.cut(i, "hang");
@@ -138,15 +139,15 @@
     assert.deepEqual(atOnce.filter(line => Number(line["tookMs"]) >= 100), []);
 });
 
-// Guards against gateways that take the end of all servers for a loss of their own links, and hand their callers around.
-test("where all servers have ended, no gateway hands requests over for long", async t => {
+// Guards against gateways that mistake the end of all servers for a loss of their own links, and hand requests around.
+test("no gateway keeps handing requests over after all servers have ended", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     await fleet.sendFor(300, 20);
     await Promise.all(fleet.backends.map(({ raw }) => raw.stop()));
     await fleet.sendFor(2_000, 20);
     for (const { logs } of fleet.edges) {
         const states = logs.filter(line => line["message"] === "serverReach").map(line => line["to"]);
-        // Another gateway's last answer of a server may be newer than the end of all.
+        // Another gateway may have seen a response just before the servers ended, so one loss of links is plausible.
         assert.ok(states.filter(state => state === "lost").length <= 1, states.join(" "));
         assert.equal(states.at(-1), "unreachable", states.join(" "));
     }
@@ -154,8 +155,8 @@
     assert.deepEqual(new Set(requests.map(({ headers }) => headers.get("x-id"))).size, requests.length);
 });
 
-// Guards against hosts that go on burdening others after their links work again.
-test("a gateway whose links work again sends its requests itself", async t => {
+// Guards against a gateway that keeps loading others after its own links have recovered.
+test("a gateway whose links have recovered stops handing requests over", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.cut(0, "hang");
     await fleet.sendFor(1_500, 20);
@@ -167,7 +168,7 @@
     assert.deepEqual(fleet.edgeOf(0).logs.slice(before).filter(line => line["message"] === "handedOver"), []);
 });
 
-// Guards against links that come and go: each change of mind costs requests that are sent in vain.
+// Guards against flapping links: each change of the reachability state costs requests that are sent in vain.
 test("a gateway whose links flap changes its mind a bounded number of times, and its callers are served", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     const untilMs = performance.now() + 10_000;
@@ -188,8 +189,8 @@
     assert.deepEqual(checkAtMostOnce(fleet.history), []);
 });
 
-// Guards against half an answer that looks whole: a large one passes two gateways in pieces.
-test("a large answer comes through another gateway whole and signed, and one that breaks off isn't whole", async t => {
+// Guards against a truncated response that looks complete: a large one is streamed through two gateways.
+test("a large response passes a handover complete and signed, and a truncated one fails at the caller", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     const large = "x".repeat(1_500_000);
     fleet.serve = req => req.socket.write(renderSignedResponse(req, large));
@@ -206,8 +207,8 @@
     await assert.rejects(fleet.send(0));
 });
 
-// Guards against a body that a helper runs changed or in part.
-test("bodies of any size come through another gateway unchanged", async t => {
+// Guards against a request body that is changed or truncated by a handover.
+test("request bodies of any size pass a handover unchanged", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.serve = req =>
         req.socket.write(renderSignedResponse(req, `${req.path} ${req.body.length} ${req.body.slice(-3)}`));
@@ -223,8 +224,8 @@
     }
 });
 
-// Guards against servers that work for callers who have left: the gateway that has the server's connection isn't theirs.
-test("a caller who leaves frees the server behind another gateway", async t => {
+// Guards against servers that keep working for disconnected callers: the disconnect has to pass through the handover.
+test("a caller's disconnect frees the server behind another gateway", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.cut(0, "reset");
     await fleet.sendFor(300, 20);
@@ -236,14 +237,14 @@
     };
     const leaving = new AbortController();
     const left = assert.rejects(fleet.send(0, "GET", leaving.signal));
-    await eventually(() => served > 0, "the server has it");
+    await eventually(() => served > 0, "the request reaches a server");
     leaving.abort();
     await left;
     await eventually(() => closed === served, "the server's connection is closed");
 });
 
-// Guards against requests that anybody on the network slips past limits, keys and routes through the port of the gateways.
-test("a handover that can't be read, or isn't of a registered gateway, gets a clear answer and runs nothing", async t => {
+// Guards against other processes that bypass limits, keys and routes through the port for gateways.
+test("a malformed handover, or one of an unregistered sender, is refused with a reason and runs nothing", async t => {
     const fleet = await FaultyLinkFleet.start(t, 1);
     const send = async (order: string | undefined): Promise<[number, string]> => {
         const headers = { "host": "survey.example", "x-id": "forged", ...(order && { "galenaglade-handover": order }) };
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -61,8 +61,8 @@
     };
 }
 
-// Of the servers that are asked one is slow to answer, or dead. Every request that asks it would be as late.
-test("the first good server is enough: a silent one beside it holds nobody up", async t => {
+// One of the probed servers is slow or dead. If the prober waited for it, every request that probes it would be late.
+test("a server with spare capacity ends a round of probes while another one doesn't respond", async t => {
     const good = await startBackend(t, "good");
     const silent = await startBackend(t, "silent");
     silent.load = undefined;
@@ -73,7 +73,7 @@
     assert.ok(performance.now() - beganAtMs < 10_000);
 });
 
-test("where none is good all are waited for, and a silent one is suspected", async t => {
+test("all probes are awaited if no server has spare capacity, and one without a response becomes suspect", async t => {
     const full = await startBackend(t, "full");
     full.load = "3,9,3,1";
     const silent = await startBackend(t, "silent");
@@ -86,7 +86,7 @@
     assert.ok(!board.suspects.isSuspect("full", nowMs));
 });
 
-/** A server in a thread of its own, so that it answers while this one is busy. */
+/** Script of a server that runs in its own thread, so that it responds while the main thread is busy. */
 const serverScript = `
 const { createServer } = require("node:http");
 const { parentPort } = require("node:worker_threads");
@@ -94,10 +94,10 @@
 server.listen(0, "127.0.0.1", () => parentPort.postMessage(server.address().port));
 `;
 
-// Right after a power cut a turn of the event loop takes longer than the limit of a question. The answer is there, unread,
-// and the timer comes first. Taken for silent, the server would be suspected and its connection closed, and the next request
-// would have to open another one.
-test("an answer that came in time and was read late is no silence", async t => {
+// Right after a power cut, one turn of the event loop can take longer than a probe's timeout. The timer then fires
+// before a response that has already arrived is read. If that counted as a timeout, the server would become suspect and
+// its connection would be closed, so that the next request has to open a new one.
+test("a probe's response that arrived in time but was read late doesn't count as a timeout", async t => {
     const worker = new Worker(serverScript, { eval: true });
     t.after(() => worker.terminate());
     const [port] = await once(worker, "message") as [number];
@@ -106,13 +106,13 @@
     t.after(() => connections.close());
     const question = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
     const connection = connections.open(server.address);
-    assert.equal((await probeServerLoad({ ...question, connection })).type, "told", "and the connection is open");
+    assert.equal((await probeServerLoad({ ...question, connection })).type, "told", "the connection is open now");
     const asked = probeServerLoad({ ...question, connection });
-    // Lets the question go out, and is then busy until long after the limit.
+    // Lets the probe go out, then blocks the event loop until long after the timeout.
     await new Promise(resolve => setImmediate(resolve));
     const untilMs = performance.now() + 600;
     while (performance.now() < untilMs) {
-        // Busy.
+        // Blocks the event loop.
     }
     assert.equal((await asked).type, "told");
 });
--- a/packages/edge/src/__tests__/loadQuestions.test.ts
+++ b/packages/edge/src/__tests__/loadQuestions.test.ts
@@ -14,21 +14,20 @@
 const whole = (headers: readonly string[], body = ""): string =>
     ["HTTP/1.1 200 OK", `content-length: ${body.length}`, ...headers, "", body].join("\r\n");
 
-/** What a faulty server gives when it is asked for its load; each would be chosen if it were believed. */
+/** Responses of a faulty server to a load probe. With each of them it would be picked if the response were accepted. */
 const faultyAnswers: Readonly<Record<string, string>> = {
     "garbage": "\u0000\u0001 no answer at all\r\n\r\n",
-    "an answer without its end":
-        "HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\nx-server: faulty\r\nx-load: 0,0,3,1\r\n\r\n",
-    "another server's answer": whole(["x-server: other", "x-load: 0,0,3,1"]),
-    "an answer that names nobody": whole(["x-load: 0,0,3,1"]),
-    "a failure": "HTTP/1.1 500 Failure\r\ncontent-length: 0\r\n\r\n",
-    "nothing": "",
+    "a truncated response": "HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\nx-server: faulty\r\nx-load: 0,0,3,1\r\n\r\n",
+    "another server's response": whole(["x-server: other", "x-load: 0,0,3,1"]),
+    "a response without a server id": whole(["x-load: 0,0,3,1"]),
+    "an error status": "HTTP/1.1 500 Failure\r\ncontent-length: 0\r\n\r\n",
+    "no byte": "",
 };
 
-// One of two servers answers every question for its load wrongly, or never to the end. Each request must go to the other,
-// in time, and the question that has no end must not stay open for ever.
+// One of two servers responds to every load probe with a fault, or never completes its response. Each request must
+// reach the other server in time, and the incomplete probe must not stay open forever.
 for (const [what, answer] of Object.entries(faultyAnswers)) {
-    test(`a server that gives ${what} when asked for its load hurts no request`, async t => {
+    test(`no request fails if a server responds to load probes with ${what}`, async t => {
         const store = new MemoryStore();
         store.put("configuration", createConfiguration(1));
         const good = await startBackend(t, "good");
@@ -41,8 +40,8 @@
             const got = await call(edge, `/returns/${i}`, { method: "POST" });
             assert.deepEqual([got.status, got.body], [200, "from good"]);
         }
-        assert.ok(raw.requests.every(({ path }) => path === "/health"), "nothing else was sent to it");
-        assert.ok(raw.requests.length > 0, "it was asked");
+        assert.ok(raw.requests.every(({ path }) => path === "/health"), "only probes were sent to it");
+        assert.ok(raw.requests.length > 0, "it was probed");
         await edge.stop();
         assert.equal(edge.logs.at(-1)?.["message"], "stopped");
     });
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -17,7 +17,7 @@
     readonly links: readonly StoreLink[];
 }
 
-/** Gateways over one store, before servers that end under one path. */
+/** Starts gateways that share one store, in front of servers that crash on one path. */
 async function startDyingFleet(
     t: TestContext,
     gateways: number,
@@ -44,7 +44,7 @@
     return { store, servers: dying, edges, links };
 }
 
-/** Sends the deadly request to one gateway after the other. */
+/** Sends the request that crashes servers to one gateway after the other. */
 async function sendDeadly({ servers, edges }: DyingFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
@@ -57,14 +57,17 @@
     await Promise.all(sent);
 }
 
-// Bounded by attempt alone, a request that crashes its server takes down as many servers as it has attempts.
-test("a request that crashes the servers that run it is kept from them by every gateway", async t => {
+// With a bound on attempts alone, a request that crashes its server takes down as many servers as it has attempts.
+test("a request that crashes servers is quarantined by every gateway before it takes down more of them", async t => {
     const fleet = await startDyingFleet(t, 3);
     await sendDeadly(fleet, 7_000, 200);
     assert.deepEqual(checkQueryOfDeath(fleet.servers.history, bounds), []);
     const [edge] = fleet.edges;
     assert.ok(edge);
-    await eventually(async () => (await fleet.servers.send(edge, "/tables/x")).status === 200, "others are served");
+    await eventually(
+        async () => (await fleet.servers.send(edge, "/tables/x")).status === 200,
+        "other requests are served",
+    );
 });
 
 async function whenQuarantined(fleet: DyingFleet, edges: readonly TestEdge[] = fleet.edges): Promise<void> {
@@ -81,8 +84,8 @@
     return thing;
 }
 
-// Left with a plain refusal its caller would come back at once, and on-call would look for a full service.
-test("a quarantined request gets a final answer of its own kind at once, and its log names the crashes behind it", async t => {
+// With the response of an overload the caller would retry at once, and on-call would look for an overloaded service.
+test("a quarantined request is rejected at once with its own error, and the log names its crashes", async t => {
     const fleet = await startDyingFleet(t, 2);
     await whenQuarantined(fleet);
     const endedBefore = fleet.servers.crashCount;
@@ -98,8 +101,8 @@
     assert.equal((await fleet.servers.send(edge, "/tables/other")).status, 200);
 });
 
-// Its memory gone, a restarted gateway would let the request take down servers again.
-test("a gateway that has just started keeps a known deadly request from its servers", async t => {
+// A gateway that lost the quarantine in a restart would let the request take down servers again.
+test("a gateway that has just started rejects requests that are already quarantined", async t => {
     const fleet = await startDyingFleet(t, 2);
     await whenQuarantined(fleet);
     const endedBefore = fleet.servers.crashCount;
@@ -113,7 +116,7 @@
     assert.equal(fleet.servers.crashCount, endedBefore);
 });
 
-test("a gateway that was cut off from the store knows a deadly request soon after it is back", async t => {
+test("a gateway that was cut off from the store learns of a quarantine soon after it reconnects", async t => {
     const fleet = await startDyingFleet(t, 3);
     const [away, ...others] = fleet.edges;
     assert.ok(away);
@@ -128,8 +131,8 @@
     assert.equal(fleet.servers.crashCount, endedBefore);
 });
 
-// Without the store a gateway hears of no other's crashes; its own must be enough, and reach the others once the store is back.
-test("while the store is away each gateway goes by the crashes that it saw, and reports them when the store is back", async t => {
+// Without the store a gateway gets no reports of others. Its own crashes must suffice, and be published afterwards.
+test("a gateway quarantines by its own crashes while the store is down, and reports them afterwards", async t => {
     const fleet = await startDyingFleet(t, 2);
     fleet.store.down = true;
     const [first, second] = fleet.edges;
@@ -140,10 +143,13 @@
     }
     assert.equal((await fleet.servers.send(first, crashPath)).status, 503);
     fleet.store.down = false;
-    await eventually(() => second.logs.some(line => line["state"] === "quarantined"), "the other gateway knows it");
+    await eventually(
+        () => second.logs.some(line => line["state"] === "quarantined"),
+        "the other gateway quarantines the request",
+    );
 });
 
-test("a non-idempotent request that ends its servers is kept from them as well, and runs once at most", async t => {
+test("a non-idempotent request that crashes servers is quarantined as well, and runs once at most", async t => {
     const fleet = await startDyingFleet(t, 2);
     for (let i = 0; i < 5; i++) {
         await fleet.servers.send(at(fleet.edges, i % 2), crashReturnPath, "filed");
@@ -162,8 +168,8 @@
     assert.deepEqual(checkTruthfulDidRun(fleet.servers.history), []);
 });
 
-// A popular read that happened to be on servers which ended must not stay refused.
-test("a quarantined request is tried once soon, and served again where it ends no server any more", async t => {
+// A popular read that was running on servers which crashed for another reason must not stay quarantined.
+test("a quarantined request is tried once soon, and is served again if it crashes no server any more", async t => {
     const fleet = await startDyingFleet(t, 2, { firstTrialSeconds: 1 });
     await whenQuarantined(fleet);
     fleet.servers.crashesEnabled = false;
@@ -172,6 +178,6 @@
             (await Promise.all(fleet.edges.map(edge => fleet.servers.send(edge, crashPath)))).every(got =>
                 got.status === 200
             ),
-        "the request is served by both gateways",
+        "both gateways serve the request",
     );
 });
--- a/packages/edge/src/__tests__/requestLog.test.ts
+++ b/packages/edge/src/__tests__/requestLog.test.ts
@@ -14,11 +14,11 @@
 
 function find(edge: TestEdge, message: string): Readonly<Record<string, unknown>> {
     const line = edge.logs.find(entry => entry["message"] === message);
-    assert.ok(line !== undefined, `there is no line ${message}`);
+    assert.ok(line !== undefined, `a line ${message} is logged`);
     return line;
 }
 
-test("the end of a request is logged with what decided over it", async t => {
+test("a finished request is logged with the facts that decided its placement", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
     registerServer(store, await startBackend(t, "a"));
@@ -34,7 +34,7 @@
     assert.deepEqual([line["usable"], line["asked"], line["offers"], line["placed"]], [1, 1, 1, "good"]);
 });
 
-test("a refusal is logged with its reason, what was asked, and the age of what is believed", async t => {
+test("a rejected request is logged with its reason, its load probes and the age of the gateway's state", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
     const backend = await startBackend(t, "a");
@@ -50,7 +50,7 @@
     assert.ok(Number(line["sinceStoreMs"]) < 5_000);
 });
 
-test("start, stop, and what a process learns are logged", async t => {
+test("start, stop and changes of the fleet view are logged", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
     registerServer(store, await startBackend(t, "a"));
@@ -63,7 +63,7 @@
     }
 });
 
-test("no line holds a body, a cookie or an authorization", async t => {
+test("no log line leaks a body, a cookie or an authorization", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(7));
     registerServer(store, await startBackend(t, "a"));
--- a/packages/edge/src/__tests__/requestPath.test.ts
+++ b/packages/edge/src/__tests__/requestPath.test.ts
@@ -17,7 +17,7 @@
     waitUntilReady,
 } from "./support/testEdge.js";
 
-/** An edge process before some backend servers. */
+/** Starts an edge process in front of some backend servers. */
 async function startPath(t: TestContext, ...backends: readonly TestBackend[]): Promise<TestEdge> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
@@ -26,12 +26,12 @@
     }
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
-    // Until it counts itself, it may repeat nothing.
-    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
+    // The retry budget is empty until the gateway counts itself.
+    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway counts itself");
     return edge;
 }
 
-test("a request reaches a backend server as it was sent, and its answer the caller as it was given", async t => {
+test("a request reaches a backend server unchanged, and the response reaches the caller unchanged", async t => {
     const backend = await startBackend(
         t,
         "a",
@@ -51,7 +51,7 @@
     assert.ok(Number(seen.headers.get("x-patience-ms")) <= tables.timeoutMs);
 });
 
-test("a request goes to the server that is least loaded when it is asked", async t => {
+test("a request goes to the server that reports the least load", async t => {
     const slow = await startBackend(t, "slow");
     const full = await startBackend(t, "full");
     const idle = await startBackend(t, "idle");
@@ -63,9 +63,9 @@
     }
 });
 
-// A deposit is read by its server, which crashes. The caller must not be told that it did not run, and no other server
-// may get it: sent once more, the buyer might pay twice.
-test("a non-idempotent request whose connection is lost is neither sent again nor said not to have run", async t => {
+// A server reads a deposit and crashes. The caller must not be told that the request did not run, and no other server
+// may get it: after a retry, the buyer might pay twice.
+test("a non-idempotent request whose connection is lost is neither retried nor reported as not run", async t => {
     const lose = (req: RawRequest): void => {
         req.socket.resetAndDestroy();
     };
@@ -77,7 +77,7 @@
     assert.equal(a.servedRequests().length + b.servedRequests().length, 1);
 });
 
-test("an idempotent request whose connection is lost is sent to another server", async t => {
+test("an idempotent request whose connection is lost is retried on another server", async t => {
     const a = await startBackend(t, "a", req => req.socket.destroy());
     const b = await startBackend(t, "b");
     b.load = "1,0,3,1.2";
@@ -85,7 +85,7 @@
     assert.equal((await call(edge, "/tables/x")).body, "from b");
 });
 
-test("a non-idempotent request that a server turned away is sent to another", async t => {
+test("a non-idempotent request that a server rejected without running it is retried on another server", async t => {
     const turnAway = (req: RawRequest): void => {
         req.socket.write("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nx-not-run: 1\r\n\r\n");
     };
@@ -96,7 +96,7 @@
     assert.equal((await call(edge, "/returns/x", { method: "POST" })).body, "from b");
 });
 
-test("where every server turns a request away, the caller learns that it did not run and when to come back", async t => {
+test("a request that every server rejects fails as not run, with a Retry-After", async t => {
     const turnAway = (req: RawRequest): void => {
         req.socket.write("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nx-not-run: 1\r\n\r\n");
     };
@@ -106,8 +106,8 @@
     assert.ok(Number(got.headers["retry-after"]) > 0 && Number(got.headers["retry-after"]) < 1);
 });
 
-// The address of a server that left was given to one of another service. It says so with 421 and runs nothing.
-test("a request that reached another server than meant is sent to the right one", async t => {
+// The address of a removed server was reused by one of another service, which responds with 421 and runs nothing.
+test("a request that reached a server of another service is retried on the right one", async t => {
     const stranger = await startBackend(
         t,
         "a",
@@ -119,9 +119,9 @@
     assert.equal((await call(edge, "/tables/x")).body, "from b");
 });
 
-// A server answers one request twice. The second answer waits on the connection and comes first where the next request's
-// answer is due: passed on, a caller would read another caller's table.
-test("an answer to another request is nobody's", async t => {
+// A server responds to one request twice. The second response stays on the connection and is read where the next
+// request's response is due. If it were passed on, a caller would get another caller's table.
+test("a response to another request never reaches the caller", async t => {
     let first: RawRequest | undefined;
     const a = await startBackend(t, "a", req => {
         first ??= req;
@@ -135,16 +135,16 @@
 
 for (
     const [what, answer] of [
-        ["no answer at all", "garbage\r\n\r\n"],
-        ["an answer without its proof", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-id: ID\r\n\r\nno"],
+        ["garbage instead of a response", "garbage\r\n\r\n"],
+        ["an unsigned response", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-id: ID\r\n\r\nno"],
         [
-            "an encoded answer",
+            "an encoded response",
             "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-id: ID\r\nx-signed: 1\r\ncontent-encoding: br\r\n\r\nno",
         ],
-        ["half an answer", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\nx-id: ID\r\nx-signed: 1\r\n\r\nno"],
+        ["a truncated response", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\nx-id: ID\r\nx-signed: 1\r\n\r\nno"],
     ] as const
 ) {
-    test(`of ${what} the caller sees nothing, and another server is asked`, async t => {
+    test(`the caller sees nothing of ${what}, and the request is retried on another server`, async t => {
         const a = await startBackend(t, "a", req => {
             req.socket.end(answer.replace("ID", req.headers.get("x-id") ?? ""));
         });
@@ -156,9 +156,9 @@
     });
 }
 
-// A server crashes while it sends an answer without a length, which closes its connection just as the end would. Given a
-// length by the gateway, half a table would read as a whole one.
-test("an answer that ended with its connection is passed on without a length, and ends the caller's too", async t => {
+// A server crashes while it sends a response without a length, which closes the connection just like the regular end.
+// With a length added by the gateway, half a table would look complete.
+test("a response that ended with its connection is passed on without a length, and closes the caller's", async t => {
     const a = await startBackend(t, "a", req => {
         req.socket.end(`HTTP/1.1 200 OK\r\nx-id: ${req.headers.get("x-id") ?? ""}\r\nx-signed: 1\r\n\r\nhalf a ta`);
     });
@@ -170,7 +170,7 @@
     assert.doesNotMatch(text, /content-length|transfer-encoding/i);
 });
 
-test("an answer without a length that was reset is not passed on", async t => {
+test("a response without a length whose connection was reset is not passed on", async t => {
     const a = await startBackend(t, "a", req => {
         req.socket.write(
             `HTTP/1.1 200 OK\r\nx-id: ${req.headers.get("x-id") ?? ""}\r\nx-signed: 1\r\n\r\nhalf a ta`,
@@ -183,7 +183,7 @@
     assert.equal((await call(edge, "/returns/x", { method: "POST" })).status, 502);
 });
 
-test("an answer too large to be held streams through whole", async t => {
+test("a response that is too large to buffer is streamed completely", async t => {
     const body = "x".repeat(3_000_000);
     const edge = await startPath(
         t,
@@ -193,7 +193,7 @@
     assert.equal(got.body.length, body.length);
 });
 
-test("a caller that leaves frees its server", async t => {
+test("a caller's disconnect frees its server", async t => {
     let closed = false;
     const a = await startBackend(t, "a", req => req.socket.once("close", () => closed = true));
     const edge = await startPath(t, a);
@@ -205,9 +205,9 @@
     await eventually(() => closed, "the server is freed");
 });
 
-// A return is filed and its office's connection breaks. Were the server's work dropped with it, nobody would know whether
-// the return was filed.
-test("a non-idempotent request goes on when its caller leaves", async t => {
+// A return is filed and the caller's connection breaks. If the server's work were cancelled with it, it would stay
+// unknown whether the return was filed.
+test("a non-idempotent request goes on when its caller disconnects", async t => {
     let closedBeforeAnswer = false;
     const a = await startBackend(t, "a", req => {
         req.socket.once("close", () => closedBeforeAnswer = true);
@@ -222,7 +222,7 @@
     assert.equal(closedBeforeAnswer, false);
 });
 
-test("a server that doesn't answer costs its caller the route's time and no more, and is freed then", async t => {
+test("a request to a server that doesn't respond fails at the route's timeout, and the server is freed", async t => {
     let closed = false;
     const a = await startBackend(t, "a", req => req.socket.once("close", () => closed = true));
     const edge = await startPath(t, a);
@@ -233,9 +233,9 @@
     await eventually(() => closed, "the server is freed");
 });
 
-// One server holds an answer back for good. Past half of its objective the request goes to a second one, and the caller
-// has its answer in time all the same.
-test("an idempotent request that gets no answer is sent to a second server in time", async t => {
+// One server never responds. Past half of its objective the request is hedged to a second server, so that the caller
+// still gets its response in time.
+test("an idempotent request that gets no response is hedged to a second server in time", async t => {
     const mute = await startBackend(t, "mute", () => undefined);
     const b = await startBackend(t, "b");
     b.load = "1,0,3,1.2";
@@ -245,7 +245,7 @@
     assert.ok(performance.now() - startedAtMs < tables.timeoutMs);
 });
 
-test("answers to requests sent ahead come back in the order of the requests", async t => {
+test("responses to pipelined requests come back in the order of the requests", async t => {
     const a = await startBackend(t, "a", req => {
         setTimeout(() => req.socket.write(renderSignedResponse(req, req.path)), req.path.endsWith("1") ? 150 : 0);
     });
@@ -258,13 +258,14 @@
     assert.deepEqual(text.match(/\/tables\/\d/g), ["/tables/1", "/tables/2", "/tables/3"]);
 });
 
-// A zone is taken out under full load, and every request waits and asks again until the questions of this gateway are
-// used up. Decided on without an answer, all of them would be refused at the end of their wait, free servers or not.
-test("requests that used up the questions for load still find the server that is free at last", async t => {
+// An availability zone is taken out under full load, and waiting requests probe until the gateway's probe budget is
+// used up. Decided without a fresh probe, all of them would be rejected at the end of their wait even if servers are
+// free.
+test("requests that exhausted the probe budget still find a server that becomes free", async t => {
     const a = await startBackend(t, "a");
     a.load = "3,9,3,4";
     const store = new MemoryStore();
-    // A wait of 1.8 s, far longer than any of these questions takes on a busy machine.
+    // The requests wait for up to 1.8 s, far longer than any of these probes takes on a busy machine.
     store.put("configuration", createConfiguration(1, [{ ...tables, objectiveMs: 6_000, timeoutMs: 10_000 }]));
     registerServer(store, a);
     const edge = await startEdge(t, store, { asksPerSecond: 1 });
@@ -290,7 +291,7 @@
     assert.equal((await pending).status, 200);
 });
 
-test("a request that no server can answer in time is refused at once", async t => {
+test("a request that no server can serve in time is rejected at once", async t => {
     const a = await startBackend(t, "a");
     a.load = "3,30,3,4";
     const edge = await startPath(t, a);
@@ -299,10 +300,10 @@
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers["retry-after"]) > 0);
     assert.ok(performance.now() - startedAtMs < tables.objectiveMs);
-    assert.equal(a.servedRequests().length, 0, "nothing was sent for show");
+    assert.equal(a.servedRequests().length, 0, "no server got the request");
 });
 
-test("a cold server is given no more than it bears", async t => {
+test("a cold server gets no more requests than its limit", async t => {
     const a = await startBackend(t, "a");
     a.coldMs = 3_000;
     const edge = await startPath(t, a);
@@ -311,9 +312,9 @@
     assert.ok(got.every(({ status }) => status === 200 || status === 503));
 });
 
-// A host gets little of its processor for a moment, or has just started: servers answer the question for their load
-// later than usual. Given up each time after the same short wait, every request would be refused though all are well.
-test("a server that is slow to tell its load is waited for longer the second time", async t => {
+// A host is short of CPU for a moment, or has just started, so that load probes take longer than usual. With the same
+// short timeout in every round, every request would be rejected although all servers are healthy.
+test("a server that is slow to respond to load probes gets a longer timeout in the second round", async t => {
     const a = await startBackend(t, "a");
     a.loadResponseDelayMs = 60;
     const edge = await startPath(t, a);
--- a/packages/edge/src/__tests__/startTimeline.test.ts
+++ b/packages/edge/src/__tests__/startTimeline.test.ts
@@ -4,8 +4,8 @@
 import { EdgeLog } from "../telemetry/edgeLog.js";
 import { StartTimeline } from "../telemetry/startTimeline.js";
 
-// After a stop of all hosts the line says where the first callers' time went. Written again with each request, or with the times of
-// later probes and sends, it would tell of the load and not of the start.
+// After an outage of all hosts, the line shows where the first callers' time went. If it were logged for each request,
+// or with the times of later probes and sends, it would describe the load instead of the start.
 test("a start is logged once, with the first time of each phase that was reached", () => {
     const lines: (readonly [string, LogFields | undefined])[] = [];
     const write = (message: string, fields?: LogFields): void => {
--- a/packages/edge/src/__tests__/startupGate.test.ts
+++ b/packages/edge/src/__tests__/startupGate.test.ts
@@ -12,8 +12,9 @@
     typicalLatencyMs: 400,
 };
 
-// Right after a stop of all hosts a request waits for its turn while its time runs out. Held on, its caller would get no answer at all.
-test("a request whose time is over while it waits for its turn goes on at once, and takes nobody's turn", async () => {
+// After an outage of all hosts, a request reaches its deadline while it waits for a permit. If it were held on, its
+// caller would get no response at all.
+test("a request that reaches its deadline while it waits goes on at once, and takes no permit", async () => {
     const gate = new StartupGate(systemClock);
     const first = await gate.acquire(late, new AbortController().signal);
     const abort = new AbortController();
@@ -24,12 +25,12 @@
     let begun = false;
     void third.then(() => begun = true);
     await new Promise(resolve => setImmediate(resolve));
-    assert.ok(!begun, "the first one's turn is not over");
+    assert.ok(!begun, "the first request still holds its permit");
     first.onEnded();
     await third;
 });
 
-test("a request whose time is over before it comes doesn't wait", async () => {
+test("a request that is past its deadline on arrival doesn't wait for a permit", async () => {
     const gate = new StartupGate(systemClock);
     await gate.acquire(late, new AbortController().signal);
     await gate.acquire(late, AbortSignal.abort());
--- a/packages/edge/src/__tests__/stopping.test.ts
+++ b/packages/edge/src/__tests__/stopping.test.ts
@@ -20,7 +20,8 @@
 
 async function startSlowPath(t: TestContext, workMs: number): Promise<TestEdge<MemoryStore>> {
     const store = new MemoryStore();
-    // Room for every request at once, and a long wait: on a machine that is slow to ask, none is refused for want of either.
+    // Slots for all requests at once, and a long objective: no request is rejected just because the machine probes
+    // slowly.
     const patient = [tables, returns].map(route => ({ ...route, objectiveMs: 4_000 }));
     store.put("configuration", createConfiguration(1, patient));
     const backend = await startBackend(t, "a", req => {
@@ -51,9 +52,9 @@
     assert.equal(edge.logs.at(-1)?.["unanswered"], 0);
 });
 
-// A caller has sent three requests ahead when its gateway is told to stop. Closed with the first answer, the connection
-// would take two answers away that servers were already at work on.
-test("a connection with requests ahead ends with the last answer that is due on it", async t => {
+// A caller has pipelined three requests when its gateway begins a planned stop. If the connection were closed with the
+// first response, two responses would be lost that servers already work on.
+test("a connection with pipelined requests closes with the last response that is due on it", async t => {
     const edge = await startSlowPath(t, 200);
     const render = (n: number): string => `GET /tables/${n} HTTP/1.1\r\nhost: survey.example\r\nx-id: p${n}\r\n\r\n`;
     const received = sendRaw(edge.url, render(1) + render(2) + render(3));
@@ -66,7 +67,7 @@
     await stopped;
 });
 
-test("a request that outlasts the stop gets an answer before the process ends", async t => {
+test("a request that outlasts the planned stop gets a response before the process ends", async t => {
     const edge = await startSlowPath(t, 60_000);
     const pending = call(edge, "/returns/x", { method: "POST" });
     await eventually(() => true, "time passes");
@@ -75,9 +76,9 @@
     assert.equal((await pending).status, 504);
 });
 
-// The store stops answering just before a gateway is told to stop. Waiting for an answer of it, the
-// process would be killed at the end of its time, with the requests that it still had.
-test("a store that doesn't answer doesn't hold a stop up", async t => {
+// The store stops responding just before a planned stop. If the process waited for it, it would be killed at the end of
+// its grace period, together with the requests in flight.
+test("a store that doesn't respond doesn't delay a planned stop", async t => {
     const edge = await startSlowPath(t, 10);
     await eventually(() => edge.logs.some(line => line["message"] === "registered"), "the gateway is registered");
     edge.store.hangs = true;
--- a/packages/edge/src/__tests__/support/crashingServers.ts
+++ b/packages/edge/src/__tests__/support/crashingServers.ts
@@ -15,13 +15,13 @@
 const runMs = 30;
 const backAfterMs = 400;
 
-/** Paths under which a request ends the server that runs it. */
+/** Paths of requests that crash the server that runs them: an idempotent and a non-idempotent one. */
 export const crashPath = "/tables/deadly";
 export const crashReturnPath = "/returns/deadly";
 
-/** Backend servers that end under the deadly path and are replaced, and the history of what callers sent and servers ran. */
+/** Backend servers that crash on these paths and are replaced, with the history of the requests sent and run. */
 export class CrashingServers extends RecordedServers {
-    /** Whether the deadly paths end servers. */
+    /** Whether requests on these paths crash servers. */
     crashesEnabled = true;
     #started = 0;
     #stopped = false;
@@ -33,12 +33,12 @@
         });
     }
 
-    /** Servers that have ended. */
+    /** Number of servers that have crashed. */
     get crashCount(): number {
         return this.history.filter(({ type }) => type === "serverCrashed").length;
     }
 
-    /** Starts one more server and registers it. */
+    /** Starts and registers one more server. */
     async start(): Promise<void> {
         const id = `server-${++this.#started}`;
         const backend = await startBackend(this.t, id, req => {
@@ -52,7 +52,7 @@
         registerServer(this.store, backend);
     }
 
-    /** Sends a request, and records it. */
+    /** Sends a request and records it in the history. */
     async send(edge: TestEdge, path: string, body?: string): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const contentId = `${path} ${body ?? ""}`;
--- a/packages/edge/src/__tests__/support/fakeGateway.ts
+++ b/packages/edge/src/__tests__/support/fakeGateway.ts
@@ -3,28 +3,28 @@
 import { type MemoryStore } from "./memoryStore.js";
 import { renderSignedResponse } from "./testEdge.js";
 
-/** What a stand-in for another gateway does with a request that is handed to it. */
+/** How a fake gateway handles a request that is handed over to it. */
 export type FakeGatewayBehavior =
     | { readonly type: "answer"; readonly body: string; }
-    /** Runs it, and the connection is lost before the answer. */
+    /** Runs the request, and resets the connection before the response. */
     | { readonly type: "lose"; }
-    /** The same for the first request of all stand-ins that share it; then it answers. */
+    /** Like `lose` for the first request among all fake gateways that share the set; responds to the others. */
     | { readonly type: "loseFirst"; readonly lost: Set<string>; }
-    /** Says nothing. */
+    /** Never responds. */
     | { readonly type: "freeze"; }
     | { readonly type: "verdict"; readonly status: string; readonly verdict: object; }
-    /** Of a program that doesn't know handovers. */
+    /** Behaves like an older version without handovers. */
     | { readonly type: "unknownPath"; };
 
-/** A stand-in for another gateway, so that a test decides over each of its answers. */
+/** Fake of another gateway, whose responses a test controls. */
 export interface FakeGateway {
     readonly name: string;
-    /** Requests that were handed to it. */
+    /** Requests that were handed over to it. */
     readonly requests: RawRequest[];
     behavior: FakeGatewayBehavior;
 }
 
-/** Starts one and registers it. It says that it reaches every service. */
+/** Starts and registers a fake gateway, which reports that it reaches every service. */
 export async function startFakeGateway(
     t: TestContext,
     store: MemoryStore,
--- a/packages/edge/src/callers/callerConnections.ts
+++ b/packages/edge/src/callers/callerConnections.ts
@@ -2,29 +2,29 @@
 import { type Socket } from "node:net";
 
 interface ConnectionState {
-    /** The request that arrived last. */
+    /** Latest request on the connection. */
     latest: IncomingMessage;
     unanswered: number;
-    /** Whether the answer that ends the connection is on its way. */
+    /** Whether the response that closes the connection is being written. */
     closing: boolean;
 }
 
 /**
- * Callers' connections with what is outstanding on each. Callers may send several requests before the first is answered,
- * and the answers must come in that order; so while the process stops, a connection may only end with the answer to the
- * request that arrived last. Ended earlier, requests that were passed on already would be left without an answer.
+ * Tracks callers' connections and the outstanding requests on each. With HTTP pipelining, responses are due in the
+ * order of the requests. So while the process drains, a connection is closed only with the response to its latest
+ * request: closed earlier, requests that were already forwarded would get no response.
  */
 export class CallerConnections {
     readonly #states = new Map<Socket, ConnectionState>();
     #unanswered = 0;
     #stopping = false;
 
-    /** Requests that have no whole answer yet. */
+    /** Number of requests whose response is not complete. */
     get unanswered(): number {
         return this.#unanswered;
     }
 
-    /** @returns whether the request is to be handled; one behind the last answer of its connection is not */
+    /** @returns whether to handle the request: not if its connection is already closing with an earlier response */
     onRequest(req: IncomingMessage, res: ServerResponse): boolean {
         const { socket } = req;
         const state = this.#states.get(socket);
@@ -50,7 +50,12 @@
         return true;
     }
 
-    /** @returns whether the connection ends with this answer, which is about to be written */
+    /**
+     * Closes the connection with the response that is about to be written, if the process drains and no later request
+     * has arrived on it.
+     *
+     * @returns whether the connection closes with this response
+     */
     closeIfDraining(req: IncomingMessage): boolean {
         const state = this.#states.get(req.socket);
         if (!this.#stopping || state === undefined || state.latest !== req) {
@@ -61,9 +66,9 @@
     }
 
     /**
-     * Lets the connection end with this answer, where nothing else is due on it.
+     * Closes the connection with the response that is about to be written, if no other response is due on it.
      *
-     * @returns whether it ends with it
+     * @returns whether the connection closes with this response
      */
     closeIfLast(req: IncomingMessage): boolean {
         const state = this.#states.get(req.socket);
@@ -74,12 +79,12 @@
         return true;
     }
 
-    /** From now on connections end with the last answer that is due on them. */
+    /** From now on, connections close with the last response that is due on them. */
     beginDrain(): void {
         this.#stopping = true;
     }
 
-    /** Takes no more connections, and ends those on which nothing is due. */
+    /** Stops accepting connections, and closes the idle ones. */
     closeIdle(server: Server): void {
         server.close();
         server.closeIdleConnections();
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -22,19 +22,19 @@
 import { type CallerConnections } from "./callerConnections.js";
 import { type StartupGate } from "./startupGate.js";
 
-/** What the handler works with. */
+/** Dependencies of an {@link EdgeHandler}. */
 export interface EdgeHandlerDeps extends ExchangeDeps {
     readonly callerConnections: CallerConnections;
     readonly firstReading: InitialSyncGate;
     readonly startGate: StartupGate;
-    /** When this process will be killed; requests get their last answer before it. */
+    /** Time of the monotonic clock by which a planned stop has to end all requests; `undefined` before a stop. */
     readonly stopDeadlineMs: () => number | undefined;
 }
 
-/** Takes each caller's request from its arrival to its one final answer. */
+/** Handles requests of callers and handed-over requests, from arrival to the final response. */
 export class EdgeHandler extends HandoverHandler {
     readonly #parts: EdgeHandlerDeps;
-    /** What other gateways said of the requests that they handed over. */
+    /** Metadata of handed-over requests. */
     readonly #orders = new WeakMap<ServerResponse, HandoverMetadata>();
 
     constructor(parts: EdgeHandlerDeps) {
@@ -42,7 +42,7 @@
         this.#parts = parts;
     }
 
-    /** Handles one request; never throws. */
+    /** Handles one request of a caller; never throws. */
     handle(req: IncomingMessage, res: ServerResponse): void {
         const { callerConnections, clock, view, timeline } = this.#parts;
         if (!callerConnections.onRequest(req, res)) {
@@ -66,7 +66,7 @@
         this.#take(req, res, clock.monotonicMs());
     }
 
-    /** The fleet is not known yet: the request waits for the reading that is under way, its time running on. */
+    /** Holds a request until the first read of the store has finished. Its deadline isn't extended. */
     async #holdUnread(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): Promise<void> {
         const { log, firstReading, metadataCodec } = this.#parts;
         const { requestId, patienceMs } = metadataCodec.readRequest(req.rawHeaders);
@@ -87,7 +87,7 @@
         understood.caseOf({
             Left: failure => {
                 if (order !== undefined) {
-                    // The other gateway's view allows it: some other one may have that view too.
+                    // The other gateway's configuration allows the request, so a third gateway's may allow it too.
                     refuseHandover(req, res, "noRoute", []);
                     return;
                 }
@@ -128,7 +128,7 @@
         );
     }
 
-    /** Whoever hasn't heard the store for long can't know that a route or a key is not there: it may have been added meanwhile. */
+    /** Doesn't reject a route or key as unknown while the state may be outdated: it may have been added meanwhile. */
     #doubtAbsence(failure: Failure, nowMs: number): Failure {
         const { view, random } = this.#parts;
         const claimsAbsence = failure.kind === "noSuchService" || failure.kind === "unauthenticated";
@@ -144,7 +144,7 @@
         const abort = new AbortController();
         const cutoffMs = Math.min(request.cutoffMs, stopDeadlineMs() ?? Infinity);
         const timer = setTimeout(() => abort.abort(cutoffReached), Math.max(0, cutoffMs - clock.monotonicMs()));
-        // A caller that is gone wants no answer: the backend server's slot is worth more to the others.
+        // Nobody reads the response after a disconnect; aborting frees the backend server's slot for other requests.
         res.once("close", () => {
             if (!res.writableFinished) {
                 abort.abort(callerGone);
@@ -231,7 +231,7 @@
         if (res.destroyed) {
             return;
         }
-        // An answer that ends with its connection would take the answers behind it away.
+        // A response that is framed by the end of its connection would cut off the responses behind it.
         if (answer.endedByClose && !callerConnections.closeIfLast(req)) {
             this.#fail(req, res, createFailure("truncatedAnswer", "the answer may be cut short"));
             return;
@@ -262,7 +262,7 @@
                 unreached: this.#parts.reachability.stateOf(order.service) !== "reached",
             });
         }
-        // An unread body would be taken for the next request's head, so the connection ends unless all was read.
+        // An unread body would be parsed as the next request, so the connection is closed unless all of it was read.
         writeFailure(res, failure, undefined, this.#parts.callerConnections.closeIfDraining(req) || !req.complete);
     }
 
@@ -345,7 +345,7 @@
     }
 }
 
-/** Says on an answer to another gateway what it is. */
+/** Sets the handover header on a response to another gateway. */
 function mark(res: ServerResponse, verdict: HandoverOutcome): void {
     res.setHeader(handoverHeader, renderHandoverHeader(verdict));
 }
--- a/packages/edge/src/callers/readinessServer.ts
+++ b/packages/edge/src/callers/readinessServer.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from "node:http";
 
-/** Whether callers should be sent here, and why not. */
+/** Readiness for new callers, with the reason. */
 export interface Readiness {
     readonly ready: boolean;
     readonly reason: string;
@@ -10,10 +10,10 @@
 const notReadyStatus = 503;
 
 /**
- * Makes the server that tells the balancer whether to send callers here.
+ * Creates the server for the readiness checks of the load balancer in front of the gateways.
  *
- * @param path - on which it asks
- * @param readiness - asked each time
+ * @param path - path of the readiness check
+ * @param readiness - called for each check
  * @returns a server that doesn't listen yet
  */
 export function createReadinessServer(path: string, readiness: () => Readiness): Server {
@@ -29,9 +29,9 @@
 }
 
 /**
- * Makes the server that serves metrics in Prometheus' text format, under `/metrics`.
+ * Creates the server for metrics in Prometheus' text format, under `/metrics`.
  *
- * @param render - writes them
+ * @param render - renders the metrics
  * @returns a server that doesn't listen yet
  */
 export function createMetricsServer(render: () => Promise<string>): Server {
--- a/packages/edge/src/callers/responseWriter.ts
+++ b/packages/edge/src/callers/responseWriter.ts
@@ -7,12 +7,12 @@
 const notModifiedStatus = 304;
 
 /**
- * Gives a caller a backend server's whole answer.
+ * Writes a backend server's buffered response to the caller.
  *
- * @param res - the caller's answer
- * @param method - of the request
- * @param answer - as the server gave it
- * @param close - whether the caller's connection ends with it
+ * @param res - response to the caller
+ * @param method - method of the request
+ * @param answer - the server's response
+ * @param close - whether to close the caller's connection after it
  */
 export function writeResponse(res: ServerResponse, method: string, answer: BufferedResponse, close: boolean): void {
     const { status, headers, body } = answer;
@@ -22,7 +22,7 @@
         name => name === handoverHeader || (hasBody && name === "content-length"),
     );
     if (answer.endedByClose) {
-        // With a length it would look whole, which nobody knows; the caller gets it framed as the server framed it.
+        // May be truncated: a content-length would make it look complete, so it keeps the server's framing.
         res.removeHeader("transfer-encoding");
     }
     else if (hasBody) {
@@ -35,7 +35,7 @@
     res.end(hasBody ? body : undefined);
 }
 
-/** Passes a large answer on as it comes. */
+/** Streams a large response to the caller as it arrives. */
 export class CallerSink extends ResponseSink {
     readonly #res: ServerResponse;
 
@@ -63,7 +63,7 @@
         return false;
     }
 
-    /** Half an answer that ends like a whole one reads as a shorter table; a reset says that it is not whole. */
+    /** Resets the connection after a truncated response, which would otherwise look like a complete, shorter one. */
     end(whole: boolean): void {
         if (whole) {
             this.#res.end();
--- a/packages/edge/src/callers/startupGate.ts
+++ b/packages/edge/src/callers/startupGate.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { type StartupRequest, StartupQueue, startupQueueMs } from "@galenaglade/placement";
 
-/** A request's turn, which its owner ends. */
+/** A request's permit to look for a server, which its holder releases. */
 export interface StartupPermit {
     onSent(): void;
     onEnded(): void;
@@ -9,27 +9,29 @@
 
 type Waiter = () => void;
 
-/** Has requests of the process's first seconds wait for their turn to look for a server. */
+/** Limits how many requests look for a server at once during the first seconds of the process. */
 export class StartupGate {
     readonly #clock: Clock;
     readonly #turns: StartupQueue<Waiter>;
 
-    /** @param clock - the process's clock; its first seconds begin now */
+    /** @param clock - clock of the process; the first seconds begin with this call */
     constructor(clock: Clock) {
         this.#clock = clock;
         this.#turns = new StartupQueue(clock.monotonicMs());
         setTimeout(() => this.#takeTurns(), startupQueueMs).unref();
     }
 
-    /** Whether requests take turns now. */
+    /** Whether requests need a permit now. */
     get isActive(): boolean {
         return this.#turns.isActive(this.#clock.monotonicMs());
     }
 
     /**
-     * @param request - what decides when its turn comes
-     * @param signal - aborted when the request waits no longer
-     * @returns the request's turn, once it has come or the request waits no longer
+     * Waits for a permit.
+     *
+     * @param request - decides the order of the waiting requests
+     * @param signal - ends the wait when it is aborted
+     * @returns the permit; after an abort, one that counts for nothing
      */
     async acquire(request: StartupRequest, signal: AbortSignal): Promise<StartupPermit> {
         let begin: Waiter = () => undefined;
@@ -38,7 +40,7 @@
         });
         this.#turns.enqueue(request, begin);
         this.#takeTurns();
-        // A request that is due must get its answer whoever's turn it is.
+        // A request that is aborted while it waits goes on at once, so that its caller gets a response.
         const leave = (): void => {
             this.#turns.remove(begin);
             begin();
--- a/packages/edge/src/handover/configVersionWatermark.ts
+++ b/packages/edge/src/handover/configVersionWatermark.ts
@@ -1,4 +1,4 @@
-/** The newest version of the configuration by which a request of this gateway's callers was handled, here or elsewhere. */
+/** Newest configuration version by which a request of this gateway's callers was handled, here or elsewhere. */
 export class ConfigVersionWatermark {
     #version = 0;
 
@@ -6,7 +6,7 @@
         this.#version = Math.max(this.#version, version);
     }
 
-    /** @returns it, or a newer one that is in force here */
+    /** @returns that version, or the one in force here if it is newer */
     max(inForce: number): number {
         return Math.max(this.#version, inForce);
     }
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -12,7 +12,7 @@
 import { type HandoverMetadata } from "./handoverMessages.js";
 import { type Handover, handOver, type HandoverResult } from "./handoverSend.js";
 
-/** What a handover of one request needs of it. */
+/** Inputs of an {@link ExchangeHandover}. */
 export interface ExchangeHandoverInput {
     readonly deps: ExchangeDeps;
     readonly request: EdgeRequest;
@@ -21,13 +21,13 @@
     readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
-/** A request that was handed to another gateway. */
+/** A handover in flight. */
 export interface StartedHandover {
     readonly handover: Handover;
     readonly result: Promise<HandoverResult>;
 }
 
-/** Hands one request to other gateways while this host doesn't reach the servers of its service. */
+/** Hands one request over to other gateways while this host can't reach the servers of its service. */
 export class ExchangeHandover {
     readonly #input: ExchangeHandoverInput;
     readonly #tried = new Set<string>();
@@ -38,7 +38,7 @@
         this.#input = input;
     }
 
-    /** Whether the request may go to another gateway: one that came from another gateway goes no further. */
+    /** Whether the request may be handed over. One that came from another gateway is never handed on. */
     get isAllowed(): boolean {
         const { handedOverBy, rules } = this.#input.request;
         const { view } = this.#input.deps;
@@ -46,22 +46,22 @@
             && view.configurationInForce?.services.has(rules.name) === true;
     }
 
-    /** Whether the request was handed to any gateway. */
+    /** Whether the request was handed over at least once. */
     get wasTried(): boolean {
         return this.#tried.size > 0;
     }
 
-    /** Why another gateway could not have it answered, by what that one said last. */
+    /** Failure that the last gateway reported, if it tried and got no server's response. */
     get failure(): Failure | undefined {
         return this.#failure;
     }
 
-    /** Servers on which gateways may have run the request beyond one for each. */
+    /** Runs that were allowed to other gateways beyond the one that each handover counts as. */
     get extraRuns(): number {
         return this.#runsGiven;
     }
 
-    /** @returns a gateway that has not had the request */
+    /** @returns a gateway that has not had the request yet; `undefined` if there is none */
     chooseGateway(): RegisteredGateway | undefined {
         const { deps, request } = this.#input;
         return this.isAllowed ? deps.reachability.chooseHandoverTarget(request.rules.name, this.#tried) : undefined;
@@ -74,15 +74,15 @@
     /**
      * Hands the request over.
      *
-     * @param helper - to whom
-     * @param runsLeft - servers on which the request may still run
+     * @param helper - gateway that gets it
+     * @param runsLeft - number of servers on which the request may still run
      */
     start(helper: RegisteredGateway, runsLeft: number): StartedHandover {
         const { deps, request, body, mayWrite, openSink } = this.#input;
         const { peerConnections, metadataCodec, reachability } = deps;
         const { route, requestId, method, headers } = request;
         this.#tried.add(helper.name);
-        // One run is kept back, in case that gateway is lost with the request.
+        // One run is kept in reserve for a retry, in case the connection to that gateway is lost.
         const runs = route.idempotent ? Math.max(1, runsLeft - 1) : Math.max(1, runsLeft);
         this.#runsGiven += runs - 1;
         const end = reachability.handoverTargets.trackRequest(helper.name);
@@ -118,7 +118,7 @@
             from: name,
             target: url,
             service: rules.name,
-            // A caller that was served by a version is not to be served by an older one.
+            // Once callers were served by one configuration version, they must not be served by an older one.
             version: configVersionWatermark.max(view.configurationInForce?.configuration.version ?? 0),
             ageMs: Math.max(0, nowMs - arrivedAtMs),
             remainingMs: cutoffMs - nowMs,
@@ -158,7 +158,7 @@
         });
     }
 
-    /** A server's word in an answer that this gateway passes on binds it as well. */
+    /** Records the server's metadata (limits, back-off, shutdown) in a response that came through another gateway. */
     #note(serverId: string | undefined, { metadata, tookMs }: HandoverResult, nowMs: number): void {
         const { metadataRecorder, view } = this.#input.deps;
         const { requestId, rules } = this.#input.request;
@@ -174,7 +174,7 @@
         }
     }
 
-    /** What became of the request says whether that gateway reaches the service. */
+    /** Updates whether that gateway reaches the service, from the result of the handover. */
     #learn(helper: string, { end, outcome: verdict }: HandoverResult, nowMs: number): void {
         const { reachability: { handoverTargets } } = this.#input.deps;
         const service = this.#input.request.rules.name;
@@ -202,7 +202,7 @@
     }
 }
 
-/** @returns whether nothing was sent to any server: the same request to another gateway is no repeat */
+/** @returns whether no server got the request, so that another handover doesn't count as a retry */
 export function hasReachedNoServer({ end, outcome: verdict }: HandoverResult): boolean {
     return end.type === "notRun" && (verdict?.type !== "failed" || verdict.unreached);
 }
--- a/packages/edge/src/handover/handoverMessages.ts
+++ b/packages/edge/src/handover/handoverMessages.ts
@@ -3,36 +3,36 @@
 import { parseJson } from "@galenaglade/http-parts";
 import * as z from "zod";
 
-/** Path on which a gateway takes requests of another one, under the request's own method. */
+/** Path on which a gateway receives handed-over requests, under the request's own method. */
 export const handoverPath = "/handover";
 
-/** Header of such a request, and of its answer; what is in it is JSON in ASCII. Never passed on to servers or callers. */
+/** Header of a handed-over request and of its response: JSON in ASCII. Never forwarded to servers or callers. */
 export const handoverHeader = "galenaglade-handover";
 
-/** What the gateway that hands a request over says of it. */
+/** Schema of the metadata that a gateway sends with a request that it hands over. */
 export const handoverMetadataSchema = z.object({
-    /** Name of that gateway, as in its registration. */
+    /** Name of the sending gateway, as registered. */
     from: z.string(),
-    /** Path and query as its caller sent them. */
+    /** Path and query as the caller sent them. */
     target: z.string(),
-    /** To which it was drawn among its route's destinations. */
+    /** Service that was picked among the route's destinations. */
     service: z.string(),
-    /** Version of the configuration that the request may not be handled before. */
+    /** Oldest version of the configuration by which the request may be handled. */
     version: z.number(),
-    /** Since its arrival, in milliseconds. */
+    /** Time since the request arrived, in milliseconds. */
     ageMs: z.number().min(0),
-    /** Until its final answer is due, in milliseconds. */
+    /** Time until the final response is due, in milliseconds. */
     remainingMs: z.number(),
-    /** Servers on which it may still run. */
+    /** Number of servers on which the request may still run. */
     runs: z.number().int().min(1),
-    /** Address of its caller. */
+    /** Address of the caller. */
     caller: z.string(),
 });
 
-/** What the gateway that hands a request over says of it. */
+/** Metadata that a gateway sends with a request that it hands over. */
 export type HandoverMetadata = DeepReadonly<z.output<typeof handoverMetadataSchema>>;
 
-/** Why a gateway takes no request of another one; it has done nothing with it then. */
+/** Why a gateway refuses a handed-over request, in which case it has done nothing with it. */
 export const handoverRefusalReasons = [
     "malformed",
     "notRegistered",
@@ -43,33 +43,33 @@
     "unreached",
 ] as const;
 
-/** What the gateway that a request was handed to says with its answer. */
+/** Schema of the outcome that a gateway sends with its response to a handed-over request. */
 export const handoverOutcomeSchema = z.discriminatedUnion("type", [
-    /** The answer is a server's. */
+    /** The response is a backend server's. */
     z.object({ type: z.literal("answered"), version: z.number(), server: z.string().optional() }),
     z.object({
         type: z.literal("refused"),
         reason: z.enum(handoverRefusalReasons),
-        /** Gateways that reach the service, as far as is known. */
+        /** Names of gateways that are known to reach the service. */
         named: z.array(z.string().max(256)).max(16),
     }),
-    /** No server's answer came of it. */
+    /** The gateway tried and got no server's response. */
     z.object({
         type: z.literal("failed"),
         kind: z.enum(errorKinds),
         detail: z.string(),
-        /** Whether it is sure that the request has not run. */
+        /** Whether the request certainly has not run. */
         notRun: z.boolean(),
         retryAfterSeconds: z.number().optional(),
-        /** Whether that gateway doesn't reach the service any more either. */
+        /** Whether that gateway no longer reaches the service either. */
         unreached: z.boolean(),
     }),
 ]);
 
-/** What the gateway that a request was handed to says with its answer. */
+/** Outcome that a gateway sends with its response to a handed-over request. */
 export type HandoverOutcome = DeepReadonly<z.output<typeof handoverOutcomeSchema>>;
 
-/** @returns the value of the header */
+/** @returns the header's value, JSON with all non-ASCII characters escaped */
 export function renderHandoverHeader(value: HandoverMetadata | HandoverOutcome): string {
     return JSON.stringify(value).replace(
         /[^\x20-\x7e]/g,
@@ -77,13 +77,13 @@
     );
 }
 
-/** @returns what the header of a request says; `undefined` where it can't be read */
+/** @returns the metadata in a request's header; `undefined` if it is missing or malformed */
 export function parseHandoverMetadata(value: string | undefined): HandoverMetadata | undefined {
     const parsed = handoverMetadataSchema.safeParse(parseJson(value ?? ""));
     return parsed.success && parsed.data.target.startsWith("/") ? parsed.data : undefined;
 }
 
-/** @returns what the header of an answer says; `undefined` where it can't be read, or the answer isn't a gateway's */
+/** @returns the outcome in a response's header; `undefined` if it is missing or malformed */
 export function parseHandoverOutcome(value: string | undefined): HandoverOutcome | undefined {
     const parsed = handoverOutcomeSchema.safeParse(parseJson(value ?? ""));
     return parsed.success ? parsed.data : undefined;
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -12,42 +12,43 @@
     renderHandoverHeader,
 } from "./handoverMessages.js";
 
-/** One request that is handed to another gateway. */
+/** Inputs of {@link handOver}. */
 export interface HandoverInput {
     readonly connection: ServerConnection;
     readonly metadata: HandoverMetadata;
     readonly method: string;
-    /** As the caller sent them. */
+    /** Headers as the caller sent them. */
     readonly headers: RawHeaders;
     readonly body: RequestBody;
     readonly idempotent: boolean;
     readonly requestId: string | undefined;
     readonly metadataReader: ResponseMetadataReader;
     readonly heldBytes: number;
-    /** Asked in the turn in which the first byte is written. */
+    /** Called in the event loop turn that writes the first byte; `false` cancels the send. */
     readonly mayWrite: () => boolean;
     readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
 }
 
-/** What became of it, in the terms of a send to a server. */
+/** Result of a handover, with the fields of a send to a server. */
 export interface HandoverResult extends SendResult {
-    /** What the other gateway said; `undefined` where it said nothing. */
+    /** Outcome that the other gateway reported; `undefined` if it reported none. */
     readonly outcome: HandoverOutcome | undefined;
-    /** Why no server's answer came of it, where the other gateway tried. */
+    /** Failure that the other gateway reported after it had tried; `undefined` otherwise. */
     readonly failure: Failure | undefined;
 }
 
-/** A request that is at another gateway. */
+/** A handover in flight. */
 export interface Handover {
     readonly result: Promise<HandoverResult>;
-    /** Gives it up; that gateway drops the work. */
+    /** Cancels the handover; the other gateway cancels the work. */
     abandon(): void;
 }
 
 /**
- * Hands a request to another gateway and reads its answer, which is passed on like a server's own.
+ * Hands a request over to another gateway and reads its response, which is passed on like a server's own.
  *
- * @param input - what goes where
+ * @param input - the connection, the request and its metadata
+ * @returns the handover in flight
  */
 export function handOver(input: HandoverInput): Handover {
     const reader = new HandoverReader(input);
@@ -73,7 +74,7 @@
     return { result: send.result.then(result => resolveResult(result, reader.verdict)), abandon: () => send.abandon() };
 }
 
-/** Reads a server's answer that another gateway passes on, or that gateway's own. */
+/** Reads the head of a response from another gateway: a server's that it passes on, or its own. */
 class HandoverReader extends ResponseMetadataReader {
     readonly #input: HandoverInput;
     verdict: HandoverOutcome | undefined;
@@ -91,7 +92,7 @@
         return {
             requestId: this.#input.requestId,
             signed: false,
-            // A program that knows no handover answers its path with a failure, and runs nothing.
+            // Older gateways, which don't support handovers, fail requests on this path without running them.
             notRun: this.verdict?.type !== "failed" || this.verdict.notRun,
             serverId: undefined,
             load: undefined,
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -16,13 +16,13 @@
 
 type Refusal = typeof handoverRefusalReasons[number];
 
-/** Takes requests that other gateways hand over. */
+/** Handles requests that were handed over and admitted. */
 export abstract class HandoverHandler {
-    /** Handles one; never throws. */
+    /** Handles one request; never throws. */
     abstract handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void;
 }
 
-/** What the server works with. */
+/** Dependencies of a {@link HandoverServer}. */
 export interface HandoverServerDeps {
     readonly view: FleetView;
     readonly reachability: ReachabilityMonitor;
@@ -43,7 +43,7 @@
     unreached: 503,
 };
 
-/** Admits requests of other gateways: of registered ones, while this gateway can do for them what they can't. */
+/** Admits requests that registered gateways hand over, while this gateway reaches the service and has capacity. */
 export class HandoverServer {
     readonly #parts: HandoverServerDeps;
     #underWay = 0;
@@ -83,7 +83,10 @@
         return reachability.stateOf(service) === "reached" ? undefined : "unreached";
     }
 
-    /** Whoever isn't a gateway of this fleet gets no request past the limits that gateways keep. */
+    /**
+     * Checks name and address against the registered gateways. Handed-over requests skip the workspaces' rate limits, so
+     * no other process may send them.
+     */
     #isRegistered(from: string, remoteAddress: string): boolean {
         const address = remoteAddress.replace(/^::ffff:/, "");
         return this.#parts.view.registeredGateways().some(({ name, peerAddress }) =>
@@ -108,12 +111,12 @@
 }
 
 /**
- * Answers a request of another gateway with which nothing was done.
+ * Refuses a handed-over request with which nothing was done.
  *
- * @param req - the request
- * @param res - where the answer goes
- * @param reason - why it isn't taken
- * @param named - gateways that reach its service
+ * @param req - the handed-over request
+ * @param res - response to the other gateway
+ * @param reason - why the request is refused
+ * @param named - names of gateways that reach its service
  */
 export function refuseHandover(
     req: IncomingMessage,
@@ -124,7 +127,7 @@
     res.writeHead(statuses[reason], {
         [handoverHeader]: renderHandoverHeader({ type: "refused", reason, named }),
         "content-length": 0,
-        // What is left of an unread body would be taken for the next request.
+        // The rest of an unread body would be parsed as the next request.
         ...(req.complete ? {} : { connection: "close" }),
     });
     res.end();
--- a/packages/edge/src/quarantine/crashReportSync.ts
+++ b/packages/edge/src/quarantine/crashReportSync.ts
@@ -9,11 +9,11 @@
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 
-/** What reports on crashes are kept with. */
+/** Dependencies of a {@link CrashReportSync}. */
 export interface CrashReportSyncDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway, as registered. */
     readonly name: string;
-    /** How long after its latest strike a quarantined request is tried, for each trial. */
+    /** Delay of each trial of a quarantined request after its latest strike, in milliseconds. */
     readonly trialAfterMs: readonly number[];
     readonly view: FleetView;
     readonly store: KeyValueStore;
@@ -24,7 +24,7 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** Keeps the ledger of requests under which servers ended in step with the store: this gateway's report and the others'. */
+/** Synchronizes the ledger of crashes with the store: publishes this gateway's report and reads the others'. */
 export class CrashReportSync {
     readonly #parts: CrashReportSyncDeps;
     readonly #ledger: CrashLedger;
@@ -33,9 +33,9 @@
     #writing = false;
     #mustWrite = false;
     #stopped = false;
-    /** The revision of this gateway's report in the store. */
+    /** Revision of this gateway's report in the store. */
     #revision = 0;
-    /** The store's term in which it was last written or read. */
+    /** Store term in which the report was last written or read. */
     #term = 0;
 
     constructor(parts: CrashReportSyncDeps) {
@@ -43,7 +43,7 @@
         this.#ledger = new CrashLedger(parts.name, parts.trialAfterMs);
     }
 
-    /** What is believed of the fleet has changed. */
+    /** Called when the fleet view has changed. */
     onChange(): void {
         const { view, name, clock } = this.#parts;
         const reports = view.crashReports;
@@ -72,24 +72,24 @@
         this.#stopped = true;
     }
 
-    /** The store came back from an older copy, which may lack this gateway's report. */
+    /** Publishes again after the store was restored from an older copy, which may lack this gateway's report. */
     #writeAgain(): void {
         if (this.#revision > 0) {
             setTimeout(() => this.#publish(), rewriteSpreadMs * this.#parts.random.next()).unref();
         }
     }
 
-    /** @returns what is known now */
+    /** @returns the ledger's present mark, to be passed back with the end of a send that begins now */
     ledgerVersion(): number {
         return this.#ledger.version();
     }
 
-    /** @returns whether something is known of a request's content */
+    /** @returns whether crashes may be recorded for a request's content; compares the head only */
     mayHaveRecord(content: LazyContentId): boolean {
         return !this.#ledger.isEmpty && this.#ledger.mayHaveRecord(content.headId);
     }
 
-    /** @returns what may be done with a request now */
+    /** @returns whether requests with this content may be sent now */
     checkContent(contentId: string): ContentStatus {
         const { view, clock } = this.#parts;
         return this.#ledger.checkContent(contentId, {
@@ -98,13 +98,13 @@
         });
     }
 
-    /** A quarantined request is sent to one server. @returns called when it has ended */
+    /** Begins the trial of a quarantined request on one server. @returns function that ends the trial */
     beginTrial(contentId: string): () => void {
         this.#parts.log.log("info", "quarantineTrial", { contentId });
         return this.#ledger.beginTrial(contentId);
     }
 
-    /** A server ended under a request. */
+    /** Records that a server crashed while it ran a request. */
     onCrash(crash: Omit<Crash, "epochMs">): void {
         const changed = this.#ledger.onCrash({ ...crash, epochMs: this.#parts.clock.epochMs() });
         this.#logChanges();
@@ -113,7 +113,7 @@
         }
     }
 
-    /** A request of which something is known was served. */
+    /** Records that a server served a request with crashes on record. */
     onServed(contentId: string, mark: number): void {
         const mustTell = this.#ledger.onServed(contentId, mark, this.#parts.clock.epochMs());
         this.#logChanges();
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Writes until the store has the newest report. */
+    /** Writes until the store has the newest report, with exponential back-off and jitter after failures. */
     async #writeAll(): Promise<void> {
         let failures = 0;
         while (this.#mustWrite && !this.#stopped) {
@@ -162,7 +162,7 @@
                 return false;
             },
             Right: outcome => {
-                // What comes back from the store from now on was written in this life.
+                // Reports that are read from the store from now on were written by this process.
                 this.#adopted = true;
                 metrics.onStoreCall("crashReport", outcome.swapped ? "answered" : "conflict");
                 this.#revision = outcome.swapped ? outcome.revision : outcome.current?.modifiedRevision ?? 0;
--- a/packages/edge/src/quarantine/quarantineGuard.ts
+++ b/packages/edge/src/quarantine/quarantineGuard.ts
@@ -7,7 +7,7 @@
 
 const firstErrorStatus = 500;
 
-/** Keeps one request from servers where requests with its content have ended servers before, and reports what comes of its sends. */
+/** Keeps a request away from servers if requests with its content have crashed them, and records how its sends end. */
 export class QuarantineGuard {
     readonly #reports: CrashReportSync;
     readonly #content: LazyContentId;
@@ -18,7 +18,7 @@
         this.#content = content;
     }
 
-    /** Decides over the whole request. @returns whether it may be sent at all */
+    /** Decides once, on arrival. @returns whether the request may be sent at all */
     admit(): boolean {
         const verdict = this.#judge();
         if (verdict?.state === "trial") {
@@ -27,33 +27,33 @@
         return verdict?.state !== "quarantined";
     }
 
-    /** @returns whether it may be sent at this moment */
+    /** @returns whether the request may be sent at this moment */
     maySend(): boolean {
         return this.#endTrial !== undefined || this.#judge()?.state !== "quarantined";
     }
 
-    /** @returns whether it may be sent to one more server after another one was lost with it */
+    /** @returns whether the request may be sent to one more server after the connection to another was lost */
     mayRetry(): boolean {
         return this.#endTrial === undefined && (this.#judge()?.strikes ?? 0) < singleSendStrikeThreshold;
     }
 
-    /** @returns whether it may be sent to a second server beside the first */
+    /** @returns whether the request may be hedged */
     mayHedge(): boolean {
         return this.#judge() === undefined;
     }
 
-    /** @returns when the caller may come back, where the request is kept from servers; in milliseconds */
+    /** Time after which the caller may retry, in milliseconds, if the request is quarantined or on trial. */
     get retryAfterMs(): number | undefined {
         const verdict = this.#judge();
         return verdict?.state === "quarantined" || verdict?.state === "trial" ? verdict.retryAfterMs : undefined;
     }
 
-    /** @returns whether what became of a lost server decides over the next send */
+    /** Whether a liveness check has to end before the next send, since one more crash would forbid it. */
     get mustAwaitLivenessCheck(): boolean {
         return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
     }
 
-    /** What is known as a send begins. */
+    /** @returns the crash ledger's mark, taken when a send begins */
     ledgerVersion(): number {
         return this.#reports.ledgerVersion();
     }
@@ -64,7 +64,12 @@
         }
     }
 
-    /** A server lost the request. @param state - what became of the server */
+    /**
+     * Records a crash if the server has ended.
+     *
+     * @param state - result of the liveness check
+     * @param mark - the crash ledger's mark when the send began
+     */
     onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, mark: number): void {
         if (state === "ended") {
             this.#reports.onCrash({
@@ -76,7 +81,7 @@
         }
     }
 
-    /** The request has ended. */
+    /** Ends the trial, if there is one, once the request has ended. */
     close(): void {
         this.#endTrial?.();
     }
--- a/packages/edge/src/requests/awaitFirst.ts
+++ b/packages/edge/src/requests/awaitFirst.ts
@@ -1,10 +1,10 @@
 /**
- * Waits for the first of several things, and leaves neither timer nor listener behind.
+ * Waits for the first of several promises, a timeout or an abort. Leaves neither a timer nor a listener behind.
  *
- * @param pending - what may come
- * @param signal - ends the wait
- * @param lateAfterMs - ends it after a time; `undefined` for no limit
- * @returns what came first, or why nothing did
+ * @param pending - promises to wait for
+ * @param signal - ends the wait when it is aborted
+ * @param lateAfterMs - timeout in milliseconds; `undefined` for none
+ * @returns the first value, `"late"` after the timeout, or `"aborted"`
  */
 export async function awaitFirst<T>(
     pending: readonly Promise<T>[],
--- a/packages/edge/src/requests/contentId.ts
+++ b/packages/edge/src/requests/contentId.ts
@@ -2,17 +2,20 @@
 import { createHash } from "node:crypto";
 import { type RequestHead } from "./edgeRequest.js";
 
-/** Headers that say on whose behalf a request is made. Others vary from one attempt to the next, or mean nothing to a server. */
+/**
+ * Headers that identify the user behind a request. All other headers are left out, since they vary from one attempt to
+ * the next or don't change what a server does.
+ */
 const identityHeaders: readonly string[] = ["authorization", "cookie"];
 
 const idLength = 12;
 const separator = "\n";
 
 /**
- * Names a request's method, authority, path and caller.
+ * Digests a request's method, authority, path and identity headers.
  *
- * @param head - as received
- * @returns the part of a content id that costs no look at the body
+ * @param head - request head as received
+ * @returns the part of a content id that is computed without the body
  */
 export function createHeadId({ method, authority, url, headers }: RequestHead): string {
     const identity = identityHeaders.map(name => findHeader(headers, name) ?? "");
@@ -20,11 +23,12 @@
 }
 
 /**
- * Names what a request asks of a backend server, whatever its request id and its deadline: two requests with the same content id
- * make a server do the same. Of a body that is streamed only the start and the length are told apart.
+ * Identifies the work that a request causes on a backend server, independent of its request id and deadline: two
+ * requests with the same content id make a server do the same. Streamed bodies are compared only by their start and
+ * length.
  *
- * @param headId - of the request
- * @param body - its body
+ * @param headId - id of the request's head, from {@link createHeadId}
+ * @param body - body of the request
  */
 export function createContentId(headId: string, { start, bytes }: RequestBody): string {
     return bytes === 0 ? headId : `${headId}.${digest(`${bytes}${separator}`, start)}`;
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -8,51 +8,51 @@
 import { type HandoverMetadata } from "../handover/handoverMessages.js";
 import { type EdgeMetadataCodec, type ForwardIdentity } from "../metadataCodec.js";
 
-/** What the gateway reads from a request's head. */
+/** A request's head as received. */
 export interface RequestHead {
     readonly method: string;
-    /** Path and query as sent. */
+    /** Path and query as sent by the caller. */
     readonly url: string;
     readonly authority: string;
     readonly headers: RawHeaders;
-    /** Address of the connection that it came on. */
+    /** Remote address of the caller's connection. */
     readonly callerAddress: string;
-    /** Where another gateway handed it over: what that one said of it. */
+    /** Metadata from the gateway that handed the request over; `undefined` if it came from a caller directly. */
     readonly handover?: HandoverMetadata | undefined;
-    /** Declared length of the body; `undefined` where it is sent in chunks. */
+    /** Declared length of the body in bytes; `undefined` with chunked transfer encoding. */
     readonly bodyBytes: number | undefined;
 }
 
-/** A caller's request, understood. */
+/** A caller's request, resolved against the configuration. */
 export interface EdgeRequest extends RequestHead {
     readonly requestId: string | undefined;
     readonly route: Route;
-    /** On whose behalf it is made; holds a secret and is never logged. */
+    /** Identity of the caller. Holds a secret and is never logged. */
     readonly admission: CallerIdentity;
-    /** Rank; 0 goes first. Its workspace's goes before its route's. */
+    /** 0 is the most urgent. The workspace's priority takes precedence over the route's. */
     readonly priority: number;
     readonly rules: ServiceRules;
-    /** Version of the configuration that it was understood by. */
+    /** Version of the configuration that the request was resolved against. */
     readonly version: number;
     readonly maximumBodyBytes: number;
     readonly arrivedAtMs: number;
-    /** Name of the gateway that took it from its caller, where that is another one. */
+    /** Name of the gateway that received the request from its caller; `undefined` if it is this one. */
     readonly handedOverBy: string | undefined;
-    /** When its caller gives up. */
+    /** When the caller gives up, by the monotonic clock. */
     readonly deadlineMs: number;
-    /** When its final answer is due: at its caller's deadline or its route's timeout. */
+    /** When the final response is due: the caller's deadline or the route's timeout, whichever comes first. */
     readonly cutoffMs: number;
 }
 
 /**
- * Understands a request by the configuration in force.
+ * Resolves a request against the configuration in force: its route, its workspace, its service and its deadlines.
  *
- * @param head - as received
- * @param inForce - the configuration
- * @param vocabulary - names what the head says
- * @param random - draws the service among the route's destinations
- * @param nowMs - when it arrived
- * @returns the request, or why it can't be taken
+ * @param head - request head as received
+ * @param inForce - the configuration in force
+ * @param vocabulary - reads the product-specific headers
+ * @param random - picks one of the route's weighted destinations
+ * @param nowMs - arrival time by the monotonic clock
+ * @returns the request, or why it is rejected
  */
 export function resolveEdgeRequest(
     head: RequestHead,
@@ -102,7 +102,7 @@
     });
 }
 
-/** A request keeps the service that it was drawn to, or the shares of a route's destinations would be dealt twice. */
+/** A handed-over request keeps the service that the first gateway picked: a new pick would skew the traffic split. */
 function findOrdered({ destinations }: Route, order: HandoverMetadata | undefined): string | undefined {
     return destinations.find(({ service, weight }) => service === order?.service && weight > 0)?.service;
 }
@@ -118,7 +118,7 @@
     return { arrivedAtMs, deadlineMs, cutoffMs: Math.min(deadlineMs, arrivedAtMs + timeoutMs) };
 }
 
-/** @returns what a backend server is told of a request's caller */
+/** @returns the caller's identity as it is forwarded to backend servers */
 export function resolveIdentity(admission: CallerIdentity): ForwardIdentity {
     return admission.type === "known" ? { type: "workspace", name: admission.workspace.name } : admission;
 }
@@ -134,7 +134,7 @@
     return query < 0 ? url : url.slice(0, query);
 }
 
-/** Bytes of the head as sent: each header with its colon, space and line end. */
+/** Counts the bytes of the headers as sent: each one with its colon, space and line end. */
 function countHeaderBytes(headers: RawHeaders): number {
     let bytes = 0;
     for (let i = 0; i + 1 < headers.length; i += 2) {
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -31,12 +31,15 @@
 import { SendResultHandler } from "./sendResultHandler.js";
 import { type FinishedSend, type GatewaySend, receiverName, type ServerSend, type PendingSend } from "./pendingSend.js";
 
-/** Where a request goes next. */
+/** Destination of the next send. */
 type Target =
     | { readonly type: "server"; readonly place: Placement; }
     | { readonly type: "gateway"; readonly helper: RegisteredGateway; };
 
-/** Takes one request to its one end: finds servers, sends, repeats where that is allowed, and gives up in time. */
+/**
+ * Handles one request from admission to its final result: picks servers, sends, retries and hedges where that is
+ * allowed, and gives up when the response is due.
+ */
 export class Exchange {
     readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
@@ -45,7 +48,7 @@
     readonly #openSink: (head: ResponseHead) => ResponseSink;
     readonly #onSent: () => void;
     readonly #underWay = new Set<PendingSend>();
-    /** Sends whose end was not looked at yet: one may end while a place for another is looked for. */
+    /** Sends whose end has not been processed yet. A send may end while a server for another one is being picked. */
     readonly #unread = new Set<PendingSend>();
     readonly #ends: SendEnd[] = [];
     readonly #answers: LocalReplies;
@@ -58,15 +61,15 @@
     #fallback: BufferedResponse | undefined;
     #streaming = false;
     #answeredBy: string | undefined;
-    /** Whether the caller's answer is there, so that what is still under way was beaten to it. */
+    /** Whether the caller has its response, so that the sends still in flight are superseded. */
     #answered = false;
 
     /**
-     * @param parts - what it works with
-     * @param request - the request
-     * @param body - its body
-     * @param signal - aborted when the final answer is due, or when nobody waits for it any more
-     * @param openSink - begins the caller's answer with a head, for an answer that is too large to be held
+     * @param parts - dependencies
+     * @param request - the resolved request
+     * @param body - body of the request
+     * @param signal - aborted when the final response is due, or when the caller has disconnected
+     * @param openSink - starts streaming a response to the caller that is too large to buffer
      * @param onSent - called with each send
      */
     constructor(
@@ -98,12 +101,12 @@
         this.#onSent = onSent;
     }
 
-    /** The backend server whose answer the caller gets, where one of this gateway's own sends brought it. */
+    /** Id of the backend server whose response the caller gets; `undefined` if it came through another gateway. */
     get respondingServerId(): string | undefined {
         return this.#answeredBy;
     }
 
-    /** What happened on the way, for the log. */
+    /** @returns log fields about placement, handovers and sends */
     describe(): LogFields {
         return {
             ...this.#placement.describe(),
@@ -114,7 +117,7 @@
         };
     }
 
-    /** @returns what the caller gets; never fails */
+    /** @returns the result for the caller; never rejects */
     async run(): Promise<ExchangeResult> {
         const { repeatBudget, board } = this.#parts;
         const { rules, priority, handedOverBy } = this.#request;
@@ -125,14 +128,14 @@
             return this.#finish(this.#answers.quarantined(this.#guard.retryAfterMs ?? 0));
         }
         try {
-            // The gateway that took the request from its caller has admitted it.
+            // A request that was handed over has been admitted by the gateway that received it from the caller.
             const refused = handedOverBy === undefined ? await this.#workspace.admit() : undefined;
             if (refused !== undefined) {
                 return this.#finish(
                     refused === "abandoned" ? this.#resolveAborted() : this.#answers.rateLimited(refused),
                 );
             }
-            // Requests beyond a limit need no room, and don't count as more urgent ones.
+            // Counted only after admission: rejected requests need no capacity, so none is reserved for their priority.
             board.onRequest(rules.name, priority, this.#nowMs());
             const target = await this.#findTarget("first");
             if (typeof target === "string") {
@@ -154,7 +157,7 @@
         }
     }
 
-    /** Follows the sends under way until one of them, or none, has the caller's answer. */
+    /** Waits for the sends in flight, with retries and a hedge, until one has a response or all have failed. */
     async #follow(): Promise<ExchangeResult> {
         const hedge = this.#request.route.idempotent && this.#body.repeatable ? this.#hedgeTime() : undefined;
         let hedged = hedge === undefined;
@@ -176,7 +179,7 @@
         return this.#resolveAborted();
     }
 
-    /** @returns what the caller gets, or `undefined` where another send may still bring it */
+    /** @returns the result for the caller; `undefined` while another send may still succeed */
     async #onEnded(ended: FinishedSend): Promise<ExchangeResult | undefined> {
         const { underWay, result } = ended;
         this.#unread.delete(underWay);
@@ -190,8 +193,8 @@
             if (!isServerError(end) && !response.endedByClose) {
                 return { type: "answered", response: response };
             }
-            // The server's own failure is an answer, and so is one that may be cut short; kept for the case that no other
-            // server does better.
+            // A server error, or a response that may be truncated, is kept as a fallback in case no other send does
+            // better.
             this.#fallback = response;
         }
         if (mayGoOn && await this.#tryAgain(ended)) {
@@ -235,7 +238,7 @@
         if (!await this.#isAllowedAgain(result.end)) {
             return false;
         }
-        // A send that never reached a server is no repeat when it is made again.
+        // A send that never reached a server can be made again without taking from the retry budget.
         if (hasReachedServer(ended) && !this.#takeRepeat("retry")) {
             return false;
         }
@@ -254,7 +257,7 @@
         return true;
     }
 
-    /** @returns a server, or another gateway where this host doesn't reach any */
+    /** @returns a server, or another gateway if this host can't reach any server of the service */
     async #findTarget(purpose: SendPurpose): Promise<Target | PlacementFailure> {
         const { reachability } = this.#parts;
         const service = this.#request.rules.name;
@@ -271,13 +274,13 @@
         if (typeof place !== "string") {
             return { type: "server", place };
         }
-        // The search itself may have shown that no server is reached.
+        // The probes of the search itself may have shown that no server can be reached.
         const mayHelp = (place === "noOffer" || place === "noneGood") && this.#handover.isAllowed;
         const helper = mayHelp && await this.#whenSettled() === "lost" ? this.#chooseHelper() : undefined;
         return helper === undefined ? place : { type: "gateway", helper };
     }
 
-    /** @returns whether this host reaches the service, once that is known or the request's time is over */
+    /** @returns whether this host can reach the service, once that is settled or the request is aborted */
     async #whenSettled(): Promise<ReachabilityState> {
         const { reachability } = this.#parts;
         const service = this.#request.rules.name;
@@ -285,7 +288,7 @@
         return reachability.stateOf(service);
     }
 
-    /** @returns a gateway that reaches the service, as far as is known */
+    /** @returns a gateway that is thought to reach the service; `undefined` if there is none or this host reaches it */
     #chooseHelper(): RegisteredGateway | undefined {
         const { reachability } = this.#parts;
         const service = this.#request.rules.name;
@@ -299,7 +302,7 @@
         return helper;
     }
 
-    /** @returns whether what is known of servers that ended lets the request be sent once more */
+    /** @returns whether the crashes recorded for this content allow another send */
     async #isAllowedAgain(end: SendEnd): Promise<boolean> {
         if (!isPossibleServerCrash(end)) {
             return this.#guard.maySend();
@@ -310,7 +313,7 @@
         return this.#guard.mayRetry();
     }
 
-    /** Sends to a second server where one is good right now; the first answer goes to the caller. */
+    /** Sends to a second server if one with spare capacity is found; the first response goes to the caller. */
     async #tryHedge(): Promise<void> {
         if (!this.#mayTryAgain() || !this.#guard.mayHedge()) {
             return;
@@ -418,7 +421,7 @@
         this.#underWay.delete(underWay);
         this.#ends.push(result.end);
         if (result.end.type === "unknown") {
-            // What comes on it later would be taken for the answer to whatever is sent next.
+            // A late response on it would be taken for the response to the next request.
             connection.destroy();
         }
         else {
@@ -443,7 +446,7 @@
         return this.#openSink(head);
     }
 
-    /** Waits for the next send to end, the time to hedge, or the end of all patience. */
+    /** Waits until a send ends, the hedge is due, or the request is aborted. */
     #awaitNext(hedgeAtMs: number | undefined): Promise<FinishedSend | "late" | "aborted"> {
         const lateAfterMs = hedgeAtMs === undefined ? undefined : Math.max(0, hedgeAtMs - this.#nowMs());
         return awaitFirst([...this.#unread].map(({ ended }) => ended), this.#signal, lateAfterMs);
@@ -463,7 +466,7 @@
         });
     }
 
-    /** Servers on which the request may still run. */
+    /** Number of servers on which the request may still run. */
     #runsLeft(): number {
         const possibleRuns = this.#underWay.size + this.#ends.filter(({ type }) => type !== "notRun").length;
         return this.#request.route.maximumRuns - this.#handover.extraRuns - possibleRuns;
@@ -473,7 +476,7 @@
         return this.#parts.repeatBudget.take(this.#request.rules.name, purpose, this.#gateways(), this.#nowMs());
     }
 
-    /** Until the first server of the service ends its rest, where all of them rest. */
+    /** Time until the first server's back-off ends, in milliseconds; `undefined` unless all servers back off. */
     #restingForMs(): number | undefined {
         return this.#parts.placer.backoffRemainingMs(this.#request.rules.name);
     }
@@ -487,8 +490,8 @@
     }
 
     /**
-     * Ends whatever is still under way: its answer would be nobody's. A non-idempotent request whose caller left goes on:
-     * cut off, nobody would ever know whether it ran.
+     * Abandons the sends that are still in flight, since their responses are no longer needed. A non-idempotent request
+     * whose caller disconnected is left to finish: if it were cut off, it would stay unknown whether it ran.
      */
     #finish(end: ExchangeResult): ExchangeResult {
         if (!this.#request.route.idempotent && this.#signal.reason === callerGone) {
@@ -501,13 +504,13 @@
         return end;
     }
 
-    /** The time is over, or nobody waits any more. */
+    /** The response is due, or the caller has disconnected. */
     #resolveAborted(): ExchangeResult {
         return this.#answers.timedOut(this.#ends, this.#underWay.size, this.#fallback);
     }
 }
 
-/** @returns whether a send may have come to a server */
+/** @returns whether a send may have reached a server */
 function hasReachedServer(ended: FinishedSend): boolean {
     if (ended.type === "gateway") {
         return !hasReachedNoServer(ended.result);
--- a/packages/edge/src/requests/exchangeDeps.ts
+++ b/packages/edge/src/requests/exchangeDeps.ts
@@ -16,15 +16,15 @@
 import { type ResponseMetadataRecorder } from "./responseMetadataRecorder.js";
 import { type Placer } from "./placer.js";
 
-/** Why an exchange's signal is aborted: the caller has closed its connection. */
+/** Abort reason of an exchange: the caller has closed its connection. */
 export const callerGone = "callerGone";
 
-/** Why an exchange's signal is aborted: the final answer is due. */
+/** Abort reason of an exchange: the final response is due. */
 export const cutoffReached = "cutoffReached";
 
-/** What exchanges work with. */
+/** Dependencies of an {@link Exchange}. */
 export interface ExchangeDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway, as registered. */
     readonly name: string;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -33,7 +33,7 @@
     readonly board: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
-    /** To other gateways, by their names. */
+    /** Connections to other gateways, by gateway name. */
     readonly peerConnections: ServerConnectionPool;
     readonly configVersionWatermark: ConfigVersionWatermark;
     readonly checks: ServerLivenessChecker;
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -4,10 +4,10 @@
 import { type ExchangeDeps } from "./exchangeDeps.js";
 import { type PlacementFailure, type Placement, type SearchTrace } from "./placer.js";
 
-/** What a server is looked for. */
+/** Purpose of a send. */
 export type SendPurpose = "first" | "retry" | "hedge";
 
-/** Finds the servers for all sends of one request. */
+/** Picks the servers for all sends of one request, and keeps what the log line needs. */
 export class ExchangePlacement {
     readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
@@ -21,10 +21,10 @@
         restingForMs: undefined,
     };
     #placedAfterMs: number | undefined;
-    /** Age of what the first server had said of its load when it was chosen. */
+    /** Age of the first server's load report when the server was picked, in milliseconds. */
     #offerAgeMs: number | undefined;
     #firstReason: string | undefined;
-    /** The version on trial to which the first send went. */
+    /** Version under trial that the first send went to. */
     #trialVersion: string | undefined;
 
     constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
@@ -33,7 +33,7 @@
         this.#signal = signal;
     }
 
-    /** @returns where the next send goes, a server that was not tried before unless there is no other */
+    /** @returns the server for the next send, preferably one that was not tried before */
     async place(purpose: SendPurpose): Promise<Placement | PlacementFailure> {
         const trial = purpose === "first" ? await this.#placeTrial() : undefined;
         const found = trial ?? await this.#search(purpose === "hedge");
@@ -43,12 +43,12 @@
         return found;
     }
 
-    /** The request is sent to a server: it is not looked at again while there are others. */
+    /** Records a send, so that the server is excluded from further searches while there are others. */
     onSend(serverId: string): void {
         this.#triedServers.add(serverId);
     }
 
-    /** How servers were found, for the log. */
+    /** @returns log fields about how servers were found */
     describe(): LogFields {
         const { probeEnds, ...trace } = this.#trace;
         return {
@@ -62,7 +62,7 @@
         };
     }
 
-    /** @returns a server of a version on trial, where this request is to go to one and one is good right now */
+    /** @returns a server of a version under trial, if this request is selected and one has spare capacity now */
     async #placeTrial(): Promise<Placement | undefined> {
         const { rollouts } = this.#parts;
         const service = this.#request.rules.name;
--- a/packages/edge/src/requests/lazyContentId.ts
+++ b/packages/edge/src/requests/lazyContentId.ts
@@ -2,7 +2,7 @@
 import { createContentId, createHeadId } from "./contentId.js";
 import { type EdgeRequest } from "./edgeRequest.js";
 
-/** What one request asks of a server, by name. Made when it is asked for: most requests never need it. */
+/** Content id of one request, computed on first use: most requests never need it. */
 export class LazyContentId {
     readonly #request: EdgeRequest;
     readonly #body: RequestBody;
@@ -14,7 +14,7 @@
         this.#body = body;
     }
 
-    /** Names all but the body. */
+    /** Id of the request without its body. */
     get headId(): string {
         this.#headId ??= createHeadId(this.#request);
         return this.#headId;
@@ -25,7 +25,7 @@
         return this.#contentId;
     }
 
-    /** The content id, where something needed it. */
+    /** The content id if it has been computed, otherwise `undefined`. */
     get computedContentId(): string | undefined {
         return this.#contentId;
     }
--- a/packages/edge/src/requests/localReplies.ts
+++ b/packages/edge/src/requests/localReplies.ts
@@ -9,14 +9,14 @@
 
 const oneSecondMs = 1_000;
 
-/** What the caller gets. */
+/** Final result of a request for its caller. */
 export type ExchangeResult =
     | { readonly type: "answered"; readonly response: BufferedResponse; }
-    /** The sink got it, whole or broken off. */
+    /** The response was streamed to the caller, completely or truncated. */
     | { readonly type: "streamed"; readonly complete: boolean; }
     | { readonly type: "failed"; readonly failure: Failure; };
 
-/** Chooses what the caller of one request gets where no server's answer is at hand, and when it should come back. */
+/** Builds the failures that this gateway returns itself when it has no server's response, each with its Retry-After. */
 export class LocalReplies {
     readonly #request: EdgeRequest;
     readonly #work: TypicalLatency;
@@ -28,7 +28,11 @@
         this.#random = random;
     }
 
-    /** No server was found. @param restingForMs - until the first one ends its rest, where all of them rest */
+    /**
+     * No server was found.
+     *
+     * @param restingForMs - time until the first server's back-off ends, if all servers back off, in milliseconds
+     */
     placementFailed(reason: Exclude<PlacementFailure, "abandoned">, restingForMs = 0): ExchangeResult {
         if (reason === "resting") {
             return this.#refuse("overloaded", reason, "resting", restingForMs);
@@ -38,7 +42,11 @@
             : this.#refuse("overloaded", reason, "full");
     }
 
-    /** Servers have ended under requests with this content. @param retryAfterMs - when one more may be sent, from now */
+    /**
+     * Requests with this content have crashed servers.
+     *
+     * @param retryAfterMs - time until the next request with this content may be sent, in milliseconds
+     */
     quarantined(retryAfterMs: number): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs / oneSecondMs);
         const failure = createFailure("queryOfDeath", "requests with this content ended their servers", {
@@ -47,7 +55,7 @@
         return { type: "failed", failure };
     }
 
-    /** The caller's key was revoked or moved while the request waited. One that was moved is good for another try. */
+    /** The caller's key was revoked or moved to another workspace meanwhile. With a moved key the caller may retry. */
     keyChanged(change: KeyChange): ExchangeResult {
         const retryAfterSeconds = drawRetryAfterSeconds("turnedAway", 0, this.#random);
         const failure = change === "revoked"
@@ -56,7 +64,7 @@
         return { type: "failed", failure };
     }
 
-    /** The limit of the caller's workspace keeps the request back. */
+    /** The rate limit of the caller's workspace rejects the request. */
     rateLimited({ type, retryAfterMs }: Exclude<Decision, { readonly type: "admitted"; }>): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs) / oneSecondMs;
         const failure = type === "overLimit"
@@ -65,7 +73,7 @@
         return { type: "failed", failure };
     }
 
-    /** All tries have failed. */
+    /** All sends have failed. */
     allSendsFailed(ends: readonly SendEnd[], fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
             return { type: "answered", response: fallback };
@@ -76,7 +84,11 @@
         return { type: "failed", failure: createFailure("connectionLost", describeEnds(ends)) };
     }
 
-    /** The time is over, or nobody waits any more. @param underWay - sends that have not ended */
+    /**
+     * The response is due, or the caller has disconnected.
+     *
+     * @param underWay - number of sends that have not ended
+     */
     timedOut(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
             return { type: "answered", response: fallback };
@@ -101,7 +113,7 @@
     }
 }
 
-/** @returns how a send ended, in a word for logs and metrics */
+/** @returns a short label of how a send ended, for logs and metrics */
 export function describeSendEnd(end: SendEnd): string {
     switch (end.type) {
         case "answered":
--- a/packages/edge/src/requests/placementProber.ts
+++ b/packages/edge/src/requests/placementProber.ts
@@ -10,7 +10,7 @@
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
 import { type ResponseMetadataRecorder } from "./responseMetadataRecorder.js";
 
-/** What questions are asked with. */
+/** Dependencies of a {@link PlacementProber}. */
 export interface PlacementProberDeps {
     readonly board: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
@@ -22,10 +22,10 @@
     readonly timeline: StartTimeline;
 }
 
-/** How questions of one request ended, by end. */
+/** Number of one request's load probes, by how they ended. */
 export type ProbeEndCounts = Map<"told" | LoadProbeFailure["reason"], number>;
 
-/** Asks backend servers for their load, and lets the board know what they said. */
+/** Probes backend servers for their load and records their reports on the placement board. */
 export class PlacementProber {
     readonly #parts: PlacementProberDeps;
 
@@ -34,14 +34,14 @@
     }
 
     /**
-     * Asks some servers at once. The first good one is enough: waiting for the others, every request would take as long as
-     * the slowest of them.
+     * Probes several servers at once, and resolves as soon as one of them has spare capacity. If it waited for all,
+     * every request would take as long as its slowest probe.
      *
-     * @param rules - of their service
-     * @param servers - whom to ask
-     * @param timeoutMs - time for each to answer
-     * @param ends - counts how each question ended
-     * @returns how many have answered once one of them is good, or all have ended
+     * @param rules - rules of the servers' service
+     * @param servers - servers to probe
+     * @param timeoutMs - timeout of each probe in milliseconds
+     * @param ends - counts how the probes ended
+     * @returns number of servers that have responded by then
      */
     probe(
         rules: ServiceRules,
@@ -102,7 +102,7 @@
             startedAtMs: askedAtMs,
         });
         if (told.type === "untold") {
-            // What comes on it later would be taken for the answer to whatever is sent next.
+            // A late response on it would be taken for the response to the next request.
             connection.destroy();
             return undefined;
         }
@@ -115,9 +115,9 @@
     }
 
     /**
-     * A server that doesn't tell its load is asked last for a while, or every request would wait for it. Where none of
-     * several answered, this process itself was slow, as right after a start, or its host is cut off: blamed for that,
-     * all servers would be suspected at once.
+     * Marks servers that didn't respond as suspect, so that they are probed last for a while; otherwise every request
+     * would wait for them. If none of several servers responded, the likely cause is this process (slow right after a
+     * start) or its host's network, so none is marked: all servers would become suspect at once.
      */
     #blameSilent(service: string, silent: readonly RegisteredServer[], answered: number): void {
         if (answered === 0 && silent.length > 1) {
@@ -129,7 +129,7 @@
     }
 }
 
-/** Whoever answers, the way there and back works. */
+/** A response from any server, even the wrong one, shows that the network path works. */
 function findAskContact(told: LoadProbeSuccess | LoadProbeFailure): ServerContactResult {
     return told.type === "told" || told.reason === "otherServer" ? "heard" : told.reason;
 }
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -13,52 +13,52 @@
 import { loadProbeTimeoutMs, maxLoadProbeTimeoutMs } from "../constants.js";
 import { type ProbeEndCounts, PlacementProber, type PlacementProberDeps } from "./placementProber.js";
 
-/** What the placer works with. */
+/** Dependencies of a {@link Placer}. */
 export interface PlacerDeps extends PlacementProberDeps {
     readonly reachability: Pick<ReachabilityMonitor, "onContact" | "stateOf">;
     readonly view: FleetView;
-    /** This gateway's own. */
+    /** Availability zone of this gateway. */
     readonly availabilityZone: string;
     readonly clock: Clock;
     readonly board: PlacementState;
 }
 
-/** A request in search of a server. */
+/** Search for a server for one request. */
 export interface PlaceInput extends SearchInput {
     readonly signal: AbortSignal;
-    /** Whether it may go to another gateway once this one is known not to reach the service. */
+    /** Whether the request may be handed to another gateway once this host is known not to reach the service. */
     readonly mayHandOver: boolean;
-    /** Counted up while the search goes on. */
+    /** Updated during the search. */
     readonly trace: SearchTrace;
-    /** The only servers to look at; `undefined` for all that may be given any work. */
+    /** Restricts the search to these servers; `undefined` for all usable servers of the service. */
     readonly candidates?: readonly RegisteredServer[];
 }
 
-/** Why no server was found. */
+/** Why the search ended without a server. */
 export type PlacementFailure =
     | NoServerReason
     | "abandoned"
-    /** Neither this gateway nor another one reaches any server. */
+    /** Neither this gateway nor any other reaches a server of the service. */
     | "unreached";
 
-/** What a search for a server looked at, for the log. */
+/** Counters of a search, for the log. */
 export interface SearchTrace {
-    /** Servers that may be given work, at the last look. */
+    /** Servers that were eligible in the last round. */
     usable: number;
-    /** Questions for load. */
+    /** Load probes sent. */
     asked: number;
-    /** Answers to them, up to the one that decided. */
+    /** Responses to them, up to the one that decided the search. */
     offers: number;
-    /** How questions ended so far. */
+    /** Number of probes, by how they ended. */
     readonly probeEnds: ProbeEndCounts;
-    /** Until the first server ends its rest, where nothing else keeps the request from being sent. */
+    /** Time until the first server's back-off ends, in milliseconds, if all servers that could be used back off. */
     restingForMs: number | undefined;
 }
 
-/** Where a request goes. */
+/** The server that was picked. */
 export type Placement = SearchStep & { readonly type: "send"; };
 
-/** Finds a backend server for a request: carries out what its search wants to be asked, and waits when it wants to wait. */
+/** Picks a backend server for a request: runs the probes and pauses that its {@link ServerSearch} calls for. */
 export class Placer {
     readonly #parts: PlacerDeps;
     readonly #inquiry: PlacementProber;
@@ -68,7 +68,7 @@
         this.#inquiry = new PlacementProber(parts);
     }
 
-    /** @returns where the request goes */
+    /** @returns the picked server, or why there is none */
     async place(input: PlaceInput): Promise<Placement | PlacementFailure> {
         const search = new ServerSearch(this.#parts.board, input);
         while (!input.signal.aborted) {
@@ -103,7 +103,7 @@
         return "abandoned";
     }
 
-    /** @returns until the first server of a service ends its rest, where all that might be used rest */
+    /** @returns time until the first server's back-off ends, in milliseconds, if all servers of a service back off */
     backoffRemainingMs(service: string): number | undefined {
         return this.#look(service, undefined).restingForMs;
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/** Leaves out servers that want nothing of this gateway. */
+/** Leaves out servers that have asked this gateway to send them nothing: those that back off or shut down. */
 function splitBarred(
     servers: readonly RegisteredServer[],
     barOf: (server: RegisteredServer) => ServerExclusion | undefined,
--- a/packages/edge/src/requests/responseMetadataRecorder.ts
+++ b/packages/edge/src/requests/responseMetadataRecorder.ts
@@ -5,7 +5,7 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type ResponseMetadata } from "../metadataCodec.js";
 
-/** What notes are taken with. */
+/** Dependencies of a {@link ResponseMetadataRecorder}. */
 export interface ResponseMetadataRecorderDeps {
     readonly board: PlacementState;
     readonly connections: ServerConnectionPool;
@@ -13,22 +13,22 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** An answer of a server, as far as it speaks of the server itself. */
+/** What a server's response states about the server itself. */
 export interface ServerResponseMetadata {
     readonly server: RegisteredServer;
     readonly metadata: ResponseMetadata;
     readonly source: LimitSource;
-    /** The request that was answered. */
+    /** Id of the request that the response belongs to; `undefined` for a load probe. */
     readonly requestId?: string | undefined;
     readonly nowMs: number;
 }
 
-/** Names of headers that nobody understands, of which each is logged once. */
+/** Unknown header names that are logged, each once. Bounded, so that servers can't fill the memory with names. */
 const mostUnknownNames = 50;
 
 /**
- * Reads what servers say of themselves in their answers, in one place for answers to requests and to questions: lets the board know, and
- * logs what changes.
+ * Records the metadata that servers send with their responses, both to requests and to load probes: updates the
+ * placement board, logs changes and counts them.
  */
 export class ResponseMetadataRecorder {
     readonly #parts: ResponseMetadataRecorderDeps;
@@ -53,7 +53,7 @@
             log.log("warn", "serverLimit", { ...describe(answer), change: "malformed", text: limit.text });
             return;
         }
-        // Of answers to requests, only one with the server's proof says by its silence that there is no limit any more.
+        // A response to a request lifts the limit by its absence only if the server signed the response.
         if (limit.type === "none" && source.answered === "request" && !signed) {
             return;
         }
--- a/packages/edge/src/requests/sendResultHandler.ts
+++ b/packages/edge/src/requests/sendResultHandler.ts
@@ -11,26 +11,29 @@
 import { type SendPurpose } from "./exchangePlacement.js";
 import { type Placement } from "./placer.js";
 
-/** One send that has ended. */
+/** Result of a send to a backend server. */
 export interface ServerSendResult {
     readonly place: Placement;
     readonly purpose: SendPurpose;
-    /** Whether nothing had been heard on its connection before. */
+    /** Whether the server had never responded on the connection before. */
     readonly isNewConnection: boolean;
-    /** What was known of crashes when it began. */
+    /** Mark of the crash ledger when the send began. */
     readonly ledgerVersion: number;
     readonly result: SendResult;
-    /** Whether the caller's answer had come from another send. */
+    /** Whether the caller already had the response of another send. */
     readonly superseded: boolean;
 }
 
-/** Learns from the ends of one request's sends: for the gateway's belief of servers and contents, its log and its metrics. */
+/**
+ * Passes the results of one request's sends on to placement, reachability, rollouts, quarantine, the log and the
+ * metrics.
+ */
 export class SendResultHandler {
     readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #content: LazyContentId;
     readonly #guard: QuarantineGuard;
-    /** Checks of servers that lost the request. */
+    /** Liveness checks of servers whose connection was lost with the request. */
     readonly #checks: Promise<void>[] = [];
 
     constructor(parts: ExchangeDeps, request: EdgeRequest, content: LazyContentId, guard: QuarantineGuard) {
@@ -40,7 +43,7 @@
         this.#guard = guard;
     }
 
-    /** Settles once it is known what became of all servers that lost the request. */
+    /** Resolves once the liveness checks of all these servers are done. */
     async whenLivenessChecked(): Promise<void> {
         await Promise.all(this.#checks);
     }
@@ -53,7 +56,7 @@
         const nowMs = clock.monotonicMs();
         const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
         const trial = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten: superseded };
-        // What fails on this host's links says nothing of a version.
+        // A failure while this host's links are down is no evidence about the server's version.
         const isEvidence = purpose === "first"
             && (end.type === "answered" || reachability.stateOf(service) === "reached");
         rollouts.onSendEnded(server, route.name, isEvidence ? trial : undefined);
@@ -82,9 +85,9 @@
         }
     }
 
-    /** An answer of another server that has the address now says nothing of this one. */
+    /** Records the response's metadata, unless it is another server's that has taken over the address. */
     #noteServer(server: RegisteredServer, { end, metadata, streamed, tookMs }: SendResult, nowMs: number): void {
-        // The head of an answer that broke off later was sound, and its caller has it.
+        // The head of a streamed response was valid even if the response was cut off later.
         const isOwn = streamed || end.type === "answered" || (end.type === "notRun" && end.reason === "turnedAway");
         if (metadata === undefined || !isOwn || (metadata.serverId ?? server.id) !== server.id) {
             return;
@@ -99,8 +102,8 @@
     }
 
     /**
-     * A server that refuses connections has ended, unless other servers refuse them as well: then this host's links may be what fails,
-     * and a crash would be reported to the whole fleet that never was.
+     * A server that refuses connections has crashed, unless the other servers that are checked don't accept any either:
+     * then this host's links may have failed, and a crash that never happened would be reported to the whole fleet.
      */
     async #checkServer(server: RegisteredServer): Promise<ServerLiveness> {
         const { checks, clock, random, view } = this.#parts;
@@ -120,7 +123,7 @@
         return states.includes("listening") ? "ended" : "unknown";
     }
 
-    /** Tells servers that ended with a request from those that lost only its connection. */
+    /** Finds out whether the server crashed or only the connection was lost, and reports a crash. */
     async #checkLost({ place: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult): Promise<void> {
         const { clock, log, metrics } = this.#parts;
         const { requestId, rules, route, callerAddress } = this.#request;
--- a/packages/edge/src/requests/workspaceGuard.ts
+++ b/packages/edge/src/requests/workspaceGuard.ts
@@ -4,11 +4,11 @@
 import { type EdgeRequest } from "./edgeRequest.js";
 import { type ExchangeDeps } from "./exchangeDeps.js";
 
-/** Time for which a request waits where the allocator of its workspace was lost, as a share of its objective and at most, in milliseconds. */
+/** How long a request waits if the allocator of its workspace's limit is lost: share of its objective, and maximum. */
 const heldShare = 0.5;
 const mostHeldMs = 1_500;
 
-/** Keeps one request to what its workspace may do: a key that is still held, and a limit that holds for all gateways together. */
+/** Enforces the workspace's rules for one request: a key that is still valid, and the rate limit over all gateways. */
 export class WorkspaceGuard {
     readonly #parts: ExchangeDeps;
     readonly #request: EdgeRequest;
@@ -22,7 +22,7 @@
         this.#signal = signal;
     }
 
-    /** What became of the caller's key since the request arrived, where that keeps it from being sent. */
+    /** Change of the caller's key since the request arrived that forbids sending it; `undefined` if there is none. */
     get keyChange(): KeyChange | undefined {
         return findKeyChange(this.#request.admission, this.#parts.view.configurationInForce?.workspaces);
     }
@@ -31,12 +31,12 @@
         return this.keyChange !== undefined;
     }
 
-    /** Whether the workspace has room for runs beyond the first: a hedge, or a retry of what may have run. */
+    /** Whether the workspace's limit leaves room for a hedge, or for the retry of a send that may have run. */
     get allowsExtraRuns(): boolean {
         return this.#plentiful;
     }
 
-    /** @returns why the request can't be admitted, `undefined` where it is, "abandoned" where nobody waits any more */
+    /** @returns `undefined` if the request is admitted, the rejection if not, "abandoned" if the request was aborted */
     async admit(): Promise<Exclude<Decision, { readonly type: "admitted"; }> | "abandoned" | undefined> {
         const { admission, version, requestId } = this.#request;
         const limit = admission.type === "known" ? admission.workspace.limit : undefined;
@@ -64,7 +64,7 @@
         return undefined;
     }
 
-    /** The request has ended: what never ran isn't counted against the workspace. */
+    /** Returns the token of a request that has ended and ran nowhere. */
     onEnded(ends: readonly SendEnd[], underWay: number): void {
         if (this.#token !== undefined && underWay === 0 && ends.every(({ type }) => type === "notRun")) {
             this.#parts.limits.giveBack(this.#token);
--- a/packages/edge/src/telemetry/boundedOutput.ts
+++ b/packages/edge/src/telemetry/boundedOutput.ts
@@ -1,8 +1,8 @@
 import { type Writable } from "node:stream";
 
 /**
- * Writes lines without ever waiting for their reader. A reader that falls behind would otherwise hold the process up,
- * and with it every request; so beyond a limit lines are left out, and how many is written once there is room.
+ * Writes lines to a stream without waiting for its reader. A slow reader would otherwise block the process and every
+ * request in it. Lines beyond the buffer limit are dropped, and their number is written once there is room.
  */
 export class BoundedOutput {
     readonly #stream: Writable;
@@ -14,7 +14,7 @@
         this.#limitBytes = limitBytes;
     }
 
-    /** @param line - ends with a line feed */
+    /** @param line - text that ends with a line feed */
     write(line: string): void {
         if (this.#stream.writableLength > this.#limitBytes) {
             this.#omitted++;
--- a/packages/edge/src/telemetry/edgeLog.ts
+++ b/packages/edge/src/telemetry/edgeLog.ts
@@ -1,7 +1,7 @@
 import { type LogFields, type Logger, type LogLevel } from "@galenaglade/telemetry";
 import { maxLogLinesPerSecond } from "../constants.js";
 
-/** Every event that an edge process logs. */
+/** Events that an edge process logs. */
 export type EdgeLogEvent =
     | "started"
     | "startTimeline"
@@ -59,8 +59,9 @@
 const oneSecondMs = 1_000;
 
 /**
- * The process's log: one line an event, with a budget a second for each kind, so that a flood of one kind neither costs
- * much nor hides another. What is left out is counted and said. Failed requests have a budget of their own.
+ * Log of the process, with one line per event. Each kind of event is rate-limited per second on its own, so that a
+ * flood of one kind stays cheap and doesn't hide another; failed requests are a kind of their own. The number of
+ * dropped lines is logged.
  */
 export class EdgeLog {
     readonly #logger: Logger;
--- a/packages/edge/src/telemetry/edgeMetrics.ts
+++ b/packages/edge/src/telemetry/edgeMetrics.ts
@@ -1,7 +1,7 @@
 import { type LimiterSnapshot } from "@galenaglade/rate-limit";
 import { type Metrics } from "@galenaglade/telemetry";
 
-/** Workspaces that are counted by name; further ones are counted together, so that names can't fill the memory. */
+/** Workspaces with a label value of their own; all others share one, which bounds the memory. */
 const mostNamedWorkspaces = 200;
 const otherWorkspaces = "other";
 
@@ -112,7 +112,7 @@
         this.#limitDecisions.add(1, { workspace: this.#label(workspace), decision });
     }
 
-    /** @param describe - says what this gateway keeps of the workspaces' limits */
+    /** @param describe - returns this gateway's state of the workspaces' limits */
     observeLimits(describe: () => LimiterSnapshot): void {
         const shares = this.#meter.createObservableGauge("galenaglade.limit_shares_held", {
             description: "part of each limit that other gateways have delegated to this one, by group of workspaces",
@@ -138,7 +138,7 @@
         return this.#namedWorkspaces.has(workspace) ? workspace : otherWorkspaces;
     }
 
-    /** @param end - `told`, or why the server told nothing */
+    /** @param end - `told`, or why the load probe failed */
     onLoadProbed(end: string): void {
         this.#asks.add(1, { end });
     }
--- a/packages/edge/src/telemetry/startTimeline.ts
+++ b/packages/edge/src/telemetry/startTimeline.ts
@@ -1,6 +1,6 @@
 import { type EdgeLog } from "./edgeLog.js";
 
-/** What a process reaches one after the other from its start to its first answer. */
+/** Phases of a process from its start to its first response, in the usual order. */
 export type StartPhase =
     | "programLoaded"
     | "portsOpen"
@@ -11,17 +11,18 @@
     | "firstSend"
     | "firstAnswer";
 
-/** Elapsed and processor time of a process. */
+/** Elapsed time and CPU time of a process. */
 export interface ProcessTimes {
-    /** Since the process began. */
+    /** Time since the process started, in milliseconds. */
     readonly uptimeMs: number;
-    /** Used by all of its threads since then. */
+    /** CPU time of all its threads since then, in milliseconds. */
     readonly cpuMs: number;
 }
 
 /**
- * When a process reached each phase of its start, and what processor time it had used by then. Written once, with the first
- * answer: after a stop of all hosts it says where callers' time went, in the program's start, the store, or the placement.
+ * Records when a process reached each phase of its start, and how much CPU time it had used by then. Logged once, with
+ * the first response: after an outage of all hosts it shows where callers' time went, whether into the start of the
+ * program, the store or the placement.
  */
 export class StartTimeline {
     readonly #log: EdgeLog;
@@ -30,15 +31,15 @@
     #ended = false;
 
     /**
-     * @param log - where the line goes
-     * @param readTimes - says how long the process has run; by default this process
+     * @param log - log of the process
+     * @param readTimes - reads the times of the process; by default of this one
      */
     constructor(log: EdgeLog, readTimes: () => ProcessTimes = readProcessTimes) {
         this.#log = log;
         this.#readTimes = readTimes;
     }
 
-    /** A phase was reached; only its first time counts. */
+    /** Records that a phase was reached; only the first call for each phase counts. */
     record(phase: StartPhase): void {
         if (this.#ended || this.#phases.has(phase)) {
             return;
