--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -120,7 +120,7 @@
             authority: req.headers.host ?? "",
             headers: req.rawHeaders,
             callerAddress: order?.caller ?? req.socket.remoteAddress ?? "",
-            order,
+            handover: order,
             bodyBytes: resolveBodyBytes(req),
         };
         return resolveEdgeRequest(head, configurationInForce, metadataCodec, random, nowMs).mapLeft(failure =>
