--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -14,18 +14,18 @@
 };
 
 /** Starts a gateway that is cut off from its servers, next to fake gateways. */
-async function startCutGateway(
+async function startCutOffGateway(
     t: TestContext,
-    ...conducts: readonly FakeGatewayBehavior[]
-): Promise<{ readonly fleet: FaultyLinkFleet; readonly helpers: readonly FakeGateway[]; }> {
+    ...behaviors: readonly FakeGatewayBehavior[]
+): Promise<{ readonly fleet: FaultyLinkFleet; readonly fakeGateways: readonly FakeGateway[]; }> {
     const fleet = await FaultyLinkFleet.start(t, 1);
-    const helpers: FakeGateway[] = [];
-    for (const i of conducts.keys()) {
-        helpers.push(await startFakeGateway(t, fleet.store, `helper-${i}`, busy));
+    const fakeGateways: FakeGateway[] = [];
+    for (const i of behaviors.keys()) {
+        fakeGateways.push(await startFakeGateway(t, fleet.store, `helper-${i}`, busy));
     }
     const { logs } = fleet.edgeOf(0);
     await eventually(
-        () => helpers.every(({ name }) => logs.some(line => line["name"] === name)),
+        () => fakeGateways.every(({ name }) => logs.some(line => line["name"] === name)),
         "the gateway knows the fake gateways",
     );
     fleet.cut(0, "reset");
@@ -33,43 +33,43 @@
         await fleet.send(0);
         return logs.some(line => line["to"] === "lost");
     }, "the gateway detects that its links are lost");
-    conducts.forEach((conduct, i) => {
-        const helper = helpers[i];
-        assert.ok(helper, "the fake gateway was started");
-        helper.requests.length = 0;
-        helper.behavior = conduct;
+    behaviors.forEach((behavior, i) => {
+        const fakeGateway = fakeGateways[i];
+        assert.ok(fakeGateway, "the fake gateway was started");
+        fakeGateway.requests.length = 0;
+        fakeGateway.behavior = behavior;
     });
-    return { fleet, helpers };
+    return { fleet, fakeGateways };
 }
 
 /** Time after a gateway's start in which requests need permits to look for servers, in milliseconds. */
-const startTurnsMs = 4_000;
+const startupPermitsMs = 4_000;
 
 const answered: FakeGatewayBehavior = { type: "answer", body: "from a helper" };
 
 // Guards against running a non-idempotent request twice: once the response is lost, it may have run.
 test("a non-idempotent request whose handover is cut off is neither retried nor reported as not run", async t => {
-    const { fleet, helpers } = await startCutGateway(t, { type: "lose" }, { type: "lose" });
+    const { fleet, fakeGateways } = await startCutOffGateway(t, { type: "lose" }, { type: "lose" });
     const { status } = await fleet.send(0, "POST");
     assert.ok(status === 502 || status === 504, `${status}`);
-    assert.equal(helpers.reduce((sum, { requests }) => sum + requests.length, 0), 1);
+    assert.equal(fakeGateways.reduce((sum, { requests }) => sum + requests.length, 0), 1);
 });
 
 // Guards against failing a request when a handover's connection is lost, although another gateway has time to run it.
 test("an idempotent request whose handover is cut off goes to another gateway", async t => {
     const loseFirst: FakeGatewayBehavior = { type: "loseFirst", lost: new Set() };
-    const { fleet, helpers } = await startCutGateway(t, loseFirst, loseFirst);
+    const { fleet, fakeGateways } = await startCutOffGateway(t, loseFirst, loseFirst);
     assert.equal((await fleet.send(0)).status, 200);
-    assert.deepEqual(helpers.map(({ requests }) => requests.length), [1, 1]);
+    assert.deepEqual(fakeGateways.map(({ requests }) => requests.length), [1, 1]);
 });
 
 // Guards against a gateway that hangs and holds every request that is handed over to it.
 test("an idempotent request whose handover gets no response goes to another gateway", async t => {
-    const { fleet, helpers } = await startCutGateway(t, { type: "freeze" }, { type: "freeze" });
+    const { fleet, fakeGateways } = await startCutOffGateway(t, { type: "freeze" }, { type: "freeze" });
     const waiting = fleet.send(0);
-    await eventually(() => helpers.some(({ requests }) => requests.length > 0), "the request is handed over");
-    for (const helper of helpers) {
-        helper.behavior = answered;
+    await eventually(() => fakeGateways.some(({ requests }) => requests.length > 0), "the request is handed over");
+    for (const fakeGateway of fakeGateways) {
+        fakeGateway.behavior = answered;
     }
     assert.equal((await waiting).status, 200);
 });
@@ -77,13 +77,13 @@
 // Guards against failures during an upgrade of the gateways: older versions fail the handover path like any unknown
 // path.
 test("a gateway whose version doesn't support handovers is skipped", async t => {
-    const { fleet } = await startCutGateway(t, { type: "unknownPath" }, { type: "unknownPath" }, answered);
+    const { fleet } = await startCutOffGateway(t, { type: "unknownPath" }, { type: "unknownPath" }, answered);
     assert.deepEqual([(await fleet.send(0, "POST")).status, (await fleet.send(0)).status], [200, 200]);
 });
 
 // Guards against failing a request because one gateway refuses it although another could run it.
 test("a gateway that refuses handovers is skipped, and its handover header doesn't reach the caller", async t => {
-    const { fleet } = await startCutGateway(t, busy, busy, answered);
+    const { fleet } = await startCutOffGateway(t, busy, busy, answered);
     const got = await fleet.send(0, "POST");
     assert.equal(got.status, 200);
     assert.equal(got.headers["galenaglade-handover"], undefined);
@@ -99,16 +99,16 @@
         retryAfterSeconds: 0.75,
         unreached: false,
     };
-    const { fleet, helpers } = await startCutGateway(t, { type: "verdict", status: "503 Full", verdict });
+    const { fleet, fakeGateways } = await startCutOffGateway(t, { type: "verdict", status: "503 Full", verdict });
     const got = await fleet.send(0, "POST");
-    assert.deepEqual([got.status, got.headers["retry-after"], helpers[0]?.requests.length], [503, "0.75", 1]);
+    assert.deepEqual([got.status, got.headers["retry-after"], fakeGateways[0]?.requests.length], [503, "0.75", 1]);
 });
 
 // Guards against metadata that grants more time or runs than are left: the other gateway acts on it.
 test("a handover carries the sending gateway, and the time and runs that are left", async t => {
-    const { fleet, helpers } = await startCutGateway(t, answered);
+    const { fleet, fakeGateways } = await startCutOffGateway(t, answered);
     await fleet.send(0);
-    const order = JSON.parse(helpers[0]?.requests[0]?.headers.get("galenaglade-handover") ?? "{}") as Record<
+    const order = JSON.parse(fakeGateways[0]?.requests[0]?.headers.get("galenaglade-handover") ?? "{}") as Record<
         string,
         unknown
     >;
@@ -122,7 +122,7 @@
 test("requests are rejected at once with a Retry-After when no gateway reaches a server", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     // Right after a start, requests wait for permits.
-    await sleep(startTurnsMs);
+    await sleep(startupPermitsMs);
     for (let i = 0; i < 3; i++) {
         fleet.cut(i, "hang");
     }
@@ -263,13 +263,13 @@
         caller: "",
     };
     for (const bad of [undefined, "{", "[]", JSON.stringify({ ...order, target: "http://elsewhere/" })]) {
-        const [status, mark] = await send(bad);
+        const [status, outcome] = await send(bad);
         assert.equal(status, 400);
-        assert.match(mark, /malformed/);
+        assert.match(outcome, /malformed/);
     }
-    const [status, mark] = await send(JSON.stringify(order));
+    const [status, outcome] = await send(JSON.stringify(order));
     assert.equal(status, 403);
-    assert.match(mark, /notRegistered/);
+    assert.match(outcome, /notRegistered/);
     assert.deepEqual(fleet.backends.flatMap(({ servedRequests }) => servedRequests()), []);
     const refusals = fleet.edgeOf(0).logs.filter(line => line["message"] === "handoverRefused");
     assert.deepEqual(refusals.map(line => line["reason"]), [...Array<string>(4).fill("malformed"), "notRegistered"]);
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -33,7 +33,7 @@
     };
 }
 
-function createInquiry(t: TestContext): { readonly inquiry: PlacementProber; readonly board: PlacementState; } {
+function createProber(t: TestContext): { readonly prober: PlacementProber; readonly board: PlacementState; } {
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
     const board = new PlacementState({
@@ -47,7 +47,7 @@
     const log = new EdgeLog(createJsonLogger({ process: "test", level: "error", write: () => undefined }), () => 0);
     const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
     return {
-        inquiry: new PlacementProber({
+        prober: new PlacementProber({
             board,
             metadataRecorder: notes,
             connections,
@@ -66,10 +66,10 @@
     const good = await startBackend(t, "good");
     const silent = await startBackend(t, "silent");
     silent.load = undefined;
-    const { inquiry } = createInquiry(t);
+    const { prober } = createProber(t);
     const servers = [createServer("silent", silent.raw.port), createServer("good", good.raw.port)];
     const beganAtMs = performance.now();
-    assert.equal(await inquiry.probe(rules, servers, 20_000), 1);
+    assert.equal(await prober.probe(rules, servers, 20_000), 1);
     assert.ok(performance.now() - beganAtMs < 10_000);
 });
 
@@ -78,9 +78,9 @@
     full.load = "3,9,3,1";
     const silent = await startBackend(t, "silent");
     silent.load = undefined;
-    const { inquiry, board } = createInquiry(t);
+    const { prober, board } = createProber(t);
     const servers = [createServer("silent", silent.raw.port), createServer("full", full.raw.port)];
-    assert.equal(await inquiry.probe(rules, servers, 200), 1);
+    assert.equal(await prober.probe(rules, servers, 200), 1);
     const nowMs = systemClock.monotonicMs();
     assert.ok(board.suspects.isSuspect("silent", nowMs));
     assert.ok(!board.suspects.isSuspect("full", nowMs));
@@ -104,15 +104,15 @@
     const server = createServer("a", port);
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
-    const question = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
+    const probe = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
     const connection = connections.open(server.address);
-    assert.equal((await probeServerLoad({ ...question, connection })).type, "told", "the connection is open now");
-    const asked = probeServerLoad({ ...question, connection });
+    assert.equal((await probeServerLoad({ ...probe, connection })).type, "told", "the connection is open now");
+    const response = probeServerLoad({ ...probe, connection });
     // Lets the probe go out, then blocks the event loop until long after the timeout.
     await new Promise(resolve => setImmediate(resolve));
     const untilMs = performance.now() + 600;
     while (performance.now() < untilMs) {
         // Blocks the event loop.
     }
-    assert.equal((await asked).type, "told");
+    assert.equal((await response).type, "told");
 });
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -10,7 +10,7 @@
 const bounds = { crashes: 3, settleMs: 3_000, retries: 3 };
 const servers = 6;
 
-interface DyingFleet {
+interface CrashingFleet {
     readonly store: MemoryStore;
     readonly servers: CrashingServers;
     readonly edges: readonly TestEdge[];
@@ -18,16 +18,16 @@
 }
 
 /** Starts gateways that share one store, in front of servers that crash on one path. */
-async function startDyingFleet(
+async function startCrashingFleet(
     t: TestContext,
     gateways: number,
     settings: { readonly firstTrialSeconds?: number; } = {},
-): Promise<DyingFleet> {
+): Promise<CrashingFleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    const dying = new CrashingServers(t, store);
+    const crashingServers = new CrashingServers(t, store);
     for (let i = 0; i < servers; i++) {
-        await dying.start();
+        await crashingServers.start();
     }
     const edges: TestEdge[] = [];
     const links: StoreLink[] = [];
@@ -41,11 +41,11 @@
         () => edges.every(({ logs }) => logs.filter(line => line["subject"] === "gateway").length >= gateways),
         "the gateways know each other",
     );
-    return { store, servers: dying, edges, links };
+    return { store, servers: crashingServers, edges, links };
 }
 
 /** Sends the request that crashes servers to one gateway after the other. */
-async function sendDeadly({ servers, edges }: DyingFleet, forMs: number, everyMs: number): Promise<void> {
+async function sendCrashing({ servers, edges }: CrashingFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
     for (let i = 0; performance.now() < untilMs; i++) {
@@ -59,8 +59,8 @@
 
 // With a bound on attempts alone, a request that crashes its server takes down as many servers as it has attempts.
 test("a request that crashes servers is quarantined by every gateway before it takes down more of them", async t => {
-    const fleet = await startDyingFleet(t, 3);
-    await sendDeadly(fleet, 7_000, 200);
+    const fleet = await startCrashingFleet(t, 3);
+    await sendCrashing(fleet, 7_000, 200);
     assert.deepEqual(checkQueryOfDeath(fleet.servers.history, bounds), []);
     const [edge] = fleet.edges;
     assert.ok(edge);
@@ -70,8 +70,8 @@
     );
 });
 
-async function whenQuarantined(fleet: DyingFleet, edges: readonly TestEdge[] = fleet.edges): Promise<void> {
-    await sendDeadly(fleet, 1_000, 150);
+async function whenQuarantined(fleet: CrashingFleet, edges: readonly TestEdge[] = fleet.edges): Promise<void> {
+    await sendCrashing(fleet, 1_000, 150);
     await eventually(
         () => edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
         "the gateways know the request",
@@ -86,7 +86,7 @@
 
 // With the response of an overload the caller would retry at once, and on-call would look for an overloaded service.
 test("a quarantined request is rejected at once with its own error, and the log names its crashes", async t => {
-    const fleet = await startDyingFleet(t, 2);
+    const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
     const endedBefore = fleet.servers.crashCount;
     const edge = at(fleet.edges, 1);
@@ -103,7 +103,7 @@
 
 // A gateway that lost the quarantine in a restart would let the request take down servers again.
 test("a gateway that has just started rejects requests that are already quarantined", async t => {
-    const fleet = await startDyingFleet(t, 2);
+    const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
     const endedBefore = fleet.servers.crashCount;
     await at(fleet.edges, 0).stop();
@@ -117,7 +117,7 @@
 });
 
 test("a gateway that was cut off from the store learns of a quarantine soon after it reconnects", async t => {
-    const fleet = await startDyingFleet(t, 3);
+    const fleet = await startCrashingFleet(t, 3);
     const [away, ...others] = fleet.edges;
     assert.ok(away);
     at(fleet.links, 0).cut = true;
@@ -133,7 +133,7 @@
 
 // Without the store a gateway gets no reports of others. Its own crashes must suffice, and be published afterwards.
 test("a gateway quarantines by its own crashes while the store is down, and reports them afterwards", async t => {
-    const fleet = await startDyingFleet(t, 2);
+    const fleet = await startCrashingFleet(t, 2);
     fleet.store.down = true;
     const [first, second] = fleet.edges;
     assert.ok(first && second);
@@ -150,7 +150,7 @@
 });
 
 test("a non-idempotent request that crashes servers is quarantined as well, and runs once at most", async t => {
-    const fleet = await startDyingFleet(t, 2);
+    const fleet = await startCrashingFleet(t, 2);
     for (let i = 0; i < 5; i++) {
         await fleet.servers.send(at(fleet.edges, i % 2), crashReturnPath, "filed");
         await sleep(300);
@@ -170,7 +170,7 @@
 
 // A popular read that was running on servers which crashed for another reason must not stay quarantined.
 test("a quarantined request is tried once soon, and is served again if it crashes no server any more", async t => {
-    const fleet = await startDyingFleet(t, 2, { firstTrialSeconds: 1 });
+    const fleet = await startCrashingFleet(t, 2, { firstTrialSeconds: 1 });
     await whenQuarantined(fleet);
     fleet.servers.crashesEnabled = false;
     await eventually(
--- a/packages/edge/src/__tests__/support/crashingServers.ts
+++ b/packages/edge/src/__tests__/support/crashingServers.ts
@@ -13,7 +13,7 @@
 } from "./testEdge.js";
 
 const runMs = 30;
-const backAfterMs = 400;
+const restartDelayMs = 400;
 
 /** Paths of requests that crash the server that runs them: an idempotent and a non-idempotent one. */
 export const crashPath = "/tables/deadly";
@@ -44,7 +44,7 @@
         const backend = await startBackend(this.t, id, req => {
             this.recordStarted(id, req);
             if (this.crashesEnabled && (req.path === crashPath || req.path === crashReturnPath)) {
-                void this.#end(id, req, () => backend.raw.stop());
+                void this.#crash(id, req, () => backend.raw.stop());
                 return;
             }
             req.socket.write(renderSignedResponse(req, "a table"));
@@ -70,11 +70,11 @@
         return got;
     }
 
-    async #end(id: string, req: RawRequest, stop: () => Promise<void>): Promise<void> {
+    async #crash(id: string, req: RawRequest, stop: () => Promise<void>): Promise<void> {
         await sleep(runMs);
         this.record({ type: "serverCrashed", requestId: req.headers.get("x-id") ?? "", server: id });
         await stop();
-        await sleep(backAfterMs);
+        await sleep(restartDelayMs);
         if (!this.#stopped) {
             this.store.remove(`servers/${id}`);
             await this.start();
--- a/packages/edge/src/__tests__/support/fakeGateway.ts
+++ b/packages/edge/src/__tests__/support/fakeGateway.ts
@@ -29,7 +29,7 @@
     t: TestContext,
     store: MemoryStore,
     name: string,
-    conduct: FakeGatewayBehavior,
+    behavior: FakeGatewayBehavior,
 ): Promise<FakeGateway> {
     const requests: RawRequest[] = [];
     const raw = await startRawBackend(t, req => {
@@ -43,34 +43,34 @@
             return;
         }
         requests.push(req);
-        act(req, helper.behavior);
+        act(req, gateway.behavior);
     });
-    const helper: FakeGateway = { name, requests, behavior: conduct };
+    const gateway: FakeGateway = { name, requests, behavior: behavior };
     store.put(
         `gateways/${name}`,
         JSON.stringify({ availabilityZone: "north", peers: `127.0.0.1:${raw.port}` }),
     );
-    return helper;
+    return gateway;
 }
 
-function act(req: RawRequest, conduct: FakeGatewayBehavior): void {
-    switch (conduct.type) {
+function act(req: RawRequest, behavior: FakeGatewayBehavior): void {
+    switch (behavior.type) {
         case "answer": {
             const verdict = JSON.stringify({ type: "answered", version: 1 });
-            req.socket.write(renderSignedResponse(req, conduct.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
+            req.socket.write(renderSignedResponse(req, behavior.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
             return;
         }
         case "verdict": {
-            const mark = `galenaglade-handover: ${JSON.stringify(conduct.verdict)}`;
-            req.socket.write(`HTTP/1.1 ${conduct.status}\r\ncontent-length: 0\r\n${mark}\r\n\r\n`);
+            const headerLine = `galenaglade-handover: ${JSON.stringify(behavior.verdict)}`;
+            req.socket.write(`HTTP/1.1 ${behavior.status}\r\ncontent-length: 0\r\n${headerLine}\r\n\r\n`);
             return;
         }
         case "unknownPath":
             req.socket.write("HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n");
             return;
         case "loseFirst":
-            act(req, conduct.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a helper" });
-            conduct.lost.add("first");
+            act(req, behavior.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a helper" });
+            behavior.lost.add("first");
             return;
         case "lose":
             req.socket.resetAndDestroy();
--- a/packages/edge/src/callers/callerConnections.ts
+++ b/packages/edge/src/callers/callerConnections.ts
@@ -17,7 +17,7 @@
 export class CallerConnections {
     readonly #states = new Map<Socket, ConnectionState>();
     #unanswered = 0;
-    #stopping = false;
+    #draining = false;
 
     /** Number of requests whose response is not complete. */
     get unanswered(): number {
@@ -58,7 +58,7 @@
      */
     closeIfDraining(req: IncomingMessage): boolean {
         const state = this.#states.get(req.socket);
-        if (!this.#stopping || state === undefined || state.latest !== req) {
+        if (!this.#draining || state === undefined || state.latest !== req) {
             return false;
         }
         state.closing = true;
@@ -81,7 +81,7 @@
 
     /** From now on, connections close with the last response that is due on them. */
     beginDrain(): void {
-        this.#stopping = true;
+        this.#draining = true;
     }
 
     /** Stops accepting connections, and closes the idle ones. */
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -33,60 +33,60 @@
 
 /** Handles requests of callers and handed-over requests, from arrival to the final response. */
 export class EdgeHandler extends HandoverHandler {
-    readonly #parts: EdgeHandlerDeps;
+    readonly #deps: EdgeHandlerDeps;
     /** Metadata of handed-over requests. */
-    readonly #orders = new WeakMap<ServerResponse, HandoverMetadata>();
+    readonly #handovers = new WeakMap<ServerResponse, HandoverMetadata>();
 
-    constructor(parts: EdgeHandlerDeps) {
+    constructor(deps: EdgeHandlerDeps) {
         super();
-        this.#parts = parts;
+        this.#deps = deps;
     }
 
     /** Handles one request of a caller; never throws. */
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { callerConnections, clock, view, timeline } = this.#parts;
+        const { callerConnections, clock, view, timeline } = this.#deps;
         if (!callerConnections.onRequest(req, res)) {
             return;
         }
         timeline.record("firstCaller");
         const arrivedAtMs = clock.monotonicMs();
         if (view.configurationInForce === undefined) {
-            void this.#holdUnread(req, res, arrivedAtMs);
+            void this.#holdUntilSynced(req, res, arrivedAtMs);
             return;
         }
-        this.#take(req, res, arrivedAtMs);
+        this.#accept(req, res, arrivedAtMs);
     }
 
-    override handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void {
-        const { callerConnections, clock } = this.#parts;
+    override handleHandover(req: IncomingMessage, res: ServerResponse, handover: HandoverMetadata): void {
+        const { callerConnections, clock } = this.#deps;
         if (!callerConnections.onRequest(req, res)) {
             return;
         }
-        this.#orders.set(res, order);
-        this.#take(req, res, clock.monotonicMs());
+        this.#handovers.set(res, handover);
+        this.#accept(req, res, clock.monotonicMs());
     }
 
     /** Holds a request until the first read of the store has finished. Its deadline isn't extended. */
-    async #holdUnread(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): Promise<void> {
-        const { log, firstReading, metadataCodec } = this.#parts;
+    async #holdUntilSynced(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): Promise<void> {
+        const { log, firstReading, metadataCodec } = this.#deps;
         const { requestId, patienceMs } = metadataCodec.readRequest(req.rawHeaders);
-        const admission = firstReading.admit(patienceMs);
-        if (admission.type === "hold") {
-            log.log("info", "heldAtStart", { requestId, patienceMs, forAtMostMs: Math.round(admission.forMs) });
-            await firstReading.wait(admission.forMs);
+        const decision = firstReading.admit(patienceMs);
+        if (decision.type === "hold") {
+            log.log("info", "heldAtStart", { requestId, patienceMs, forAtMostMs: Math.round(decision.forMs) });
+            await firstReading.wait(decision.forMs);
         }
         if (!res.destroyed) {
-            this.#take(req, res, arrivedAtMs);
+            this.#accept(req, res, arrivedAtMs);
         }
     }
 
-    #take(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): void {
-        const { log } = this.#parts;
-        const order = this.#orders.get(res);
-        const understood = this.#understand(req, order, arrivedAtMs);
-        understood.caseOf({
+    #accept(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): void {
+        const { log } = this.#deps;
+        const handover = this.#handovers.get(res);
+        const resolved = this.#resolve(req, handover, arrivedAtMs);
+        resolved.caseOf({
             Left: failure => {
-                if (order !== undefined) {
+                if (handover !== undefined) {
                     // The other gateway's configuration allows the request, so a third gateway's may allow it too.
                     refuseHandover(req, res, "noRoute", []);
                     return;
@@ -103,12 +103,12 @@
         });
     }
 
-    #understand(
+    #resolve(
         req: IncomingMessage,
-        order: HandoverMetadata | undefined,
+        handover: HandoverMetadata | undefined,
         nowMs: number,
     ): Either<Failure, EdgeRequest> {
-        const { view, metadataCodec, random } = this.#parts;
+        const { view, metadataCodec, random } = this.#deps;
         const { configurationInForce } = view;
         if (configurationInForce === undefined) {
             const retryAfterSeconds = drawRetryAfterSeconds("unread", 0, random);
@@ -116,23 +116,23 @@
         }
         const head = {
             method: req.method ?? "GET",
-            url: order?.target ?? req.url ?? "/",
+            url: handover?.target ?? req.url ?? "/",
             authority: req.headers.host ?? "",
             headers: req.rawHeaders,
-            callerAddress: order?.caller ?? req.socket.remoteAddress ?? "",
-            handover: order,
+            callerAddress: handover?.caller ?? req.socket.remoteAddress ?? "",
+            handover,
             bodyBytes: resolveBodyBytes(req),
         };
         return resolveEdgeRequest(head, configurationInForce, metadataCodec, random, nowMs).mapLeft(failure =>
-            this.#doubtAbsence(failure, nowMs)
+            this.#replaceIfStale(failure, nowMs)
         );
     }
 
     /** Doesn't reject a route or key as unknown while the state may be outdated: it may have been added meanwhile. */
-    #doubtAbsence(failure: Failure, nowMs: number): Failure {
-        const { view, random } = this.#parts;
-        const claimsAbsence = failure.kind === "noSuchService" || failure.kind === "unauthenticated";
-        if (!claimsAbsence || isStateFresh(view, nowMs)) {
+    #replaceIfStale(failure: Failure, nowMs: number): Failure {
+        const { view, random } = this.#deps;
+        const isLookupFailure = failure.kind === "noSuchService" || failure.kind === "unauthenticated";
+        if (!isLookupFailure || isStateFresh(view, nowMs)) {
             return failure;
         }
         const retryAfterSeconds = drawRetryAfterSeconds("noServer", 0, random);
@@ -140,7 +140,7 @@
     }
 
     async #serve(request: EdgeRequest, req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const { clock, stopDeadlineMs } = this.#parts;
+        const { clock, stopDeadlineMs } = this.#deps;
         const abort = new AbortController();
         const cutoffMs = Math.min(request.cutoffMs, stopDeadlineMs() ?? Infinity);
         const timer = setTimeout(() => abort.abort(cutoffReached), Math.max(0, cutoffMs - clock.monotonicMs()));
@@ -177,72 +177,72 @@
         req: IncomingMessage,
         res: ServerResponse,
     ): Promise<void> {
-        const { callerConnections, timeline, startGate } = this.#parts;
-        const pass = startGate.isActive
-            ? await startGate.acquire(this.#describeStart(request, req), signal)
+        const { callerConnections, timeline, startGate } = this.#deps;
+        const permit = startGate.isActive
+            ? await startGate.acquire(this.#createStartupRequest(request, req), signal)
             : undefined;
         let sink: CallerSink | undefined;
-        const exchange = new Exchange(this.#parts, request, body, signal, head => {
-            this.#markAnswered(res, request, exchange.respondingServerId);
+        const exchange = new Exchange(this.#deps, request, body, signal, head => {
+            this.#setAnsweredOutcome(res, request, exchange.respondingServerId);
             sink = new CallerSink(res, head, callerConnections.closeIfDraining(req));
             return sink;
-        }, () => pass?.onSent());
-        const end = this.#doubtEnd(await exchange.run().finally(() => pass?.onEnded()));
-        switch (end.type) {
+        }, () => permit?.onSent());
+        const result = this.#replaceResultIfStale(await exchange.run().finally(() => permit?.onEnded()));
+        switch (result.type) {
             case "answered":
-                this.#answer(request, end.response, exchange.respondingServerId, req, res);
+                this.#respond(request, result.response, exchange.respondingServerId, req, res);
                 break;
             case "streamed":
-                sink?.end(end.complete);
+                sink?.end(result.complete);
                 break;
             case "failed":
-                this.#fail(req, res, end.failure);
+                this.#fail(req, res, result.failure);
         }
-        if (end.type !== "failed") {
+        if (result.type !== "failed") {
             timeline.record("firstAnswer");
         }
-        this.#report(request, req, end, exchange, signal);
+        this.#report(request, req, result, exchange, signal);
     }
 
-    #describeStart({ arrivedAtMs, route, rules }: EdgeRequest, req: IncomingMessage): StartupRequest {
+    #createStartupRequest({ arrivedAtMs, route, rules }: EdgeRequest, req: IncomingMessage): StartupRequest {
         return {
             arrivedAtMs,
             objectiveMs: route.objectiveMs,
-            patienceMs: this.#parts.metadataCodec.readRequest(req.rawHeaders).patienceMs,
+            patienceMs: this.#deps.metadataCodec.readRequest(req.rawHeaders).patienceMs,
             route: route.name,
-            typicalLatencyMs: this.#parts.board.typicalLatency.of(rules.name, route.objectiveMs),
+            typicalLatencyMs: this.#deps.board.typicalLatency.of(rules.name, route.objectiveMs),
         };
     }
 
-    #doubtEnd(end: ExchangeResult): ExchangeResult {
-        return end.type === "failed"
-            ? { type: "failed", failure: this.#doubtAbsence(end.failure, this.#parts.clock.monotonicMs()) }
-            : end;
+    #replaceResultIfStale(result: ExchangeResult): ExchangeResult {
+        return result.type === "failed"
+            ? { type: "failed", failure: this.#replaceIfStale(result.failure, this.#deps.clock.monotonicMs()) }
+            : result;
     }
 
-    #answer(
+    #respond(
         request: EdgeRequest,
-        answer: BufferedResponse,
-        answeredBy: string | undefined,
+        response: BufferedResponse,
+        serverId: string | undefined,
         req: IncomingMessage,
         res: ServerResponse,
     ): void {
-        const { callerConnections } = this.#parts;
+        const { callerConnections } = this.#deps;
         if (res.destroyed) {
             return;
         }
         // A response that is framed by the end of its connection would cut off the responses behind it.
-        if (answer.endedByClose && !callerConnections.closeIfLast(req)) {
+        if (response.endedByClose && !callerConnections.closeIfLast(req)) {
             this.#fail(req, res, createFailure("truncatedAnswer", "the answer may be cut short"));
             return;
         }
-        this.#markAnswered(res, request, answeredBy);
-        writeResponse(res, request.method, answer, callerConnections.closeIfDraining(req));
+        this.#setAnsweredOutcome(res, request, serverId);
+        writeResponse(res, request.method, response, callerConnections.closeIfDraining(req));
     }
 
-    #markAnswered(res: ServerResponse, { version }: EdgeRequest, server: string | undefined): void {
-        if (this.#orders.has(res)) {
-            mark(res, { type: "answered", version, ...(server === undefined ? {} : { server }) });
+    #setAnsweredOutcome(res: ServerResponse, { version }: EdgeRequest, server: string | undefined): void {
+        if (this.#handovers.has(res)) {
+            setHandoverOutcome(res, { type: "answered", version, ...(server === undefined ? {} : { server }) });
         }
     }
 
@@ -250,36 +250,36 @@
         if (res.destroyed) {
             return;
         }
-        const order = this.#orders.get(res);
-        if (order !== undefined && !res.headersSent) {
+        const handover = this.#handovers.get(res);
+        if (handover !== undefined && !res.headersSent) {
             const { kind, detail, didRun, retryAfterSeconds } = resolveFailure(failure);
-            mark(res, {
+            setHandoverOutcome(res, {
                 type: "failed",
                 kind,
                 detail,
                 notRun: didRun === "no",
                 ...(retryAfterSeconds === undefined ? {} : { retryAfterSeconds }),
-                unreached: this.#parts.reachability.stateOf(order.service) !== "reached",
+                unreached: this.#deps.reachability.stateOf(handover.service) !== "reached",
             });
         }
         // An unread body would be parsed as the next request, so the connection is closed unless all of it was read.
-        writeFailure(res, failure, undefined, this.#parts.callerConnections.closeIfDraining(req) || !req.complete);
+        writeFailure(res, failure, undefined, this.#deps.callerConnections.closeIfDraining(req) || !req.complete);
     }
 
     #report(
         request: EdgeRequest,
         req: IncomingMessage,
-        end: ExchangeResult,
+        result: ExchangeResult,
         exchange: Exchange,
         signal: AbortSignal,
     ): void {
-        if (end.type === "failed") {
-            this.#reportFailure(req, request, end.failure, request.arrivedAtMs, { exchange, signal });
+        if (result.type === "failed") {
+            this.#reportFailure(req, request, result.failure, request.arrivedAtMs, { exchange, signal });
             return;
         }
-        const { clock, log, metrics } = this.#parts;
+        const { clock, log, metrics } = this.#deps;
         const tookMs = Math.round(clock.monotonicMs() - request.arrivedAtMs);
-        const outcome = end.type === "answered" ? String(end.response.status) : "streamed";
+        const outcome = result.type === "answered" ? String(result.response.status) : "streamed";
         if (request.handedOverBy === undefined) {
             metrics.onRequestEnded(request.route.name, outcome, tookMs);
             this.#countWorkspace(request, tookMs <= request.route.objectiveMs ? "inTime" : "late");
@@ -291,7 +291,7 @@
             requestId: request.requestId,
             route: request.route.name,
             service: request.rules.name,
-            workspace: nameWorkspace(request),
+            workspace: workspaceName(request),
             version: request.version,
             outcome,
             tookMs,
@@ -300,9 +300,9 @@
     }
 
     #countWorkspace(request: EdgeRequest, outcome: string): void {
-        const workspace = nameWorkspace(request);
+        const workspace = workspaceName(request);
         if (workspace !== undefined) {
-            this.#parts.metrics.onWorkspaceRequest(workspace, outcome);
+            this.#deps.metrics.onWorkspaceRequest(workspace, outcome);
         }
     }
 
@@ -311,9 +311,9 @@
         request: EdgeRequest | undefined,
         failure: Failure,
         arrivedAtMs: number,
-        more: { readonly exchange: Exchange; readonly signal: AbortSignal; } | undefined,
+        context: { readonly exchange: Exchange; readonly signal: AbortSignal; } | undefined,
     ): void {
-        const { clock, log, metrics, view, metadataCodec } = this.#parts;
+        const { clock, log, metrics, view, metadataCodec } = this.#deps;
         const nowMs = clock.monotonicMs();
         const { status, retryAfterSeconds } = resolveFailure(failure);
         const tookMs = Math.round(nowMs - arrivedAtMs);
@@ -330,15 +330,15 @@
             requestId: request?.requestId ?? metadataCodec.readRequest(req.rawHeaders).requestId,
             route: request?.route.name,
             service: request?.rules.name,
-            workspace: request && nameWorkspace(request),
+            workspace: request && workspaceName(request),
             version: request?.version ?? view.configurationInForce?.configuration.version,
             kind: failure.kind,
             detail: failure.detail,
             status,
             retryAfterSeconds,
             tookMs,
-            ...more?.exchange.describe(),
-            aborted: more?.signal.aborted === true ? String(more.signal.reason) : undefined,
+            ...context?.exchange.describe(),
+            aborted: context?.signal.aborted === true ? String(context.signal.reason) : undefined,
             sinceStoreMs: Math.round(nowMs - view.lastStoreContactMs),
             sinceCurrentMs: Math.round(nowMs - view.currentAsOfMs),
         });
@@ -346,11 +346,11 @@
 }
 
 /** Sets the handover header on a response to another gateway. */
-function mark(res: ServerResponse, verdict: HandoverOutcome): void {
-    res.setHeader(handoverHeader, renderHandoverHeader(verdict));
+function setHandoverOutcome(res: ServerResponse, outcome: HandoverOutcome): void {
+    res.setHeader(handoverHeader, renderHandoverHeader(outcome));
 }
 
-function nameWorkspace({ admission }: EdgeRequest): string | undefined {
+function workspaceName({ admission }: EdgeRequest): string | undefined {
     return admission.type === "known" ? admission.workspace.name : undefined;
 }
 
--- a/packages/edge/src/callers/responseWriter.ts
+++ b/packages/edge/src/callers/responseWriter.ts
@@ -11,24 +11,24 @@
  *
  * @param res - response to the caller
  * @param method - method of the request
- * @param answer - the server's response
+ * @param response - the server's response
  * @param close - whether to close the caller's connection after it
  */
-export function writeResponse(res: ServerResponse, method: string, answer: BufferedResponse, close: boolean): void {
-    const { status, headers, body } = answer;
+export function writeResponse(res: ServerResponse, method: string, response: BufferedResponse, close: boolean): void {
+    const { status, headers, body } = response;
     const hasBody = method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus;
     const kept = keepEndToEnd(
         headers,
         name => name === handoverHeader || (hasBody && name === "content-length"),
     );
-    if (answer.endedByClose) {
+    if (response.endedByClose) {
         // May be truncated: a content-length would make it look complete, so it keeps the server's framing.
         res.removeHeader("transfer-encoding");
     }
     else if (hasBody) {
         kept.push("content-length", String(body.length));
     }
-    if (close || answer.endedByClose) {
+    if (close || response.endedByClose) {
         kept.push("connection", "close");
     }
     res.writeHead(status, kept);
@@ -64,8 +64,8 @@
     }
 
     /** Resets the connection after a truncated response, which would otherwise look like a complete, shorter one. */
-    end(whole: boolean): void {
-        if (whole) {
+    end(complete: boolean): void {
+        if (complete) {
             this.#res.end();
             return;
         }
--- a/packages/edge/src/callers/startupGate.ts
+++ b/packages/edge/src/callers/startupGate.ts
@@ -12,18 +12,18 @@
 /** Limits how many requests look for a server at once during the first seconds of the process. */
 export class StartupGate {
     readonly #clock: Clock;
-    readonly #turns: StartupQueue<Waiter>;
+    readonly #queue: StartupQueue<Waiter>;
 
     /** @param clock - clock of the process; the first seconds begin with this call */
     constructor(clock: Clock) {
         this.#clock = clock;
-        this.#turns = new StartupQueue(clock.monotonicMs());
-        setTimeout(() => this.#takeTurns(), startupQueueMs).unref();
+        this.#queue = new StartupQueue(clock.monotonicMs());
+        setTimeout(() => this.#startReady(), startupQueueMs).unref();
     }
 
     /** Whether requests need a permit now. */
     get isActive(): boolean {
-        return this.#turns.isActive(this.#clock.monotonicMs());
+        return this.#queue.isActive(this.#clock.monotonicMs());
     }
 
     /**
@@ -34,37 +34,37 @@
      * @returns the permit; after an abort, one that counts for nothing
      */
     async acquire(request: StartupRequest, signal: AbortSignal): Promise<StartupPermit> {
-        let begin: Waiter = () => undefined;
-        const begun = new Promise<void>(resolve => {
-            begin = resolve;
+        let start: Waiter = () => undefined;
+        const started = new Promise<void>(resolve => {
+            start = resolve;
         });
-        this.#turns.enqueue(request, begin);
-        this.#takeTurns();
+        this.#queue.enqueue(request, start);
+        this.#startReady();
         // A request that is aborted while it waits goes on at once, so that its caller gets a response.
-        const leave = (): void => {
-            this.#turns.remove(begin);
-            begin();
+        const cancel = (): void => {
+            this.#queue.remove(start);
+            start();
         };
-        signal.addEventListener("abort", leave);
+        signal.addEventListener("abort", cancel);
         if (signal.aborted) {
-            leave();
+            cancel();
         }
-        await begun;
-        signal.removeEventListener("abort", leave);
+        await started;
+        signal.removeEventListener("abort", cancel);
         return {
             onSent: () => {
-                this.#turns.onSent(begin);
-                this.#takeTurns();
+                this.#queue.onSent(start);
+                this.#startReady();
             },
             onEnded: () => {
-                this.#turns.onEnded(begin);
-                this.#takeTurns();
+                this.#queue.onEnded(start);
+                this.#startReady();
             },
         };
     }
 
-    #takeTurns(): void {
-        for (const { item } of this.#turns.takeReady(this.#clock.monotonicMs())) {
+    #startReady(): void {
+        for (const { item } of this.#queue.takeReady(this.#clock.monotonicMs())) {
             item();
         }
     }
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -31,7 +31,7 @@
 export class ExchangeHandover {
     readonly #input: ExchangeHandoverInput;
     readonly #tried = new Set<string>();
-    #runsGiven = 0;
+    #extraRuns = 0;
     #failure: Failure | undefined;
 
     constructor(input: ExchangeHandoverInput) {
@@ -58,7 +58,7 @@
 
     /** Runs that were allowed to other gateways beyond the one that each handover counts as. */
     get extraRuns(): number {
-        return this.#runsGiven;
+        return this.#extraRuns;
     }
 
     /** @returns a gateway that has not had the request yet; `undefined` if there is none */
@@ -74,24 +74,24 @@
     /**
      * Hands the request over.
      *
-     * @param helper - gateway that gets it
+     * @param gateway - gateway that gets it
      * @param runsLeft - number of servers on which the request may still run
      */
-    start(helper: RegisteredGateway, runsLeft: number): StartedHandover {
+    start(gateway: RegisteredGateway, runsLeft: number): StartedHandover {
         const { deps, request, body, mayWrite, openSink } = this.#input;
         const { peerConnections, metadataCodec, reachability } = deps;
         const { route, requestId, method, headers } = request;
-        this.#tried.add(helper.name);
+        this.#tried.add(gateway.name);
         // One run is kept in reserve for a retry, in case the connection to that gateway is lost.
         const runs = route.idempotent ? Math.max(1, runsLeft - 1) : Math.max(1, runsLeft);
-        this.#runsGiven += runs - 1;
-        const end = reachability.handoverTargets.trackRequest(helper.name);
+        this.#extraRuns += runs - 1;
+        const endTracking = reachability.handoverTargets.trackRequest(gateway.name);
         const connection = route.idempotent
-            ? peerConnections.acquire(helper.name, helper.peerAddress)
-            : peerConnections.open(helper.peerAddress);
+            ? peerConnections.acquire(gateway.name, gateway.peerAddress)
+            : peerConnections.open(gateway.peerAddress);
         const handover = handOver({
             connection,
-            metadata: this.#createOrder(runs),
+            metadata: this.#createMetadata(runs),
             method,
             headers,
             body,
@@ -103,14 +103,14 @@
             openSink,
         });
         const result = handover.result.then(ended => {
-            end();
-            this.#onEnded(helper, connection, runs, ended);
+            endTracking();
+            this.#onEnded(gateway, connection, runs, ended);
             return ended;
         });
         return { handover, result };
     }
 
-    #createOrder(runs: number): HandoverMetadata {
+    #createMetadata(runs: number): HandoverMetadata {
         const { deps: { name, clock, view, configVersionWatermark }, request } = this.#input;
         const { url, rules, arrivedAtMs, cutoffMs, callerAddress } = request;
         const nowMs = clock.monotonicMs();
@@ -127,46 +127,46 @@
         };
     }
 
-    #onEnded(helper: RegisteredGateway, connection: ServerConnection, runs: number, ended: HandoverResult): void {
+    #onEnded(gateway: RegisteredGateway, connection: ServerConnection, runs: number, ended: HandoverResult): void {
         const { peerConnections, clock, log, metrics, configVersionWatermark } = this.#input.deps;
         const { requestId, rules: { name: service } } = this.#input.request;
         const nowMs = clock.monotonicMs();
-        const { end, outcome: verdict, failure } = ended;
-        if (verdict === undefined && end.type !== "notRun") {
+        const { end, outcome, failure } = ended;
+        if (outcome === undefined && end.type !== "notRun") {
             connection.destroy();
         }
         else {
-            peerConnections.release(helper.name, connection, { after: "request", nowMs });
+            peerConnections.release(gateway.name, connection, { after: "request", nowMs });
         }
         if (end.type === "notRun") {
-            this.#runsGiven -= runs - 1;
+            this.#extraRuns -= runs - 1;
         }
-        if (verdict?.type === "answered") {
-            configVersionWatermark.advance(verdict.version);
-            this.#note(verdict.server, ended, nowMs);
+        if (outcome?.type === "answered") {
+            configVersionWatermark.advance(outcome.version);
+            this.#recordMetadata(outcome.server, ended, nowMs);
         }
         this.#failure = failure ?? this.#failure;
-        this.#learn(helper.name, ended, nowMs);
-        const outcome = describeOutcome(ended);
-        metrics.onHandedOver(service, outcome);
+        this.#updateReachability(gateway.name, ended, nowMs);
+        const label = describeOutcome(ended);
+        metrics.onHandedOver(service, label);
         log.log("info", "handedOver", {
             requestId,
             service,
-            to: helper.name,
-            end: outcome,
+            to: gateway.name,
+            end: label,
             tookMs: Math.round(ended.tookMs),
         });
     }
 
     /** Records the server's metadata (limits, back-off, shutdown) in a response that came through another gateway. */
-    #note(serverId: string | undefined, { metadata, tookMs }: HandoverResult, nowMs: number): void {
+    #recordMetadata(serverId: string | undefined, { metadata, tookMs }: HandoverResult, nowMs: number): void {
         const { metadataRecorder, view } = this.#input.deps;
         const { requestId, rules } = this.#input.request;
         const server = view.readyServers(rules.name, nowMs).find(({ id }) => id === serverId);
         if (server !== undefined && metadata !== undefined) {
             metadataRecorder.record({
                 server,
-                metadata: metadata,
+                metadata,
                 source: { answered: "request", sentAtMs: nowMs - tookMs },
                 requestId,
                 nowMs,
@@ -175,46 +175,46 @@
     }
 
     /** Updates whether that gateway reaches the service, from the result of the handover. */
-    #learn(helper: string, { end, outcome: verdict }: HandoverResult, nowMs: number): void {
+    #updateReachability(gateway: string, { end, outcome }: HandoverResult, nowMs: number): void {
         const { reachability: { handoverTargets } } = this.#input.deps;
         const service = this.#input.request.rules.name;
-        if (verdict === undefined) {
+        if (outcome === undefined) {
             if (end.type !== "abandoned") {
-                handoverTargets.onUnresponsive(helper, nowMs);
+                handoverTargets.onUnresponsive(gateway, nowMs);
             }
             return;
         }
-        switch (verdict.type) {
+        switch (outcome.type) {
             case "answered":
-                handoverTargets.onReachability(service, helper, true, nowMs);
+                handoverTargets.onReachability(service, gateway, true, nowMs);
                 break;
             case "refused":
-                if (verdict.reason !== "busy") {
-                    handoverTargets.onReachability(service, helper, false, nowMs);
+                if (outcome.reason !== "busy") {
+                    handoverTargets.onReachability(service, gateway, false, nowMs);
                 }
-                handoverTargets.onSuggested(service, verdict.named, nowMs);
+                handoverTargets.onSuggested(service, outcome.named, nowMs);
                 break;
             case "failed":
-                if (verdict.unreached) {
-                    handoverTargets.onReachability(service, helper, false, nowMs);
+                if (outcome.unreached) {
+                    handoverTargets.onReachability(service, gateway, false, nowMs);
                 }
         }
     }
 }
 
 /** @returns whether no server got the request, so that another handover doesn't count as a retry */
-export function hasReachedNoServer({ end, outcome: verdict }: HandoverResult): boolean {
-    return end.type === "notRun" && (verdict?.type !== "failed" || verdict.unreached);
+export function hasReachedNoServer({ end, outcome }: HandoverResult): boolean {
+    return end.type === "notRun" && (outcome?.type !== "failed" || outcome.unreached);
 }
 
 function describeOutcome(
-    { end, outcome: handoverOutcome }: { readonly end: SendEnd; readonly outcome: HandoverResult["outcome"]; },
+    { end, outcome }: { readonly end: SendEnd; readonly outcome: HandoverResult["outcome"]; },
 ): string {
-    switch (handoverOutcome?.type) {
+    switch (outcome?.type) {
         case "refused":
-            return `refused: ${handoverOutcome.reason}`;
+            return `refused: ${outcome.reason}`;
         case "failed":
-            return `failed: ${handoverOutcome.kind}`;
+            return `failed: ${outcome.kind}`;
         default:
             return describeSendEnd(end);
     }
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -69,15 +69,15 @@
         metadataReader: reader,
         maxBufferedBytes: heldBytes,
         mayWrite,
-        openSink: head => reader.verdict?.type === "answered" ? input.openSink(strip(head)) : undefined,
+        openSink: head => reader.outcome?.type === "answered" ? input.openSink(stripHandoverHeader(head)) : undefined,
     });
-    return { result: send.result.then(result => resolveResult(result, reader.verdict)), abandon: () => send.abandon() };
+    return { result: send.result.then(result => resolveResult(result, reader.outcome)), abandon: () => send.abandon() };
 }
 
 /** Reads the head of a response from another gateway: a server's that it passes on, or its own. */
 class HandoverReader extends ResponseMetadataReader {
     readonly #input: HandoverInput;
-    verdict: HandoverOutcome | undefined;
+    outcome: HandoverOutcome | undefined;
 
     constructor(input: HandoverInput) {
         super();
@@ -85,15 +85,15 @@
     }
 
     override readResponse(status: number, headers: RawHeaders): ResponseMetadata {
-        this.verdict = parseHandoverOutcome(findHeader(headers, handoverHeader));
-        if (this.verdict?.type === "answered") {
+        this.outcome = parseHandoverOutcome(findHeader(headers, handoverHeader));
+        if (this.outcome?.type === "answered") {
             return this.#input.metadataReader.readResponse(status, headers);
         }
         return {
             requestId: this.#input.requestId,
             signed: false,
             // Older gateways, which don't support handovers, fail requests on this path without running them.
-            notRun: this.verdict?.type !== "failed" || this.verdict.notRun,
+            notRun: this.outcome?.type !== "failed" || this.outcome.notRun,
             serverId: undefined,
             load: undefined,
             coldRemainingMs: 0,
@@ -105,22 +105,22 @@
     }
 }
 
-function resolveResult(result: SendResult, verdict: HandoverOutcome | undefined): HandoverResult {
-    if (verdict?.type === "failed" && result.end.type !== "abandoned") {
-        const { kind, detail, notRun, retryAfterSeconds } = verdict;
+function resolveResult(result: SendResult, outcome: HandoverOutcome | undefined): HandoverResult {
+    if (outcome?.type === "failed" && result.end.type !== "abandoned") {
+        const { kind, detail, notRun, retryAfterSeconds } = outcome;
         const failure = createFailure(kind, detail, retryAfterSeconds === undefined ? {} : { retryAfterSeconds });
         const end = notRun ? result.end : { type: "unknown", reason: "connectionLost" } as const;
-        return { ...result, end, response: undefined, outcome: verdict, failure };
+        return { ...result, end, response: undefined, outcome, failure };
     }
     const { response } = result;
     return {
         ...result,
-        response: response && { ...response, ...strip(response) },
-        outcome: verdict,
+        response: response && { ...response, ...stripHandoverHeader(response) },
+        outcome,
         failure: undefined,
     };
 }
 
-function strip(head: ResponseHead): ResponseHead {
+function stripHandoverHeader(head: ResponseHead): ResponseHead {
     return { ...head, headers: keepEndToEnd(head.headers, name => name === handoverHeader) };
 }
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -14,12 +14,12 @@
     renderHandoverHeader,
 } from "./handoverMessages.js";
 
-type Refusal = typeof handoverRefusalReasons[number];
+type RefusalReason = typeof handoverRefusalReasons[number];
 
 /** Handles requests that were handed over and admitted. */
 export abstract class HandoverHandler {
     /** Handles one request; never throws. */
-    abstract handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void;
+    abstract handleHandover(req: IncomingMessage, res: ServerResponse, metadata: HandoverMetadata): void;
 }
 
 /** Dependencies of a {@link HandoverServer}. */
@@ -33,7 +33,7 @@
     readonly isStopping: () => boolean;
 }
 
-const statuses: Readonly<Record<Refusal, number>> = {
+const refusalStatuses: Readonly<Record<RefusalReason, number>> = {
     malformed: 400,
     notRegistered: 403,
     busy: 503,
@@ -45,36 +45,36 @@
 
 /** Admits requests that registered gateways hand over, while this gateway reaches the service and has capacity. */
 export class HandoverServer {
-    readonly #parts: HandoverServerDeps;
-    #underWay = 0;
+    readonly #deps: HandoverServerDeps;
+    #inFlight = 0;
 
-    constructor(parts: HandoverServerDeps) {
-        this.#parts = parts;
+    constructor(deps: HandoverServerDeps) {
+        this.#deps = deps;
     }
 
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { handler, metrics } = this.#parts;
-        const order = parseHandoverMetadata(findHeader(req.rawHeaders, handoverHeader));
-        const refusal = order === undefined ? "malformed" : this.#findRefusal(req, order);
-        if (order === undefined || refusal !== undefined) {
-            this.#refuse(req, res, order, refusal ?? "malformed");
+        const { handler, metrics } = this.#deps;
+        const metadata = parseHandoverMetadata(findHeader(req.rawHeaders, handoverHeader));
+        const refusal = metadata === undefined ? "malformed" : this.#findRefusal(req, metadata);
+        if (metadata === undefined || refusal !== undefined) {
+            this.#refuse(req, res, metadata, refusal ?? "malformed");
             return;
         }
         metrics.onHandoverReceived("taken");
-        this.#underWay++;
-        res.once("close", () => this.#underWay--);
-        handler.handleHandover(req, res, order);
+        this.#inFlight++;
+        res.once("close", () => this.#inFlight--);
+        handler.handleHandover(req, res, metadata);
     }
 
-    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverMetadata): Refusal | undefined {
-        const { view, reachability, isStopping } = this.#parts;
+    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverMetadata): RefusalReason | undefined {
+        const { view, reachability, isStopping } = this.#deps;
         if (!this.#isRegistered(from, req.socket.remoteAddress ?? "")) {
             return "notRegistered";
         }
         if (isStopping()) {
             return "stopping";
         }
-        if (this.#underWay >= maxIncomingHandovers) {
+        if (this.#inFlight >= maxIncomingHandovers) {
             return "busy";
         }
         if ((view.configurationInForce?.configuration.version ?? -1) < version) {
@@ -89,23 +89,28 @@
      */
     #isRegistered(from: string, remoteAddress: string): boolean {
         const address = remoteAddress.replace(/^::ffff:/, "");
-        return this.#parts.view.registeredGateways().some(({ name, peerAddress }) =>
+        return this.#deps.view.registeredGateways().some(({ name, peerAddress }) =>
             name === from && peerAddress.host === address
         );
     }
 
-    #refuse(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata | undefined, reason: Refusal): void {
-        const { log, metrics, reachability, clock } = this.#parts;
+    #refuse(
+        req: IncomingMessage,
+        res: ServerResponse,
+        metadata: HandoverMetadata | undefined,
+        reason: RefusalReason,
+    ): void {
+        const { log, metrics, reachability, clock } = this.#deps;
         metrics.onHandoverReceived(reason);
         log.log(reason === "malformed" || reason === "notRegistered" ? "warn" : "info", "handoverRefused", {
-            from: order?.from,
+            from: metadata?.from,
             address: req.socket.remoteAddress,
-            service: order?.service,
+            service: metadata?.service,
             reason,
         });
-        const named = order === undefined
+        const named = metadata === undefined
             ? []
-            : reachability.handoverTargets.suggest(order.service, clock.monotonicMs());
+            : reachability.handoverTargets.suggest(metadata.service, clock.monotonicMs());
         refuseHandover(req, res, reason, named);
     }
 }
@@ -121,10 +126,10 @@
 export function refuseHandover(
     req: IncomingMessage,
     res: ServerResponse,
-    reason: Refusal,
+    reason: RefusalReason,
     named: readonly string[],
 ): void {
-    res.writeHead(statuses[reason], {
+    res.writeHead(refusalStatuses[reason], {
         [handoverHeader]: renderHandoverHeader({ type: "refused", reason, named }),
         "content-length": 0,
         // The rest of an unread body would be parsed as the next request.
--- a/packages/edge/src/quarantine/crashReportSync.ts
+++ b/packages/edge/src/quarantine/crashReportSync.ts
@@ -26,44 +26,44 @@
 
 /** Synchronizes the ledger of crashes with the store: publishes this gateway's report and reads the others'. */
 export class CrashReportSync {
-    readonly #parts: CrashReportSyncDeps;
+    readonly #deps: CrashReportSyncDeps;
     readonly #ledger: CrashLedger;
-    #adopted = false;
-    #changesSeen = 0;
+    #isRestored = false;
+    #seenReportsVersion = 0;
     #writing = false;
-    #mustWrite = false;
+    #isDirty = false;
     #stopped = false;
     /** Revision of this gateway's report in the store. */
     #revision = 0;
     /** Store term in which the report was last written or read. */
     #term = 0;
 
-    constructor(parts: CrashReportSyncDeps) {
-        this.#parts = parts;
-        this.#ledger = new CrashLedger(parts.name, parts.trialAfterMs);
+    constructor(deps: CrashReportSyncDeps) {
+        this.#deps = deps;
+        this.#ledger = new CrashLedger(deps.name, deps.trialAfterMs);
     }
 
     /** Called when the fleet view has changed. */
     onChange(): void {
-        const { view, name, clock } = this.#parts;
+        const { view, name, clock } = this.#deps;
         const reports = view.crashReports;
         if (view.term !== this.#term) {
             this.#term = view.term;
-            this.#writeAgain();
+            this.#publishAgain();
         }
-        if (view.crashReportsVersion === this.#changesSeen) {
+        if (view.crashReportsVersion === this.#seenReportsVersion) {
             return;
         }
-        this.#changesSeen = view.crashReportsVersion;
+        this.#seenReportsVersion = view.crashReportsVersion;
         const own = reports.get(name);
-        if (own !== undefined && !this.#adopted) {
+        if (own !== undefined && !this.#isRestored) {
             this.#ledger.restore(own.report, clock.epochMs());
         }
-        this.#adopted = true;
+        this.#isRestored = true;
         this.#revision = Math.max(this.#revision, own?.revision ?? 0);
-        const mustTell = this.#ledger.onReports(reports, clock.epochMs());
+        const mustPublish = this.#ledger.onReports(reports, clock.epochMs());
         this.#logChanges();
-        if (mustTell) {
+        if (mustPublish) {
             this.#publish();
         }
     }
@@ -73,13 +73,13 @@
     }
 
     /** Publishes again after the store was restored from an older copy, which may lack this gateway's report. */
-    #writeAgain(): void {
+    #publishAgain(): void {
         if (this.#revision > 0) {
-            setTimeout(() => this.#publish(), rewriteSpreadMs * this.#parts.random.next()).unref();
+            setTimeout(() => this.#publish(), rewriteSpreadMs * this.#deps.random.next()).unref();
         }
     }
 
-    /** @returns the ledger's present mark, to be passed back with the end of a send that begins now */
+    /** @returns the ledger's present version, to be passed back with the end of a send that begins now */
     ledgerVersion(): number {
         return this.#ledger.version();
     }
@@ -91,7 +91,7 @@
 
     /** @returns whether requests with this content may be sent now */
     checkContent(contentId: string): ContentStatus {
-        const { view, clock } = this.#parts;
+        const { view, clock } = this.#deps;
         return this.#ledger.checkContent(contentId, {
             gateways: view.gatewayNames(clock.monotonicMs()),
             epochMs: clock.epochMs(),
@@ -100,13 +100,13 @@
 
     /** Begins the trial of a quarantined request on one server. @returns function that ends the trial */
     beginTrial(contentId: string): () => void {
-        this.#parts.log.log("info", "quarantineTrial", { contentId });
+        this.#deps.log.log("info", "quarantineTrial", { contentId });
         return this.#ledger.beginTrial(contentId);
     }
 
     /** Records that a server crashed while it ran a request. */
     onCrash(crash: Omit<Crash, "epochMs">): void {
-        const changed = this.#ledger.onCrash({ ...crash, epochMs: this.#parts.clock.epochMs() });
+        const changed = this.#ledger.onCrash({ ...crash, epochMs: this.#deps.clock.epochMs() });
         this.#logChanges();
         if (changed) {
             this.#publish();
@@ -114,16 +114,16 @@
     }
 
     /** Records that a server served a request with crashes on record. */
-    onServed(contentId: string, mark: number): void {
-        const mustTell = this.#ledger.onServed(contentId, mark, this.#parts.clock.epochMs());
+    onServed(contentId: string, ledgerVersion: number): void {
+        const mustPublish = this.#ledger.onServed(contentId, ledgerVersion, this.#deps.clock.epochMs());
         this.#logChanges();
-        if (mustTell) {
+        if (mustPublish) {
             this.#publish();
         }
     }
 
     #publish(): void {
-        this.#mustWrite = true;
+        this.#isDirty = true;
         if (!this.#writing) {
             this.#writing = true;
             void this.#writeAll().finally(() => {
@@ -135,21 +135,21 @@
     /** Writes until the store has the newest report, with exponential back-off and jitter after failures. */
     async #writeAll(): Promise<void> {
         let failures = 0;
-        while (this.#mustWrite && !this.#stopped) {
-            this.#mustWrite = false;
+        while (this.#isDirty && !this.#stopped) {
+            this.#isDirty = false;
             if (await this.#write()) {
                 failures = 0;
                 continue;
             }
-            this.#mustWrite = true;
-            const limitMs = Math.min(maxStoreBackoffMs, initialStoreBackoffMs * 2 ** failures);
+            this.#isDirty = true;
+            const maxDelayMs = Math.min(maxStoreBackoffMs, initialStoreBackoffMs * 2 ** failures);
             failures++;
-            await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
+            await sleep(maxDelayMs * (1 + this.#deps.random.next()) / 2);
         }
     }
 
     async #write(): Promise<boolean> {
-        const { store, codec, name, log, metrics } = this.#parts;
+        const { store, codec, name, log, metrics } = this.#deps;
         const written = await store.compareAndSwap({
             key: codec.crashReportKey(name),
             expectedRevision: this.#revision,
@@ -163,7 +163,7 @@
             },
             Right: outcome => {
                 // Reports that are read from the store from now on were written by this process.
-                this.#adopted = true;
+                this.#isRestored = true;
                 metrics.onStoreCall("crashReport", outcome.swapped ? "answered" : "conflict");
                 this.#revision = outcome.swapped ? outcome.revision : outcome.current?.modifiedRevision ?? 0;
                 return outcome.swapped;
@@ -172,7 +172,7 @@
     }
 
     #logChanges(): void {
-        const { log, metrics, view, clock } = this.#parts;
+        const { log, metrics, view, clock } = this.#deps;
         for (const { contentId, state, strikes, generations } of this.#ledger.takeChanges()) {
             const sinceStoreMs = Math.round(clock.monotonicMs() - view.lastStoreContactMs);
             log.log("warn", "contentJudged", { contentId, state, strikes, generations, sinceStoreMs });
--- a/packages/edge/src/quarantine/quarantineGuard.ts
+++ b/packages/edge/src/quarantine/quarantineGuard.ts
@@ -5,62 +5,62 @@
 import { type LazyContentId } from "../requests/lazyContentId.js";
 import { type CrashReportSync } from "./crashReportSync.js";
 
-const firstErrorStatus = 500;
+const firstServerErrorStatus = 500;
 
 /** Keeps a request away from servers if requests with its content have crashed them, and records how its sends end. */
 export class QuarantineGuard {
-    readonly #reports: CrashReportSync;
-    readonly #content: LazyContentId;
+    readonly #crashReports: CrashReportSync;
+    readonly #contentId: LazyContentId;
     #endTrial: (() => void) | undefined;
 
-    constructor(reports: CrashReportSync, content: LazyContentId) {
-        this.#reports = reports;
-        this.#content = content;
+    constructor(crashReports: CrashReportSync, contentId: LazyContentId) {
+        this.#crashReports = crashReports;
+        this.#contentId = contentId;
     }
 
     /** Decides once, on arrival. @returns whether the request may be sent at all */
     admit(): boolean {
-        const verdict = this.#judge();
-        if (verdict?.state === "trial") {
-            this.#endTrial = this.#reports.beginTrial(this.#content.contentId);
+        const status = this.#currentStatus();
+        if (status?.state === "trial") {
+            this.#endTrial = this.#crashReports.beginTrial(this.#contentId.contentId);
         }
-        return verdict?.state !== "quarantined";
+        return status?.state !== "quarantined";
     }
 
     /** @returns whether the request may be sent at this moment */
     maySend(): boolean {
-        return this.#endTrial !== undefined || this.#judge()?.state !== "quarantined";
+        return this.#endTrial !== undefined || this.#currentStatus()?.state !== "quarantined";
     }
 
     /** @returns whether the request may be sent to one more server after the connection to another was lost */
     mayRetry(): boolean {
-        return this.#endTrial === undefined && (this.#judge()?.strikes ?? 0) < singleSendStrikeThreshold;
+        return this.#endTrial === undefined && (this.#currentStatus()?.strikes ?? 0) < singleSendStrikeThreshold;
     }
 
     /** @returns whether the request may be hedged */
     mayHedge(): boolean {
-        return this.#judge() === undefined;
+        return this.#currentStatus() === undefined;
     }
 
     /** Time after which the caller may retry, in milliseconds, if the request is quarantined or on trial. */
     get retryAfterMs(): number | undefined {
-        const verdict = this.#judge();
-        return verdict?.state === "quarantined" || verdict?.state === "trial" ? verdict.retryAfterMs : undefined;
+        const status = this.#currentStatus();
+        return status?.state === "quarantined" || status?.state === "trial" ? status.retryAfterMs : undefined;
     }
 
     /** Whether a liveness check has to end before the next send, since one more crash would forbid it. */
     get mustAwaitLivenessCheck(): boolean {
-        return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
+        return (this.#currentStatus()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
     }
 
-    /** @returns the crash ledger's mark, taken when a send begins */
+    /** @returns the crash ledger's version, taken when a send begins */
     ledgerVersion(): number {
-        return this.#reports.ledgerVersion();
+        return this.#crashReports.ledgerVersion();
     }
 
-    onSendEnded(end: SendEnd, mark: number): void {
-        if (end.type === "answered" && end.status < firstErrorStatus && this.#isKnown()) {
-            this.#reports.onServed(this.#content.contentId, mark);
+    onSendEnded(end: SendEnd, ledgerVersion: number): void {
+        if (end.type === "answered" && end.status < firstServerErrorStatus && this.#mayHaveRecord()) {
+            this.#crashReports.onServed(this.#contentId.contentId, ledgerVersion);
         }
     }
 
@@ -68,14 +68,14 @@
      * Records a crash if the server has ended.
      *
      * @param state - result of the liveness check
-     * @param mark - the crash ledger's mark when the send began
+     * @param ledgerVersion - the crash ledger's version when the send began
      */
-    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, mark: number): void {
+    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, ledgerVersion: number): void {
         if (state === "ended") {
-            this.#reports.onCrash({
-                contentId: this.#content.contentId,
+            this.#crashReports.onCrash({
+                contentId: this.#contentId.contentId,
                 incarnation: `${id}@${startedAtEpochMs ?? ""}`,
-                ledgerVersion: mark,
+                ledgerVersion,
                 trial: this.#endTrial !== undefined,
             });
         }
@@ -86,15 +86,15 @@
         this.#endTrial?.();
     }
 
-    #isKnown(): boolean {
-        return this.#reports.mayHaveRecord(this.#content);
+    #mayHaveRecord(): boolean {
+        return this.#crashReports.mayHaveRecord(this.#contentId);
     }
 
-    #judge(): ContentStatus | undefined {
-        if (!this.#isKnown()) {
+    #currentStatus(): ContentStatus | undefined {
+        if (!this.#mayHaveRecord()) {
             return undefined;
         }
-        const verdict = this.#reports.checkContent(this.#content.contentId);
-        return verdict.state === "clear" ? undefined : verdict;
+        const status = this.#crashReports.checkContent(this.#contentId.contentId);
+        return status.state === "clear" ? undefined : status;
     }
 }
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -49,7 +49,7 @@
  *
  * @param head - request head as received
  * @param inForce - the configuration in force
- * @param vocabulary - reads the product-specific headers
+ * @param metadataCodec - reads the product-specific headers
  * @param random - picks one of the route's weighted destinations
  * @param nowMs - arrival time by the monotonic clock
  * @returns the request, or why it is rejected
@@ -57,7 +57,7 @@
 export function resolveEdgeRequest(
     head: RequestHead,
     inForce: ConfigurationInForce,
-    vocabulary: EdgeMetadataCodec,
+    metadataCodec: EdgeMetadataCodec,
     random: RandomSource,
     nowMs: number,
 ): Either<Failure, EdgeRequest> {
@@ -69,7 +69,7 @@
     if (route === undefined) {
         return Left(createFailure("noSuchService", "no route for this authority and path"));
     }
-    const { requestId, patienceMs, callerKey } = vocabulary.readRequest(head.headers);
+    const { requestId, patienceMs, callerKey } = metadataCodec.readRequest(head.headers);
     const admission = authenticate(callerKey, inForce.workspaces, route.open ?? false);
     if (typeof admission === "string") {
         return Left(createFailure("unauthenticated", rejectionDetails[admission]));
@@ -80,7 +80,7 @@
     if (head.bodyBytes !== undefined && head.bodyBytes > limits.maximumBodyBytes) {
         return Left(createFailure("bodyTooLarge", `at most ${limits.maximumBodyBytes} bytes are taken`));
     }
-    const service = findOrdered(route, head.handover) ?? pickDestination(route, random);
+    const service = findHandedOverService(route, head.handover) ?? pickDestination(route, random);
     const rules = service === undefined ? undefined : inForce.services.get(service);
     if (rules === undefined) {
         return Left(createFailure("noBackendServer", `route ${route.name} leads to no service`));
@@ -103,18 +103,18 @@
 }
 
 /** A handed-over request keeps the service that the first gateway picked: a new pick would skew the traffic split. */
-function findOrdered({ destinations }: Route, order: HandoverMetadata | undefined): string | undefined {
-    return destinations.find(({ service, weight }) => service === order?.service && weight > 0)?.service;
+function findHandedOverService({ destinations }: Route, handover: HandoverMetadata | undefined): string | undefined {
+    return destinations.find(({ service, weight }) => service === handover?.service && weight > 0)?.service;
 }
 
 function resolveTimes(
-    order: HandoverMetadata | undefined,
+    handover: HandoverMetadata | undefined,
     patienceMs: number,
     timeoutMs: number,
     nowMs: number,
 ): Pick<EdgeRequest, "arrivedAtMs" | "deadlineMs" | "cutoffMs"> {
-    const arrivedAtMs = nowMs - (order?.ageMs ?? 0);
-    const deadlineMs = order === undefined ? nowMs + patienceMs : nowMs + order.remainingMs;
+    const arrivedAtMs = nowMs - (handover?.ageMs ?? 0);
+    const deadlineMs = handover === undefined ? nowMs + patienceMs : nowMs + handover.remainingMs;
     return { arrivedAtMs, deadlineMs, cutoffMs: Math.min(deadlineMs, arrivedAtMs + timeoutMs) };
 }
 
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -34,38 +34,38 @@
 /** Destination of the next send. */
 type Target =
     | { readonly type: "server"; readonly place: Placement; }
-    | { readonly type: "gateway"; readonly helper: RegisteredGateway; };
+    | { readonly type: "gateway"; readonly gateway: RegisteredGateway; };
 
 /**
  * Handles one request from admission to its final result: picks servers, sends, retries and hedges where that is
  * allowed, and gives up when the response is due.
  */
 export class Exchange {
-    readonly #parts: ExchangeDeps;
+    readonly #deps: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #body: RequestBody;
     readonly #signal: AbortSignal;
     readonly #openSink: (head: ResponseHead) => ResponseSink;
     readonly #onSent: () => void;
-    readonly #underWay = new Set<PendingSend>();
+    readonly #inFlight = new Set<PendingSend>();
     /** Sends whose end has not been processed yet. A send may end while a server for another one is being picked. */
-    readonly #unread = new Set<PendingSend>();
-    readonly #ends: SendEnd[] = [];
-    readonly #answers: LocalReplies;
-    readonly #workspace: WorkspaceGuard;
+    readonly #unprocessed = new Set<PendingSend>();
+    readonly #sendEnds: SendEnd[] = [];
+    readonly #localReplies: LocalReplies;
+    readonly #workspaceGuard: WorkspaceGuard;
     readonly #placement: ExchangePlacement;
-    readonly #content: LazyContentId;
-    readonly #guard: QuarantineGuard;
-    readonly #outcomes: SendResultHandler;
+    readonly #contentId: LazyContentId;
+    readonly #quarantineGuard: QuarantineGuard;
+    readonly #sendResultHandler: SendResultHandler;
     readonly #handover: ExchangeHandover;
     #fallback: BufferedResponse | undefined;
     #streaming = false;
-    #answeredBy: string | undefined;
+    #respondingServerId: string | undefined;
     /** Whether the caller has its response, so that the sends still in flight are superseded. */
-    #answered = false;
+    #isAnswered = false;
 
     /**
-     * @param parts - dependencies
+     * @param deps - dependencies
      * @param request - the resolved request
      * @param body - body of the request
      * @param signal - aborted when the final response is due, or when the caller has disconnected
@@ -73,29 +73,29 @@
      * @param onSent - called with each send
      */
     constructor(
-        parts: ExchangeDeps,
+        deps: ExchangeDeps,
         request: EdgeRequest,
         body: RequestBody,
         signal: AbortSignal,
         openSink: (head: ResponseHead) => ResponseSink,
         onSent: () => void = () => undefined,
     ) {
-        this.#parts = parts;
+        this.#deps = deps;
         this.#request = request;
-        this.#answers = new LocalReplies(request, parts.board.typicalLatency, parts.random);
+        this.#localReplies = new LocalReplies(request, deps.board.typicalLatency, deps.random);
         this.#body = body;
         this.#signal = signal;
-        this.#workspace = new WorkspaceGuard(parts, request, signal);
-        this.#placement = new ExchangePlacement(parts, request, signal);
-        this.#content = new LazyContentId(request, body);
-        this.#guard = new QuarantineGuard(parts.crashReports, this.#content);
-        this.#outcomes = new SendResultHandler(parts, request, this.#content, this.#guard);
+        this.#workspaceGuard = new WorkspaceGuard(deps, request, signal);
+        this.#placement = new ExchangePlacement(deps, request, signal);
+        this.#contentId = new LazyContentId(request, body);
+        this.#quarantineGuard = new QuarantineGuard(deps.crashReports, this.#contentId);
+        this.#sendResultHandler = new SendResultHandler(deps, request, this.#contentId, this.#quarantineGuard);
         this.#handover = new ExchangeHandover({
-            deps: parts,
+            deps,
             request,
             body,
             mayWrite: () => this.#mayWrite(),
-            openSink: head => this.#beginStream(head, undefined),
+            openSink: head => this.#startStream(head, undefined),
         });
         this.#openSink = openSink;
         this.#onSent = onSent;
@@ -103,7 +103,7 @@
 
     /** Id of the backend server whose response the caller gets; `undefined` if it came through another gateway. */
     get respondingServerId(): string | undefined {
-        return this.#answeredBy;
+        return this.#respondingServerId;
     }
 
     /** @returns log fields about placement, handovers and sends */
@@ -112,27 +112,29 @@
             ...this.#placement.describe(),
             ...this.#handover.describe(),
             handedOverBy: this.#request.handedOverBy,
-            contentId: this.#content.computedContentId,
-            sends: this.#ends.map(end => end.type === "answered" ? String(end.status) : describeSendEnd(end)).join(","),
+            contentId: this.#contentId.computedContentId,
+            sends: this.#sendEnds.map(end => end.type === "answered" ? String(end.status) : describeSendEnd(end)).join(
+                ",",
+            ),
         };
     }
 
     /** @returns the result for the caller; never rejects */
     async run(): Promise<ExchangeResult> {
-        const { repeatBudget, board } = this.#parts;
+        const { repeatBudget, board } = this.#deps;
         const { rules, priority, handedOverBy } = this.#request;
         if (handedOverBy === undefined) {
             repeatBudget.onRequest(rules.name, this.#nowMs());
         }
-        if (!this.#guard.admit()) {
-            return this.#finish(this.#answers.quarantined(this.#guard.retryAfterMs ?? 0));
+        if (!this.#quarantineGuard.admit()) {
+            return this.#finish(this.#localReplies.quarantined(this.#quarantineGuard.retryAfterMs ?? 0));
         }
         try {
             // A request that was handed over has been admitted by the gateway that received it from the caller.
-            const refused = handedOverBy === undefined ? await this.#workspace.admit() : undefined;
-            if (refused !== undefined) {
+            const rejection = handedOverBy === undefined ? await this.#workspaceGuard.admit() : undefined;
+            if (rejection !== undefined) {
                 return this.#finish(
-                    refused === "abandoned" ? this.#resolveAborted() : this.#answers.rateLimited(refused),
+                    rejection === "abandoned" ? this.#resolveAborted() : this.#localReplies.rateLimited(rejection),
                 );
             }
             // Counted only after admission: rejected requests need no capacity, so none is reserved for their priority.
@@ -142,27 +144,27 @@
                 return this.#finish(
                     target === "abandoned"
                         ? this.#resolveAborted()
-                        : this.#answers.placementFailed(target, this.#restingForMs()),
+                        : this.#localReplies.placementFailed(target, this.#backoffRemainingMs()),
                 );
             }
-            if (this.#workspace.keyChange !== undefined) {
-                return this.#finish(this.#answers.keyChanged(this.#workspace.keyChange));
+            if (this.#workspaceGuard.keyChange !== undefined) {
+                return this.#finish(this.#localReplies.keyChanged(this.#workspaceGuard.keyChange));
             }
             this.#sendTo(target, "first");
-            return this.#finish(await this.#follow());
+            return this.#finish(await this.#awaitResult());
         }
         finally {
-            this.#workspace.onEnded(this.#ends, this.#underWay.size);
-            this.#guard.close();
+            this.#workspaceGuard.onEnded(this.#sendEnds, this.#inFlight.size);
+            this.#quarantineGuard.close();
         }
     }
 
     /** Waits for the sends in flight, with retries and a hedge, until one has a response or all have failed. */
-    async #follow(): Promise<ExchangeResult> {
-        const hedge = this.#request.route.idempotent && this.#body.repeatable ? this.#hedgeTime() : undefined;
-        let hedged = hedge === undefined;
-        while (this.#unread.size > 0) {
-            const next = await this.#awaitNext(hedged ? undefined : hedge);
+    async #awaitResult(): Promise<ExchangeResult> {
+        const hedgeAtMs = this.#request.route.idempotent && this.#body.repeatable ? this.#hedgeAtMs() : undefined;
+        let hedged = hedgeAtMs === undefined;
+        while (this.#unprocessed.size > 0) {
+            const next = await this.#awaitNext(hedged ? undefined : hedgeAtMs);
             if (next === "aborted") {
                 return this.#resolveAborted();
             }
@@ -171,75 +173,75 @@
                 await this.#tryHedge();
                 continue;
             }
-            const end = await this.#onEnded(next);
-            if (end !== undefined) {
-                return end;
+            const result = await this.#processEnd(next);
+            if (result !== undefined) {
+                return result;
             }
         }
         return this.#resolveAborted();
     }
 
     /** @returns the result for the caller; `undefined` while another send may still succeed */
-    async #onEnded(ended: FinishedSend): Promise<ExchangeResult | undefined> {
+    async #processEnd(ended: FinishedSend): Promise<ExchangeResult | undefined> {
         const { underWay, result } = ended;
-        this.#unread.delete(underWay);
+        this.#unprocessed.delete(underWay);
         const { end, response } = result;
         if (result.streamed) {
             return { type: "streamed", complete: end.type === "answered" };
         }
-        const mayGoOn = this.#mayTryAgain();
+        const mayRetry = this.#isRetryAllowed();
         if (response !== undefined && end.type === "answered") {
-            this.#answeredBy = underWay.to === "server" ? underWay.place.server.id : undefined;
+            this.#respondingServerId = underWay.to === "server" ? underWay.place.server.id : undefined;
             if (!isServerError(end) && !response.endedByClose) {
-                return { type: "answered", response: response };
+                return { type: "answered", response };
             }
             // A server error, or a response that may be truncated, is kept as a fallback in case no other send does
             // better.
             this.#fallback = response;
         }
-        if (mayGoOn && await this.#tryAgain(ended)) {
+        if (mayRetry && await this.#tryRetry(ended)) {
             return undefined;
         }
-        return this.#unread.size > 0 ? undefined : this.#resolveFailed();
+        return this.#unprocessed.size > 0 ? undefined : this.#resolveFailed();
     }
 
     #resolveFailed(): ExchangeResult {
-        const { retryAfterMs } = this.#guard;
-        const restingForMs = this.#restingForMs();
-        const hasNotRun = this.#fallback === undefined && this.#ends.every(({ type }) => type === "notRun");
-        const { keyChange } = this.#workspace;
+        const { retryAfterMs } = this.#quarantineGuard;
+        const backoffRemainingMs = this.#backoffRemainingMs();
+        const hasNotRun = this.#fallback === undefined && this.#sendEnds.every(({ type }) => type === "notRun");
+        const { keyChange } = this.#workspaceGuard;
         if (hasNotRun && keyChange !== undefined) {
-            return this.#answers.keyChanged(keyChange);
+            return this.#localReplies.keyChanged(keyChange);
         }
         if (hasNotRun && retryAfterMs !== undefined) {
-            return this.#answers.quarantined(retryAfterMs);
+            return this.#localReplies.quarantined(retryAfterMs);
         }
-        if (hasNotRun && restingForMs !== undefined) {
-            return this.#answers.placementFailed("resting", restingForMs);
+        if (hasNotRun && backoffRemainingMs !== undefined) {
+            return this.#localReplies.placementFailed("resting", backoffRemainingMs);
         }
         const { failure, wasTried } = this.#handover;
         if (this.#fallback === undefined && failure !== undefined) {
             return { type: "failed", failure };
         }
         return hasNotRun && wasTried
-            ? this.#answers.placementFailed("unreached")
-            : this.#answers.allSendsFailed(this.#ends, this.#fallback);
+            ? this.#localReplies.placementFailed("unreached")
+            : this.#localReplies.allSendsFailed(this.#sendEnds, this.#fallback);
     }
 
-    async #tryAgain(ended: FinishedSend): Promise<boolean> {
+    async #tryRetry(ended: FinishedSend): Promise<boolean> {
         const { underWay: failed, result } = ended;
-        if (this.#signal.aborted || this.#workspace.isKeyChanged()) {
+        if (this.#signal.aborted || this.#workspaceGuard.isKeyChanged()) {
             return false;
         }
-        const { repeatBudget, log } = this.#parts;
-        if (result.end.type !== "notRun" && !this.#workspace.allowsExtraRuns) {
+        const { repeatBudget, log } = this.#deps;
+        if (result.end.type !== "notRun" && !this.#workspaceGuard.allowsExtraRuns) {
             return false;
         }
-        if (!await this.#isAllowedAgain(result.end)) {
+        if (!await this.#isAllowedByQuarantine(result.end)) {
             return false;
         }
-        // A send that never reached a server can be made again without taking from the retry budget.
-        if (hasReachedServer(ended) && !this.#takeRepeat("retry")) {
+        // A send that never reached a server can be made again without taking from the repeat budget.
+        if (hasReachedServer(ended) && !this.#takeFromRepeatBudget("retry")) {
             return false;
         }
         const target = await this.#findTarget("retry");
@@ -247,10 +249,10 @@
             requestId: this.#request.requestId,
             after: describeSendEnd(result.end),
             from: receiverName(failed),
-            to: nameTarget(target),
-            budgetLeft: repeatBudget.remaining(this.#request.rules.name, this.#gateways(), this.#nowMs()),
+            to: targetName(target),
+            budgetLeft: repeatBudget.remaining(this.#request.rules.name, this.#gatewayCount(), this.#nowMs()),
         });
-        if (typeof target === "string" || this.#workspace.isKeyChanged()) {
+        if (typeof target === "string" || this.#workspaceGuard.isKeyChanged()) {
             return false;
         }
         this.#sendTo(target, "retry");
@@ -259,12 +261,12 @@
 
     /** @returns a server, or another gateway if this host can't reach any server of the service */
     async #findTarget(purpose: SendPurpose): Promise<Target | PlacementFailure> {
-        const { reachability } = this.#parts;
+        const { reachability } = this.#deps;
         const service = this.#request.rules.name;
-        if (this.#handover.isAllowed && await this.#whenSettled() !== "reached") {
-            const helper = this.#chooseHelper();
-            if (helper !== undefined) {
-                return { type: "gateway", helper };
+        if (this.#handover.isAllowed && await this.#whenReachabilitySettled() !== "reached") {
+            const gateway = this.#chooseHandoverTarget();
+            if (gateway !== undefined) {
+                return { type: "gateway", gateway };
             }
             if (!reachability.tryAcquireLocalAttempt(service)) {
                 return "unreached";
@@ -275,102 +277,104 @@
             return { type: "server", place };
         }
         // The probes of the search itself may have shown that no server can be reached.
-        const mayHelp = (place === "noOffer" || place === "noneGood") && this.#handover.isAllowed;
-        const helper = mayHelp && await this.#whenSettled() === "lost" ? this.#chooseHelper() : undefined;
-        return helper === undefined ? place : { type: "gateway", helper };
+        const mayHandOver = (place === "noOffer" || place === "noneGood") && this.#handover.isAllowed;
+        const gateway = mayHandOver && await this.#whenReachabilitySettled() === "lost"
+            ? this.#chooseHandoverTarget()
+            : undefined;
+        return gateway === undefined ? place : { type: "gateway", gateway };
     }
 
     /** @returns whether this host can reach the service, once that is settled or the request is aborted */
-    async #whenSettled(): Promise<ReachabilityState> {
-        const { reachability } = this.#parts;
+    async #whenReachabilitySettled(): Promise<ReachabilityState> {
+        const { reachability } = this.#deps;
         const service = this.#request.rules.name;
         await awaitFirst([reachability.whenSettled(service)], this.#signal, undefined);
         return reachability.stateOf(service);
     }
 
     /** @returns a gateway that is thought to reach the service; `undefined` if there is none or this host reaches it */
-    #chooseHelper(): RegisteredGateway | undefined {
-        const { reachability } = this.#parts;
+    #chooseHandoverTarget(): RegisteredGateway | undefined {
+        const { reachability } = this.#deps;
         const service = this.#request.rules.name;
         if (reachability.stateOf(service) !== "lost") {
             return undefined;
         }
-        const helper = this.#handover.chooseGateway();
-        if (helper === undefined && this.#handover.isAllowed) {
+        const gateway = this.#handover.chooseGateway();
+        if (gateway === undefined && this.#handover.isAllowed) {
             reachability.onHandoverTargetsExhausted(service);
         }
-        return helper;
+        return gateway;
     }
 
     /** @returns whether the crashes recorded for this content allow another send */
-    async #isAllowedAgain(end: SendEnd): Promise<boolean> {
+    async #isAllowedByQuarantine(end: SendEnd): Promise<boolean> {
         if (!isPossibleServerCrash(end)) {
-            return this.#guard.maySend();
+            return this.#quarantineGuard.maySend();
         }
-        if (this.#guard.mustAwaitLivenessCheck) {
-            await this.#outcomes.whenLivenessChecked();
+        if (this.#quarantineGuard.mustAwaitLivenessCheck) {
+            await this.#sendResultHandler.whenLivenessChecked();
         }
-        return this.#guard.mayRetry();
+        return this.#quarantineGuard.mayRetry();
     }
 
     /** Sends to a second server if one with spare capacity is found; the first response goes to the caller. */
     async #tryHedge(): Promise<void> {
-        if (!this.#mayTryAgain() || !this.#guard.mayHedge()) {
+        if (!this.#isRetryAllowed() || !this.#quarantineGuard.mayHedge()) {
             return;
         }
         const target = await this.#findTarget("hedge");
         if (typeof target === "string") {
             return;
         }
-        const isNeeded = this.#workspace.allowsExtraRuns && !this.#signal.aborted
-            && this.#underWay.size >= this.#unread.size;
-        if (!isNeeded || this.#workspace.isKeyChanged() || !this.#guard.mayHedge()) {
+        const isNeeded = this.#workspaceGuard.allowsExtraRuns && !this.#signal.aborted
+            && this.#inFlight.size >= this.#unprocessed.size;
+        if (!isNeeded || this.#workspaceGuard.isKeyChanged() || !this.#quarantineGuard.mayHedge()) {
             return;
         }
-        if (!this.#takeRepeat("hedge")) {
+        if (!this.#takeFromRepeatBudget("hedge")) {
             return;
         }
-        this.#parts.log.log("info", "hedge", { requestId: this.#request.requestId, to: nameTarget(target) });
+        this.#deps.log.log("info", "hedge", { requestId: this.#request.requestId, to: targetName(target) });
         this.#sendTo(target, "hedge");
     }
 
     #sendTo(target: Target, purpose: SendPurpose): void {
         if (target.type === "server") {
-            this.#send(target.place, purpose);
+            this.#sendToServer(target.place, purpose);
             return;
         }
-        this.#handTo(target.helper);
+        this.#sendToGateway(target.gateway);
     }
 
-    #handTo(helper: RegisteredGateway): void {
-        const { timeline } = this.#parts;
+    #sendToGateway(gateway: RegisteredGateway): void {
+        const { timeline } = this.#deps;
         timeline.record("firstSend");
-        const { handover, result } = this.#handover.start(helper, this.#runsLeft());
+        const { handover, result } = this.#handover.start(gateway, this.#runsLeft());
         const underWay: GatewaySend = {
             to: "gateway",
             send: handover,
-            gateway: helper,
+            gateway,
             ended: result.then(ended => {
-                this.#underWay.delete(underWay);
-                this.#ends.push(ended.end);
+                this.#inFlight.delete(underWay);
+                this.#sendEnds.push(ended.end);
                 return { type: "gateway" as const, underWay, result: ended };
             }),
         };
-        this.#begin(underWay);
+        this.#track(underWay);
     }
 
-    #begin(underWay: PendingSend): void {
-        this.#underWay.add(underWay);
-        this.#unread.add(underWay);
+    #track(underWay: PendingSend): void {
+        this.#inFlight.add(underWay);
+        this.#unprocessed.add(underWay);
         this.#onSent();
     }
 
     #mayWrite(): boolean {
-        return !this.#signal.aborted && this.#workspace.keyChange === undefined && this.#guard.maySend();
+        return !this.#signal.aborted && this.#workspaceGuard.keyChange === undefined && this.#quarantineGuard.maySend();
     }
 
-    #send(place: Placement, purpose: SendPurpose): void {
-        const { metadataCodec, connections, clock, view, board, rollouts, timeline } = this.#parts;
+    #sendToServer(place: Placement, purpose: SendPurpose): void {
+        const { metadataCodec, connections, clock, view, board, rollouts, timeline } = this.#deps;
         const { method, url, headers, route, requestId, cutoffMs } = this.#request;
         const { server } = place;
         timeline.record("firstSend");
@@ -398,7 +402,7 @@
             mayWrite: () =>
                 this.#mayWrite() && view.isUsable(server.id, clock.monotonicMs())
                 && board.exclusionOf(server, clock.monotonicMs()) === undefined,
-            openSink: head => this.#beginStream(head, server.id),
+            openSink: head => this.#startStream(head, server.id),
         });
         const underWay: ServerSend = {
             to: "server",
@@ -406,20 +410,20 @@
             place,
             purpose,
             isNewConnection,
-            ledgerVersion: this.#guard.ledgerVersion(),
+            ledgerVersion: this.#quarantineGuard.ledgerVersion(),
             ended: send.result.then(result => {
                 this.#onSendEnded(underWay, connection, result);
                 return { type: "server" as const, underWay, result };
             }),
         };
-        this.#begin(underWay);
+        this.#track(underWay);
     }
 
     #onSendEnded(underWay: ServerSend, connection: ServerConnection, result: SendResult): void {
-        const { connections, clock } = this.#parts;
+        const { connections, clock } = this.#deps;
         const { place, purpose, isNewConnection, ledgerVersion } = underWay;
-        this.#underWay.delete(underWay);
-        this.#ends.push(result.end);
+        this.#inFlight.delete(underWay);
+        this.#sendEnds.push(result.end);
         if (result.end.type === "unknown") {
             // A late response on it would be taken for the response to the next request.
             connection.destroy();
@@ -427,21 +431,21 @@
         else {
             connections.release(place.server.id, connection, { after: "request", nowMs: clock.monotonicMs() });
         }
-        this.#outcomes.onSendEnded({
+        this.#sendResultHandler.onSendEnded({
             place,
             purpose,
             isNewConnection,
             ledgerVersion,
             result,
-            superseded: this.#answered,
+            superseded: this.#isAnswered,
         });
     }
 
-    #beginStream(head: ResponseHead, serverId: string | undefined): ResponseSink | undefined {
+    #startStream(head: ResponseHead, serverId: string | undefined): ResponseSink | undefined {
         if (this.#streaming || this.#signal.aborted) {
             return undefined;
         }
-        this.#answeredBy = serverId;
+        this.#respondingServerId = serverId;
         this.#streaming = true;
         return this.#openSink(head);
     }
@@ -449,64 +453,64 @@
     /** Waits until a send ends, the hedge is due, or the request is aborted. */
     #awaitNext(hedgeAtMs: number | undefined): Promise<FinishedSend | "late" | "aborted"> {
         const lateAfterMs = hedgeAtMs === undefined ? undefined : Math.max(0, hedgeAtMs - this.#nowMs());
-        return awaitFirst([...this.#unread].map(({ ended }) => ended), this.#signal, lateAfterMs);
+        return awaitFirst([...this.#unprocessed].map(({ ended }) => ended), this.#signal, lateAfterMs);
     }
 
-    #hedgeTime(): number {
+    #hedgeAtMs(): number {
         return this.#request.arrivedAtMs + this.#request.route.objectiveMs * hedgeAfterShare;
     }
 
-    #mayTryAgain(): boolean {
+    #isRetryAllowed(): boolean {
         return isRetryAllowed({
             idempotent: this.#request.route.idempotent,
             isBodyReplayable: this.#body.repeatable,
             maximumRuns: this.#request.route.maximumRuns - this.#handover.extraRuns,
-            ends: this.#ends,
-            inFlight: this.#underWay.size,
+            ends: this.#sendEnds,
+            inFlight: this.#inFlight.size,
         });
     }
 
     /** Number of servers on which the request may still run. */
     #runsLeft(): number {
-        const possibleRuns = this.#underWay.size + this.#ends.filter(({ type }) => type !== "notRun").length;
+        const possibleRuns = this.#inFlight.size + this.#sendEnds.filter(({ type }) => type !== "notRun").length;
         return this.#request.route.maximumRuns - this.#handover.extraRuns - possibleRuns;
     }
 
-    #takeRepeat(purpose: "retry" | "hedge"): boolean {
-        return this.#parts.repeatBudget.take(this.#request.rules.name, purpose, this.#gateways(), this.#nowMs());
+    #takeFromRepeatBudget(purpose: "retry" | "hedge"): boolean {
+        return this.#deps.repeatBudget.take(this.#request.rules.name, purpose, this.#gatewayCount(), this.#nowMs());
     }
 
     /** Time until the first server's back-off ends, in milliseconds; `undefined` unless all servers back off. */
-    #restingForMs(): number | undefined {
-        return this.#parts.placer.backoffRemainingMs(this.#request.rules.name);
+    #backoffRemainingMs(): number | undefined {
+        return this.#deps.placer.backoffRemainingMs(this.#request.rules.name);
     }
 
-    #gateways(): number {
-        return this.#parts.view.gatewayNames(this.#nowMs()).length;
+    #gatewayCount(): number {
+        return this.#deps.view.gatewayNames(this.#nowMs()).length;
     }
 
     #nowMs(): number {
-        return this.#parts.clock.monotonicMs();
+        return this.#deps.clock.monotonicMs();
     }
 
     /**
      * Abandons the sends that are still in flight, since their responses are no longer needed. A non-idempotent request
      * whose caller disconnected is left to finish: if it were cut off, it would stay unknown whether it ran.
      */
-    #finish(end: ExchangeResult): ExchangeResult {
+    #finish(result: ExchangeResult): ExchangeResult {
         if (!this.#request.route.idempotent && this.#signal.reason === callerGone) {
-            return end;
+            return result;
         }
-        this.#answered = end.type === "answered";
-        for (const { send } of this.#underWay) {
+        this.#isAnswered = result.type === "answered";
+        for (const { send } of this.#inFlight) {
             send.abandon();
         }
-        return end;
+        return result;
     }
 
     /** The response is due, or the caller has disconnected. */
     #resolveAborted(): ExchangeResult {
-        return this.#answers.timedOut(this.#ends, this.#underWay.size, this.#fallback);
+        return this.#localReplies.timedOut(this.#sendEnds, this.#inFlight.size, this.#fallback);
     }
 }
 
@@ -519,9 +523,9 @@
     return !(end.type === "notRun" && (end.reason === "connectFailed" || end.reason === "notSent"));
 }
 
-function nameTarget(target: Target | PlacementFailure): string {
+function targetName(target: Target | PlacementFailure): string {
     if (typeof target === "string") {
         return target;
     }
-    return target.type === "server" ? target.place.server.id : target.helper.name;
+    return target.type === "server" ? target.place.server.id : target.gateway.name;
 }
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -9,7 +9,7 @@
 
 /** Picks the servers for all sends of one request, and keeps what the log line needs. */
 export class ExchangePlacement {
-    readonly #parts: ExchangeDeps;
+    readonly #deps: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #signal: AbortSignal;
     readonly #triedServers = new Set<string>();
@@ -27,8 +27,8 @@
     /** Version under trial that the first send went to. */
     #trialVersion: string | undefined;
 
-    constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
-        this.#parts = parts;
+    constructor(deps: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
+        this.#deps = deps;
         this.#request = request;
         this.#signal = signal;
     }
@@ -38,7 +38,7 @@
         const trial = purpose === "first" ? await this.#placeTrial() : undefined;
         const found = trial ?? await this.#search(purpose === "hedge");
         if (purpose === "first") {
-            this.#onFirst(found);
+            this.#onFirstPlacement(found);
         }
         return found;
     }
@@ -64,10 +64,10 @@
 
     /** @returns a server of a version under trial, if this request is selected and one has spare capacity now */
     async #placeTrial(): Promise<Placement | undefined> {
-        const { rollouts } = this.#parts;
+        const { rollouts } = this.#deps;
         const service = this.#request.rules.name;
-        for (const among of rollouts.trialServerGroups(service, this.#parts.clock.monotonicMs())) {
-            const found = await this.#search(true, among);
+        for (const candidates of rollouts.trialServerGroups(service, this.#deps.clock.monotonicMs())) {
+            const found = await this.#search(true, candidates);
             if (typeof found !== "string") {
                 rollouts.onTrial(service);
                 this.#trialVersion = found.server.version;
@@ -77,9 +77,9 @@
         return undefined;
     }
 
-    #search(onlyGood: boolean, among?: readonly RegisteredServer[]): Promise<Placement | PlacementFailure> {
+    #search(onlyGood: boolean, candidates?: readonly RegisteredServer[]): Promise<Placement | PlacementFailure> {
         const { rules, route, priority, arrivedAtMs, cutoffMs } = this.#request;
-        return this.#parts.placer.place({
+        return this.#deps.placer.place({
             rules,
             objectiveMs: route.objectiveMs,
             priority,
@@ -90,12 +90,12 @@
             mayHandOver: this.#request.handedOverBy === undefined,
             onlyGood,
             trace: this.#trace,
-            ...(among === undefined ? {} : { candidates: among }),
+            ...(candidates === undefined ? {} : { candidates }),
         });
     }
 
-    #onFirst(found: Placement | PlacementFailure): void {
-        const { metrics, clock } = this.#parts;
+    #onFirstPlacement(found: Placement | PlacementFailure): void {
+        const { metrics, clock } = this.#deps;
         this.#firstReason = typeof found === "string" ? found : found.reason;
         this.#offerAgeMs = typeof found === "string" ? undefined : Math.round(found.ageMs);
         this.#placedAfterMs = Math.round(clock.monotonicMs() - this.#request.arrivedAtMs);
--- a/packages/edge/src/requests/localReplies.ts
+++ b/packages/edge/src/requests/localReplies.ts
@@ -19,27 +19,27 @@
 /** Builds the failures that this gateway returns itself when it has no server's response, each with its Retry-After. */
 export class LocalReplies {
     readonly #request: EdgeRequest;
-    readonly #work: TypicalLatency;
+    readonly #typicalLatency: TypicalLatency;
     readonly #random: RandomSource;
 
-    constructor(request: EdgeRequest, work: TypicalLatency, random: RandomSource) {
+    constructor(request: EdgeRequest, typicalLatency: TypicalLatency, random: RandomSource) {
         this.#request = request;
-        this.#work = work;
+        this.#typicalLatency = typicalLatency;
         this.#random = random;
     }
 
     /**
      * No server was found.
      *
-     * @param restingForMs - time until the first server's back-off ends, if all servers back off, in milliseconds
+     * @param backoffRemainingMs - time until the first server's back-off ends, if all servers back off, in milliseconds
      */
-    placementFailed(reason: Exclude<PlacementFailure, "abandoned">, restingForMs = 0): ExchangeResult {
+    placementFailed(reason: Exclude<PlacementFailure, "abandoned">, backoffRemainingMs = 0): ExchangeResult {
         if (reason === "resting") {
-            return this.#refuse("overloaded", reason, "resting", restingForMs);
+            return this.#reject("overloaded", reason, "resting", backoffRemainingMs);
         }
         return reason === "noServer" || reason === "noOffer" || reason === "unreached"
-            ? this.#refuse("noBackendServer", reason, "noServer")
-            : this.#refuse("overloaded", reason, "full");
+            ? this.#reject("noBackendServer", reason, "noServer")
+            : this.#reject("overloaded", reason, "full");
     }
 
     /**
@@ -79,36 +79,36 @@
             return { type: "answered", response: fallback };
         }
         if (ends.every(end => end.type === "notRun")) {
-            return this.#refuse("backendShed", describeEnds(ends), "turnedAway");
+            return this.#reject("backendShed", describeSendEnds(ends), "turnedAway");
         }
-        return { type: "failed", failure: createFailure("connectionLost", describeEnds(ends)) };
+        return { type: "failed", failure: createFailure("connectionLost", describeSendEnds(ends)) };
     }
 
     /**
      * The response is due, or the caller has disconnected.
      *
-     * @param underWay - number of sends that have not ended
+     * @param inFlight - number of sends that have not ended
      */
-    timedOut(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeResult {
+    timedOut(ends: readonly SendEnd[], inFlight: number, fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
             return { type: "answered", response: fallback };
         }
-        if (underWay === 0 && ends.every(end => end.type === "notRun")) {
-            return this.#refuse("overloaded", "no server could be found in time", "full");
+        if (inFlight === 0 && ends.every(end => end.type === "notRun")) {
+            return this.#reject("overloaded", "no server could be found in time", "full");
         }
-        return { type: "failed", failure: createFailure("backendTimeout", describeEnds(ends)) };
+        return { type: "failed", failure: createFailure("backendTimeout", describeSendEnds(ends)) };
     }
 
-    #refuse(
+    #reject(
         kind: "noBackendServer" | "overloaded" | "backendShed",
         detail: string,
         cause: Parameters<typeof drawRetryAfterSeconds>[0],
         notBeforeMs = 0,
     ): ExchangeResult {
         const { rules, route } = this.#request;
-        const typicalMs = this.#work.of(rules.name, route.objectiveMs);
-        const comeBackSeconds = drawRetryAfterSeconds(cause, typicalMs, this.#random);
-        const retryAfterSeconds = Math.ceil(notBeforeMs + comeBackSeconds * oneSecondMs) / oneSecondMs;
+        const typicalLatencyMs = this.#typicalLatency.of(rules.name, route.objectiveMs);
+        const delaySeconds = drawRetryAfterSeconds(cause, typicalLatencyMs, this.#random);
+        const retryAfterSeconds = Math.ceil(notBeforeMs + delaySeconds * oneSecondMs) / oneSecondMs;
         return { type: "failed", failure: createFailure(kind, detail, { retryAfterSeconds }) };
     }
 }
@@ -125,6 +125,6 @@
     }
 }
 
-function describeEnds(ends: readonly SendEnd[]): string {
+function describeSendEnds(ends: readonly SendEnd[]): string {
     return ends.length === 0 ? "no answer" : ends.map(describeSendEnd).join(", ");
 }
--- a/packages/edge/src/requests/pendingSend.ts
+++ b/packages/edge/src/requests/pendingSend.ts
@@ -12,7 +12,7 @@
     readonly purpose: SendPurpose;
     /** Whether the server had never responded on the connection before. */
     readonly isNewConnection: boolean;
-    /** Mark of the crash ledger when the send began. */
+    /** Version of the crash ledger when the send began. */
     readonly ledgerVersion: number;
     readonly ended: Promise<FinishedSend>;
 }
--- a/packages/edge/src/requests/placementProber.ts
+++ b/packages/edge/src/requests/placementProber.ts
@@ -25,12 +25,12 @@
 /** Number of one request's load probes, by how they ended. */
 export type ProbeEndCounts = Map<"told" | LoadProbeFailure["reason"], number>;
 
-/** Probes backend servers for their load and records their reports on the placement board. */
+/** Probes backend servers for their load and records their reports in the placement state. */
 export class PlacementProber {
-    readonly #parts: PlacementProberDeps;
+    readonly #deps: PlacementProberDeps;
 
-    constructor(parts: PlacementProberDeps) {
-        this.#parts = parts;
+    constructor(deps: PlacementProberDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -50,68 +50,68 @@
         ends: ProbeEndCounts = new Map(),
     ): Promise<number> {
         return new Promise(resolve => {
-            const silent: RegisteredServer[] = [];
-            let answered = 0;
+            const unresponsive: RegisteredServer[] = [];
+            let responded = 0;
             for (const server of servers) {
-                void this.#askOne(rules, server, timeoutMs, ends).then(offer => {
-                    if (offer === undefined) {
-                        silent.push(server);
+                void this.#probeOne(rules, server, timeoutMs, ends).then(status => {
+                    if (status === undefined) {
+                        unresponsive.push(server);
                     }
                     else {
-                        answered++;
+                        responded++;
                     }
-                    const allEnded = answered + silent.length === servers.length;
+                    const allEnded = responded + unresponsive.length === servers.length;
                     if (allEnded) {
-                        this.#blameSilent(rules.name, silent, answered);
+                        this.#suspectUnresponsive(rules.name, unresponsive, responded);
                     }
-                    if (allEnded || (offer !== undefined && offer.healthy && isGoodOffer(offer))) {
-                        resolve(answered);
+                    if (allEnded || (status !== undefined && status.healthy && hasSpareCapacity(status))) {
+                        resolve(responded);
                     }
                 });
             }
         });
     }
 
-    async #askOne(
+    async #probeOne(
         rules: ServiceRules,
         server: RegisteredServer,
         timeoutMs: number,
         ends: ProbeEndCounts,
     ): Promise<ServerStatus | undefined> {
         const { board, metadataRecorder, connections, reachability, metadataCodec, clock, metrics, timeline } =
-            this.#parts;
+            this.#deps;
         timeline.record("firstProbe");
-        const askedAtMs = clock.monotonicMs();
+        const probedAtMs = clock.monotonicMs();
         const connection = connections.acquire(server.id, server.address);
         const isNewConnection = !connection.hasResponded;
-        const told = await probeServerLoad({
+        const result = await probeServerLoad({
             server,
             connection,
             healthPath: rules.healthPath,
             vocabulary: metadataCodec,
             timeoutMs,
         });
-        const end = told.type === "told" ? "told" : told.reason;
+        const end = result.type === "told" ? "told" : result.reason;
         ends.set(end, (ends.get(end) ?? 0) + 1);
         metrics.onLoadProbed(end);
         reachability.onContact({
             service: rules.name,
             serverId: server.id,
             isNewConnection,
-            end: findAskContact(told),
-            startedAtMs: askedAtMs,
+            end: toContactResult(result),
+            startedAtMs: probedAtMs,
         });
-        if (told.type === "untold") {
+        if (result.type === "untold") {
             // A late response on it would be taken for the response to the next request.
             connection.destroy();
             return undefined;
         }
         timeline.record("firstProbeAnswered");
         connections.release(server.id, connection, { after: "question", nowMs: clock.monotonicMs() });
-        board.onProbeResponse(rules.name, told.offer, askedAtMs);
-        const source = { answered: "question", sentAtMs: askedAtMs } as const;
-        metadataRecorder.record({ server, metadata: told.metadata, source, nowMs: clock.monotonicMs() });
-        return told.offer;
+        board.onProbeResponse(rules.name, result.offer, probedAtMs);
+        const source = { answered: "question", sentAtMs: probedAtMs } as const;
+        metadataRecorder.record({ server, metadata: result.metadata, source, nowMs: clock.monotonicMs() });
+        return result.offer;
     }
 
     /**
@@ -119,24 +119,24 @@
      * would wait for them. If none of several servers responded, the likely cause is this process (slow right after a
      * start) or its host's network, so none is marked: all servers would become suspect at once.
      */
-    #blameSilent(service: string, silent: readonly RegisteredServer[], answered: number): void {
-        if (answered === 0 && silent.length > 1) {
+    #suspectUnresponsive(service: string, unresponsive: readonly RegisteredServer[], responded: number): void {
+        if (responded === 0 && unresponsive.length > 1) {
             return;
         }
-        for (const { id } of silent) {
-            this.#parts.board.onProbeUnanswered(service, id, this.#parts.clock.monotonicMs());
+        for (const { id } of unresponsive) {
+            this.#deps.board.onProbeUnanswered(service, id, this.#deps.clock.monotonicMs());
         }
     }
 }
 
 /** A response from any server, even the wrong one, shows that the network path works. */
-function findAskContact(told: LoadProbeSuccess | LoadProbeFailure): ServerContactResult {
-    return told.type === "told" || told.reason === "otherServer" ? "heard" : told.reason;
+function toContactResult(result: LoadProbeSuccess | LoadProbeFailure): ServerContactResult {
+    return result.type === "told" || result.reason === "otherServer" ? "heard" : result.reason;
 }
 
-function isGoodOffer(offer: ServerStatus): boolean {
+function hasSpareCapacity(status: ServerStatus): boolean {
     return isGood(
-        scoreServer(offer, {
+        scoreServer(status, {
             typicalLatencyMs: 0,
             sentSinceReport: 0,
             sameZone: true,
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -60,30 +60,30 @@
 
 /** Picks a backend server for a request: runs the probes and pauses that its {@link ServerSearch} calls for. */
 export class Placer {
-    readonly #parts: PlacerDeps;
-    readonly #inquiry: PlacementProber;
+    readonly #deps: PlacerDeps;
+    readonly #prober: PlacementProber;
 
-    constructor(parts: PlacerDeps) {
-        this.#parts = parts;
-        this.#inquiry = new PlacementProber(parts);
+    constructor(deps: PlacerDeps) {
+        this.#deps = deps;
+        this.#prober = new PlacementProber(deps);
     }
 
     /** @returns the picked server, or why there is none */
     async place(input: PlaceInput): Promise<Placement | PlacementFailure> {
-        const search = new ServerSearch(this.#parts.board, input);
+        const search = new ServerSearch(this.#deps.board, input);
         while (!input.signal.aborted) {
-            if (this.#parts.reachability.stateOf(input.rules.name) === "lost" && input.mayHandOver) {
+            if (this.#deps.reachability.stateOf(input.rules.name) === "lost" && input.mayHandOver) {
                 return "noOffer";
             }
-            const sight = this.#look(input.rules.name, input.candidates);
-            input.trace.usable = sight.usable.length;
-            input.trace.restingForMs = sight.restingForMs;
-            const step = search.step(sight);
+            const snapshot = this.#takeSnapshot(input.rules.name, input.candidates);
+            input.trace.usable = snapshot.usable.length;
+            input.trace.restingForMs = snapshot.restingForMs;
+            const step = search.step(snapshot);
             switch (step.type) {
                 case "ask": {
                     const timeoutMs = Math.min(maxLoadProbeTimeoutMs, loadProbeTimeoutMs * 2 ** step.round);
                     input.trace.asked += step.servers.length;
-                    input.trace.offers += await this.#inquiry.probe(
+                    input.trace.offers += await this.#prober.probe(
                         input.rules,
                         step.servers,
                         timeoutMs,
@@ -105,19 +105,19 @@
 
     /** @returns time until the first server's back-off ends, in milliseconds, if all servers of a service back off */
     backoffRemainingMs(service: string): number | undefined {
-        return this.#look(service, undefined).restingForMs;
+        return this.#takeSnapshot(service, undefined).restingForMs;
     }
 
-    #look(service: string, among: readonly RegisteredServer[] | undefined): FleetSnapshot {
-        const { view, clock, board } = this.#parts;
+    #takeSnapshot(service: string, candidates: readonly RegisteredServer[] | undefined): FleetSnapshot {
+        const { view, clock, board } = this.#deps;
         const nowMs = clock.monotonicMs();
-        const counted = view.gatewayMembers(nowMs);
-        const servers = among?.filter(({ id }) => view.isUsable(id, nowMs)) ?? view.usableServers(service, nowMs);
+        const members = view.gatewayMembers(nowMs);
+        const servers = candidates?.filter(({ id }) => view.isUsable(id, nowMs)) ?? view.usableServers(service, nowMs);
         return {
-            ...splitBarred(servers, server => board.exclusionOf(server, nowMs)),
-            gateways: counted.names,
-            zoneGateways: counted.byZone.get(this.#parts.availabilityZone) ?? [],
-            gatewaysByZone: counted.byZone,
+            ...splitExcluded(servers, server => board.exclusionOf(server, nowMs)),
+            gateways: members.names,
+            zoneGateways: members.byZone.get(this.#deps.availabilityZone) ?? [],
+            gatewaysByZone: members.byZone,
             sinceStoreContactMs: nowMs - view.lastStoreContactMs,
             nowMs,
         };
@@ -125,19 +125,19 @@
 }
 
 /** Leaves out servers that have asked this gateway to send them nothing: those that back off or shut down. */
-function splitBarred(
+function splitExcluded(
     servers: readonly RegisteredServer[],
-    barOf: (server: RegisteredServer) => ServerExclusion | undefined,
+    exclusionOf: (server: RegisteredServer) => ServerExclusion | undefined,
 ): Pick<FleetSnapshot, "usable" | "restingForMs"> {
     const usable: RegisteredServer[] = [];
     let restingForMs = Infinity;
     for (const server of servers) {
-        const bar = barOf(server);
-        if (bar === undefined) {
+        const exclusion = exclusionOf(server);
+        if (exclusion === undefined) {
             usable.push(server);
         }
-        else if (bar.type === "resting") {
-            restingForMs = Math.min(restingForMs, bar.forMs);
+        else if (exclusion.type === "resting") {
+            restingForMs = Math.min(restingForMs, exclusion.forMs);
         }
     }
     return { usable, restingForMs: usable.length > 0 || restingForMs === Infinity ? undefined : restingForMs };
--- a/packages/edge/src/requests/responseMetadataRecorder.ts
+++ b/packages/edge/src/requests/responseMetadataRecorder.ts
@@ -24,33 +24,33 @@
 }
 
 /** Unknown header names that are logged, each once. Bounded, so that servers can't fill the memory with names. */
-const mostUnknownNames = 50;
+const maxLoggedUnknownHeaders = 50;
 
 /**
  * Records the metadata that servers send with their responses, both to requests and to load probes: updates the
- * placement board, logs changes and counts them.
+ * placement state, logs changes and counts them.
  */
 export class ResponseMetadataRecorder {
-    readonly #parts: ResponseMetadataRecorderDeps;
-    readonly #unknownNames = new Set<string>();
+    readonly #deps: ResponseMetadataRecorderDeps;
+    readonly #loggedUnknownHeaders = new Set<string>();
 
-    constructor(parts: ResponseMetadataRecorderDeps) {
-        this.#parts = parts;
+    constructor(deps: ResponseMetadataRecorderDeps) {
+        this.#deps = deps;
     }
 
-    record(answer: ServerResponseMetadata): void {
-        this.#noteLimit(answer);
-        this.#noteRest(answer);
-        this.#noteLeaving(answer);
-        this.#noteUnknown(answer);
+    record(response: ServerResponseMetadata): void {
+        this.#recordLimit(response);
+        this.#recordBackoff(response);
+        this.#recordLeaving(response);
+        this.#recordUnknownHeaders(response);
     }
 
-    #noteLimit(answer: ServerResponseMetadata): void {
-        const { server, metadata: { limit, signed }, source, nowMs } = answer;
-        const { board, log, metrics } = this.#parts;
+    #recordLimit(response: ServerResponseMetadata): void {
+        const { server, metadata: { limit, signed }, source, nowMs } = response;
+        const { board, log, metrics } = this.#deps;
         if (limit.type === "malformed") {
             metrics.onServerLimit(server.service, "malformed");
-            log.log("warn", "serverLimit", { ...describe(answer), change: "malformed", text: limit.text });
+            log.log("warn", "serverLimit", { ...createLogFields(response), change: "malformed", text: limit.text });
             return;
         }
         // A response to a request lifts the limit by its absence only if the server signed the response.
@@ -59,55 +59,57 @@
         }
         const change = board.onLimit(server, limit, source, nowMs);
         if (change !== undefined) {
-            const { type, ...more } = change;
+            const { type, ...details } = change;
             metrics.onServerLimit(server.service, type);
-            log.log("info", "serverLimit", { ...describe(answer), change: type, ...more });
+            log.log("info", "serverLimit", { ...createLogFields(response), change: type, ...details });
         }
     }
 
-    #noteRest(answer: ServerResponseMetadata): void {
-        const { server, metadata: { backoff }, nowMs } = answer;
-        const { board, log, metrics } = this.#parts;
+    #recordBackoff(response: ServerResponseMetadata): void {
+        const { server, metadata: { backoff }, nowMs } = response;
+        const { board, log, metrics } = this.#deps;
         if (backoff.type === "none") {
             return;
         }
         metrics.onServerNotice(server.service, backoff.type === "asked" ? "rest" : "malformedRest");
         if (backoff.type === "malformed") {
-            log.log("warn", "serverRest", { ...describe(answer), change: "malformed", text: backoff.text });
+            log.log("warn", "serverRest", { ...createLogFields(response), change: "malformed", text: backoff.text });
             return;
         }
         const untilMs = board.onBackoff(server, backoff.forMs, nowMs);
         log.log("info", "serverRest", {
-            ...describe(answer),
+            ...createLogFields(response),
             change: untilMs === undefined ? "none" : "resting",
             forMs: backoff.forMs,
         });
     }
 
-    #noteLeaving(answer: ServerResponseMetadata): void {
-        const { server, metadata } = answer;
-        const { board, connections, log, metrics } = this.#parts;
+    #recordLeaving(response: ServerResponseMetadata): void {
+        const { server, metadata } = response;
+        const { board, connections, log, metrics } = this.#deps;
         if (!metadata.leaving) {
             return;
         }
         metrics.onServerNotice(server.service, "leaving");
         connections.closeIdle(server.id);
         if (board.onLeaving(server)) {
-            log.log("info", "serverLeaving", describe(answer));
+            log.log("info", "serverLeaving", createLogFields(response));
         }
     }
 
-    #noteUnknown(answer: ServerResponseMetadata): void {
-        for (const header of answer.metadata.unknownHeaders) {
-            this.#parts.metrics.onServerNotice(answer.server.service, "unknownHeader");
-            if (!this.#unknownNames.has(header) && this.#unknownNames.size < mostUnknownNames) {
-                this.#unknownNames.add(header);
-                this.#parts.log.log("warn", "unknownHeader", { ...describe(answer), header });
+    #recordUnknownHeaders(response: ServerResponseMetadata): void {
+        for (const header of response.metadata.unknownHeaders) {
+            this.#deps.metrics.onServerNotice(response.server.service, "unknownHeader");
+            if (!this.#loggedUnknownHeaders.has(header) && this.#loggedUnknownHeaders.size < maxLoggedUnknownHeaders) {
+                this.#loggedUnknownHeaders.add(header);
+                this.#deps.log.log("warn", "unknownHeader", { ...createLogFields(response), header });
             }
         }
     }
 }
 
-function describe({ requestId, source, server }: ServerResponseMetadata): Readonly<Record<string, string | undefined>> {
+function createLogFields(
+    { requestId, source, server }: ServerResponseMetadata,
+): Readonly<Record<string, string | undefined>> {
     return { requestId, answered: source.answered, service: server.service, server: server.id };
 }
--- a/packages/edge/src/requests/sendResultHandler.ts
+++ b/packages/edge/src/requests/sendResultHandler.ts
@@ -17,7 +17,7 @@
     readonly purpose: SendPurpose;
     /** Whether the server had never responded on the connection before. */
     readonly isNewConnection: boolean;
-    /** Mark of the crash ledger when the send began. */
+    /** Version of the crash ledger when the send began. */
     readonly ledgerVersion: number;
     readonly result: SendResult;
     /** Whether the caller already had the response of another send. */
@@ -29,45 +29,45 @@
  * metrics.
  */
 export class SendResultHandler {
-    readonly #parts: ExchangeDeps;
+    readonly #deps: ExchangeDeps;
     readonly #request: EdgeRequest;
-    readonly #content: LazyContentId;
-    readonly #guard: QuarantineGuard;
+    readonly #contentId: LazyContentId;
+    readonly #quarantineGuard: QuarantineGuard;
     /** Liveness checks of servers whose connection was lost with the request. */
-    readonly #checks: Promise<void>[] = [];
+    readonly #livenessChecks: Promise<void>[] = [];
 
-    constructor(parts: ExchangeDeps, request: EdgeRequest, content: LazyContentId, guard: QuarantineGuard) {
-        this.#parts = parts;
+    constructor(deps: ExchangeDeps, request: EdgeRequest, contentId: LazyContentId, quarantineGuard: QuarantineGuard) {
+        this.#deps = deps;
         this.#request = request;
-        this.#content = content;
-        this.#guard = guard;
+        this.#contentId = contentId;
+        this.#quarantineGuard = quarantineGuard;
     }
 
     /** Resolves once the liveness checks of all these servers are done. */
     async whenLivenessChecked(): Promise<void> {
-        await Promise.all(this.#checks);
+        await Promise.all(this.#livenessChecks);
     }
 
-    onSendEnded(outcome: ServerSendResult): void {
-        const { board, clock, metrics, reachability, rollouts } = this.#parts;
-        const { place: { server, score }, purpose, isNewConnection, ledgerVersion, result, superseded } = outcome;
+    onSendEnded(sendResult: ServerSendResult): void {
+        const { board, clock, metrics, reachability, rollouts } = this.#deps;
+        const { place: { server, score }, purpose, isNewConnection, ledgerVersion, result, superseded } = sendResult;
         const { end, response, tookMs } = result;
         const { rules: { name: service }, route } = this.#request;
         const nowMs = clock.monotonicMs();
         const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
-        const trial = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten: superseded };
+        const sample = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten: superseded };
         // A failure while this host's links are down is no evidence about the server's version.
         const isEvidence = purpose === "first"
             && (end.type === "answered" || reachability.stateOf(service) === "reached");
-        rollouts.onSendEnded(server, route.name, isEvidence ? trial : undefined);
+        rollouts.onSendEnded(server, route.name, isEvidence ? sample : undefined);
         metrics.onSendEnded(service, purpose, describeSendEnd(end));
-        this.#guard.onSendEnded(end, ledgerVersion);
+        this.#quarantineGuard.onSendEnded(end, ledgerVersion);
         if (result.contact !== undefined) {
             const startedAtMs = nowMs - tookMs;
             reachability.onContact({ service, serverId: server.id, isNewConnection, end: result.contact, startedAtMs });
         }
         if (isPossibleServerCrash(end)) {
-            this.#checks.push(this.#checkLost(outcome));
+            this.#livenessChecks.push(this.#checkLostServer(sendResult));
         }
         if (countsAsServerFailure(end)) {
             board.onFailure(service, server.id, nowMs);
@@ -78,7 +78,7 @@
                 board.typicalLatency.onResponse(service, tookMs, score.latencyFactor);
             }
         }
-        this.#noteServer(server, result, nowMs);
+        this.#recordMetadata(server, result, nowMs);
         const load = response?.metadata.load;
         if (load !== undefined) {
             board.onLoadReport(service, server, load, nowMs);
@@ -86,15 +86,15 @@
     }
 
     /** Records the response's metadata, unless it is another server's that has taken over the address. */
-    #noteServer(server: RegisteredServer, { end, metadata, streamed, tookMs }: SendResult, nowMs: number): void {
+    #recordMetadata(server: RegisteredServer, { end, metadata, streamed, tookMs }: SendResult, nowMs: number): void {
         // The head of a streamed response was valid even if the response was cut off later.
         const isOwn = streamed || end.type === "answered" || (end.type === "notRun" && end.reason === "turnedAway");
         if (metadata === undefined || !isOwn || (metadata.serverId ?? server.id) !== server.id) {
             return;
         }
-        this.#parts.metadataRecorder.record({
+        this.#deps.metadataRecorder.record({
             server,
-            metadata: metadata,
+            metadata,
             source: { answered: "request", sentAtMs: nowMs - tookMs },
             requestId: this.#request.requestId,
             nowMs,
@@ -105,35 +105,35 @@
      * A server that refuses connections has crashed, unless the other servers that are checked don't accept any either:
      * then this host's links may have failed, and a crash that never happened would be reported to the whole fleet.
      */
-    async #checkServer(server: RegisteredServer): Promise<ServerLiveness> {
-        const { checks, clock, random, view } = this.#parts;
+    async #checkLiveness(server: RegisteredServer): Promise<ServerLiveness> {
+        const { checks, clock, random, view } = this.#deps;
         const state = await checks.check(server);
         if (state !== "ended") {
             return state;
         }
         const others = view.usableServers(server.service, clock.monotonicMs()).filter(({ id }) => id !== server.id);
-        const witnesses: RegisteredServer[] = [];
-        while (witnesses.length < maxComparisonServers && others.length > 0) {
-            witnesses.push(...others.splice(Math.floor(random.next() * others.length), 1));
+        const comparisonServers: RegisteredServer[] = [];
+        while (comparisonServers.length < maxComparisonServers && others.length > 0) {
+            comparisonServers.push(...others.splice(Math.floor(random.next() * others.length), 1));
         }
-        if (witnesses.length < minComparisonServers) {
+        if (comparisonServers.length < minComparisonServers) {
             return state;
         }
-        const states = await Promise.all(witnesses.map(witness => checks.check(witness)));
+        const states = await Promise.all(comparisonServers.map(other => checks.check(other)));
         return states.includes("listening") ? "ended" : "unknown";
     }
 
     /** Finds out whether the server crashed or only the connection was lost, and reports a crash. */
-    async #checkLost({ place: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult): Promise<void> {
-        const { clock, log, metrics } = this.#parts;
+    async #checkLostServer({ place: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult): Promise<void> {
+        const { clock, log, metrics } = this.#deps;
         const { requestId, rules, route, callerAddress } = this.#request;
         const lostAtMs = clock.monotonicMs();
-        const state = await this.#checkServer(server);
+        const state = await this.#checkLiveness(server);
         metrics.onSendLost(rules.name, state);
-        this.#guard.onServerLost(server, state, ledgerVersion);
+        this.#quarantineGuard.onServerLost(server, state, ledgerVersion);
         log.log("warn", "sendLost", {
             requestId,
-            contentId: this.#content.contentId,
+            contentId: this.#contentId.contentId,
             route: route.name,
             callerAddress,
             from: server.id,
--- a/packages/edge/src/requests/workspaceGuard.ts
+++ b/packages/edge/src/requests/workspaceGuard.ts
@@ -5,26 +5,26 @@
 import { type ExchangeDeps } from "./exchangeDeps.js";
 
 /** How long a request waits if the allocator of its workspace's limit is lost: share of its objective, and maximum. */
-const heldShare = 0.5;
-const mostHeldMs = 1_500;
+const maxHoldShare = 0.5;
+const maxHoldMs = 1_500;
 
 /** Enforces the workspace's rules for one request: a key that is still valid, and the rate limit over all gateways. */
 export class WorkspaceGuard {
-    readonly #parts: ExchangeDeps;
+    readonly #deps: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #signal: AbortSignal;
     #token: Token | undefined;
-    #plentiful = true;
+    #allowsExtraRuns = true;
 
-    constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
-        this.#parts = parts;
+    constructor(deps: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
+        this.#deps = deps;
         this.#request = request;
         this.#signal = signal;
     }
 
     /** Change of the caller's key since the request arrived that forbids sending it; `undefined` if there is none. */
     get keyChange(): KeyChange | undefined {
-        return findKeyChange(this.#request.admission, this.#parts.view.configurationInForce?.workspaces);
+        return findKeyChange(this.#request.admission, this.#deps.view.configurationInForce?.workspaces);
     }
 
     isKeyChanged(): boolean {
@@ -33,7 +33,7 @@
 
     /** Whether the workspace's limit leaves room for a hedge, or for the retry of a send that may have run. */
     get allowsExtraRuns(): boolean {
-        return this.#plentiful;
+        return this.#allowsExtraRuns;
     }
 
     /** @returns `undefined` if the request is admitted, the rejection if not, "abandoned" if the request was aborted */
@@ -43,11 +43,11 @@
         if (admission.type !== "known" || limit === undefined) {
             return undefined;
         }
-        const { limits, log, metrics } = this.#parts;
+        const { limits, log, metrics } = this.#deps;
         const workspace = admission.workspace.name;
-        const holdMs = Math.min(mostHeldMs, this.#request.route.objectiveMs * heldShare);
+        const decisionTimeoutMs = Math.min(maxHoldMs, this.#request.route.objectiveMs * maxHoldShare);
         const decision = await limits.admit(
-            { workspace, ...limit, configVersion: version, decisionTimeoutMs: holdMs },
+            { workspace, ...limit, configVersion: version, decisionTimeoutMs },
             this.#signal,
         );
         if (decision === undefined) {
@@ -60,14 +60,14 @@
             return decision;
         }
         this.#token = decision.token;
-        this.#plentiful = decision.plentiful;
+        this.#allowsExtraRuns = decision.plentiful;
         return undefined;
     }
 
     /** Returns the token of a request that has ended and ran nowhere. */
-    onEnded(ends: readonly SendEnd[], underWay: number): void {
-        if (this.#token !== undefined && underWay === 0 && ends.every(({ type }) => type === "notRun")) {
-            this.#parts.limits.giveBack(this.#token);
+    onEnded(ends: readonly SendEnd[], inFlight: number): void {
+        if (this.#token !== undefined && inFlight === 0 && ends.every(({ type }) => type === "notRun")) {
+            this.#deps.limits.giveBack(this.#token);
         }
         this.#token = undefined;
     }
--- a/packages/edge/src/telemetry/edgeLog.ts
+++ b/packages/edge/src/telemetry/edgeLog.ts
@@ -53,7 +53,7 @@
 interface Budget {
     second: number;
     lines: number;
-    leftOut: number;
+    dropped: number;
 }
 
 const oneSecondMs = 1_000;
@@ -74,25 +74,25 @@
     }
 
     log(level: LogLevel, event: EdgeLogEvent, fields: LogFields): void {
-        if (this.#take(event)) {
+        if (this.#takeLine(event)) {
             this.#logger[level](event, fields);
         }
     }
 
-    #take(event: EdgeLogEvent): boolean {
+    #takeLine(event: EdgeLogEvent): boolean {
         const second = Math.floor(this.#nowMs() / oneSecondMs);
-        const budget = this.#budgets.get(event) ?? { second, lines: 0, leftOut: 0 };
+        const budget = this.#budgets.get(event) ?? { second, lines: 0, dropped: 0 };
         this.#budgets.set(event, budget);
         if (budget.second !== second) {
-            if (budget.leftOut > 0) {
-                this.#logger.warn("linesLeftOut", { event, lines: budget.leftOut });
+            if (budget.dropped > 0) {
+                this.#logger.warn("linesLeftOut", { event, lines: budget.dropped });
             }
             budget.second = second;
             budget.lines = 0;
-            budget.leftOut = 0;
+            budget.dropped = 0;
         }
         if (budget.lines >= maxLogLinesPerSecond) {
-            budget.leftOut++;
+            budget.dropped++;
             return false;
         }
         budget.lines++;
--- a/packages/edge/src/telemetry/edgeMetrics.ts
+++ b/packages/edge/src/telemetry/edgeMetrics.ts
@@ -2,7 +2,7 @@
 import { type Metrics } from "@galenaglade/telemetry";
 
 /** Workspaces with a label value of their own; all others share one, which bounds the memory. */
-const mostNamedWorkspaces = 200;
+const maxNamedWorkspaces = 200;
 const otherWorkspaces = "other";
 
 /** Counters and histograms of an edge process. */
@@ -12,20 +12,20 @@
     readonly #waits;
     readonly #sends;
     readonly #lostSends;
-    readonly #contents;
+    readonly #contentStates;
     readonly #limits;
     readonly #notices;
     readonly #meter;
     readonly #namedWorkspaces = new Set<string>();
     readonly #workspaceRequests;
     readonly #limitDecisions;
-    readonly #asks;
-    readonly #reach;
+    readonly #loadProbes;
+    readonly #reachability;
     readonly #handovers;
-    readonly #handoversTaken;
+    readonly #handoversReceived;
     readonly #storeCalls;
     readonly #relayRequests;
-    readonly #storeReturns;
+    readonly #storeRestores;
 
     constructor({ meter }: Metrics) {
         this.#meter = meter;
@@ -39,7 +39,7 @@
         this.#lostSends = meter.createCounter("galenaglade.lost_sends", {
             description: "sends whose connection was lost, by service and by what became of the server",
         });
-        this.#contents = meter.createCounter("galenaglade.contents_judged", {
+        this.#contentStates = meter.createCounter("galenaglade.contents_judged", {
             description: "changes of what is believed of requests under which servers ended, by the new belief",
         });
         this.#limits = meter.createCounter("galenaglade.server_limits", {
@@ -54,20 +54,20 @@
         this.#limitDecisions = meter.createCounter("galenaglade.workspace_limit_decisions", {
             description: "requests of limited workspaces, by workspace and decision",
         });
-        this.#asks = meter.createCounter("galenaglade.load_requests", {
+        this.#loadProbes = meter.createCounter("galenaglade.load_requests", {
             description: "times a server's load was asked, by end",
         });
-        this.#reach = meter.createCounter("galenaglade.reach_changes", {
+        this.#reachability = meter.createCounter("galenaglade.reach_changes", {
             description: "changes of whether this host reaches a service, by service and new state",
         });
         this.#handovers = meter.createCounter("galenaglade.handovers", {
             description: "requests handed to other gateways, by service and end",
         });
-        this.#handoversTaken = meter.createCounter("galenaglade.handovers_taken", {
+        this.#handoversReceived = meter.createCounter("galenaglade.handovers_taken", {
             description: "requests of other gateways, by outcome",
         });
         this.#storeCalls = meter.createCounter("galenaglade.store_calls", { description: "calls of the store by end" });
-        this.#storeReturns = meter.createCounter("galenaglade.store_restored", {
+        this.#storeRestores = meter.createCounter("galenaglade.store_restored", {
             description: "times the store was found to have come back from an older copy",
         });
         this.#relayRequests = meter.createCounter("galenaglade.relay_requests", {
@@ -93,7 +93,7 @@
     }
 
     onContentStateChanged(state: string): void {
-        this.#contents.add(1, { state });
+        this.#contentStates.add(1, { state });
     }
 
     onServerLimit(service: string, change: string): void {
@@ -132,7 +132,7 @@
     }
 
     #label(workspace: string): string {
-        if (this.#namedWorkspaces.size < mostNamedWorkspaces) {
+        if (this.#namedWorkspaces.size < maxNamedWorkspaces) {
             this.#namedWorkspaces.add(workspace);
         }
         return this.#namedWorkspaces.has(workspace) ? workspace : otherWorkspaces;
@@ -140,11 +140,11 @@
 
     /** @param end - `told`, or why the load probe failed */
     onLoadProbed(end: string): void {
-        this.#asks.add(1, { end });
+        this.#loadProbes.add(1, { end });
     }
 
     onReachChanged(service: string, state: string): void {
-        this.#reach.add(1, { service, state });
+        this.#reachability.add(1, { service, state });
     }
 
     onHandedOver(service: string, end: string): void {
@@ -152,7 +152,7 @@
     }
 
     onHandoverReceived(outcome: string): void {
-        this.#handoversTaken.add(1, { outcome });
+        this.#handoversReceived.add(1, { outcome });
     }
 
     onStoreCall(call: string, end: string): void {
@@ -160,7 +160,7 @@
     }
 
     onStoreRestored(): void {
-        this.#storeReturns.add(1);
+        this.#storeRestores.add(1);
     }
 
     onRelayRequest(end: string): void {
