--- a/packages/edge/src/__tests__/handover.test.ts
+++ b/packages/edge/src/__tests__/handover.test.ts
@@ -45,7 +45,7 @@
 /** Time after a gateway's start in which requests need permits to look for servers, in milliseconds. */
 const startupPermitsMs = 4_000;
 
-const answered: FakeGatewayBehavior = { type: "answer", body: "from a helper" };
+const answered: FakeGatewayBehavior = { type: "answer", body: "from a fake gateway" };
 
 // Guards against running a non-idempotent request twice: once the response is lost, it may have run.
 test("a non-idempotent request whose handover is cut off is neither retried nor reported as not run", async t => {
@@ -108,12 +108,17 @@
 test("a handover carries the sending gateway, and the time and runs that are left", async t => {
     const { fleet, fakeGateways } = await startCutOffGateway(t, answered);
     await fleet.send(0);
-    const order = JSON.parse(fakeGateways[0]?.requests[0]?.headers.get("galenaglade-handover") ?? "{}") as Record<
+    const metadata = JSON.parse(fakeGateways[0]?.requests[0]?.headers.get("galenaglade-handover") ?? "{}") as Record<
         string,
         unknown
     >;
-    assert.deepEqual([order["from"], order["service"], order["version"], order["runs"]], ["edge-0", "tables", 1, 1]);
-    const { ageMs, remainingMs } = order;
+    assert.deepEqual([metadata["from"], metadata["service"], metadata["version"], metadata["runs"]], [
+        "edge-0",
+        "tables",
+        1,
+        1,
+    ]);
+    const { ageMs, remainingMs } = metadata;
     assert.ok(typeof ageMs === "number" && typeof remainingMs === "number", "both are sent");
     assert.ok(Math.abs(ageMs + remainingMs - 1_500) < 1, `${ageMs} + ${remainingMs}`);
 });
@@ -131,8 +136,8 @@
     assert.ok(handedOver.every(line => String(line["end"]).startsWith("refused")), "a request ran on a cut gateway");
     const before = fleet.edges.map(({ logs }) => logs.length);
     const got = await fleet.sendFor(1_000, 20);
-    const kept = got.filter(({ status, headers }) => status !== 503 || !(Number(headers["retry-after"]) > 0));
-    assert.deepEqual(kept.map(({ status }) => status), []);
+    const unexpected = got.filter(({ status, headers }) => status !== 503 || !(Number(headers["retry-after"]) > 0));
+    assert.deepEqual(unexpected.map(({ status }) => status), []);
     const failed = fleet.edges.flatMap(({ logs }, i) => logs.slice(before[i]).filter(line => line["status"] === 503));
     const atOnce = failed.filter(line => line["detail"] === "unreached");
     assert.ok(atOnce.length > failed.length / 2, `${atOnce.length} of ${failed.length} at once`);
@@ -246,13 +251,17 @@
 // Guards against other processes that bypass limits, keys and routes through the port for gateways.
 test("a malformed handover, or one of an unregistered sender, is refused with a reason and runs nothing", async t => {
     const fleet = await FaultyLinkFleet.start(t, 1);
-    const send = async (order: string | undefined): Promise<[number, string]> => {
-        const headers = { "host": "survey.example", "x-id": "forged", ...(order && { "galenaglade-handover": order }) };
+    const send = async (metadata: string | undefined): Promise<[number, string]> => {
+        const headers = {
+            "host": "survey.example",
+            "x-id": "forged",
+            ...(metadata && { "galenaglade-handover": metadata }),
+        };
         const res = await request(`${fleet.edgeOf(0).peersUrl}/handover`, { method: "POST", headers, body: "filed" });
         await res.body.dump();
         return [res.statusCode, String(res.headers["galenaglade-handover"])];
     };
-    const order = {
+    const metadata = {
         from: "stranger",
         target: "/returns/x",
         service: "tables",
@@ -262,12 +271,12 @@
         runs: 1,
         caller: "",
     };
-    for (const bad of [undefined, "{", "[]", JSON.stringify({ ...order, target: "http://elsewhere/" })]) {
+    for (const bad of [undefined, "{", "[]", JSON.stringify({ ...metadata, target: "http://elsewhere/" })]) {
         const [status, outcome] = await send(bad);
         assert.equal(status, 400);
         assert.match(outcome, /malformed/);
     }
-    const [status, outcome] = await send(JSON.stringify(order));
+    const [status, outcome] = await send(JSON.stringify(metadata));
     assert.equal(status, 403);
     assert.match(outcome, /notRegistered/);
     assert.deepEqual(fleet.backends.flatMap(({ servedRequests }) => servedRequests()), []);
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -45,11 +45,11 @@
     });
     const metrics = new EdgeMetrics(createMetrics("test"));
     const log = new EdgeLog(createJsonLogger({ process: "test", level: "error", write: () => undefined }), () => 0);
-    const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
+    const metadataRecorder = new ResponseMetadataRecorder({ board, connections, log, metrics });
     return {
         prober: new PlacementProber({
             board,
-            metadataRecorder: notes,
+            metadataRecorder,
             connections,
             reachability: { onContact: () => undefined },
             metadataCodec: vocabulary,
@@ -68,9 +68,9 @@
     silent.load = undefined;
     const { prober } = createProber(t);
     const servers = [createServer("silent", silent.raw.port), createServer("good", good.raw.port)];
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     assert.equal(await prober.probe(rules, servers, 20_000), 1);
-    assert.ok(performance.now() - beganAtMs < 10_000);
+    assert.ok(performance.now() - startedAtMs < 10_000);
 });
 
 test("all probes are awaited if no server has spare capacity, and one without a response becomes suspect", async t => {
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -74,7 +74,7 @@
     await sendCrashing(fleet, 1_000, 150);
     await eventually(
         () => edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
-        "the gateways know the request",
+        "all gateways quarantine the request",
     );
 }
 
@@ -88,16 +88,16 @@
 test("a quarantined request is rejected at once with its own error, and the log names its crashes", async t => {
     const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     const edge = at(fleet.edges, 1);
     const got = await fleet.servers.send(edge, crashPath);
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers["retry-after"]) > 60);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
     const failed = edge.logs.findLast(line => line["message"] === "requestFailed");
-    const judged = edge.logs.findLast(line => line["message"] === "contentJudged");
+    const stateChange = edge.logs.findLast(line => line["message"] === "contentJudged");
     assert.equal(failed?.["kind"], "queryOfDeath");
-    assert.equal(failed["contentId"], judged?.["contentId"]);
+    assert.equal(failed["contentId"], stateChange?.["contentId"]);
     assert.equal((await fleet.servers.send(edge, "/tables/other")).status, 200);
 });
 
@@ -105,7 +105,7 @@
 test("a gateway that has just started rejects requests that are already quarantined", async t => {
     const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     await at(fleet.edges, 0).stop();
     const restarted = await startEdge(t, new StoreLink(fleet.store), { name: "edge-0" });
     const added = await startEdge(t, new StoreLink(fleet.store), { name: "edge-new" });
@@ -113,22 +113,25 @@
         await waitUntilReady(edge);
         assert.equal((await fleet.servers.send(edge, crashPath)).status, 503);
     }
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
 });
 
 test("a gateway that was cut off from the store learns of a quarantine soon after it reconnects", async t => {
     const fleet = await startCrashingFleet(t, 3);
-    const [away, ...others] = fleet.edges;
-    assert.ok(away);
+    const [cutOff, ...others] = fleet.edges;
+    assert.ok(cutOff);
     at(fleet.links, 0).cut = true;
     await whenQuarantined({ ...fleet, edges: others }, others);
     at(fleet.links, 0).cut = false;
     const backAtMs = performance.now();
-    await eventually(() => away.logs.some(line => line["state"] === "quarantined"), "the gateway knows the request");
+    await eventually(
+        () => cutOff.logs.some(line => line["state"] === "quarantined"),
+        "the gateway quarantines the request",
+    );
     assert.ok(performance.now() - backAtMs <= bounds.settleMs);
-    const endedBefore = fleet.servers.crashCount;
-    assert.equal((await fleet.servers.send(away, crashPath)).status, 503);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    const crashesBefore = fleet.servers.crashCount;
+    assert.equal((await fleet.servers.send(cutOff, crashPath)).status, 503);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
 });
 
 // Without the store a gateway gets no reports of others. Its own crashes must suffice, and be published afterwards.
@@ -157,12 +160,12 @@
     }
     await eventually(
         () => fleet.edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
-        "the gateways know the request",
+        "all gateways quarantine the request",
     );
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     const refused = await fleet.servers.send(at(fleet.edges, 0), crashReturnPath, "filed");
     assert.equal(refused.status, 503);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
     assert.equal((await fleet.servers.send(at(fleet.edges, 0), "/returns/x", "filed")).status, 200);
     assert.deepEqual(checkAtMostOnce(fleet.servers.history), []);
     assert.deepEqual(checkTruthfulDidRun(fleet.servers.history), []);
--- a/packages/edge/src/__tests__/support/fakeGateway.ts
+++ b/packages/edge/src/__tests__/support/fakeGateway.ts
@@ -69,7 +69,7 @@
             req.socket.write("HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n");
             return;
         case "loseFirst":
-            act(req, behavior.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a helper" });
+            act(req, behavior.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a fake gateway" });
             behavior.lost.add("first");
             return;
         case "lose":
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -292,7 +292,7 @@
         return reachability.stateOf(service);
     }
 
-    /** @returns a gateway that is thought to reach the service; `undefined` if there is none or this host reaches it */
+    /** @returns a gateway to hand the request over to; `undefined` if there is none, or if this host isn't cut off */
     #chooseHandoverTarget(): RegisteredGateway | undefined {
         const { reachability } = this.#deps;
         const service = this.#request.rules.name;
