--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -18,7 +18,7 @@
 import { TestMetadataCodec } from "./support/testCodecs.js";
 
 const rules = { name: "tables", healthPath: "/health", maximumConnections: 200, coldRequestsPerSecond: 4 };
-const vocabulary = new TestMetadataCodec();
+const metadataCodec = new TestMetadataCodec();
 
 function createServer(id: string, port: number): RegisteredServer {
     return {
@@ -52,7 +52,7 @@
             metadataRecorder,
             connections,
             reachability: { onContact: () => undefined },
-            metadataCodec: vocabulary,
+            metadataCodec,
             clock: systemClock,
             metrics,
             timeline: new StartTimeline(log),
@@ -104,7 +104,7 @@
     const server = createServer("a", port);
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
-    const probe = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
+    const probe = { server, healthPath: "/health", vocabulary: metadataCodec, timeoutMs: 150 };
     const connection = connections.open(server.address);
     assert.equal((await probeServerLoad({ ...probe, connection })).type, "told", "the connection is open now");
     const response = probeServerLoad({ ...probe, connection });
--- a/packages/edge/src/__tests__/requestPath.test.ts
+++ b/packages/edge/src/__tests__/requestPath.test.ts
@@ -134,7 +134,7 @@
 });
 
 for (
-    const [what, answer] of [
+    const [description, response] of [
         ["garbage instead of a response", "garbage\r\n\r\n"],
         ["an unsigned response", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-id: ID\r\n\r\nno"],
         [
@@ -144,9 +144,9 @@
         ["a truncated response", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\nx-id: ID\r\nx-signed: 1\r\n\r\nno"],
     ] as const
 ) {
-    test(`the caller sees nothing of ${what}, and the request is retried on another server`, async t => {
+    test(`the caller sees nothing of ${description}, and the request is retried on another server`, async t => {
         const a = await startBackend(t, "a", req => {
-            req.socket.end(answer.replace("ID", req.headers.get("x-id") ?? ""));
+            req.socket.end(response.replace("ID", req.headers.get("x-id") ?? ""));
         });
         const b = await startBackend(t, "b");
         b.load = "1,0,3,1.2";
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -128,7 +128,10 @@
         );
     }
 
-    /** Doesn't reject a route or key as unknown while the state may be outdated: it may have been added meanwhile. */
+    /**
+     * Replaces the failure for an unknown route or key with a retryable one while this gateway's state may be stale: the
+     * route or key may have been added meanwhile.
+     */
     #replaceIfStale(failure: Failure, nowMs: number): Failure {
         const { view, random } = this.#deps;
         const isLookupFailure = failure.kind === "noSuchService" || failure.kind === "unauthenticated";
