--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Replaces the failure for an unknown route or key with a retryable one while this gateway's state may be stale: the
-     * route or key may have been added meanwhile.
+     * Replaces the failure for an unknown route or key with a retryable one while this gateway's state may be stale:
+     * the route or key may have been added meanwhile.
      */
     #replaceIfStale(failure: Failure, nowMs: number): Failure {
         const { view, random } = this.#deps;
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Checks name and address against the registered gateways. Handed-over requests skip the workspaces' rate limits, so
-     * no other process may send them.
+     * Checks name and address against the registered gateways. Handed-over requests skip the workspaces' rate limits,
+     * so no other process may send them.
      */
     #isRegistered(from: string, remoteAddress: string): boolean {
         const address = remoteAddress.replace(/^::ffff:/, "");
