--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/loadInquiry.test.ts
@@ -18,7 +18,7 @@
 import { TestMetadataCodec } from "./support/testCodecs.js";
 
 const rules = { name: "tables", healthPath: "/health", maximumConnections: 200, coldRequestsPerSecond: 4 };
-const vocabulary = new TestMetadataCodec();
+const metadataCodec = new TestMetadataCodec();
 
 function createServer(id: string, port: number): RegisteredServer {
     return {
@@ -33,7 +33,7 @@
     };
 }
 
-function createInquiry(t: TestContext): { readonly inquiry: PlacementProber; readonly board: PlacementState; } {
+function createProber(t: TestContext): { readonly prober: PlacementProber; readonly board: PlacementState; } {
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
     const board = new PlacementState({
@@ -45,14 +45,14 @@
     });
     const metrics = new EdgeMetrics(createMetrics("test"));
     const log = new EdgeLog(createJsonLogger({ process: "test", level: "error", write: () => undefined }), () => 0);
-    const notes = new ResponseMetadataRecorder({ board, connections, log, metrics });
+    const metadataRecorder = new ResponseMetadataRecorder({ board, connections, log, metrics });
     return {
-        inquiry: new PlacementProber({
+        prober: new PlacementProber({
             board,
-            metadataRecorder: notes,
+            metadataRecorder,
             connections,
             reachability: { onContact: () => undefined },
-            metadataCodec: vocabulary,
+            metadataCodec,
             clock: systemClock,
             metrics,
             timeline: new StartTimeline(log),
@@ -61,32 +61,32 @@
     };
 }
 
-// Of the servers that are asked one is slow to answer, or dead. Every request that asks it would be as late.
-test("the first good server is enough: a silent one beside it holds nobody up", async t => {
+// One of the probed servers is slow or dead. If the prober waited for it, every request that probes it would be late.
+test("a server with spare capacity ends a round of probes while another one doesn't respond", async t => {
     const good = await startBackend(t, "good");
     const silent = await startBackend(t, "silent");
     silent.load = undefined;
-    const { inquiry } = createInquiry(t);
+    const { prober } = createProber(t);
     const servers = [createServer("silent", silent.raw.port), createServer("good", good.raw.port)];
-    const beganAtMs = performance.now();
-    assert.equal(await inquiry.probe(rules, servers, 20_000), 1);
-    assert.ok(performance.now() - beganAtMs < 10_000);
+    const startedAtMs = performance.now();
+    assert.equal(await prober.probe(rules, servers, 20_000), 1);
+    assert.ok(performance.now() - startedAtMs < 10_000);
 });
 
-test("where none is good all are waited for, and a silent one is suspected", async t => {
+test("all probes are awaited if no server has spare capacity, and one without a response becomes suspect", async t => {
     const full = await startBackend(t, "full");
     full.load = "3,9,3,1";
     const silent = await startBackend(t, "silent");
     silent.load = undefined;
-    const { inquiry, board } = createInquiry(t);
+    const { prober, board } = createProber(t);
     const servers = [createServer("silent", silent.raw.port), createServer("full", full.raw.port)];
-    assert.equal(await inquiry.probe(rules, servers, 200), 1);
+    assert.equal(await prober.probe(rules, servers, 200), 1);
     const nowMs = systemClock.monotonicMs();
     assert.ok(board.suspects.isSuspect("silent", nowMs));
     assert.ok(!board.suspects.isSuspect("full", nowMs));
 });
 
-/** A server in a thread of its own, so that it answers while this one is busy. */
+/** Script of a server that runs in its own thread, so that it responds while the main thread is busy. */
 const serverScript = `
 const { createServer } = require("node:http");
 const { parentPort } = require("node:worker_threads");
@@ -94,25 +94,25 @@
 server.listen(0, "127.0.0.1", () => parentPort.postMessage(server.address().port));
 `;
 
-// Right after a power cut a turn of the event loop takes longer than the limit of a question. The answer is there, unread,
-// and the timer comes first. Taken for silent, the server would be suspected and its connection closed, and the next request
-// would have to open another one.
-test("an answer that came in time and was read late is no silence", async t => {
+// Right after a power cut, one turn of the event loop can take longer than a probe's timeout. The timer then fires
+// before a response that has already arrived is read. If that counted as a timeout, the server would become suspect and
+// its connection would be closed, so that the next request has to open a new one.
+test("a probe's response that arrived in time but was read late doesn't count as a timeout", async t => {
     const worker = new Worker(serverScript, { eval: true });
     t.after(() => worker.terminate());
     const [port] = await once(worker, "message") as [number];
     const server = createServer("a", port);
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
-    const question = { server, healthPath: "/health", vocabulary, timeoutMs: 150 };
+    const probe = { server, healthPath: "/health", vocabulary: metadataCodec, timeoutMs: 150 };
     const connection = connections.open(server.address);
-    assert.equal((await probeServerLoad({ ...question, connection })).type, "told", "and the connection is open");
-    const asked = probeServerLoad({ ...question, connection });
-    // Lets the question go out, and is then busy until long after the limit.
+    assert.equal((await probeServerLoad({ ...probe, connection })).type, "told", "the connection is open now");
+    const response = probeServerLoad({ ...probe, connection });
+    // Lets the probe go out, then blocks the event loop until long after the timeout.
     await new Promise(resolve => setImmediate(resolve));
     const untilMs = performance.now() + 600;
     while (performance.now() < untilMs) {
-        // Busy.
+        // Blocks the event loop.
     }
-    assert.equal((await asked).type, "told");
+    assert.equal((await response).type, "told");
 });
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -10,24 +10,24 @@
 const bounds = { crashes: 3, settleMs: 3_000, retries: 3 };
 const servers = 6;
 
-interface DyingFleet {
+interface CrashingFleet {
     readonly store: MemoryStore;
     readonly servers: CrashingServers;
     readonly edges: readonly TestEdge[];
     readonly links: readonly StoreLink[];
 }
 
-/** Gateways over one store, before servers that end under one path. */
-async function startDyingFleet(
+/** Starts gateways that share one store, in front of servers that crash on one path. */
+async function startCrashingFleet(
     t: TestContext,
     gateways: number,
     settings: { readonly firstTrialSeconds?: number; } = {},
-): Promise<DyingFleet> {
+): Promise<CrashingFleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
-    const dying = new CrashingServers(t, store);
+    const crashingServers = new CrashingServers(t, store);
     for (let i = 0; i < servers; i++) {
-        await dying.start();
+        await crashingServers.start();
     }
     const edges: TestEdge[] = [];
     const links: StoreLink[] = [];
@@ -41,11 +41,11 @@
         () => edges.every(({ logs }) => logs.filter(line => line["subject"] === "gateway").length >= gateways),
         "the gateways know each other",
     );
-    return { store, servers: dying, edges, links };
+    return { store, servers: crashingServers, edges, links };
 }
 
-/** Sends the deadly request to one gateway after the other. */
-async function sendDeadly({ servers, edges }: DyingFleet, forMs: number, everyMs: number): Promise<void> {
+/** Sends the request that crashes servers to one gateway after the other. */
+async function sendCrashing({ servers, edges }: CrashingFleet, forMs: number, everyMs: number): Promise<void> {
     const untilMs = performance.now() + forMs;
     const sent: Promise<unknown>[] = [];
     for (let i = 0; performance.now() < untilMs; i++) {
@@ -57,21 +57,24 @@
     await Promise.all(sent);
 }
 
-// Bounded by attempt alone, a request that crashes its server takes down as many servers as it has attempts.
-test("a request that crashes the servers that run it is kept from them by every gateway", async t => {
-    const fleet = await startDyingFleet(t, 3);
-    await sendDeadly(fleet, 7_000, 200);
+// With a bound on attempts alone, a request that crashes its server takes down as many servers as it has attempts.
+test("a request that crashes servers is quarantined by every gateway before it takes down more of them", async t => {
+    const fleet = await startCrashingFleet(t, 3);
+    await sendCrashing(fleet, 7_000, 200);
     assert.deepEqual(checkQueryOfDeath(fleet.servers.history, bounds), []);
     const [edge] = fleet.edges;
     assert.ok(edge);
-    await eventually(async () => (await fleet.servers.send(edge, "/tables/x")).status === 200, "others are served");
+    await eventually(
+        async () => (await fleet.servers.send(edge, "/tables/x")).status === 200,
+        "other requests are served",
+    );
 });
 
-async function whenQuarantined(fleet: DyingFleet, edges: readonly TestEdge[] = fleet.edges): Promise<void> {
-    await sendDeadly(fleet, 1_000, 150);
+async function whenQuarantined(fleet: CrashingFleet, edges: readonly TestEdge[] = fleet.edges): Promise<void> {
+    await sendCrashing(fleet, 1_000, 150);
     await eventually(
         () => edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
-        "the gateways know the request",
+        "all gateways quarantine the request",
     );
 }
 
@@ -81,28 +84,28 @@
     return thing;
 }
 
-// Left with a plain refusal its caller would come back at once, and on-call would look for a full service.
-test("a quarantined request gets a final answer of its own kind at once, and its log names the crashes behind it", async t => {
-    const fleet = await startDyingFleet(t, 2);
+// With the response of an overload the caller would retry at once, and on-call would look for an overloaded service.
+test("a quarantined request is rejected at once with its own error, and the log names its crashes", async t => {
+    const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     const edge = at(fleet.edges, 1);
     const got = await fleet.servers.send(edge, crashPath);
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers["retry-after"]) > 60);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
     const failed = edge.logs.findLast(line => line["message"] === "requestFailed");
-    const judged = edge.logs.findLast(line => line["message"] === "contentJudged");
+    const stateChange = edge.logs.findLast(line => line["message"] === "contentJudged");
     assert.equal(failed?.["kind"], "queryOfDeath");
-    assert.equal(failed["contentId"], judged?.["contentId"]);
+    assert.equal(failed["contentId"], stateChange?.["contentId"]);
     assert.equal((await fleet.servers.send(edge, "/tables/other")).status, 200);
 });
 
-// Its memory gone, a restarted gateway would let the request take down servers again.
-test("a gateway that has just started keeps a known deadly request from its servers", async t => {
-    const fleet = await startDyingFleet(t, 2);
+// A gateway that lost the quarantine in a restart would let the request take down servers again.
+test("a gateway that has just started rejects requests that are already quarantined", async t => {
+    const fleet = await startCrashingFleet(t, 2);
     await whenQuarantined(fleet);
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     await at(fleet.edges, 0).stop();
     const restarted = await startEdge(t, new StoreLink(fleet.store), { name: "edge-0" });
     const added = await startEdge(t, new StoreLink(fleet.store), { name: "edge-new" });
@@ -110,27 +113,30 @@
         await waitUntilReady(edge);
         assert.equal((await fleet.servers.send(edge, crashPath)).status, 503);
     }
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
 });
 
-test("a gateway that was cut off from the store knows a deadly request soon after it is back", async t => {
-    const fleet = await startDyingFleet(t, 3);
-    const [away, ...others] = fleet.edges;
-    assert.ok(away);
+test("a gateway that was cut off from the store learns of a quarantine soon after it reconnects", async t => {
+    const fleet = await startCrashingFleet(t, 3);
+    const [cutOff, ...others] = fleet.edges;
+    assert.ok(cutOff);
     at(fleet.links, 0).cut = true;
     await whenQuarantined({ ...fleet, edges: others }, others);
     at(fleet.links, 0).cut = false;
     const backAtMs = performance.now();
-    await eventually(() => away.logs.some(line => line["state"] === "quarantined"), "the gateway knows the request");
+    await eventually(
+        () => cutOff.logs.some(line => line["state"] === "quarantined"),
+        "the gateway quarantines the request",
+    );
     assert.ok(performance.now() - backAtMs <= bounds.settleMs);
-    const endedBefore = fleet.servers.crashCount;
-    assert.equal((await fleet.servers.send(away, crashPath)).status, 503);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    const crashesBefore = fleet.servers.crashCount;
+    assert.equal((await fleet.servers.send(cutOff, crashPath)).status, 503);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
 });
 
-// Without the store a gateway hears of no other's crashes; its own must be enough, and reach the others once the store is back.
-test("while the store is away each gateway goes by the crashes that it saw, and reports them when the store is back", async t => {
-    const fleet = await startDyingFleet(t, 2);
+// Without the store a gateway gets no reports of others. Its own crashes must suffice, and be published afterwards.
+test("a gateway quarantines by its own crashes while the store is down, and reports them afterwards", async t => {
+    const fleet = await startCrashingFleet(t, 2);
     fleet.store.down = true;
     const [first, second] = fleet.edges;
     assert.ok(first && second);
@@ -140,31 +146,34 @@
     }
     assert.equal((await fleet.servers.send(first, crashPath)).status, 503);
     fleet.store.down = false;
-    await eventually(() => second.logs.some(line => line["state"] === "quarantined"), "the other gateway knows it");
+    await eventually(
+        () => second.logs.some(line => line["state"] === "quarantined"),
+        "the other gateway quarantines the request",
+    );
 });
 
-test("a non-idempotent request that ends its servers is kept from them as well, and runs once at most", async t => {
-    const fleet = await startDyingFleet(t, 2);
+test("a non-idempotent request that crashes servers is quarantined as well, and runs once at most", async t => {
+    const fleet = await startCrashingFleet(t, 2);
     for (let i = 0; i < 5; i++) {
         await fleet.servers.send(at(fleet.edges, i % 2), crashReturnPath, "filed");
         await sleep(300);
     }
     await eventually(
         () => fleet.edges.every(({ logs }) => logs.some(line => line["state"] === "quarantined")),
-        "the gateways know the request",
+        "all gateways quarantine the request",
     );
-    const endedBefore = fleet.servers.crashCount;
+    const crashesBefore = fleet.servers.crashCount;
     const refused = await fleet.servers.send(at(fleet.edges, 0), crashReturnPath, "filed");
     assert.equal(refused.status, 503);
-    assert.equal(fleet.servers.crashCount, endedBefore);
+    assert.equal(fleet.servers.crashCount, crashesBefore);
     assert.equal((await fleet.servers.send(at(fleet.edges, 0), "/returns/x", "filed")).status, 200);
     assert.deepEqual(checkAtMostOnce(fleet.servers.history), []);
     assert.deepEqual(checkTruthfulDidRun(fleet.servers.history), []);
 });
 
-// A popular read that happened to be on servers which ended must not stay refused.
-test("a quarantined request is tried once soon, and served again where it ends no server any more", async t => {
-    const fleet = await startDyingFleet(t, 2, { firstTrialSeconds: 1 });
+// A popular read that was running on servers which crashed for another reason must not stay quarantined.
+test("a quarantined request is tried once soon, and is served again if it crashes no server any more", async t => {
+    const fleet = await startCrashingFleet(t, 2, { firstTrialSeconds: 1 });
     await whenQuarantined(fleet);
     fleet.servers.crashesEnabled = false;
     await eventually(
@@ -172,6 +181,6 @@
             (await Promise.all(fleet.edges.map(edge => fleet.servers.send(edge, crashPath)))).every(got =>
                 got.status === 200
             ),
-        "the request is served by both gateways",
+        "both gateways serve the request",
     );
 });
--- a/packages/edge/src/__tests__/support/crashingServers.ts
+++ b/packages/edge/src/__tests__/support/crashingServers.ts
@@ -13,15 +13,15 @@
 } from "./testEdge.js";
 
 const runMs = 30;
-const backAfterMs = 400;
+const restartDelayMs = 400;
 
-/** Paths under which a request ends the server that runs it. */
+/** Paths of requests that crash the server that runs them: an idempotent and a non-idempotent one. */
 export const crashPath = "/tables/deadly";
 export const crashReturnPath = "/returns/deadly";
 
-/** Backend servers that end under the deadly path and are replaced, and the history of what callers sent and servers ran. */
+/** Backend servers that crash on these paths and are replaced, with the history of the requests sent and run. */
 export class CrashingServers extends RecordedServers {
-    /** Whether the deadly paths end servers. */
+    /** Whether requests on these paths crash servers. */
     crashesEnabled = true;
     #started = 0;
     #stopped = false;
@@ -33,18 +33,18 @@
         });
     }
 
-    /** Servers that have ended. */
+    /** Number of servers that have crashed. */
     get crashCount(): number {
         return this.history.filter(({ type }) => type === "serverCrashed").length;
     }
 
-    /** Starts one more server and registers it. */
+    /** Starts and registers one more server. */
     async start(): Promise<void> {
         const id = `server-${++this.#started}`;
         const backend = await startBackend(this.t, id, req => {
             this.recordStarted(id, req);
             if (this.crashesEnabled && (req.path === crashPath || req.path === crashReturnPath)) {
-                void this.#end(id, req, () => backend.raw.stop());
+                void this.#crash(id, req, () => backend.raw.stop());
                 return;
             }
             req.socket.write(renderSignedResponse(req, "a table"));
@@ -52,7 +52,7 @@
         registerServer(this.store, backend);
     }
 
-    /** Sends a request, and records it. */
+    /** Sends a request and records it in the history. */
     async send(edge: TestEdge, path: string, body?: string): Promise<CallerResponse> {
         const requestId = this.createRequestId();
         const contentId = `${path} ${body ?? ""}`;
@@ -70,11 +70,11 @@
         return got;
     }
 
-    async #end(id: string, req: RawRequest, stop: () => Promise<void>): Promise<void> {
+    async #crash(id: string, req: RawRequest, stop: () => Promise<void>): Promise<void> {
         await sleep(runMs);
         this.record({ type: "serverCrashed", requestId: req.headers.get("x-id") ?? "", server: id });
         await stop();
-        await sleep(backAfterMs);
+        await sleep(restartDelayMs);
         if (!this.#stopped) {
             this.store.remove(`servers/${id}`);
             await this.start();
--- a/packages/edge/src/__tests__/support/fakeGateway.ts
+++ b/packages/edge/src/__tests__/support/fakeGateway.ts
@@ -3,33 +3,33 @@
 import { type MemoryStore } from "./memoryStore.js";
 import { renderSignedResponse } from "./testEdge.js";
 
-/** What a stand-in for another gateway does with a request that is handed to it. */
+/** How a fake gateway handles a request that is handed over to it. */
 export type FakeGatewayBehavior =
     | { readonly type: "answer"; readonly body: string; }
-    /** Runs it, and the connection is lost before the answer. */
+    /** Runs the request, and resets the connection before the response. */
     | { readonly type: "lose"; }
-    /** The same for the first request of all stand-ins that share it; then it answers. */
+    /** Like `lose` for the first request among all fake gateways that share the set; responds to the others. */
     | { readonly type: "loseFirst"; readonly lost: Set<string>; }
-    /** Says nothing. */
+    /** Never responds. */
     | { readonly type: "freeze"; }
     | { readonly type: "verdict"; readonly status: string; readonly verdict: object; }
-    /** Of a program that doesn't know handovers. */
+    /** Behaves like an older version without handovers. */
     | { readonly type: "unknownPath"; };
 
-/** A stand-in for another gateway, so that a test decides over each of its answers. */
+/** Fake of another gateway, whose responses a test controls. */
 export interface FakeGateway {
     readonly name: string;
-    /** Requests that were handed to it. */
+    /** Requests that were handed over to it. */
     readonly requests: RawRequest[];
     behavior: FakeGatewayBehavior;
 }
 
-/** Starts one and registers it. It says that it reaches every service. */
+/** Starts and registers a fake gateway, which reports that it reaches every service. */
 export async function startFakeGateway(
     t: TestContext,
     store: MemoryStore,
     name: string,
-    conduct: FakeGatewayBehavior,
+    behavior: FakeGatewayBehavior,
 ): Promise<FakeGateway> {
     const requests: RawRequest[] = [];
     const raw = await startRawBackend(t, req => {
@@ -43,34 +43,34 @@
             return;
         }
         requests.push(req);
-        act(req, helper.behavior);
+        act(req, gateway.behavior);
     });
-    const helper: FakeGateway = { name, requests, behavior: conduct };
+    const gateway: FakeGateway = { name, requests, behavior: behavior };
     store.put(
         `gateways/${name}`,
         JSON.stringify({ availabilityZone: "north", peers: `127.0.0.1:${raw.port}` }),
     );
-    return helper;
+    return gateway;
 }
 
-function act(req: RawRequest, conduct: FakeGatewayBehavior): void {
-    switch (conduct.type) {
+function act(req: RawRequest, behavior: FakeGatewayBehavior): void {
+    switch (behavior.type) {
         case "answer": {
             const verdict = JSON.stringify({ type: "answered", version: 1 });
-            req.socket.write(renderSignedResponse(req, conduct.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
+            req.socket.write(renderSignedResponse(req, behavior.body, "200 OK", [`galenaglade-handover: ${verdict}`]));
             return;
         }
         case "verdict": {
-            const mark = `galenaglade-handover: ${JSON.stringify(conduct.verdict)}`;
-            req.socket.write(`HTTP/1.1 ${conduct.status}\r\ncontent-length: 0\r\n${mark}\r\n\r\n`);
+            const headerLine = `galenaglade-handover: ${JSON.stringify(behavior.verdict)}`;
+            req.socket.write(`HTTP/1.1 ${behavior.status}\r\ncontent-length: 0\r\n${headerLine}\r\n\r\n`);
             return;
         }
         case "unknownPath":
             req.socket.write("HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n");
             return;
         case "loseFirst":
-            act(req, conduct.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a helper" });
-            conduct.lost.add("first");
+            act(req, behavior.lost.size === 0 ? { type: "lose" } : { type: "answer", body: "from a fake gateway" });
+            behavior.lost.add("first");
             return;
         case "lose":
             req.socket.resetAndDestroy();
--- a/packages/edge/src/callers/startupGate.ts
+++ b/packages/edge/src/callers/startupGate.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { type StartupRequest, StartupQueue, startupQueueMs } from "@galenaglade/placement";
 
-/** A request's turn, which its owner ends. */
+/** A request's permit to look for a server, which its holder releases. */
 export interface StartupPermit {
     onSent(): void;
     onEnded(): void;
@@ -9,60 +9,62 @@
 
 type Waiter = () => void;
 
-/** Has requests of the process's first seconds wait for their turn to look for a server. */
+/** Limits how many requests look for a server at once during the first seconds of the process. */
 export class StartupGate {
     readonly #clock: Clock;
-    readonly #turns: StartupQueue<Waiter>;
+    readonly #queue: StartupQueue<Waiter>;
 
-    /** @param clock - the process's clock; its first seconds begin now */
+    /** @param clock - clock of the process; the first seconds begin with this call */
     constructor(clock: Clock) {
         this.#clock = clock;
-        this.#turns = new StartupQueue(clock.monotonicMs());
-        setTimeout(() => this.#takeTurns(), startupQueueMs).unref();
+        this.#queue = new StartupQueue(clock.monotonicMs());
+        setTimeout(() => this.#startReady(), startupQueueMs).unref();
     }
 
-    /** Whether requests take turns now. */
+    /** Whether requests need a permit now. */
     get isActive(): boolean {
-        return this.#turns.isActive(this.#clock.monotonicMs());
+        return this.#queue.isActive(this.#clock.monotonicMs());
     }
 
     /**
-     * @param request - what decides when its turn comes
-     * @param signal - aborted when the request waits no longer
-     * @returns the request's turn, once it has come or the request waits no longer
+     * Waits for a permit.
+     *
+     * @param request - decides the order of the waiting requests
+     * @param signal - ends the wait when it is aborted
+     * @returns the permit; after an abort, one that counts for nothing
      */
     async acquire(request: StartupRequest, signal: AbortSignal): Promise<StartupPermit> {
-        let begin: Waiter = () => undefined;
-        const begun = new Promise<void>(resolve => {
-            begin = resolve;
+        let start: Waiter = () => undefined;
+        const started = new Promise<void>(resolve => {
+            start = resolve;
         });
-        this.#turns.enqueue(request, begin);
-        this.#takeTurns();
-        // A request that is due must get its answer whoever's turn it is.
-        const leave = (): void => {
-            this.#turns.remove(begin);
-            begin();
+        this.#queue.enqueue(request, start);
+        this.#startReady();
+        // A request that is aborted while it waits goes on at once, so that its caller gets a response.
+        const cancel = (): void => {
+            this.#queue.remove(start);
+            start();
         };
-        signal.addEventListener("abort", leave);
+        signal.addEventListener("abort", cancel);
         if (signal.aborted) {
-            leave();
+            cancel();
         }
-        await begun;
-        signal.removeEventListener("abort", leave);
+        await started;
+        signal.removeEventListener("abort", cancel);
         return {
             onSent: () => {
-                this.#turns.onSent(begin);
-                this.#takeTurns();
+                this.#queue.onSent(start);
+                this.#startReady();
             },
             onEnded: () => {
-                this.#turns.onEnded(begin);
-                this.#takeTurns();
+                this.#queue.onEnded(start);
+                this.#startReady();
             },
         };
     }
 
-    #takeTurns(): void {
-        for (const { item } of this.#turns.takeReady(this.#clock.monotonicMs())) {
+    #startReady(): void {
+        for (const { item } of this.#queue.takeReady(this.#clock.monotonicMs())) {
             item();
         }
     }
--- a/packages/edge/src/handover/handoverServer.ts
+++ b/packages/edge/src/handover/handoverServer.ts
@@ -14,15 +14,15 @@
     renderHandoverHeader,
 } from "./handoverMessages.js";
 
-type Refusal = typeof handoverRefusalReasons[number];
+type RefusalReason = typeof handoverRefusalReasons[number];
 
-/** Takes requests that other gateways hand over. */
+/** Handles requests that were handed over and admitted. */
 export abstract class HandoverHandler {
-    /** Handles one; never throws. */
-    abstract handleHandover(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata): void;
+    /** Handles one request; never throws. */
+    abstract handleHandover(req: IncomingMessage, res: ServerResponse, metadata: HandoverMetadata): void;
 }
 
-/** What the server works with. */
+/** Dependencies of a {@link HandoverServer}. */
 export interface HandoverServerDeps {
     readonly view: FleetView;
     readonly reachability: ReachabilityMonitor;
@@ -33,7 +33,7 @@
     readonly isStopping: () => boolean;
 }
 
-const statuses: Readonly<Record<Refusal, number>> = {
+const refusalStatuses: Readonly<Record<RefusalReason, number>> = {
     malformed: 400,
     notRegistered: 403,
     busy: 503,
@@ -43,38 +43,38 @@
     unreached: 503,
 };
 
-/** Admits requests of other gateways: of registered ones, while this gateway can do for them what they can't. */
+/** Admits requests that registered gateways hand over, while this gateway reaches the service and has capacity. */
 export class HandoverServer {
-    readonly #parts: HandoverServerDeps;
-    #underWay = 0;
+    readonly #deps: HandoverServerDeps;
+    #inFlight = 0;
 
-    constructor(parts: HandoverServerDeps) {
-        this.#parts = parts;
+    constructor(deps: HandoverServerDeps) {
+        this.#deps = deps;
     }
 
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { handler, metrics } = this.#parts;
-        const order = parseHandoverMetadata(findHeader(req.rawHeaders, handoverHeader));
-        const refusal = order === undefined ? "malformed" : this.#findRefusal(req, order);
-        if (order === undefined || refusal !== undefined) {
-            this.#refuse(req, res, order, refusal ?? "malformed");
+        const { handler, metrics } = this.#deps;
+        const metadata = parseHandoverMetadata(findHeader(req.rawHeaders, handoverHeader));
+        const refusal = metadata === undefined ? "malformed" : this.#findRefusal(req, metadata);
+        if (metadata === undefined || refusal !== undefined) {
+            this.#refuse(req, res, metadata, refusal ?? "malformed");
             return;
         }
         metrics.onHandoverReceived("taken");
-        this.#underWay++;
-        res.once("close", () => this.#underWay--);
-        handler.handleHandover(req, res, order);
+        this.#inFlight++;
+        res.once("close", () => this.#inFlight--);
+        handler.handleHandover(req, res, metadata);
     }
 
-    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverMetadata): Refusal | undefined {
-        const { view, reachability, isStopping } = this.#parts;
+    #findRefusal(req: IncomingMessage, { from, service, version }: HandoverMetadata): RefusalReason | undefined {
+        const { view, reachability, isStopping } = this.#deps;
         if (!this.#isRegistered(from, req.socket.remoteAddress ?? "")) {
             return "notRegistered";
         }
         if (isStopping()) {
             return "stopping";
         }
-        if (this.#underWay >= maxIncomingHandovers) {
+        if (this.#inFlight >= maxIncomingHandovers) {
             return "busy";
         }
         if ((view.configurationInForce?.configuration.version ?? -1) < version) {
@@ -83,48 +83,56 @@
         return reachability.stateOf(service) === "reached" ? undefined : "unreached";
     }
 
-    /** Whoever isn't a gateway of this fleet gets no request past the limits that gateways keep. */
+    /**
+     * Checks name and address against the registered gateways. Handed-over requests skip the workspaces' rate limits,
+     * so no other process may send them.
+     */
     #isRegistered(from: string, remoteAddress: string): boolean {
         const address = remoteAddress.replace(/^::ffff:/, "");
-        return this.#parts.view.registeredGateways().some(({ name, peerAddress }) =>
+        return this.#deps.view.registeredGateways().some(({ name, peerAddress }) =>
             name === from && peerAddress.host === address
         );
     }
 
-    #refuse(req: IncomingMessage, res: ServerResponse, order: HandoverMetadata | undefined, reason: Refusal): void {
-        const { log, metrics, reachability, clock } = this.#parts;
+    #refuse(
+        req: IncomingMessage,
+        res: ServerResponse,
+        metadata: HandoverMetadata | undefined,
+        reason: RefusalReason,
+    ): void {
+        const { log, metrics, reachability, clock } = this.#deps;
         metrics.onHandoverReceived(reason);
         log.log(reason === "malformed" || reason === "notRegistered" ? "warn" : "info", "handoverRefused", {
-            from: order?.from,
+            from: metadata?.from,
             address: req.socket.remoteAddress,
-            service: order?.service,
+            service: metadata?.service,
             reason,
         });
-        const named = order === undefined
+        const named = metadata === undefined
             ? []
-            : reachability.handoverTargets.suggest(order.service, clock.monotonicMs());
+            : reachability.handoverTargets.suggest(metadata.service, clock.monotonicMs());
         refuseHandover(req, res, reason, named);
     }
 }
 
 /**
- * Answers a request of another gateway with which nothing was done.
+ * Refuses a handed-over request with which nothing was done.
  *
- * @param req - the request
- * @param res - where the answer goes
- * @param reason - why it isn't taken
- * @param named - gateways that reach its service
+ * @param req - the handed-over request
+ * @param res - response to the other gateway
+ * @param reason - why the request is refused
+ * @param named - names of gateways that reach its service
  */
 export function refuseHandover(
     req: IncomingMessage,
     res: ServerResponse,
-    reason: Refusal,
+    reason: RefusalReason,
     named: readonly string[],
 ): void {
-    res.writeHead(statuses[reason], {
+    res.writeHead(refusalStatuses[reason], {
         [handoverHeader]: renderHandoverHeader({ type: "refused", reason, named }),
         "content-length": 0,
-        // What is left of an unread body would be taken for the next request.
+        // The rest of an unread body would be parsed as the next request.
         ...(req.complete ? {} : { connection: "close" }),
     });
     res.end();
--- a/packages/edge/src/quarantine/crashReportSync.ts
+++ b/packages/edge/src/quarantine/crashReportSync.ts
@@ -9,11 +9,11 @@
 import { type EdgeLog } from "../telemetry/edgeLog.js";
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 
-/** What reports on crashes are kept with. */
+/** Dependencies of a {@link CrashReportSync}. */
 export interface CrashReportSyncDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway, as registered. */
     readonly name: string;
-    /** How long after its latest strike a quarantined request is tried, for each trial. */
+    /** Delay of each trial of a quarantined request after its latest strike, in milliseconds. */
     readonly trialAfterMs: readonly number[];
     readonly view: FleetView;
     readonly store: KeyValueStore;
@@ -24,46 +24,46 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** Keeps the ledger of requests under which servers ended in step with the store: this gateway's report and the others'. */
+/** Synchronizes the ledger of crashes with the store: publishes this gateway's report and reads the others'. */
 export class CrashReportSync {
-    readonly #parts: CrashReportSyncDeps;
+    readonly #deps: CrashReportSyncDeps;
     readonly #ledger: CrashLedger;
-    #adopted = false;
-    #changesSeen = 0;
+    #isRestored = false;
+    #seenReportsVersion = 0;
     #writing = false;
-    #mustWrite = false;
+    #isDirty = false;
     #stopped = false;
-    /** The revision of this gateway's report in the store. */
+    /** Revision of this gateway's report in the store. */
     #revision = 0;
-    /** The store's term in which it was last written or read. */
+    /** Store term in which the report was last written or read. */
     #term = 0;
 
-    constructor(parts: CrashReportSyncDeps) {
-        this.#parts = parts;
-        this.#ledger = new CrashLedger(parts.name, parts.trialAfterMs);
+    constructor(deps: CrashReportSyncDeps) {
+        this.#deps = deps;
+        this.#ledger = new CrashLedger(deps.name, deps.trialAfterMs);
     }
 
-    /** What is believed of the fleet has changed. */
+    /** Called when the fleet view has changed. */
     onChange(): void {
-        const { view, name, clock } = this.#parts;
+        const { view, name, clock } = this.#deps;
         const reports = view.crashReports;
         if (view.term !== this.#term) {
             this.#term = view.term;
-            this.#writeAgain();
+            this.#publishAgain();
         }
-        if (view.crashReportsVersion === this.#changesSeen) {
+        if (view.crashReportsVersion === this.#seenReportsVersion) {
             return;
         }
-        this.#changesSeen = view.crashReportsVersion;
+        this.#seenReportsVersion = view.crashReportsVersion;
         const own = reports.get(name);
-        if (own !== undefined && !this.#adopted) {
+        if (own !== undefined && !this.#isRestored) {
             this.#ledger.restore(own.report, clock.epochMs());
         }
-        this.#adopted = true;
+        this.#isRestored = true;
         this.#revision = Math.max(this.#revision, own?.revision ?? 0);
-        const mustTell = this.#ledger.onReports(reports, clock.epochMs());
+        const mustPublish = this.#ledger.onReports(reports, clock.epochMs());
         this.#logChanges();
-        if (mustTell) {
+        if (mustPublish) {
             this.#publish();
         }
     }
@@ -72,58 +72,58 @@
         this.#stopped = true;
     }
 
-    /** The store came back from an older copy, which may lack this gateway's report. */
-    #writeAgain(): void {
+    /** Publishes again after the store was restored from an older copy, which may lack this gateway's report. */
+    #publishAgain(): void {
         if (this.#revision > 0) {
-            setTimeout(() => this.#publish(), rewriteSpreadMs * this.#parts.random.next()).unref();
+            setTimeout(() => this.#publish(), rewriteSpreadMs * this.#deps.random.next()).unref();
         }
     }
 
-    /** @returns what is known now */
+    /** @returns the ledger's present version, to be passed back with the end of a send that begins now */
     ledgerVersion(): number {
         return this.#ledger.version();
     }
 
-    /** @returns whether something is known of a request's content */
+    /** @returns whether crashes may be recorded for a request's content; compares the head only */
     mayHaveRecord(content: LazyContentId): boolean {
         return !this.#ledger.isEmpty && this.#ledger.mayHaveRecord(content.headId);
     }
 
-    /** @returns what may be done with a request now */
+    /** @returns whether requests with this content may be sent now */
     checkContent(contentId: string): ContentStatus {
-        const { view, clock } = this.#parts;
+        const { view, clock } = this.#deps;
         return this.#ledger.checkContent(contentId, {
             gateways: view.gatewayNames(clock.monotonicMs()),
             epochMs: clock.epochMs(),
         });
     }
 
-    /** A quarantined request is sent to one server. @returns called when it has ended */
+    /** Begins the trial of a quarantined request on one server. @returns function that ends the trial */
     beginTrial(contentId: string): () => void {
-        this.#parts.log.log("info", "quarantineTrial", { contentId });
+        this.#deps.log.log("info", "quarantineTrial", { contentId });
         return this.#ledger.beginTrial(contentId);
     }
 
-    /** A server ended under a request. */
+    /** Records that a server crashed while it ran a request. */
     onCrash(crash: Omit<Crash, "epochMs">): void {
-        const changed = this.#ledger.onCrash({ ...crash, epochMs: this.#parts.clock.epochMs() });
+        const changed = this.#ledger.onCrash({ ...crash, epochMs: this.#deps.clock.epochMs() });
         this.#logChanges();
         if (changed) {
             this.#publish();
         }
     }
 
-    /** A request of which something is known was served. */
-    onServed(contentId: string, mark: number): void {
-        const mustTell = this.#ledger.onServed(contentId, mark, this.#parts.clock.epochMs());
+    /** Records that a server served a request with crashes on record. */
+    onServed(contentId: string, ledgerVersion: number): void {
+        const mustPublish = this.#ledger.onServed(contentId, ledgerVersion, this.#deps.clock.epochMs());
         this.#logChanges();
-        if (mustTell) {
+        if (mustPublish) {
             this.#publish();
         }
     }
 
     #publish(): void {
-        this.#mustWrite = true;
+        this.#isDirty = true;
         if (!this.#writing) {
             this.#writing = true;
             void this.#writeAll().finally(() => {
@@ -132,24 +132,24 @@
         }
     }
 
-    /** Writes until the store has the newest report. */
+    /** Writes until the store has the newest report, with exponential back-off and jitter after failures. */
     async #writeAll(): Promise<void> {
         let failures = 0;
-        while (this.#mustWrite && !this.#stopped) {
-            this.#mustWrite = false;
+        while (this.#isDirty && !this.#stopped) {
+            this.#isDirty = false;
             if (await this.#write()) {
                 failures = 0;
                 continue;
             }
-            this.#mustWrite = true;
-            const limitMs = Math.min(maxStoreBackoffMs, initialStoreBackoffMs * 2 ** failures);
+            this.#isDirty = true;
+            const maxDelayMs = Math.min(maxStoreBackoffMs, initialStoreBackoffMs * 2 ** failures);
             failures++;
-            await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
+            await sleep(maxDelayMs * (1 + this.#deps.random.next()) / 2);
         }
     }
 
     async #write(): Promise<boolean> {
-        const { store, codec, name, log, metrics } = this.#parts;
+        const { store, codec, name, log, metrics } = this.#deps;
         const written = await store.compareAndSwap({
             key: codec.crashReportKey(name),
             expectedRevision: this.#revision,
@@ -162,8 +162,8 @@
                 return false;
             },
             Right: outcome => {
-                // What comes back from the store from now on was written in this life.
-                this.#adopted = true;
+                // Reports that are read from the store from now on were written by this process.
+                this.#isRestored = true;
                 metrics.onStoreCall("crashReport", outcome.swapped ? "answered" : "conflict");
                 this.#revision = outcome.swapped ? outcome.revision : outcome.current?.modifiedRevision ?? 0;
                 return outcome.swapped;
@@ -172,7 +172,7 @@
     }
 
     #logChanges(): void {
-        const { log, metrics, view, clock } = this.#parts;
+        const { log, metrics, view, clock } = this.#deps;
         for (const { contentId, state, strikes, generations } of this.#ledger.takeChanges()) {
             const sinceStoreMs = Math.round(clock.monotonicMs() - view.lastStoreContactMs);
             log.log("warn", "contentJudged", { contentId, state, strikes, generations, sinceStoreMs });
--- a/packages/edge/src/quarantine/quarantineGuard.ts
+++ b/packages/edge/src/quarantine/quarantineGuard.ts
@@ -5,91 +5,96 @@
 import { type LazyContentId } from "../requests/lazyContentId.js";
 import { type CrashReportSync } from "./crashReportSync.js";
 
-const firstErrorStatus = 500;
+const firstServerErrorStatus = 500;
 
-/** Keeps one request from servers where requests with its content have ended servers before, and reports what comes of its sends. */
+/** Keeps a request away from servers if requests with its content have crashed them, and records how its sends end. */
 export class QuarantineGuard {
-    readonly #reports: CrashReportSync;
-    readonly #content: LazyContentId;
+    readonly #crashReports: CrashReportSync;
+    readonly #contentId: LazyContentId;
     #endTrial: (() => void) | undefined;
 
-    constructor(reports: CrashReportSync, content: LazyContentId) {
-        this.#reports = reports;
-        this.#content = content;
+    constructor(crashReports: CrashReportSync, contentId: LazyContentId) {
+        this.#crashReports = crashReports;
+        this.#contentId = contentId;
     }
 
-    /** Decides over the whole request. @returns whether it may be sent at all */
+    /** Decides once, on arrival. @returns whether the request may be sent at all */
     admit(): boolean {
-        const verdict = this.#judge();
-        if (verdict?.state === "trial") {
-            this.#endTrial = this.#reports.beginTrial(this.#content.contentId);
+        const status = this.#currentStatus();
+        if (status?.state === "trial") {
+            this.#endTrial = this.#crashReports.beginTrial(this.#contentId.contentId);
         }
-        return verdict?.state !== "quarantined";
+        return status?.state !== "quarantined";
     }
 
-    /** @returns whether it may be sent at this moment */
+    /** @returns whether the request may be sent at this moment */
     maySend(): boolean {
-        return this.#endTrial !== undefined || this.#judge()?.state !== "quarantined";
+        return this.#endTrial !== undefined || this.#currentStatus()?.state !== "quarantined";
     }
 
-    /** @returns whether it may be sent to one more server after another one was lost with it */
+    /** @returns whether the request may be sent to one more server after the connection to another was lost */
     mayRetry(): boolean {
-        return this.#endTrial === undefined && (this.#judge()?.strikes ?? 0) < singleSendStrikeThreshold;
+        return this.#endTrial === undefined && (this.#currentStatus()?.strikes ?? 0) < singleSendStrikeThreshold;
     }
 
-    /** @returns whether it may be sent to a second server beside the first */
+    /** @returns whether the request may be hedged */
     mayHedge(): boolean {
-        return this.#judge() === undefined;
+        return this.#currentStatus() === undefined;
     }
 
-    /** @returns when the caller may come back, where the request is kept from servers; in milliseconds */
+    /** Time after which the caller may retry, in milliseconds, if the request is quarantined or on trial. */
     get retryAfterMs(): number | undefined {
-        const verdict = this.#judge();
-        return verdict?.state === "quarantined" || verdict?.state === "trial" ? verdict.retryAfterMs : undefined;
+        const status = this.#currentStatus();
+        return status?.state === "quarantined" || status?.state === "trial" ? status.retryAfterMs : undefined;
     }
 
-    /** @returns whether what became of a lost server decides over the next send */
+    /** Whether a liveness check has to end before the next send, since one more crash would forbid it. */
     get mustAwaitLivenessCheck(): boolean {
-        return (this.#judge()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
+        return (this.#currentStatus()?.strikes ?? 0) + 1 >= singleSendStrikeThreshold;
     }
 
-    /** What is known as a send begins. */
+    /** @returns the crash ledger's version, taken when a send begins */
     ledgerVersion(): number {
-        return this.#reports.ledgerVersion();
+        return this.#crashReports.ledgerVersion();
     }
 
-    onSendEnded(end: SendEnd, mark: number): void {
-        if (end.type === "answered" && end.status < firstErrorStatus && this.#isKnown()) {
-            this.#reports.onServed(this.#content.contentId, mark);
+    onSendEnded(end: SendEnd, ledgerVersion: number): void {
+        if (end.type === "answered" && end.status < firstServerErrorStatus && this.#mayHaveRecord()) {
+            this.#crashReports.onServed(this.#contentId.contentId, ledgerVersion);
         }
     }
 
-    /** A server lost the request. @param state - what became of the server */
-    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, mark: number): void {
+    /**
+     * Records a crash if the server has ended.
+     *
+     * @param state - result of the liveness check
+     * @param ledgerVersion - the crash ledger's version when the send began
+     */
+    onServerLost({ id, startedAtEpochMs }: RegisteredServer, state: ServerLiveness, ledgerVersion: number): void {
         if (state === "ended") {
-            this.#reports.onCrash({
-                contentId: this.#content.contentId,
+            this.#crashReports.onCrash({
+                contentId: this.#contentId.contentId,
                 incarnation: `${id}@${startedAtEpochMs ?? ""}`,
-                ledgerVersion: mark,
+                ledgerVersion,
                 trial: this.#endTrial !== undefined,
             });
         }
     }
 
-    /** The request has ended. */
+    /** Ends the trial, if there is one, once the request has ended. */
     close(): void {
         this.#endTrial?.();
     }
 
-    #isKnown(): boolean {
-        return this.#reports.mayHaveRecord(this.#content);
+    #mayHaveRecord(): boolean {
+        return this.#crashReports.mayHaveRecord(this.#contentId);
     }
 
-    #judge(): ContentStatus | undefined {
-        if (!this.#isKnown()) {
+    #currentStatus(): ContentStatus | undefined {
+        if (!this.#mayHaveRecord()) {
             return undefined;
         }
-        const verdict = this.#reports.checkContent(this.#content.contentId);
-        return verdict.state === "clear" ? undefined : verdict;
+        const status = this.#crashReports.checkContent(this.#contentId.contentId);
+        return status.state === "clear" ? undefined : status;
     }
 }
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -4,12 +4,12 @@
 import { type ExchangeDeps } from "./exchangeDeps.js";
 import { type PlacementFailure, type Placement, type SearchTrace } from "./placer.js";
 
-/** What a server is looked for. */
+/** Purpose of a send. */
 export type SendPurpose = "first" | "retry" | "hedge";
 
-/** Finds the servers for all sends of one request. */
+/** Picks the servers for all sends of one request, and keeps what the log line needs. */
 export class ExchangePlacement {
-    readonly #parts: ExchangeDeps;
+    readonly #deps: ExchangeDeps;
     readonly #request: EdgeRequest;
     readonly #signal: AbortSignal;
     readonly #triedServers = new Set<string>();
@@ -21,34 +21,34 @@
         restingForMs: undefined,
     };
     #placedAfterMs: number | undefined;
-    /** Age of what the first server had said of its load when it was chosen. */
+    /** Age of the first server's load report when the server was picked, in milliseconds. */
     #offerAgeMs: number | undefined;
     #firstReason: string | undefined;
-    /** The version on trial to which the first send went. */
+    /** Version under trial that the first send went to. */
     #trialVersion: string | undefined;
 
-    constructor(parts: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
-        this.#parts = parts;
+    constructor(deps: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
+        this.#deps = deps;
         this.#request = request;
         this.#signal = signal;
     }
 
-    /** @returns where the next send goes, a server that was not tried before unless there is no other */
+    /** @returns the server for the next send, preferably one that was not tried before */
     async place(purpose: SendPurpose): Promise<Placement | PlacementFailure> {
         const trial = purpose === "first" ? await this.#placeTrial() : undefined;
         const found = trial ?? await this.#search(purpose === "hedge");
         if (purpose === "first") {
-            this.#onFirst(found);
+            this.#onFirstPlacement(found);
         }
         return found;
     }
 
-    /** The request is sent to a server: it is not looked at again while there are others. */
+    /** Records a send, so that the server is excluded from further searches while there are others. */
     onSend(serverId: string): void {
         this.#triedServers.add(serverId);
     }
 
-    /** How servers were found, for the log. */
+    /** @returns log fields about how servers were found */
     describe(): LogFields {
         const { probeEnds, ...trace } = this.#trace;
         return {
@@ -62,12 +62,12 @@
         };
     }
 
-    /** @returns a server of a version on trial, where this request is to go to one and one is good right now */
+    /** @returns a server of a version under trial, if this request is selected and one has spare capacity now */
     async #placeTrial(): Promise<Placement | undefined> {
-        const { rollouts } = this.#parts;
+        const { rollouts } = this.#deps;
         const service = this.#request.rules.name;
-        for (const among of rollouts.trialServerGroups(service, this.#parts.clock.monotonicMs())) {
-            const found = await this.#search(true, among);
+        for (const candidates of rollouts.trialServerGroups(service, this.#deps.clock.monotonicMs())) {
+            const found = await this.#search(true, candidates);
             if (typeof found !== "string") {
                 rollouts.onTrial(service);
                 this.#trialVersion = found.server.version;
@@ -77,9 +77,9 @@
         return undefined;
     }
 
-    #search(onlyGood: boolean, among?: readonly RegisteredServer[]): Promise<Placement | PlacementFailure> {
+    #search(onlyGood: boolean, candidates?: readonly RegisteredServer[]): Promise<Placement | PlacementFailure> {
         const { rules, route, priority, arrivedAtMs, cutoffMs } = this.#request;
-        return this.#parts.placer.place({
+        return this.#deps.placer.place({
             rules,
             objectiveMs: route.objectiveMs,
             priority,
@@ -90,12 +90,12 @@
             mayHandOver: this.#request.handedOverBy === undefined,
             onlyGood,
             trace: this.#trace,
-            ...(among === undefined ? {} : { candidates: among }),
+            ...(candidates === undefined ? {} : { candidates }),
         });
     }
 
-    #onFirst(found: Placement | PlacementFailure): void {
-        const { metrics, clock } = this.#parts;
+    #onFirstPlacement(found: Placement | PlacementFailure): void {
+        const { metrics, clock } = this.#deps;
         this.#firstReason = typeof found === "string" ? found : found.reason;
         this.#offerAgeMs = typeof found === "string" ? undefined : Math.round(found.ageMs);
         this.#placedAfterMs = Math.round(clock.monotonicMs() - this.#request.arrivedAtMs);
--- a/packages/edge/src/requests/localReplies.ts
+++ b/packages/edge/src/requests/localReplies.ts
@@ -9,36 +9,44 @@
 
 const oneSecondMs = 1_000;
 
-/** What the caller gets. */
+/** Final result of a request for its caller. */
 export type ExchangeResult =
     | { readonly type: "answered"; readonly response: BufferedResponse; }
-    /** The sink got it, whole or broken off. */
+    /** The response was streamed to the caller, completely or truncated. */
     | { readonly type: "streamed"; readonly complete: boolean; }
     | { readonly type: "failed"; readonly failure: Failure; };
 
-/** Chooses what the caller of one request gets where no server's answer is at hand, and when it should come back. */
+/** Builds the failures that this gateway returns itself when it has no server's response, each with its Retry-After. */
 export class LocalReplies {
     readonly #request: EdgeRequest;
-    readonly #work: TypicalLatency;
+    readonly #typicalLatency: TypicalLatency;
     readonly #random: RandomSource;
 
-    constructor(request: EdgeRequest, work: TypicalLatency, random: RandomSource) {
+    constructor(request: EdgeRequest, typicalLatency: TypicalLatency, random: RandomSource) {
         this.#request = request;
-        this.#work = work;
+        this.#typicalLatency = typicalLatency;
         this.#random = random;
     }
 
-    /** No server was found. @param restingForMs - until the first one ends its rest, where all of them rest */
-    placementFailed(reason: Exclude<PlacementFailure, "abandoned">, restingForMs = 0): ExchangeResult {
+    /**
+     * No server was found.
+     *
+     * @param backoffRemainingMs - time until the first server's back-off ends, if all servers back off, in milliseconds
+     */
+    placementFailed(reason: Exclude<PlacementFailure, "abandoned">, backoffRemainingMs = 0): ExchangeResult {
         if (reason === "resting") {
-            return this.#refuse("overloaded", reason, "resting", restingForMs);
+            return this.#reject("overloaded", reason, "resting", backoffRemainingMs);
         }
         return reason === "noServer" || reason === "noOffer" || reason === "unreached"
-            ? this.#refuse("noBackendServer", reason, "noServer")
-            : this.#refuse("overloaded", reason, "full");
+            ? this.#reject("noBackendServer", reason, "noServer")
+            : this.#reject("overloaded", reason, "full");
     }
 
-    /** Servers have ended under requests with this content. @param retryAfterMs - when one more may be sent, from now */
+    /**
+     * Requests with this content have crashed servers.
+     *
+     * @param retryAfterMs - time until the next request with this content may be sent, in milliseconds
+     */
     quarantined(retryAfterMs: number): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs / oneSecondMs);
         const failure = createFailure("queryOfDeath", "requests with this content ended their servers", {
@@ -47,7 +55,7 @@
         return { type: "failed", failure };
     }
 
-    /** The caller's key was revoked or moved while the request waited. One that was moved is good for another try. */
+    /** The caller's key was revoked or moved to another workspace meanwhile. With a moved key the caller may retry. */
     keyChanged(change: KeyChange): ExchangeResult {
         const retryAfterSeconds = drawRetryAfterSeconds("turnedAway", 0, this.#random);
         const failure = change === "revoked"
@@ -56,7 +64,7 @@
         return { type: "failed", failure };
     }
 
-    /** The limit of the caller's workspace keeps the request back. */
+    /** The rate limit of the caller's workspace rejects the request. */
     rateLimited({ type, retryAfterMs }: Exclude<Decision, { readonly type: "admitted"; }>): ExchangeResult {
         const retryAfterSeconds = Math.ceil(retryAfterMs) / oneSecondMs;
         const failure = type === "overLimit"
@@ -65,43 +73,47 @@
         return { type: "failed", failure };
     }
 
-    /** All tries have failed. */
+    /** All sends have failed. */
     allSendsFailed(ends: readonly SendEnd[], fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
             return { type: "answered", response: fallback };
         }
         if (ends.every(end => end.type === "notRun")) {
-            return this.#refuse("backendShed", describeEnds(ends), "turnedAway");
+            return this.#reject("backendShed", describeSendEnds(ends), "turnedAway");
         }
-        return { type: "failed", failure: createFailure("connectionLost", describeEnds(ends)) };
+        return { type: "failed", failure: createFailure("connectionLost", describeSendEnds(ends)) };
     }
 
-    /** The time is over, or nobody waits any more. @param underWay - sends that have not ended */
-    timedOut(ends: readonly SendEnd[], underWay: number, fallback: BufferedResponse | undefined): ExchangeResult {
+    /**
+     * The response is due, or the caller has disconnected.
+     *
+     * @param inFlight - number of sends that have not ended
+     */
+    timedOut(ends: readonly SendEnd[], inFlight: number, fallback: BufferedResponse | undefined): ExchangeResult {
         if (fallback !== undefined) {
             return { type: "answered", response: fallback };
         }
-        if (underWay === 0 && ends.every(end => end.type === "notRun")) {
-            return this.#refuse("overloaded", "no server could be found in time", "full");
+        if (inFlight === 0 && ends.every(end => end.type === "notRun")) {
+            return this.#reject("overloaded", "no server could be found in time", "full");
         }
-        return { type: "failed", failure: createFailure("backendTimeout", describeEnds(ends)) };
+        return { type: "failed", failure: createFailure("backendTimeout", describeSendEnds(ends)) };
     }
 
-    #refuse(
+    #reject(
         kind: "noBackendServer" | "overloaded" | "backendShed",
         detail: string,
         cause: Parameters<typeof drawRetryAfterSeconds>[0],
         notBeforeMs = 0,
     ): ExchangeResult {
         const { rules, route } = this.#request;
-        const typicalMs = this.#work.of(rules.name, route.objectiveMs);
-        const comeBackSeconds = drawRetryAfterSeconds(cause, typicalMs, this.#random);
-        const retryAfterSeconds = Math.ceil(notBeforeMs + comeBackSeconds * oneSecondMs) / oneSecondMs;
+        const typicalLatencyMs = this.#typicalLatency.of(rules.name, route.objectiveMs);
+        const delaySeconds = drawRetryAfterSeconds(cause, typicalLatencyMs, this.#random);
+        const retryAfterSeconds = Math.ceil(notBeforeMs + delaySeconds * oneSecondMs) / oneSecondMs;
         return { type: "failed", failure: createFailure(kind, detail, { retryAfterSeconds }) };
     }
 }
 
-/** @returns how a send ended, in a word for logs and metrics */
+/** @returns a short label of how a send ended, for logs and metrics */
 export function describeSendEnd(end: SendEnd): string {
     switch (end.type) {
         case "answered":
@@ -113,6 +125,6 @@
     }
 }
 
-function describeEnds(ends: readonly SendEnd[]): string {
+function describeSendEnds(ends: readonly SendEnd[]): string {
     return ends.length === 0 ? "no answer" : ends.map(describeSendEnd).join(", ");
 }
--- a/packages/edge/src/requests/responseMetadataRecorder.ts
+++ b/packages/edge/src/requests/responseMetadataRecorder.ts
@@ -5,7 +5,7 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type ResponseMetadata } from "../metadataCodec.js";
 
-/** What notes are taken with. */
+/** Dependencies of a {@link ResponseMetadataRecorder}. */
 export interface ResponseMetadataRecorderDeps {
     readonly board: PlacementState;
     readonly connections: ServerConnectionPool;
@@ -13,101 +13,103 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** An answer of a server, as far as it speaks of the server itself. */
+/** What a server's response states about the server itself. */
 export interface ServerResponseMetadata {
     readonly server: RegisteredServer;
     readonly metadata: ResponseMetadata;
     readonly source: LimitSource;
-    /** The request that was answered. */
+    /** Id of the request that the response belongs to; `undefined` for a load probe. */
     readonly requestId?: string | undefined;
     readonly nowMs: number;
 }
 
-/** Names of headers that nobody understands, of which each is logged once. */
-const mostUnknownNames = 50;
+/** Unknown header names that are logged, each once. Bounded, so that servers can't fill the memory with names. */
+const maxLoggedUnknownHeaders = 50;
 
 /**
- * Reads what servers say of themselves in their answers, in one place for answers to requests and to questions: lets the board know, and
- * logs what changes.
+ * Records the metadata that servers send with their responses, both to requests and to load probes: updates the
+ * placement state, logs changes and counts them.
  */
 export class ResponseMetadataRecorder {
-    readonly #parts: ResponseMetadataRecorderDeps;
-    readonly #unknownNames = new Set<string>();
+    readonly #deps: ResponseMetadataRecorderDeps;
+    readonly #loggedUnknownHeaders = new Set<string>();
 
-    constructor(parts: ResponseMetadataRecorderDeps) {
-        this.#parts = parts;
+    constructor(deps: ResponseMetadataRecorderDeps) {
+        this.#deps = deps;
     }
 
-    record(answer: ServerResponseMetadata): void {
-        this.#noteLimit(answer);
-        this.#noteRest(answer);
-        this.#noteLeaving(answer);
-        this.#noteUnknown(answer);
+    record(response: ServerResponseMetadata): void {
+        this.#recordLimit(response);
+        this.#recordBackoff(response);
+        this.#recordLeaving(response);
+        this.#recordUnknownHeaders(response);
     }
 
-    #noteLimit(answer: ServerResponseMetadata): void {
-        const { server, metadata: { limit, signed }, source, nowMs } = answer;
-        const { board, log, metrics } = this.#parts;
+    #recordLimit(response: ServerResponseMetadata): void {
+        const { server, metadata: { limit, signed }, source, nowMs } = response;
+        const { board, log, metrics } = this.#deps;
         if (limit.type === "malformed") {
             metrics.onServerLimit(server.service, "malformed");
-            log.log("warn", "serverLimit", { ...describe(answer), change: "malformed", text: limit.text });
+            log.log("warn", "serverLimit", { ...createLogFields(response), change: "malformed", text: limit.text });
             return;
         }
-        // Of answers to requests, only one with the server's proof says by its silence that there is no limit any more.
+        // A response to a request lifts the limit by its absence only if the server signed the response.
         if (limit.type === "none" && source.answered === "request" && !signed) {
             return;
         }
         const change = board.onLimit(server, limit, source, nowMs);
         if (change !== undefined) {
-            const { type, ...more } = change;
+            const { type, ...details } = change;
             metrics.onServerLimit(server.service, type);
-            log.log("info", "serverLimit", { ...describe(answer), change: type, ...more });
+            log.log("info", "serverLimit", { ...createLogFields(response), change: type, ...details });
         }
     }
 
-    #noteRest(answer: ServerResponseMetadata): void {
-        const { server, metadata: { backoff }, nowMs } = answer;
-        const { board, log, metrics } = this.#parts;
+    #recordBackoff(response: ServerResponseMetadata): void {
+        const { server, metadata: { backoff }, nowMs } = response;
+        const { board, log, metrics } = this.#deps;
         if (backoff.type === "none") {
             return;
         }
         metrics.onServerNotice(server.service, backoff.type === "asked" ? "rest" : "malformedRest");
         if (backoff.type === "malformed") {
-            log.log("warn", "serverRest", { ...describe(answer), change: "malformed", text: backoff.text });
+            log.log("warn", "serverRest", { ...createLogFields(response), change: "malformed", text: backoff.text });
             return;
         }
         const untilMs = board.onBackoff(server, backoff.forMs, nowMs);
         log.log("info", "serverRest", {
-            ...describe(answer),
+            ...createLogFields(response),
             change: untilMs === undefined ? "none" : "resting",
             forMs: backoff.forMs,
         });
     }
 
-    #noteLeaving(answer: ServerResponseMetadata): void {
-        const { server, metadata } = answer;
-        const { board, connections, log, metrics } = this.#parts;
+    #recordLeaving(response: ServerResponseMetadata): void {
+        const { server, metadata } = response;
+        const { board, connections, log, metrics } = this.#deps;
         if (!metadata.leaving) {
             return;
         }
         metrics.onServerNotice(server.service, "leaving");
         connections.closeIdle(server.id);
         if (board.onLeaving(server)) {
-            log.log("info", "serverLeaving", describe(answer));
+            log.log("info", "serverLeaving", createLogFields(response));
         }
     }
 
-    #noteUnknown(answer: ServerResponseMetadata): void {
-        for (const header of answer.metadata.unknownHeaders) {
-            this.#parts.metrics.onServerNotice(answer.server.service, "unknownHeader");
-            if (!this.#unknownNames.has(header) && this.#unknownNames.size < mostUnknownNames) {
-                this.#unknownNames.add(header);
-                this.#parts.log.log("warn", "unknownHeader", { ...describe(answer), header });
+    #recordUnknownHeaders(response: ServerResponseMetadata): void {
+        for (const header of response.metadata.unknownHeaders) {
+            this.#deps.metrics.onServerNotice(response.server.service, "unknownHeader");
+            if (!this.#loggedUnknownHeaders.has(header) && this.#loggedUnknownHeaders.size < maxLoggedUnknownHeaders) {
+                this.#loggedUnknownHeaders.add(header);
+                this.#deps.log.log("warn", "unknownHeader", { ...createLogFields(response), header });
             }
         }
     }
 }
 
-function describe({ requestId, source, server }: ServerResponseMetadata): Readonly<Record<string, string | undefined>> {
+function createLogFields(
+    { requestId, source, server }: ServerResponseMetadata,
+): Readonly<Record<string, string | undefined>> {
     return { requestId, answered: source.answered, service: server.service, server: server.id };
 }
--- a/packages/edge/src/telemetry/edgeLog.ts
+++ b/packages/edge/src/telemetry/edgeLog.ts
@@ -1,7 +1,7 @@
 import { type LogFields, type Logger, type LogLevel } from "@galenaglade/telemetry";
 import { maxLogLinesPerSecond } from "../constants.js";
 
-/** Every event that an edge process logs. */
+/** Events that an edge process logs. */
 export type EdgeLogEvent =
     | "started"
     | "startTimeline"
@@ -53,14 +53,15 @@
 interface Budget {
     second: number;
     lines: number;
-    leftOut: number;
+    dropped: number;
 }
 
 const oneSecondMs = 1_000;
 
 /**
- * The process's log: one line an event, with a budget a second for each kind, so that a flood of one kind neither costs
- * much nor hides another. What is left out is counted and said. Failed requests have a budget of their own.
+ * Log of the process, with one line per event. Each kind of event is rate-limited per second on its own, so that a
+ * flood of one kind stays cheap and doesn't hide another; failed requests are a kind of their own. The number of
+ * dropped lines is logged.
  */
 export class EdgeLog {
     readonly #logger: Logger;
@@ -73,25 +74,25 @@
     }
 
     log(level: LogLevel, event: EdgeLogEvent, fields: LogFields): void {
-        if (this.#take(event)) {
+        if (this.#takeLine(event)) {
             this.#logger[level](event, fields);
         }
     }
 
-    #take(event: EdgeLogEvent): boolean {
+    #takeLine(event: EdgeLogEvent): boolean {
         const second = Math.floor(this.#nowMs() / oneSecondMs);
-        const budget = this.#budgets.get(event) ?? { second, lines: 0, leftOut: 0 };
+        const budget = this.#budgets.get(event) ?? { second, lines: 0, dropped: 0 };
         this.#budgets.set(event, budget);
         if (budget.second !== second) {
-            if (budget.leftOut > 0) {
-                this.#logger.warn("linesLeftOut", { event, lines: budget.leftOut });
+            if (budget.dropped > 0) {
+                this.#logger.warn("linesLeftOut", { event, lines: budget.dropped });
             }
             budget.second = second;
             budget.lines = 0;
-            budget.leftOut = 0;
+            budget.dropped = 0;
         }
         if (budget.lines >= maxLogLinesPerSecond) {
-            budget.leftOut++;
+            budget.dropped++;
             return false;
         }
         budget.lines++;
