--- a/packages/edge/src/__tests__/fleetState.test.ts
+++ b/packages/edge/src/__tests__/fleetState.test.ts
@@ -13,7 +13,7 @@
     waitUntilReady,
 } from "./support/testEdge.js";
 
-test("before the configuration is read, requests are refused at once and the balancer is told", async t => {
+test("before the configuration is read, requests are refused at once and the readiness check fails", async t => {
     const store = new MemoryStore();
     store.down = true;
     const edge = await startEdge(t, store);
@@ -31,7 +31,7 @@
     assert.equal((await call(edge, "/tables/x")).status, 200);
 });
 
-test("a new configuration is in force for new requests, and an older one never again", async t => {
+test("a new configuration applies to new requests, and an older version never replaces it", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(3));
     registerServer(store, await startBackend(t, "a"));
@@ -45,12 +45,12 @@
     registerServer(store, await startBackend(t, "b"));
     await eventually(
         () => edge.logs.some(line => line["subject"] === "server" && line["name"] === "b"),
-        "what came after it is known",
+        "the change after the older version is known",
     );
     assert.equal((await call(edge, "/tables/x")).status, 404);
 });
 
-test("a server that drains, and one whose zone is taken out, get nothing more", async t => {
+test("a draining server, and one in an evacuated availability zone, get no more requests", async t => {
     const store = new MemoryStore();
     const a = await startBackend(t, "a");
     const b = await startBackend(t, "b");
@@ -65,7 +65,7 @@
     store.put("out/south", {});
     await eventually(
         () => edge.logs.filter(line => line["message"] === "belief" && line["change"] === "out").length > 0,
-        "it is known",
+        "the zone is out",
     );
     const before = a.servedRequests().length + b.servedRequests().length;
     for (let i = 0; i < 10; i++) {
@@ -77,7 +77,7 @@
     await eventually(async () => (await call(edge, "/tables/x")).body === "from b", "the zone is used again");
 });
 
-test("while the store is away, requests are served by what was known", async t => {
+test("requests are served from the last known state while the store is down", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
@@ -91,9 +91,9 @@
     await eventually(() => edge.logs.some(line => line["message"] === "storeRegained"), "the return is logged");
 });
 
-// The store drops its history while changes are made, and cuts the watches. A gateway that went on from its last
-// revision would never hear of a server that left in the gap.
-test("after the store forgot its history, everything is read anew", async t => {
+// Guards against a gateway that resumes its watch after the store compacted the history in between: it would never
+// learn of a server that left in the gap.
+test("the whole state is read again if the store has compacted its history", async t => {
     const store = new MemoryStore();
     const a = await startBackend(t, "a");
     const b = await startBackend(t, "b");
@@ -104,7 +104,10 @@
     await waitUntilReady(edge);
     store.historyLost = true;
     store.remove("servers/a");
-    await eventually(() => edge.logs.some(line => line["name"] === "a" && line["change"] === "removed"), "a is gone");
+    await eventually(
+        () => edge.logs.some(line => line["name"] === "a" && line["change"] === "removed"),
+        "server a is removed",
+    );
     assert.equal((await call(edge, "/tables/x")).body, "from b");
 });
 
@@ -121,16 +124,16 @@
     assert.match(text, /http_server_request_duration/);
 });
 
-// Guards against callers that are told for good that a route doesn't exist, by a gateway that can't know of those added meanwhile.
-test("while the store isn't heard, a route that may have been added meanwhile is asked back for, and not denied", async t => {
+// Guards against a permanent error for a route that was added while the gateway had no contact with the store.
+test("without contact with the store, an unknown route gets a 503 with Retry-After instead of a 404", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
     assert.equal((await call(edge, "/new/x")).status, 404);
     store.down = true;
-    await eventually(async () => (await call(edge, "/new/x")).status === 503, "the absence is in doubt");
+    await eventually(async () => (await call(edge, "/new/x")).status === 503, "the unknown route gets a 503");
     assert.ok(Number((await call(edge, "/new/x")).headers["retry-after"]) > 0);
     store.down = false;
-    await eventually(async () => (await call(edge, "/new/x")).status === 404, "the absence is sure again");
+    await eventually(async () => (await call(edge, "/new/x")).status === 404, "the unknown route gets a 404 again");
 });
--- a/packages/edge/src/__tests__/initialSyncGate.test.ts
+++ b/packages/edge/src/__tests__/initialSyncGate.test.ts
@@ -15,35 +15,36 @@
     return logs.filter(line => line["message"] === "heldAtStart").length;
 }
 
-// Guards against hosts that refuse callers in the half second in which a whole fleet reads the store after a power cut.
-test("requests that come before the first reading are held for it and served", async t => {
+// Guards against gateways that refuse callers in the half second in which a whole fleet reads the store after a power
+// failure.
+test("requests that arrive before the first read of the store are held and then served", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const answers = [call(edge, "/tables/x"), call(edge, "/tables/y")];
-    await eventually(() => countHeld(edge) === 2, "both are held");
+    await eventually(() => countHeld(edge) === 2, "both requests are held");
     release();
     assert.deepEqual((await Promise.all(answers)).map(({ status }) => status), [200, 200]);
 });
 
-// Guards against requests that are held for a store that is away.
-test("a reading that fails refuses what was held for it at once", async t => {
+// Guards against requests that are held while the store is down.
+test("held requests are refused as soon as the first read fails", async t => {
     const store = new MemoryStore();
     store.down = true;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const answer = call(edge, "/tables/x");
-    await eventually(() => countHeld(edge) === 1, "it is held");
+    await eventually(() => countHeld(edge) === 1, "the request is held");
     release();
     const { status, headers } = await answer;
     assert.equal(status, 503);
     assert.ok(Number(headers["retry-after"]) > 0);
 });
 
-// Guards against hosts that wait for the whole state of a large fleet before they serve anybody.
-test("a part of the first reading that has all the operator's keys is served by", async t => {
+// Guards against gateways that wait for the whole state of a large fleet before they serve any request.
+test("requests are served from a partial read that has all of the operator's keys", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
@@ -55,11 +56,11 @@
     release();
     await eventually(
         () => edge.logs.some(line => line["subject"] === "server" && line["name"] === "b"),
-        "the rest is known",
+        "the rest has been read",
     );
 });
 
-test("a part that lacks some of the operator's keys is not", async t => {
+test("requests are held after a partial read that lacks some of the operator's keys", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
@@ -67,7 +68,7 @@
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const answer = call(edge, "/tables/x");
-    await eventually(() => countHeld(edge) === 1, "it is held");
+    await eventually(() => countHeld(edge) === 1, "the request is held");
     release();
     assert.equal((await answer).status, 200);
 });
--- a/packages/edge/src/__tests__/isStateFresh.test.ts
+++ b/packages/edge/src/__tests__/isStateFresh.test.ts
@@ -21,8 +21,8 @@
     });
 }
 
-// Guards against a 404 that rests on a reading which may be older than the route.
-test("a cheap reading doesn't show that a route is absent", () => {
+// Guards against a 404 based on a read of the store that may be older than the route.
+test("contact with the store alone doesn't make the state fresh", () => {
     const view = new FleetView();
     view.markCurrentAsOf(nowMs - 2_001);
     view.onStoreContact(nowMs);
@@ -31,8 +31,8 @@
     assert.equal(isStateFresh(view, nowMs), true);
 });
 
-// Guards against a gateway that takes its relay's contact for the age of the relay's state.
-test("a relay's state is as old as the relay says, and of unknown age where it says nothing", () => {
+// Guards against a gateway that takes the age of its relay's contact with the store for the age of the relay's state.
+test("a relay's state has the age that the relay reports, or an unknown age if it reports none", () => {
     const view = new FleetView();
     const contact = createContact(view);
     contact.onRelayResponse({ ageMs: 0 });
--- a/packages/edge/src/__tests__/keyChanges.test.ts
+++ b/packages/edge/src/__tests__/keyChanges.test.ts
@@ -17,16 +17,16 @@
     waitUntilReady,
 } from "./support/testEdge.js";
 
-/** Longer than a change of the store takes to be in force. */
+/** Longer than a change in the store takes to come into force, in milliseconds. */
 const turnAwayAfterMs = 600;
 
 interface Ended {
     readonly status: number;
-    /** What the servers were told of the caller, in the order of the sends. */
+    /** Workspace and key that each attempt passed on to a server, in order. */
     readonly told: readonly { readonly workspace: string | undefined; readonly key: string | undefined; }[];
 }
 
-/** One request with key `k`, turned away by its first server after another version has come into force. */
+/** Sends a request with key `k`, which its first server rejects after another configuration came into force. */
 async function sendAcross(
     t: TestContext,
     before: readonly Workspace[] | undefined,
@@ -54,7 +54,10 @@
     registerServer(store, await startBackend(t, "i-2", serve));
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
-    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
+    await eventually(
+        () => edge.logs.some(line => line["subject"] === "gateway"),
+        "the gateway sees its own registration",
+    );
     const res = await request(`${edge.url}/tables/1`, {
         headers: {
             "host": "survey.example",
@@ -71,9 +74,9 @@
     return { status: res.statusCode, told };
 }
 
-// A caller whose key is there gets 401, after which it doesn't try again: its request waits or is to be sent again while
-// a version moves the key to another workspace. 401 is for keys that no workspace holds.
-test("a request whose key is moved to another workspace meanwhile gets no 401", async t => {
+// Guards against a 401, after which a caller doesn't retry, for a key that a new version moves to another workspace
+// while the request waits or is retried. A 401 is only for keys that no workspace has.
+test("a request whose key moves to another workspace while it is retried gets no 401", async t => {
     const moved = await sendAcross(t, [{ name: "north", keys: ["k"] }], [
         { name: "north", keys: [] },
         { name: "south", keys: ["k"] },
@@ -82,9 +85,9 @@
     assert.ok(moved.told.slice(1).every(({ workspace }) => workspace === "south"));
 });
 
-// A backend server gets a caller's key and a name that the caller made up: the request arrives while the configuration
-// has no workspaces, and is sent again after the first version that has some is in force.
-test("a request that arrived before workspaces came into force isn't sent again with its key", async t => {
+// Guards against a retry that passes a caller's key and forged workspace name on to a backend server: the request
+// arrived while the configuration had no workspaces, and is retried after the first version with workspaces.
+test("a request that arrived before workspaces came into force is not retried with its key", async t => {
     const { told } = await sendAcross(t, undefined, [{ name: "south", keys: ["other"] }]);
     assert.deepEqual(told.slice(1), []);
 });
--- a/packages/edge/src/__tests__/largeChange.test.ts
+++ b/packages/edge/src/__tests__/largeChange.test.ts
@@ -22,7 +22,7 @@
     changes: MirroredChanges = { revision: 1, changed: [], deleted: [] };
 
     override onPeerRequest(): void {
-        // Reads the store already.
+        // This gateway already watches the store.
     }
 
     override changesSince(): MirroredChanges {
@@ -47,8 +47,8 @@
     return { status: () => status, body: () => body };
 }
 
-// Guards against dozens of copies of a large configuration that go out over one slow link one after the other.
-test("a large change isn't passed on, and whoever waits is told as soon as it arrives", () => {
+// Guards against dozens of copies of a large configuration that are sent one after the other over one slow link.
+test("a large change is not relayed, and waiting peers are sent to the store as soon as it begins to arrive", () => {
     const feed = new LargeFeed();
     const relay = new RelayServer(feed);
     const waiting = ask(relay, 600);
@@ -73,8 +73,8 @@
     assert.equal(parseRelayResponse(small.status(), small.body()).unsafeCoerce().changed.length, 1);
 });
 
-// Guards against a watch that is given up for dead while its large answer arrives, again and again.
-test("a watch whose answer is arriving isn't taken for dead", async () => {
+// Guards against a watch that is repeatedly abandoned as dead while its large response is arriving.
+test("a watch whose response is arriving is not treated as dead", async () => {
     const view = new FleetView();
     const clock = { monotonicMs: () => performance.now(), epochMs: () => Date.now() };
     const write = (): void => undefined;
--- a/packages/edge/src/__tests__/linkFaultCrashReports.test.ts
+++ b/packages/edge/src/__tests__/linkFaultCrashReports.test.ts
@@ -4,15 +4,16 @@
 import { FaultyLinkFleet } from "./support/faultyLinkFleet.js";
 import { eventually } from "./support/testEdge.js";
 
-// Guards against a report to the whole fleet that requests end their servers, by a gateway that merely can't reach these.
-test("a gateway whose links are reset reports no crash of a server", async t => {
+// Guards against a gateway that reports to the whole fleet that requests crash their servers, although only its own
+// links to the servers failed.
+test("connections that are reset by a link failure are not reported as server crashes", async t => {
     const fleet = await FaultyLinkFleet.start(t, 3);
     fleet.serve = () => undefined;
-    // Beside load some find no server in time; six are enough to have their content kept from all servers.
+    // Under load, some requests find no server in time; six lost ones are enough for their content to be quarantined.
     const waiting = Array.from({ length: 18 }, () => fleet.send(0, "POST"));
     await eventually(
         () => fleet.backends.flatMap(({ servedRequests }) => servedRequests()).length >= 6,
-        "servers have six of them",
+        "servers have received six requests",
     );
     fleet.cut(0, "reset");
     await Promise.all(waiting);
--- a/packages/edge/src/__tests__/linkFaultFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -10,18 +10,18 @@
 } from "./support/simulatedReachFleet.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-/** What the users' platform allows. */
+/** Bounds that the users' platform requires. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
-/** From a cut, or the end of one, until a gateway must know it. */
+/** Time limits to detect a link fault, from its start, and that it is over, from its end, in milliseconds. */
 const knownWithinMs = 3_000;
 const regainedWithinMs = 8_000;
 const calmMs = 1_500;
 const sampleMs = 50;
 
-/** What a run of one fleet came to. */
+/** Result of one simulation. */
 interface Run {
     readonly violations: readonly Violation[];
-    /** Samples in which a gateway believed what isn't so although it had time to know better, and all samples. */
+    /** Number of samples in which a gateway's state was wrong after the time to detect a change, and of all samples. */
     readonly wrong: number;
     readonly samples: number;
     readonly handedOver: number;
@@ -33,7 +33,7 @@
     readonly flapMs: number | undefined;
 }
 
-/** Draws which gateways are cut off: one, some, a whole zone, most or all. */
+/** Draws the gateways to cut off: one, some, a whole availability zone, most or all. */
 function drawCut(fleet: SimulatedReachFleet, random: RandomSource): Cut {
     const { gateways, size } = fleet;
     const kind = Math.floor(random.next() * 5);
@@ -108,8 +108,8 @@
 const small: SimulatedReachFleetSize = { gateways: 15, zones: 3, servers: 12, requestsPerSecond: 6, peersAnswer: true };
 const worlds = Number(process.env["CUT_WORLDS"] ?? 120);
 
-// Guards against a host that refuses its callers, or burdens others, by a wrong belief of what it reaches.
-test("callers of cut gateways are served whatever is cut, in which manner and for how long", async t => {
+// Guards against a gateway that refuses its callers, or hands requests to others needlessly, by a wrong reach state.
+test("callers of cut-off gateways are served for all combinations of gateways, link faults and durations", async t => {
     const time = VirtualClock.install(t);
     const random = createRandomSource(7);
     let wrong = 0;
@@ -125,12 +125,12 @@
         handedOver += ended.handedOver;
     }
     assert.ok(handedOver > worlds, `${handedOver} requests handed over`);
-    assert.ok(wrong <= samples / 100, `${wrong} of ${samples} beliefs are wrong`);
+    assert.ok(wrong <= samples / 100, `${wrong} of ${samples} samples are wrong`);
 });
 
-// Guards against fleets in which those that are cut off find none of the few that aren't.
+// Guards against cut-off gateways in a large fleet that don't find the few others which still reach the servers.
 for (const [gateways, seeds] of [[131, 4], [312, 2]] as const) {
-    test(`callers of cut gateways are served in a fleet of ${gateways}`, async t => {
+    test(`callers of cut-off gateways are served in a fleet of ${gateways}`, async t => {
         const time = VirtualClock.install(t);
         for (let seed = 1; seed <= seeds; seed++) {
             const size = { ...small, gateways, servers: 60, requestsPerSecond: 3 };
@@ -140,13 +140,13 @@
     });
 }
 
-// Guards against a check that can't fail: without other gateways' word the same draws break the rule.
-test("without the word of other gateways callers of cut gateways are not served", async t => {
+// Guards against a check that can't fail: without gateways' responses to each other, simulations violate the bounds.
+test("callers of cut-off gateways are not served if gateways don't respond to each other", async t => {
     const time = VirtualClock.install(t);
     let broken = 0;
     for (let seed = 1; seed <= 20; seed++) {
         const { violations } = await run(time, seed, { ...small, peersAnswer: false });
         broken += violations.length;
     }
-    assert.ok(broken >= 5, `${broken} of 20 runs broke the rule`);
+    assert.ok(broken >= 5, `${broken} violations in 20 simulations`);
 });
--- a/packages/edge/src/__tests__/linkFaults.test.ts
+++ b/packages/edge/src/__tests__/linkFaults.test.ts
@@ -4,13 +4,13 @@
 import { FaultyLinkFleet } from "./support/faultyLinkFleet.js";
 import { linkFaults } from "./support/faultyLinks.js";
 
-/** What the users' platform allows. */
+/** Bounds that the users' platform requires. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 const cutMs = 5_000;
 
-// Guards against a host that takes callers for as long as it reaches no backend server, and refuses each of them.
+// Guards against a gateway that reaches no backend server but still accepts callers, and refuses all their requests.
 for (const manner of linkFaults) {
-    test(`callers of gateways that are cut off from all servers are served like the others' (${manner})`, async t => {
+    test(`callers of gateways that are cut off from all servers are served as well as others (${manner})`, async t => {
         const fleet = await FaultyLinkFleet.start(t, 4);
         await fleet.sendFor(500, 10);
         fleet.cut(0, manner);
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -6,11 +6,11 @@
 import { FaultyStore } from "./support/faultyStore.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-/** What the users' platform allows from the store's answer to a server that begins to leave. */
+/** Time limit of the users' platform, from the store's response to a server that starts to drain, in milliseconds. */
 const allowedMs = 2_500;
-/** From the end of its cut until a host is held to it. */
+/** Time from the end of a partition until that limit applies to a gateway again, in milliseconds. */
 const inTouchMs = 3_000;
-/** What the design promises, counted from when the last of what keeps a change from a gateway is over. */
+/** Time limit by design, from the end of the last fault that keeps a change from a gateway, in milliseconds. */
 const boundMs = 1_500;
 const settleMs = 8_000;
 const serversSettleMs = 3_000;
@@ -18,17 +18,17 @@
 const afterMs = 6_000;
 const drainsPerTrouble = 6;
 const longestCutMs = 12_000;
-/** Time in which a living server writes its entry again after the store's return. */
+/** Time in which a running server writes its entry again after the store's recovery, in milliseconds. */
 const rewriteMs = 1_500;
 
 interface Trouble {
     readonly cutMs: number;
-    /** Whether the hosts that are cut off reach each other. */
+    /** Whether the gateways that are cut off reach each other. */
     readonly together: boolean;
-    /** From the start of the cut until the store is troubled, and for how long. */
+    /** Time from the start of the partition to the store's fault, and the duration of that, in milliseconds. */
     readonly troubledAfterMs: number;
     readonly troubledMs: number;
-    /** How watches are silent meanwhile: held back until the end, or connections that die. */
+    /** Fault of watches: changes are held back until it ends, or the connections are dead. */
     readonly watches: "heldBack" | "dead";
     readonly losesHistory: boolean;
     readonly staleMs: number;
@@ -36,9 +36,9 @@
 }
 
 interface Drain {
-    /** From the start of the cut. */
+    /** Time from the start of the partition, in milliseconds. */
     readonly atMs: number;
-    /** From the start of draining until the server's entry is deleted. */
+    /** Time from the start of draining until the server's entry is deleted, in milliseconds; `undefined` for never. */
     readonly deletedAfterMs: number | undefined;
 }
 
@@ -59,18 +59,18 @@
     };
 }
 
-/** One gateway and one server that leaves. */
+/** Result for one gateway and one draining server. */
 interface Seen {
     readonly gateway: SimulatedGateway;
     readonly wasCut: boolean;
     readonly drain: Drain;
-    /** Until it last would have sent the server a request, from when nothing kept it from knowing better. */
+    /** Time from when nothing kept the change from the gateway until it last considered the server usable. */
     readonly lateMs: number;
-    /** Whether it breaks what the platform allows. */
+    /** Whether it violates the platform's limit. */
     readonly isTooLate: boolean;
 }
 
-/** Gateways of which a third is cut off from all others and from the store. */
+/** Simulated fleet, a third of which is cut off from all other gateways and from the store. */
 class PartitionWorld {
     readonly #time: VirtualClock;
     readonly #store: FaultyStore;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Servers leave while a third of the gateways is cut off and the store is troubled. */
+    /** Drains servers while a third of the gateways is cut off and the store has a fault. */
     async drain(trouble: Trouble): Promise<readonly Seen[]> {
         const { drains, cutMs, troubledAfterMs, troubledMs } = trouble;
         const ids = drains.map(() => this.#startServer());
@@ -133,10 +133,10 @@
     }
 
     /**
-     * The store is away, all servers' entries lapse, and the servers, which live, write theirs again, while a third of the gateways is
-     * cut off.
+     * Simulates an outage of the store in which the entries of all servers expire and are written again, as the servers
+     * still run, while a third of the gateways is cut off.
      *
-     * @returns how often a gateway gave up a server that lives
+     * @returns the number of samples in which a gateway considered a running server unusable
      */
     async lapse({ awayMs, cutMs, together }: { awayMs: number; cutMs: number; together: boolean; }): Promise<number> {
         const ids = Array.from({ length: drainsPerTrouble }, () => this.#startServer());
@@ -167,7 +167,7 @@
         this.#time.clear();
     }
 
-    /** Cuts off a third of the gateways, one that others ask among them. */
+    /** Cuts off a third of the gateways, including one that relays changes to others. */
     #cutOff(together: boolean): ReadonlySet<SimulatedGateway> {
         const { gateways } = this.#fleet;
         const asked = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
@@ -235,11 +235,11 @@
     }
 }
 
-/** @returns from when nothing keeps a gateway from knowing that a server leaves: no cut, and no store that tells nobody */
+/** @returns when neither the partition nor the store's fault keeps a gateway from learning that a server drains */
 function findKnowableMs({ cutMs, troubledAfterMs, troubledMs }: Trouble, { atMs }: Drain, wasCut: boolean): number {
     const inTouchAtMs = wasCut ? Math.max(atMs, cutMs) : atMs;
     const troubleEndMs = troubledAfterMs + troubledMs;
-    // A watch that dies silently a moment before the change is as mute as one that dies after it.
+    // A watch that died unnoticed shortly before the change delivers it no more than one that dies after it.
     const isMute = inTouchAtMs >= troubledAfterMs - boundMs && inTouchAtMs < troubleEndMs;
     return isMute ? troubleEndMs : inTouchAtMs;
 }
@@ -257,7 +257,7 @@
     const { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs } = trouble;
     const rest = { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs };
     return [
-        `${gateway.name}, ${wasCut ? "cut off" : "in touch"}, late by ${Math.round(lateMs)} ms`,
+        `${gateway.name}, ${wasCut ? "cut off" : "connected"}, late by ${Math.round(lateMs)} ms`,
         JSON.stringify({ ...rest, ...drain }),
         ...lines,
     ].join("\n");
@@ -267,13 +267,13 @@
     { gateways: 13, zones: 3, lives: 20, troubles: 4 },
     { gateways: 131, zones: 4, lives: 2, troubles: 3 },
 ];
-/** Lives are played this many times more often by hand. */
+/** Factor for the number of simulations, to run more of them by hand. */
 const more = Number(process.env["OUTAGES"] ?? 1);
 
-// Guards against a host that goes on sending to a server which left while the host was cut off: it took its own cut for an outage of the
-// store, and the missing entry for one that lapsed in it.
+// Guards against a gateway that keeps sending to a server which left while the gateway was cut off: it mistook the
+// partition for an outage of the store, and the missing entry for one that expired in the outage.
 for (const { lives, troubles, ...size } of sizes) {
-    test(`after a cut, ${size.gateways} gateways know in time which servers leave, also those that are gone by then`, async t => {
+    test(`after a partition, ${size.gateways} gateways learn in time which servers drain or have left`, async t => {
         const time = VirtualClock.install(t);
         let latest: { readonly seen: Seen; readonly trouble: Trouble; readonly where: string; } | undefined;
         let count = 0;
@@ -291,7 +291,7 @@
                     overBound += seen.lateMs > boundMs ? 1 : 0;
                     tooLate += seen.isTooLate && seen.lateMs > boundMs ? 1 : 0;
                     if (latest === undefined || seen.lateMs > latest.seen.lateMs) {
-                        latest = { seen, trouble, where: `life ${life}, trouble ${i}` };
+                        latest = { seen, trouble, where: `simulation ${life}, fault ${i}` };
                     }
                 }
             }
@@ -303,14 +303,16 @@
         assert.equal(
             overBound,
             0,
-            `${overBound} of ${count} cases, ${tooLate} too late: ${where}: ${describe(seen, trouble)}`,
+            `${overBound} of ${count} cases over the limit by design, ${tooLate} over the platform's: ${where}: ${
+                describe(seen, trouble)
+            }`,
         );
     });
 }
 
-// Guards against servers that live and are given up after a real outage, because a gateway that was cut off as well, or that found the
-// store early, says that nothing was away.
-test("after an outage of the store, servers whose entries lapsed are believed by gateways that were cut off, too", async t => {
+// Guards against running servers that are dropped after a real outage of the store, because a gateway that was cut off
+// as well, or that reached the store early, reports that there was no outage.
+test("after an outage of the store, gateways that were cut off also keep servers whose entries expired", async t => {
     const time = VirtualClock.install(t);
     for (let life = 0; life < 20 * more; life++) {
         const random = createRandomSource(life);
@@ -320,7 +322,7 @@
             const awayMs = 3_000 + random.next() * 6_000;
             const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
             const givenUp = await world.lapse({ awayMs, cutMs, together: random.next() < 0.5 });
-            assert.equal(givenUp, 0, `life ${life}, outage ${i}: ${JSON.stringify({ awayMs, cutMs })}`);
+            assert.equal(givenUp, 0, `simulation ${life}, outage ${i}: ${JSON.stringify({ awayMs, cutMs })}`);
         }
         world.stop();
     }
--- a/packages/edge/src/__tests__/reachabilityMonitor.test.ts
+++ b/packages/edge/src/__tests__/reachabilityMonitor.test.ts
@@ -4,13 +4,13 @@
 import { SimulatedReachFleet } from "./support/simulatedReachFleet.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-// Guards against one dead server of several that is taken for links that open no new connection, with questions to the whole fleet.
-test("a gateway doesn't doubt its links for one server that refuses new connections", async t => {
+// Guards against a gateway that mistakes one dead server for a failure of its own links, and queries other gateways.
+test("a service counts as reached while only one of its servers refuses new connections", async t => {
     const time = VirtualClock.install(t);
     const size = { gateways: 2, zones: 1, servers: 6, requestsPerSecond: 1, peersAnswer: true };
     const fleet = new SimulatedReachFleet(time, createRandomSource(1), size);
     const [gateway] = fleet.gateways;
-    assert.ok(gateway, "there is one");
+    assert.ok(gateway, "the fleet has a gateway");
     for (let i = 0; i < 10; i++) {
         const startedAtMs = time.monotonicMs();
         const refused = {
--- a/packages/edge/src/__tests__/registration.test.ts
+++ b/packages/edge/src/__tests__/registration.test.ts
@@ -10,9 +10,9 @@
     return find() ?? {};
 }
 
-// Fifteen hosts are restarted in turn. Each new registration wakes the watches of all others, and each of them pays for
-// a call; the same registration kept costs nobody anything.
-test("a restarted gateway goes on with the registration of its life before", async t => {
+// Guards against the cost of a rolling restart: each new registration completes the watches of all other gateways, each
+// of which makes another call. Keeping the same registration costs none.
+test("a restarted gateway adopts the registration of its previous incarnation", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
@@ -25,8 +25,9 @@
     assert.equal(after["adopted"], true);
 });
 
-// Kept over a restart with other settings, the registration would send the others to a port where nobody answers.
-test("a gateway that is asked for changes at another port than in its life before registers anew", async t => {
+// Guards against a registration that is kept after a restart with other settings, and sends peers to a port on which
+// nothing listens.
+test("a gateway whose port for peers changed with a restart registers again", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
@@ -38,7 +39,7 @@
     assert.notEqual(after["leaseId"], before["leaseId"]);
 });
 
-test("a gateway whose old lease has ended registers anew", async t => {
+test("a restarted gateway whose previous lease has ended registers again", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const first = await startEdge(t, store);
--- a/packages/edge/src/__tests__/relay.test.ts
+++ b/packages/edge/src/__tests__/relay.test.ts
@@ -24,7 +24,7 @@
     );
 }
 
-/** Starts gateways of one zone over one store, each with a way of its own to it, and waits until all but one follow. */
+/** Starts gateways of one zone, each with its own link to the store, and waits until all but one use the same relay. */
 async function startFleet(t: TestContext, count: number): Promise<TestFleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
@@ -35,25 +35,25 @@
         await waitUntilReady(edge);
         members.push({ edge, link });
     }
-    // Those that were asked while they knew only a part of the fleet read the store for some seconds more.
+    // Gateways that got requests while they knew only a part of the fleet watch the store for some seconds more.
     await sleep(directStoreReadMs + 1_500);
     const findRelay = (): Member | undefined =>
         members.find(member => {
             const others = members.filter(other => other !== member);
             return others.every(other => findSource(other) === member.edge.name);
         });
-    await eventually(() => findRelay() !== undefined, "all but one ask the same gateway");
+    await eventually(() => findRelay() !== undefined, "all but one use the same relay");
     const relay = findRelay();
     assert.ok(relay);
     return { store, relay, followers: members.filter(member => member !== relay) };
 }
 
-/** @returns whom a gateway asks for changes, as it logged last */
+/** @returns the relay that a gateway uses, by its latest log line on that */
 function findSource({ edge }: Member): unknown {
     return edge.logs.findLast(line => line["message"] === "relayChosen")?.["peer"];
 }
 
-/** Writes a version and waits until gateways have it. */
+/** Writes a configuration version and waits until it is in force in the given gateways. */
 async function applyVersion(store: MemoryStore, members: readonly Member[], version: number): Promise<void> {
     store.put("configuration", createConfiguration(version));
     const fields = { subject: "configuration", name: String(version) };
@@ -63,20 +63,20 @@
     );
 }
 
-test("one gateway reads the store, and the others make hardly a call and hear of changes all the same", async t => {
+test("gateways that use a relay learn of changes with hardly a call of the store", async t => {
     const { store, relay, followers } = await startFleet(t, 4);
     const before = followers.map(({ link }) => link.calls);
     for (let version = 2; version < 6; version++) {
         await applyVersion(store, [relay, ...followers], version);
     }
     for (const [i, { link }] of followers.entries()) {
-        // A renewal of the registration may fall into the time.
+        // The lease of the registration may be renewed in that time.
         assert.ok(link.calls - (before[i] ?? 0) <= 1, `${link.calls - (before[i] ?? 0)} calls`);
     }
 });
 
-// The gateway that reads the store loses power or is cut off from it, right before a change. The others are well, and
-// the change must be in force with them in time, whoever they heard of changes from before.
+// Guards against a change that comes into force late, or never, in gateways whose relay fails or loses the store right
+// before the change.
 for (
     const [what, harm] of [
         ["ends", async ({ edge }: Member) => edge.stop()],
@@ -90,30 +90,30 @@
         }],
     ] as const
 ) {
-    test(`where the gateway that reads the store ${what}, the others hear of changes from elsewhere`, async t => {
+    test(`if the relay ${what}, the other gateways get changes from another source`, async t => {
         const { store, relay, followers } = await startFleet(t, 4);
         await harm(relay);
         await applyVersion(store, followers, 2);
-        await eventually(() => followers.every(member => hasLogged(member, "relayLost")), "all have noticed");
+        await eventually(() => followers.every(member => hasLogged(member, "relayLost")), "all detect the failure");
         await applyVersion(store, followers, 3);
     });
 }
 
-test("all are cut off, and hear what they missed when they reach the store again", async t => {
+test("after all gateways were cut off from the store, they get the changes that they missed", async t => {
     const { store, relay, followers } = await startFleet(t, 3);
     const members = [relay, ...followers];
     for (const { link } of members) {
         link.cut = true;
     }
     store.put("configuration", createConfiguration(7));
-    await eventually(() => members.every(member => hasLogged(member, "storeLost")), "all have noticed");
+    await eventually(() => members.every(member => hasLogged(member, "storeLost")), "all detect the loss of the store");
     for (const { link } of members) {
         link.cut = false;
     }
     await applyVersion(store, members, 8);
 });
 
-test("a question for changes that can't be read is refused, and the gateway serves on", async t => {
+test("a malformed request for changes is refused, and the gateway keeps serving", async t => {
     const { relay } = await startFleet(t, 2);
     for (
         const path of [
@@ -128,7 +128,7 @@
         await res.body.dump();
         assert.equal(res.statusCode, 400, path);
     }
-    // One that asks to wait for ever gets its answer after the usual time.
+    // A request with an excessive wait gets its response after the usual maximum.
     const res = await request(`${relay.edge.peersUrl}/store-changes?after=999999&wait=99999999`);
     assert.equal(res.statusCode, 200);
     const answer = await res.body.json() as { readonly changed: readonly unknown[]; };
--- a/packages/edge/src/__tests__/relayContact.test.ts
+++ b/packages/edge/src/__tests__/relayContact.test.ts
@@ -34,22 +34,23 @@
     return { host: "127.0.0.1", port: (server.address() as AddressInfo).port };
 }
 
-// Guards against a question that makes the gateway asked read the store: after an outage the whole fleet would watch it at once.
-test("a gateway says for how long it has heard the store, and reads nothing for it", async t => {
+// Guards against a contact query that makes its recipient watch the store: after an outage, the whole fleet would do so
+// at once.
+test("a contact query returns the duration of contact with the store without reading the store", async t => {
     const feed = new TestFeed();
     const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
     assert.equal(heard.extract(), 1_234);
     assert.equal(feed.questions, 0);
 });
 
-test("a gateway that can't vouch for the store doesn't", async t => {
+test("a contact query fails if the gateway has no contact with the store", async t => {
     const feed = new TestFeed();
     feed.heardForMs = undefined;
     const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
     assert.ok(heard.isLeft());
 });
 
-test("a gateway that is gone vouches for nothing", async () => {
+test("a contact query fails if the gateway is unreachable", async () => {
     const heard = await new HttpRelayClient().fetchStoreContactMs({ host: "127.0.0.1", port: 1 });
     assert.ok(heard.isLeft());
 });
--- a/packages/edge/src/__tests__/rollouts.test.ts
+++ b/packages/edge/src/__tests__/rollouts.test.ts
@@ -27,12 +27,12 @@
     readonly status: () => Promise<RolloutStatus | undefined>;
 }
 
-/** Two gateways before one server of the old version and two of the new, with callers that keep on coming. */
+/** Starts two gateways, one server of the old version and two of the new one, and callers that send continuously. */
 async function startFleet(t: TestContext, answerOfNew: string): Promise<Fleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const calling = new AbortController();
-    // Hooks run in the order in which they were given: callers leave before the gateways do.
+    // Hooks run in the order of their registration, so the callers stop before the gateways do.
     t.after(() => calling.abort());
     const old = await startBackend(t, "old");
     const fresh = await Promise.all(
@@ -81,7 +81,7 @@
 test("a sound version is completed, and only its servers get requests then", async t => {
     const fleet = await startFleet(t, "200 OK");
     orderRollout(fleet);
-    await eventually(async () => (await fleet.status())?.stage === "completed", "the roll-out is completed");
+    await eventually(async () => (await fleet.status())?.stage === "completed", "the rollout is completed");
     const before = fleet.old.servedRequests().length;
     await eventually(
         () => fleet.fresh.every(({ servedRequests }) => servedRequests().length > 100),
@@ -92,13 +92,16 @@
     assert.deepEqual(stages.map(line => line["to"]), ["trial", "widened", "shifted", "completed"]);
 });
 
-// A version that fails its requests must be found by the few that it gets, and get none from any gateway afterwards.
-test("a bad version is rolled back, and gets no request again from gateways that run or start later", async t => {
+// Guards against a failing version that isn't detected by the few requests it gets, or that gets more after a rollback.
+test("a bad version is rolled back, and gets no more requests from gateways that run or start later", async t => {
     const fleet = await startFleet(t, "500 Internal Server Error");
     orderRollout(fleet);
-    await eventually(async () => (await fleet.status())?.stage === "rolledBack", "the roll-out is rolled back");
+    await eventually(async () => (await fleet.status())?.stage === "rolledBack", "the rollout is rolled back");
     for (const { logs } of fleet.edges) {
-        await eventually(() => logs.some(line => line["change"] === "v2 rolledBack"), "the gateway hears of it");
+        await eventually(
+            () => logs.some(line => line["change"] === "v2 rolledBack"),
+            "the gateway learns of the rollback",
+        );
     }
     const before = fleet.fresh.map(({ servedRequests }) => servedRequests().length);
     const late = await startEdge(t, fleet.store, { name: "edge-3", exposureShare: 0.5 });
@@ -109,7 +112,7 @@
     assert.deepEqual(fleet.fresh.map(({ servedRequests }) => servedRequests().length), before);
 });
 
-test("a report that can't be read is refused and changes nothing", async t => {
+test("a malformed or oversized report is refused", async t => {
     const store = new MemoryStore();
     const edge = await startEdge(t, store);
     for (const body of ["", "{", JSON.stringify({ gateway: "a" })]) {
--- a/packages/edge/src/__tests__/storeOutages.test.ts
+++ b/packages/edge/src/__tests__/storeOutages.test.ts
@@ -7,15 +7,15 @@
 import { type StoreFault, FaultyStore } from "./support/faultyStore.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-/** What the users' platform allows from the store's answer to the operator. */
+/** Time limit of the users' platform, from the store's response to the operator, in milliseconds. */
 const inForceWithinMs = 2_000;
 const settleMs = 8_000;
 const longestAwayMs = 15_000;
-/** Time after a return in which calls are counted. */
+/** Time after a recovery in which calls are counted, in milliseconds. */
 const herdMs = 2_000;
-/** Time in which a version that is late comes into force all the same. */
+/** Time to wait for a version that is late, in milliseconds. */
 const afterMs = 6_000;
-/** The store's rates. */
+/** The store's rate limits. */
 const readsPerSecond = 2_000;
 const writesPerSecond = 400;
 
@@ -23,21 +23,21 @@
 const relayTroubles = ["none", "none", "dies", "cutOff", "returns"] as const;
 
 interface Outage {
-    /** Until it begins. */
+    /** Time until it begins, in milliseconds. */
     readonly calmMs: number;
     readonly how: StoreFault | "watchesSilent";
     readonly awayMs: number;
     readonly lapses: boolean;
     readonly losesHistory: boolean;
-    /** What happens to one gateway that reads the store, as the store returns. */
+    /** Fault of one relay at the recovery of the store. */
     readonly relay: typeof relayTroubles[number];
     readonly versions: number;
     readonly ackedAfterMs: number;
-    /** How long readings that may be stale are as old as its beginning, from the return on. */
+    /** Time after the recovery in which stale reads return the revision from before the outage, in milliseconds. */
     readonly staleMs?: number;
 }
 
-/** How often what each gateway would answer is looked at. */
+/** Interval between samples of whether each gateway would deny an unknown route, in milliseconds. */
 const lookMs = 50;
 
 function draw<T>(random: RandomSource, values: readonly T[]): T {
@@ -61,17 +61,17 @@
 interface Measured {
     readonly latestMs: number;
     readonly who: SimulatedGateway | undefined;
-    /** Calls in the first two seconds after the return. */
+    /** Number of calls in the time {@link herdMs} after the recovery. */
     readonly reads: number;
     readonly writes: number;
-    /** As the store charges them, while it was away. */
+    /** Cost of the calls during the outage, as the store charges them. */
     readonly awayPrice: number;
-    /** Until some seconds after the return. */
+    /** Cost of the calls from the start of the outage until some seconds after the recovery. */
     readonly price: number;
     readonly wrongDenials: number;
 }
 
-/** Gateways over a store that is away again and again. */
+/** Simulated fleet with a store that has repeated outages. */
 class OutageWorld {
     readonly #time: VirtualClock;
     readonly #store: FaultyStore;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** @returns how long after its acknowledgement a version was in force with the last gateway that is well */
+    /** @returns how late the last healthy gateway had the new version in force, and the calls of the store */
     async play(outage: Outage): Promise<Measured> {
         const store = this.#store;
         await this.#time.advance(outage.calmMs);
@@ -137,7 +137,7 @@
         this.#time.clear();
     }
 
-    /** @returns how often a gateway would have denied a route that came with a version which has to be in force */
+    /** @returns how often a gateway would have denied a route of a version that has to be in force but isn't */
     async #countWrongDenials(ackedAtMs: number): Promise<number> {
         let wrong = 0;
         const untilMs = this.#time.monotonicMs() + afterMs;
@@ -151,7 +151,7 @@
         return wrong;
     }
 
-    /** @returns what calls cost meanwhile */
+    /** Simulates the outage up to the recovery. @returns the cost of the calls in that time */
     async #stayAway({ how, relay: trouble, awayMs }: Outage, relay: SimulatedGateway | undefined): Promise<number> {
         if (how === "watchesSilent") {
             this.#store.silenceWatches();
@@ -167,7 +167,7 @@
         return this.#store.calls.cost - cost;
     }
 
-    /** A gateway that others ask, or the only one. */
+    /** @returns a gateway that relays changes to others; `undefined` if there is none */
     #findRelay(): SimulatedGateway | undefined {
         const asked = this.#fleet.gateways.flatMap(({ logs }) => {
             const chosen = logs.findLast(({ message }) => message === "relayChosen");
@@ -198,7 +198,7 @@
     { gateways: 131, zones: 4, lives: 1, outages: 4 },
     { gateways: 312, zones: 6, lives: 1, outages: 5 },
 ];
-/** Lives are played this many times more often by hand. */
+/** Factor for the number of simulations, to run more of them by hand. */
 const more = Number(process.env["OUTAGES"] ?? 1);
 
 function describe({ how, ...rest }: Outage, who: SimulatedGateway | undefined): string {
@@ -206,9 +206,9 @@
     return [how, JSON.stringify(rest), ...lines.map(line => JSON.stringify(line))].join("\n");
 }
 
-// Guards against a gateway that hears of changes too late after the store was away, because a call that was lost is still waited for.
+// Guards against a gateway that gets changes too late after an outage, because it still waits for a call that was lost.
 for (const { lives, outages, ...size } of sizes) {
-    test(`after any outage of the store, changes are in force with ${size.gateways} gateways in time`, async t => {
+    test(`after any outage of the store, changes come into force in ${size.gateways} gateways in time`, async t => {
         const time = VirtualClock.install(t);
         let worstMs = 0;
         let mostReads = 0;
@@ -222,7 +222,7 @@
             for (let i = 0; i < outages; i++) {
                 const outage = drawOutage(random);
                 const { latestMs, who, reads, writes, ...rest } = await world.play(outage);
-                const where = `${who?.name} of life ${life}, outage ${i}`;
+                const where = `${who?.name} of simulation ${life}, outage ${i}`;
                 assert.ok(latestMs <= inForceWithinMs, `${where}: ${latestMs} ms after ${describe(outage, who)}`);
                 assert.ok(reads <= herdMs / 1_000 * readsPerSecond, `${where}: ${reads} reads`);
                 assert.ok(writes <= herdMs / 1_000 * writesPerSecond, `${where}: ${writes} writes`);
@@ -234,16 +234,18 @@
             world.stop();
         }
         t.diagnostic(
-            `latest after ${Math.round(worstMs)} ms; at most ${mostReads} reads in the ${herdMs} ms after a return`,
+            `latest after ${Math.round(worstMs)} ms; at most ${mostReads} reads in the ${herdMs} ms after a recovery`,
         );
         t.diagnostic(
-            `calls while away cost ${Math.round(awayPrice)}, with those after the returns ${Math.round(price)}`,
+            `cost of calls during outages: ${Math.round(awayPrice)}, including those after recoveries: ${
+                Math.round(price)
+            }`,
         );
     });
 }
 
-// Guards against a gateway that, as the store is found again, waits once more for two relays that are dead.
-test("dead relays are waited for once", async t => {
+// Guards against a gateway that waits once more for two dead relays after it reaches the store again.
+test("a gateway waits for dead relays only once", async t => {
     const time = VirtualClock.install(t);
     const seed = 130_365;
     const random = createRandomSource(seed);
@@ -257,8 +259,8 @@
     world.stop();
 });
 
-// Guards against a probe or a check that is believed where it is older than what the gateway knows.
-test("readings that are older than the outage put off no change", async t => {
+// Guards against a probe or check whose stale result overrides what the gateway knows already.
+test("reads that are older than the outage delay no change", async t => {
     const time = VirtualClock.install(t);
     for (let life = 0; life < 10; life++) {
         const random = createRandomSource(life);
@@ -272,7 +274,7 @@
             staleMs: 5_000,
         };
         const { latestMs, who } = await world.play(outage);
-        assert.ok(latestMs <= inForceWithinMs, `life ${life}: ${latestMs} ms after ${describe(outage, who)}`);
+        assert.ok(latestMs <= inForceWithinMs, `simulation ${life}: ${latestMs} ms after ${describe(outage, who)}`);
         world.stop();
     }
 });
@@ -291,9 +293,9 @@
     return { ...outage, awayMs, staleMs: random.next() * longestStaleMs };
 }
 
-// Guards against a watch whose connection went silent, where a check that shows nothing missing rests on a reading older than the change.
+// Guards against a watch on a dead connection that passes its check, because the check's read is older than the change.
 for (const { lives, outages, ...size } of staleSizes) {
-    test(`a silent watch delays no change with ${size.gateways} gateways, however old cheap readings are`, async t => {
+    test(`a dead watch delays no change in ${size.gateways} gateways, however stale cheap reads are`, async t => {
         const time = VirtualClock.install(t);
         let worstMs = 0;
         for (let life = 0; life < lives * more; life++) {
@@ -304,7 +306,7 @@
             for (let i = 0; i < outages; i++) {
                 const outage = drawStaleOutage(random);
                 const { latestMs, who } = await world.play(outage);
-                const where = `${who?.name} of life ${life}, outage ${i}`;
+                const where = `${who?.name} of simulation ${life}, outage ${i}`;
                 assert.ok(latestMs <= inForceWithinMs, `${where}: ${latestMs} ms after ${describe(outage, who)}`);
                 worstMs = Math.max(worstMs, latestMs);
             }
@@ -314,8 +316,9 @@
     });
 }
 
-// Guards against a 404 or 401 by a gateway that heard the store lately and can't know that the route or key isn't there.
-test("a gateway that may lack a change denies no route", async t => {
+// Guards against a 404 or 401 from a gateway with recent contact with the store whose state may still lack the route or
+// key.
+test("a gateway that may lack a change doesn't deny unknown routes", async t => {
     const time = VirtualClock.install(t);
     const size = { gateways: 13, zones: 3 };
     for (let life = 0; life < 40 * more; life++) {
@@ -324,7 +327,7 @@
         await time.advance(settleMs);
         const outage = drawStaleOutage(random);
         const { wrongDenials, who } = await world.play(outage);
-        assert.equal(wrongDenials, 0, `life ${life}: ${describe(outage, who)}`);
+        assert.equal(wrongDenials, 0, `simulation ${life}: ${describe(outage, who)}`);
         world.stop();
     }
 });
--- a/packages/edge/src/__tests__/storeRestored.test.ts
+++ b/packages/edge/src/__tests__/storeRestored.test.ts
@@ -7,20 +7,20 @@
 import { type StoreFault, FaultyStore } from "./support/faultyStore.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-/** What the users' platform allows from the store's answer. */
+/** Time limits of the users' platform, from the store's response to a change, in milliseconds. */
 const inForceWithinMs = 2_000;
 const drainWithinMs = 2_000;
 const evacuatedWithinMs = 5_000;
-/** How long after its return the store counts as stable; word of leaving servers binds hosts from then on. */
+/** Time after its recovery from which the store counts as stable and the limit for draining servers applies. */
 const stableAfterMs = 3_000;
 const settleMs = 8_000;
 const afterMs = 8_000;
 const lookMs = 20;
 const longestAwayMs = 3_000;
 const oldestCopyMs = 30_000;
-/** Time in which operators and servers write again what was lost. */
+/** Time in which operators and servers write lost entries again, in milliseconds. */
 const rewriteMs = 1_500;
-/** Time after a return in which calls are counted. */
+/** Time after a recovery in which calls are counted, in milliseconds. */
 const herdMs = 2_000;
 const readsPerSecond = 2_000;
 const writesPerSecond = 400;
@@ -28,15 +28,15 @@
 const zones = ["zone-0", "zone-1", "zone-2"];
 const manners: readonly StoreFault[] = ["silent", "reset", "busy", "refusing"];
 
-/** The store is away and comes back from an older copy. */
+/** An outage of the store that ends with a restore from a backup. */
 interface Drill {
     readonly how: StoreFault;
     readonly awayMs: number;
     readonly copyMs: number;
-    /** Changes by operators and servers in the time before. */
+    /** Number of changes by operators and servers before the outage. */
     readonly changes: number;
     readonly relayDies: boolean;
-    /** From the return to the next version. */
+    /** Time from the recovery to the next configuration version, in milliseconds. */
     readonly nextAfterMs: number;
 }
 
@@ -51,13 +51,13 @@
     };
 }
 
-/** A change that the store has acknowledged, and how to see that a gateway knows it. */
+/** A change that the store has acknowledged, with a check whether a gateway has it. */
 interface Acknowledged {
     readonly what: string;
     readonly atMs: number;
     readonly withinMs: number;
     readonly isKept: (gateway: SimulatedGateway, nowMs: number) => boolean;
-    /** Gateways that the outage kept from hearing of it; for these the time counts from the store's return. */
+    /** Gateways that lacked it at the store's recovery, from which the time counts for them. */
     readonly unheard: Set<SimulatedGateway>;
 }
 
@@ -67,14 +67,14 @@
     readonly lateMs: number;
 }
 
-/** Gateways, operators and servers over a store that comes back from older copies. */
+/** Simulated gateways, operators and servers with a store that is restored from backups. */
 class DrillWorld {
     readonly #time: VirtualClock;
     readonly #random: RandomSource;
     readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     readonly #acknowledged = new Map<string, Acknowledged>();
-    /** What operators and servers hold to be written, by key; `undefined` where it was deleted. */
+    /** Latest values that operators and servers wrote, by key; `undefined` for a deleted key. */
     readonly #wanted = new Map<string, object | undefined>();
     #version = 0;
     #returnedAtMs = -Infinity;
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Operators write the configuration and evacuations again, and servers their entries. */
+    /** Lets operators write the configuration and evacuations again, and servers their entries. */
     #writeAgain(keys: readonly string[]): void {
         for (const key of keys) {
             if (this.#wanted.has(key)) {
@@ -255,7 +255,7 @@
         }
     }
 
-    /** A gateway that others ask. */
+    /** @returns a gateway that relays changes to others */
     #findRelay(): SimulatedGateway | undefined {
         const asked = this.#fleet.gateways.map(({ logs }) =>
             logs.findLast(({ message }) => message === "relayChosen")?.["peer"]
@@ -264,7 +264,7 @@
     }
 }
 
-/** Lives are played this many times more often by hand. */
+/** Factor for the number of simulations, to run more of them by hand. */
 const more = Number(process.env["DRILLS"] ?? 1);
 const sizes = [
     { gateways: 13, zones: 3, lives: 24, drills: 3 },
@@ -272,9 +272,9 @@
     { gateways: 312, zones: 6, lives: 1, drills: 1 },
 ];
 
-// Guards against changes that are missed, or forgotten, where the store comes back from an older copy and counts its revisions from there again.
+// Guards against changes that are missed or lost when the store is restored from a backup and reuses later revisions.
 for (const { lives, drills, ...size } of sizes) {
-    test(`where the store comes back from an older copy, ${size.gateways} gateways keep what was acknowledged`, async t => {
+    test(`after a restore of the store from a backup, ${size.gateways} gateways keep acknowledged changes`, async t => {
         const time = VirtualClock.install(t);
         let mostReads = 0;
         let mostWrites = 0;
@@ -292,14 +292,17 @@
                 const what = findings.map(each => `${each.what} at ${each.gateway.name} (${each.lateMs} ms)`).join(
                     ", ",
                 );
-                assert.equal(findings.length, 0, `life ${life}, drill ${i}: ${what}\n${told}`);
-                assert.ok(reads <= herdMs / 1_000 * readsPerSecond, `life ${life}, drill ${i}: ${reads} reads`);
-                assert.ok(writes <= herdMs / 1_000 * writesPerSecond, `life ${life}, drill ${i}: ${writes} writes`);
+                assert.equal(findings.length, 0, `simulation ${life}, drill ${i}: ${what}\n${told}`);
+                assert.ok(reads <= herdMs / 1_000 * readsPerSecond, `simulation ${life}, drill ${i}: ${reads} reads`);
+                assert.ok(
+                    writes <= herdMs / 1_000 * writesPerSecond,
+                    `simulation ${life}, drill ${i}: ${writes} writes`,
+                );
                 mostReads = Math.max(mostReads, reads);
                 mostWrites = Math.max(mostWrites, writes);
             }
             world.stop();
         }
-        t.diagnostic(`at most ${mostReads} reads and ${mostWrites} writes in the ${herdMs} ms after a return`);
+        t.diagnostic(`at most ${mostReads} reads and ${mostWrites} writes in the ${herdMs} ms after a recovery`);
     });
 }
--- a/packages/edge/src/__tests__/support/faultyLinkFleet.ts
+++ b/packages/edge/src/__tests__/support/faultyLinkFleet.ts
@@ -19,10 +19,10 @@
 
 const workMs = 30;
 
-/** Gateways whose links to all backend servers the test cuts, and the history of what their callers sent and got. */
+/** Fleet of gateways whose links to all backend servers a test can fail; records callers' requests and responses. */
 export class FaultyLinkFleet extends RecordedServers {
     readonly backends: TestBackend[] = [];
-    /** What servers do with a request; they answer it after a while unless the test says otherwise. */
+    /** Handles a request on a server; by default, responds after {@link workMs}. */
     serve: (req: RawRequest, server: string) => void = (req, server) => {
         setTimeout(
             () => req.socket.write(renderSignedResponse(req, server, "200 OK", [`x-server: ${server}`])),
@@ -36,7 +36,7 @@
         return this.#edges;
     }
 
-    /** @returns the fleet, once its gateways know each other */
+    /** @returns the fleet, once its gateways have discovered each other */
     static async start(t: TestContext, gateways: number, servers = 4): Promise<FaultyLinkFleet> {
         const store = new MemoryStore();
         store.put("configuration", createConfiguration(1));
@@ -96,7 +96,7 @@
         return got;
     }
 
-    /** Sends requests to one gateway after the other for a while. @returns what each got */
+    /** Sends requests for a while, to each gateway in turn. @returns the responses */
     async sendFor(forMs: number, everyMs: number): Promise<readonly CallerResponse[]> {
         const untilMs = performance.now() + forMs;
         const sent: Promise<CallerResponse>[] = [];
--- a/packages/edge/src/__tests__/support/faultyLinks.ts
+++ b/packages/edge/src/__tests__/support/faultyLinks.ts
@@ -4,19 +4,19 @@
 import { DirectConnector } from "../../backends/serverConnector.js";
 import { connectTimeoutMs } from "../../constants.js";
 
-/** What becomes of a gateway's connections to all backend servers. */
+/** Fault of a gateway's connections to all backend servers. */
 export type LinkFault =
-    /** Nothing passes, and new connections are not answered. */
+    /** No data passes, and new connections time out. */
     | "hang"
-    /** Open connections are reset, and new ones refused. */
+    /** Open connections are reset, and new ones are refused. */
     | "reset"
     /** Open connections work, and new ones are refused. */
     | "refuseNew"
-    /** Nothing passes on open connections, and new ones are refused. */
+    /** No data passes on open connections, and new ones are refused. */
     | "silentRefuseNew"
-    /** Nothing passes to the servers; what they send does. */
+    /** No data passes to the servers, but data from them does. */
     | "oneWayOut"
-    /** Nothing passes from the servers. */
+    /** No data passes from the servers, but data to them does. */
     | "oneWayBack";
 
 export const linkFaults: readonly LinkFault[] = [
@@ -33,13 +33,13 @@
     release: () => void;
 }
 
-/** Links to backend servers that a test cuts and restores. */
+/** Links to backend servers that a test can fail and restore. */
 export class FaultyLinks extends ServerConnector {
     readonly #direct = new DirectConnector();
     readonly #sockets = new Set<Socket>();
     readonly #held: HeldSocket[] = [];
     #manner: LinkFault | undefined;
-    /** Sockets opened so far. */
+    /** Number of sockets opened so far. */
     openedCount = 0;
 
     override connect(address: ServerAddress, onOpened: OnConnected): void {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** What was held back passes again. */
+    /** Ends the fault and passes on the data that it held back. */
     restore(): void {
         this.#manner = undefined;
         for (const { release } of this.#held.splice(0)) {
@@ -87,7 +87,7 @@
     return Object.assign(new Error(`${syscall ?? "connect"} ${code}`), { code, ...(syscall && { syscall }) });
 }
 
-/** Holds back what is written to a socket, what is read from it, or both, until it is released. */
+/** Holds back data written to a socket, data read from it, or both, until it is released. */
 function hold(socket: Socket, there: boolean, back: boolean): HeldSocket {
     const unwritten: (() => void)[] = [];
     const write = socket.write.bind(socket);
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -14,46 +14,46 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type VirtualClock } from "./virtualClock.js";
 
-/** How the store is away. */
+/** Fault of the store. */
 export type StoreFault = "silent" | "reset" | "busy" | "refusing" | "slow";
 
-/** Whole time of a call besides a watch's wait, as the platform's client has it, in milliseconds. */
+/** Timeout of a call, on top of a watch's wait, in milliseconds; the same as that of the platform's client. */
 const callTimeoutMs = 800;
 const usualAnswerMs = 4;
 const slowAnswerMs = 240;
-/** Age of the oldest copy that the store can come back from, in milliseconds. */
+/** Age of the oldest backup that the store can be restored from, in milliseconds. */
 const oldestCopyMs = 40_000;
 
-/** What all gateways' calls together were. */
+/** Calls of all gateways in total. */
 export interface CallCounts {
-    /** As the store charges them: a renewal and a reading that may be stale cost a tenth. */
+    /** Cost as the store charges it: lease renewals and reads that may be stale cost a tenth of other calls. */
     cost: number;
     writes: number;
     reads: number;
 }
 
-/** A store that several gateways share, on virtual time, with the ways in which it may be away. */
+/** Store on virtual time that several gateways share, with faults that the test starts and ends. */
 export class FaultyStore {
     #engine = new KeyValueEngine();
-    /** How often the store came back from an older copy; told with each answer. */
+    /** Incremented with each restore from a backup; sent with each response. */
     term = 1;
     readonly clock: VirtualClock;
     readonly random: RandomSource;
     fault: StoreFault | undefined;
-    /** Watches of before find that their history is gone. */
+    /** Watches from an earlier revision fail because their history is compacted. */
     compactRevision = 0;
-    /** What readings that may be stale tell; `undefined` while they are current. */
+    /** Fixed revision that reads which may be stale return; `undefined` for none. */
     pinnedReadRevision: number | undefined;
-    /** How old readings that may be stale are, in milliseconds. */
+    /** Age of the state that reads which may be stale return, in milliseconds. */
     stalenessMs = 0;
-    /** What watches see in place of the present state: it is held back from them. */
+    /** State that watches see in place of the current one, to hold changes back from them. */
     watchSnapshot: KeyValueEngine | undefined;
     readonly calls: CallCounts = { cost: 0, writes: 0, reads: 0 };
     readonly #waiting = new Set<() => void>();
-    /** The store as it was after each change of the last while, oldest first. */
+    /** Backups of the state after each recent change, oldest first. */
     #copies: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
     #absences = 0;
-    /** Since when the store has had each of its latest revisions. */
+    /** Start of each recent revision, oldest first. */
     #revisions: readonly { readonly atMs: number; readonly revision: number; }[] = [];
 
     constructor(time: VirtualClock, random: RandomSource) {
@@ -65,7 +65,12 @@
         return this.#engine;
     }
 
-    /** The store goes on from what it was so long ago; what was written since is gone. @returns the keys that were written or deleted since */
+    /**
+     * Restores the store from a backup, which loses all later writes.
+     *
+     * @param ageMs - age of the backup in milliseconds
+     * @returns the keys whose values differ from before the restore
+     */
     restoreBackup(ageMs: number): readonly string[] {
         const lost = this.#engine;
         const fromMs = this.clock.monotonicMs() - ageMs;
@@ -79,28 +84,28 @@
         this.notifyWatches();
         const nowMs = this.clock.monotonicMs();
         const keys = new Set([...lost.list("", nowMs), ...copy.engine.list("", nowMs)].map(({ key }) => key));
-        // Revisions of two terms say nothing of each other.
+        // Revisions of different terms can't be compared, so values are.
         return [...keys].filter(key => lost.get(key, nowMs)?.value !== copy.engine.get(key, nowMs)?.value);
     }
 
-    /** Counts the spans in which the store was away: what waited in one of them is answered no more. */
+    /** Number of faults so far; watches that were pending during one of them get no response. */
     get faultCount(): number {
         return this.#absences;
     }
 
-    /** The store is away from now on. Watches that wait are cut, or go silent. */
+    /** Starts a fault. Pending watches fail or get no response. */
     startFault(how: StoreFault): void {
         this.fault = how;
         this.#absences++;
         this.notifyWatches();
     }
 
-    /** Open connections go silent for good, and new ones work. */
+    /** Makes all open connections dead for good, while new ones work. */
     silenceWatches(): void {
         this.#absences++;
     }
 
-    /** The store is back; with `lapses`, all that was under lease is gone. */
+    /** Ends the fault. @param lapses - whether all leases have expired meanwhile */
     endFault(lapses: boolean): void {
         this.fault = undefined;
         if (lapses) {
@@ -109,7 +114,7 @@
         this.notifyWatches();
     }
 
-    /** Writes as an operator or a server does. */
+    /** Writes as an operator or a backend server does. */
     put(key: string, value: unknown): void {
         const current = this.engine.get(key, this.clock.monotonicMs());
         this.engine.compareAndSwap(
@@ -119,7 +124,7 @@
         this.notifyWatches();
     }
 
-    /** Deletes a key as its holder does. */
+    /** Deletes a key as its owner does. */
     delete(key: string): void {
         const current = this.engine.get(key, this.clock.monotonicMs());
         const expectedRevision = current?.modifiedRevision ?? 0;
@@ -127,7 +132,7 @@
         this.notifyWatches();
     }
 
-    /** The revision that a reading tells which may be stale. */
+    /** The revision that a read which may be stale returns. */
     get staleReadRevision(): number {
         const untilMs = this.clock.monotonicMs() - this.stalenessMs;
         const past = this.stalenessMs > 0
@@ -149,16 +154,16 @@
         }
     }
 
-    /** Calls `look` on each change until it is forgotten. @returns forgets it */
+    /** Calls `look` on each change. @returns a function that unsubscribes it */
     onChange(look: () => void): () => void {
         this.#waiting.add(look);
         return () => void this.#waiting.delete(look);
     }
 }
 
-/** One gateway's way to a troubled store. */
+/** One gateway's link to a {@link FaultyStore}. */
 export class FaultyStoreLink extends KeyValueStore {
-    /** Nothing passes on this way. */
+    /** Whether the link is cut, so that calls get no response. */
     cut = false;
     readonly #store: FaultyStore;
     readonly #term = new StoreTerm();
@@ -281,7 +286,7 @@
         return toPosition(this.#store.term, this.#store.engine.revision) ?? 0;
     }
 
-    /** An entry as the platform's client tells it. */
+    /** Adds the term to an entry's revision and lease ID, as the platform's client does. */
     #place({ modifiedRevision, leaseId, ...entry }: KeyValue): KeyValue {
         return {
             ...entry,
@@ -328,7 +333,7 @@
         });
     }
 
-    /** A call goes on its way, is answered or isn't, and the answer comes back. */
+    /** Simulates a call and its response, with the store's fault at its start and the state of the link. */
     #call<T>(
         kind: "reads" | "writes",
         price: number,
--- a/packages/edge/src/__tests__/support/memoryStore.ts
+++ b/packages/edge/src/__tests__/support/memoryStore.ts
@@ -11,22 +11,22 @@
 import { KeyValueEngine } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 
-/** A store in the test's own process, with a watch that waits and faults that the test turns on and off. */
+/** In-memory store with a watch that waits for changes, and faults that the test turns on and off. */
 export class MemoryStore extends KeyValueStore {
-    /** Every call fails while it is set. */
+    /** Whether every call fails. */
     down = false;
-    /** No call is answered while it is set. */
+    /** Whether calls get no response. */
     hangs = false;
-    /** The next watch finds that its history is gone. */
+    /** Whether the next watch fails because its history is compacted; reset by that watch. */
     historyLost = false;
     calls = 0;
-    /** Keys that a listing gives before the others, whatever becomes of these. */
+    /** Number of entries that a list passes on as its first part, also if the call then hangs or fails. */
     firstPartKeyCount: number | undefined;
     #held: Promise<void> = Promise.resolve();
     readonly #engine = new KeyValueEngine();
     readonly #waiting = new Set<() => void>();
 
-    /** Writes as an operator or a backend server does, past all faults. */
+    /** Writes as an operator or a backend server does, regardless of faults. */
     put(key: string, value: unknown): void {
         const current = this.#engine.get(key, performance.now());
         const text = typeof value === "string" ? value : JSON.stringify(value);
@@ -111,7 +111,7 @@
         return outcome;
     }
 
-    /** From now on calls wait for their answers. @returns answers them */
+    /** Holds back the responses of calls from now on. @returns a function that releases them */
     holdCalls(): () => void {
         let release: () => void = () => undefined;
         this.#held = new Promise(resolve => {
--- a/packages/edge/src/__tests__/support/simulatedGateways.ts
+++ b/packages/edge/src/__tests__/support/simulatedGateways.ts
@@ -22,22 +22,22 @@
 import { FaultyStoreLink, type FaultyStore } from "./faultyStore.js";
 import { type VirtualClock } from "./virtualClock.js";
 
-/** Ways between gateways, in milliseconds. */
+/** One-way latency between gateways, in milliseconds. */
 const hopMs = 1;
 const metrics = new EdgeMetrics(createMetrics("test"));
 
-/** Everything of one gateway that has to do with the store, over simulated ways. */
+/** The parts of one gateway that use the store, on a simulated network. */
 export class SimulatedGateway {
     readonly name: string;
     readonly link: FaultyStoreLink;
     readonly view = new FleetView();
     readonly logs: Readonly<Record<string, unknown>>[] = [];
     readonly relayServer: RelayServer;
-    /** When each version came into force. */
+    /** When each version came into force, as virtual time in milliseconds. */
     readonly inForceAtMs = new Map<number, number>();
-    /** Neither asks nor answers. */
+    /** Whether it neither sends requests nor responds. */
     isDead = false;
-    /** Gateways with the same value reach each other. */
+    /** Network partition of this gateway; gateways in the same one reach each other. */
     partition = 0;
     readonly #sync: StateSync;
     readonly #registration: Registration;
@@ -51,15 +51,7 @@
             this.logs.push({ atMs: clock.monotonicMs(), message, ...fields });
         };
         const log = new EdgeLog({ debug: write, info: write, warn: write, error: write }, () => clock.monotonicMs());
-        const shared = {
-            store: this.link,
-            codec: new TestStateCodec(),
-            view: this.view,
-            clock,
-            random,
-            log,
-            metrics,
-        };
+        const shared = { store: this.link, codec: new TestStateCodec(), view: this.view, clock, random, log, metrics };
         this.#registration = new Registration({
             ...shared,
             name: this.name,
@@ -85,7 +77,7 @@
         this.#registration.start();
     }
 
-    /** Loses power. */
+    /** Stops the gateway without any clean-up, as a power failure does. */
     powerOff(): void {
         this.isDead = true;
         this.#sync.stop();
@@ -100,7 +92,7 @@
     }
 }
 
-/** Gateways over one store. */
+/** Gateways that share one store. */
 export class SimulatedFleet {
     readonly clock: VirtualClock;
     readonly store: FaultyStore;
@@ -129,7 +121,7 @@
     }
 }
 
-/** One gateway's questions to the others. */
+/** Relay client of one gateway on the simulated network. */
 class SimulatedPeers extends RelayClient {
     readonly #fleet: SimulatedFleet;
     readonly #self: SimulatedGateway;
@@ -152,10 +144,10 @@
     }
 
     override close(): void {
-        // There is no connection.
+        // There is no connection to close.
     }
 
-    /** A request goes on its way, is answered or isn't, and the answer comes back. */
+    /** Simulates a request and its response, each of which is lost if the peer is unreachable when it would arrive. */
     #exchange<T>(
         address: ServerAddress,
         url: string,
--- a/packages/edge/src/__tests__/support/simulatedReachFleet.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -25,17 +25,17 @@
 const mostHelpers = 4;
 const metrics = new EdgeMetrics(createMetrics("test"));
 
-/** Size of a simulated fleet. */
+/** Size and load of a simulated fleet. */
 export interface SimulatedReachFleetSize {
     readonly gateways: number;
     readonly zones: number;
     readonly servers: number;
     readonly requestsPerSecond: number;
-    /** Whether gateways answer each other. */
+    /** Whether gateways respond to each other's queries. */
     readonly peersAnswer: boolean;
 }
 
-/** One gateway whose links to all servers a test cuts: its real belief of what it reaches, and simulated requests. */
+/** One gateway whose links to all servers a test can fail: with its real `ReachabilityMonitor` and simulated requests. */
 export class SimulatedReachGateway {
     readonly name: string;
     readonly reach: ReachabilityMonitor;
@@ -63,7 +63,7 @@
     }
 }
 
-/** Gateways of which some are cut off from all servers, on virtual time. */
+/** Fleet on virtual time in which a test cuts gateways off from all servers. */
 export class SimulatedReachFleet {
     readonly clock: VirtualClock;
     readonly random: RandomSource;
@@ -71,7 +71,7 @@
     readonly history: HistoryLine[] = [];
     readonly deadServers = new Set<string>();
     readonly size: SimulatedReachFleetSize;
-    /** Requests that other gateways had run for a gateway that is cut off. */
+    /** Number of requests that a gateway served for one that was cut off. */
     handoverCount = 0;
     #requests = 0;
     #isOver = false;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Lets callers send to all gateways until the fleet is stopped. */
+    /** Starts callers that send to all gateways until the fleet is stopped. */
     start(): void {
         const periodMs = 1_000 / this.size.requestsPerSecond;
         for (const gateway of this.gateways) {
@@ -127,7 +127,7 @@
         return this.gateways[port];
     }
 
-    /** One exchange of a gateway with a server. @returns how it ends, at its time */
+    /** Simulates one exchange of a gateway with a server. @returns how it ends, once it does */
     async exchange(
         gateway: SimulatedReachGateway,
         server: string,
@@ -156,7 +156,7 @@
         this.#record({ type: "callerAnswered", requestId, status, ...more });
     }
 
-    /** As a request goes: to another gateway where the links are known to be lost, and else through a search for a server. */
+    /** Handles a request as a gateway does: hands it over if the links have failed, otherwise looks for a server. */
     async #serve(gateway: SimulatedReachGateway, needsNew: boolean): Promise<boolean> {
         const { reach } = gateway;
         const tried = new Set<string>();
@@ -240,7 +240,7 @@
         return reaches;
     }
 
-    /** A request of another gateway goes no further. */
+    /** Serves a request that another gateway handed over, which isn't handed over again. */
     async #serveHere(gateway: SimulatedReachGateway): Promise<boolean> {
         for (let sends = 0; sends < 3; sends++) {
             const server = await this.#search(gateway);
--- a/packages/edge/src/__tests__/support/storeLink.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -11,11 +11,11 @@
 import { type Either, Left } from "purify-ts";
 import { type MemoryStore } from "./memoryStore.js";
 
-/** One gateway's way to a store that several share. */
+/** One gateway's link to a store that several gateways share. */
 export class StoreLink extends KeyValueStore {
-    /** Nothing passes, and no call is answered. */
+    /** Whether calls get no response. */
     cut = false;
-    /** Calls are refused at once. */
+    /** Whether calls are refused at once. */
     refused = false;
     calls = 0;
     readonly #store: MemoryStore;
@@ -53,7 +53,7 @@
 
     override async watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>> {
         const seen = await this.#call(() => this.#store.watch(req), req.signal);
-        // Cut while it waited, a watch hears nothing of what came.
+        // A watch whose link is cut while it is pending gets no response.
         return this.cut ? this.#silence(req.signal) : seen;
     }
 
--- a/packages/edge/src/__tests__/support/virtualClock.ts
+++ b/packages/edge/src/__tests__/support/virtualClock.ts
@@ -6,28 +6,28 @@
     readonly id: number;
     readonly dueMs: number;
     readonly run: () => void;
-    /** Of an interval. */
+    /** Period of an interval in milliseconds; `undefined` for a timeout. */
     readonly everyMs: number | undefined;
 }
 
-/** The start of wall-clock time, in milliseconds. */
+/** Wall-clock time at the start, in milliseconds since the epoch. */
 const epochMs = 1_000_000;
-/** A world that goes on longer than this hangs. */
+/** Maximum number of timer events; a simulation with more of them never ends. */
 const mostEvents = 5_000_000;
 
 /**
- * Time that passes from timer to timer, in place of the process's own: real code that sleeps and waits runs hours in seconds, and
- * the same in each run.
+ * Clock that advances from timer to timer and replaces the timers of the process: real code that sleeps runs hours in
+ * seconds, and deterministically.
  */
 export class VirtualClock implements Clock {
     #nowMs = 0;
     #lastId = 0;
     #events = 0;
     readonly #timers = new Map<number, Timer>();
-    /** Timers as a heap, soonest first, with those that were cleared in it until they are due. */
+    /** Min-heap of timers by due time; cleared timers stay in it until they are due. */
     readonly #heap: Timer[] = [];
 
-    /** Takes the place of the process's timers until the test is over. */
+    /** Replaces the timers of the process until the test is over. */
     static install(t: TestContext): VirtualClock {
         const time = new VirtualClock();
         const { setTimeout, setInterval, clearTimeout, clearInterval } = globalThis;
@@ -53,7 +53,7 @@
         return epochMs + this.#nowMs;
     }
 
-    /** Lets time pass. */
+    /** Advances the time and runs all timers that are due by then. */
     async advance(ms: number): Promise<void> {
         const untilMs = this.#nowMs + ms;
         await drainMicrotasks();
@@ -63,7 +63,7 @@
                 continue;
             }
             if (++this.#events > mostEvents) {
-                throw new Error(`the world didn't come to rest by ${this.#nowMs} ms`);
+                throw new Error(`too many timer events by ${this.#nowMs} ms: the simulation doesn't end`);
             }
             this.#nowMs = next.dueMs;
             this.#timers.delete(next.id);
@@ -76,7 +76,7 @@
         this.#nowMs = untilMs;
     }
 
-    /** Drops whatever still waits, so that another world can begin. */
+    /** Removes all pending timers, so that another simulation can begin. */
     clear(): void {
         this.#timers.clear();
         this.#heap.length = 0;
--- a/packages/edge/src/limits/datagramSocket.ts
+++ b/packages/edge/src/limits/datagramSocket.ts
@@ -1,14 +1,14 @@
 import { type ListenAddress } from "@galenaglade/http-parts";
 import { createSocket, type Socket } from "node:dgram";
 
-/** Takes a datagram of another gateway. */
+/** Handles a datagram from another gateway. */
 export type DatagramHandler = (text: string, from: ListenAddress) => void;
 
-/** Sends and receives datagrams between gateways; tests have one of their own. */
+/** Sends and receives datagrams between gateways; abstract so that tests can replace the network. */
 export abstract class DatagramSocket {
-    /** Begins to receive. @returns once it listens */
+    /** Starts to receive datagrams. @returns once the socket is bound */
     abstract open(onDatagram: DatagramHandler): Promise<void>;
-    /** Sends without waiting; a datagram that can't be sent is lost like any other. */
+    /** Sends without waiting; a datagram that can't be sent counts as lost in the network. */
     abstract send(text: string, to: ListenAddress): void;
     abstract close(): void;
 }
@@ -20,8 +20,8 @@
     #socket: Socket | undefined;
 
     /**
-     * @param address - where it listens
-     * @param onError - told of faults of the socket itself
+     * @param address - IPv4 address and port to bind to
+     * @param onError - called with the message of an error of the socket itself
      */
     constructor(address: ListenAddress, onError: (error: string) => void) {
         super();
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -15,11 +15,11 @@
 import { HostPauseDetector } from "../state/hostPauseDetector.js";
 import { type DatagramSocket } from "./datagramSocket.js";
 
-/** What the limits of workspaces are kept with. */
+/** Dependencies of {@link WorkspaceLimits}. */
 export interface WorkspaceLimitsDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
-    /** Unique to this life of the process. */
+    /** ID of this process incarnation. */
     readonly incarnation: string;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -30,13 +30,13 @@
     readonly tolerance: LimitTolerance;
 }
 
-/** Addresses of gateways that were heard before their registrations were, at most. */
+/** Maximum number of addresses kept of gateways that sent a datagram before their registration was known. */
 const mostUnregistered = 1_024;
 
-/** Shortest time between two ticks, in milliseconds: a due time that was missed must not be asked for in a tight loop. */
+/** Minimum delay of the next tick, in milliseconds: avoids a tight loop after a missed deadline. */
 const shortestTickMs = 2;
 
-/** Keeps the limits of workspaces with the other gateways: the decisions of `RateLimiter` with its sockets and timers. */
+/** Enforces the rate limits of workspaces together with other gateways: runs `RateLimiter` on a socket and timers. */
 export class WorkspaceLimits {
     readonly #parts: WorkspaceLimitsDeps;
     readonly #limiter: RateLimiter;
@@ -64,7 +64,7 @@
         });
     }
 
-    /** What the fleet's state says has changed: the gateways, or whether there are limits. */
+    /** Applies a change of the fleet view: of the registered gateways, or whether any workspace has a limit. */
     onViewChange(): void {
         const { view, clock } = this.#parts;
         const workspaces = view.configurationInForce?.configuration.workspaces ?? [];
@@ -86,11 +86,11 @@
     }
 
     /**
-     * Asks for one request of a workspace.
+     * Requests a token for one request of a workspace.
      *
      * @param req - the workspace and its limit
-     * @param signal - aborted when nobody waits for the decision any more
-     * @returns the decision; `undefined` where nobody waits any more
+     * @param signal - aborted when the decision is no longer needed
+     * @returns the decision; `undefined` after an abort
      */
     admit(req: TokenRequest, signal: AbortSignal): Promise<Decision | undefined> {
         const { clock } = this.#parts;
@@ -112,12 +112,12 @@
         return decided;
     }
 
-    /** The request that a token was granted for never ran. */
+    /** Returns a token whose request never ran. */
     giveBack(token: Token): void {
         this.#limiter.giveBack(token);
     }
 
-    /** This process is about to end: whoever asks it goes to another gateway. */
+    /** Releases this gateway's shares before the process exits, so that peers request their tokens elsewhere. */
     beginDrain(): void {
         if (this.#isOpen) {
             this.#carryOut(this.#limiter.stop(this.#parts.clock.monotonicMs()));
@@ -136,7 +136,7 @@
             await socket.open((text, from) => this.#onDatagram(text, from));
         }
         catch (err) {
-            log.log("error", "unexpected", { error: `no datagrams of other hosts can be received: ${String(err)}` });
+            log.log("error", "unexpected", { error: `cannot receive datagrams from other hosts: ${String(err)}` });
         }
     }
 
@@ -177,7 +177,7 @@
         this.#carryOut(this.#limiter.tick(clock.monotonicMs(), clock.epochMs()));
     }
 
-    /** What a host that stood still believes of others' shares is as old as the time that it missed. */
+    /** Checks for a suspension of the host, by which the limiter's view of other gateways' shares is outdated. */
     #checkPause(): void {
         if (this.#pauses.check() !== undefined) {
             this.#carryOut(this.#limiter.onSuspended(this.#parts.clock.monotonicMs()));
@@ -207,7 +207,7 @@
         }
     }
 
-    /** A timer that is due early enough already is left as it is. */
+    /** Schedules the next tick, unless the current timer fires early enough. */
     #schedule(): void {
         const nowMs = this.#parts.clock.monotonicMs();
         const inMs = this.#limiter.nextTickMs(nowMs);
--- a/packages/edge/src/reach/reachabilityClient.ts
+++ b/packages/edge/src/reach/reachabilityClient.ts
@@ -10,13 +10,13 @@
     reachabilityStatus,
 } from "./reachabilityMessages.js";
 
-/** Asks other gateways whether they reach a service. */
+/** Client that queries other gateways whether they reach a service. */
 export abstract class ReachabilityClient {
-    /** @returns what the gateway at an address says; `undefined` where it doesn't answer, or doesn't know the question */
+    /** @returns the response of the gateway at an address; `undefined` if there is none or it is not understood */
     abstract fetchReachability(address: ServerAddress, service: string): Promise<ReachabilityResponse | undefined>;
 }
 
-/** Asks over a connection of its own for each question: they are rare. */
+/** Opens a new connection for each query, as queries are rare. */
 export class HttpReachabilityClient extends ReachabilityClient {
     override async fetchReachability(
         { host, port }: ServerAddress,
@@ -34,7 +34,7 @@
             return statusCode === reachabilityStatus.ok && parsed.success ? parsed.data : undefined;
         }
         catch {
-            // Whoever doesn't answer is asked again later; the caller logs what came of the inquiry.
+            // A gateway that doesn't respond is queried again later; the caller logs the result of the whole round.
             return undefined;
         }
         finally {
--- a/packages/edge/src/reach/reachabilityMonitor.ts
+++ b/packages/edge/src/reach/reachabilityMonitor.ts
@@ -25,9 +25,9 @@
 import { ReachabilityProvider } from "./reachabilityServer.js";
 import { type ServerProbe } from "./serverProbe.js";
 
-/** What is needed to tell whether servers are reached. */
+/** Dependencies of {@link ReachabilityMonitor}. */
 export interface ReachabilityMonitorDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
     readonly availabilityZone: string;
     readonly view: FleetView;
@@ -37,21 +37,21 @@
     readonly random: RandomSource;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
-    /** This host's links to servers of a service are lost. @param kind - on all connections, or new ones only */
+    /** Called when this host's links to a service's servers fail. @param kind - on all connections or new ones only */
     readonly onLinksLost: (servers: readonly RegisteredServer[], kind: LinkFailureKind) => void;
-    /** They work again. */
+    /** Called when links that had failed work again. */
     readonly onLinksRestored: (service: string, servers: readonly RegisteredServer[]) => void;
 }
 
 /**
- * Notices when this host doesn't reach the servers of a service any more, finds out from other gateways whether that is due to its links
- * or to the servers, and checks until the links work again. Nothing is sent while servers answer.
+ * Detects that this host no longer reaches the servers of a service, queries other gateways whether its links or the
+ * servers are at fault, and checks until the links work again. It sends nothing while servers respond to requests.
  */
 export class ReachabilityMonitor extends ReachabilityProvider {
     readonly #parts: ReachabilityMonitorDeps;
     readonly #services = new Map<string, ServiceReachability>();
     readonly #helpers: HandoverTargetSelector;
-    /** Called once it is known whether a doubted service is reached from elsewhere. */
+    /** By service in doubt, callbacks to run once it is known whether other gateways reach the service. */
     readonly #waiting = new Map<string, (() => void)[]>();
     readonly #checks = new Map<string, Promise<boolean>>();
     readonly #pauses = new Map<string, InterruptibleSleep>();
@@ -63,12 +63,12 @@
         this.#helpers = new HandoverTargetSelector(parts);
     }
 
-    /** Other gateways that can send what this one can't. */
+    /** Gateways that can send requests which this one can't. */
     get handoverTargets(): HandoverTargetSelector {
         return this.#helpers;
     }
 
-    /** An exchange with a server has ended. */
+    /** Records how an exchange with a server ended. */
     onContact(contact: ServerContact): void {
         const { view } = this.#parts;
         const nowMs = this.#nowMs();
@@ -77,12 +77,12 @@
         this.#note(contact.service, reach.onContact(contact, countServers, nowMs));
     }
 
-    /** @returns whether this host reaches a service, as far as is known */
+    /** @returns whether this host reaches a service, by what is known now */
     stateOf(service: string): ReachabilityState {
         return this.#services.get(service)?.state ?? "reached";
     }
 
-    /** @returns the same, once it is known whether a service that isn't heard is reached from elsewhere */
+    /** @returns the state of a service; if it is in doubt, once it is known whether other gateways reach the service */
     async whenSettled(service: string): Promise<ReachabilityState> {
         if (this.stateOf(service) === "doubted" && !this.#stopped) {
             await new Promise<void>(resolve => {
@@ -92,12 +92,15 @@
         return this.stateOf(service);
     }
 
-    /** @returns whether a request that no other gateway can have may look for a server by itself */
+    /** @returns whether a request that can't be handed to another gateway may try a server from this one */
     tryAcquireLocalAttempt(service: string): boolean {
         return this.#reachOf(service).tryAcquireLocalAttempt(this.#nowMs());
     }
 
-    /** No gateway is left that a request of a service could be handed to. Others may do for other requests, as where some are busy. */
+    /**
+     * Records that a request of a service has no gateway left to be handed to. This has no effect while other requests
+     * still have one, for instance if the request met only busy gateways.
+     */
     onHandoverTargetsExhausted(service: string): void {
         const nowMs = this.#nowMs();
         if (this.chooseHandoverTarget(service, new Set()) !== undefined) {
@@ -108,12 +111,12 @@
         this.#note(service, reach.onPeerQueryResult(false, nowMs));
     }
 
-    /** @returns a gateway that a request may be handed to, `undefined` for none */
+    /** @returns a gateway to hand a request to; `undefined` if there is none */
     chooseHandoverTarget(service: string, tried: ReadonlySet<string>): RegisteredGateway | undefined {
         return this.#helpers.choose(service, this.#parts.view.registeredGateways(), tried, this.#nowMs());
     }
 
-    /** Says whether this gateway reaches a service; asks servers first where none was heard for a while. */
+    /** @returns whether this gateway reaches a service; probes servers first if none has responded lately */
     override async getReachability(service: string): Promise<ReachabilityResponse> {
         if (this.#parts.view.configurationInForce?.services.has(service) !== true) {
             return { reaches: false, named: [] };
@@ -127,7 +130,7 @@
         return { reaches: isFresh || await this.#check(service), named };
     }
 
-    /** Forgets what is no longer there. */
+    /** Drops the state of gateways and services that no longer exist. */
     onViewChange(): void {
         const { view } = this.#parts;
         this.#helpers.retain(new Set(view.registeredGateways().map(({ name }) => name)));
@@ -190,7 +193,7 @@
         underWay.interrupt();
     }
 
-    /** Checks and asks, round after round, until the service is reached. */
+    /** Probes servers and queries gateways periodically until the service is reached. */
     async #recover(service: string): Promise<void> {
         const pause = new InterruptibleSleep();
         this.#pauses.set(service, pause);
@@ -218,7 +221,7 @@
         }
     }
 
-    /** Whoever wants a check while one is under way shares it. */
+    /** Checks a service; concurrent callers share one check. */
     #check(service: string): Promise<boolean> {
         const underWay = this.#checks.get(service);
         if (underWay !== undefined) {
@@ -229,7 +232,7 @@
         return check;
     }
 
-    /** Asks a few servers over new connections. @returns whether most of them answered */
+    /** Probes a few servers over new connections. @returns whether most of them responded */
     async #checkServers(service: string): Promise<boolean> {
         const { view } = this.#parts;
         const left = [...view.usableServers(service, this.#nowMs())];
@@ -248,7 +251,7 @@
         return end === "heard";
     }
 
-    /** Asks other gateways, a few at a time. @returns whether any of them reaches the service */
+    /** Queries other gateways, a few at a time. @returns whether any of them reaches the service */
     async #inquire(service: string): Promise<boolean> {
         const { view } = this.#parts;
         const asked = new Set<string>();
--- a/packages/edge/src/reach/reachabilityServer.ts
+++ b/packages/edge/src/reach/reachabilityServer.ts
@@ -1,12 +1,12 @@
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type ReachabilityResponse, reachabilityServiceParam, reachabilityStatus } from "./reachabilityMessages.js";
 
-/** Knows whether this gateway reaches a service. */
+/** Provides whether this gateway reaches a service. */
 export abstract class ReachabilityProvider {
     abstract getReachability(service: string): Promise<ReachabilityResponse>;
 }
 
-/** Answers another gateway's question whether this one reaches a service. */
+/** Serves another gateway's query whether this one reaches a service. */
 export async function handleReachabilityRequest(
     feed: ReachabilityProvider,
     req: IncomingMessage,
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -9,12 +9,12 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
 
-/** Finds out whether one backend server is reached over a new connection. */
+/** Checks whether one backend server is reachable over a new connection. */
 export abstract class ServerProbe {
     abstract probe(service: string, server: RegisteredServer): Promise<ServerContactResult>;
 }
 
-/** What a load probe works with. */
+/** Dependencies of {@link LoadProbe}. */
 export interface LoadProbeDeps {
     readonly view: FleetView;
     readonly board: PlacementState;
@@ -25,7 +25,7 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** Asks the server for its load, which is learnt like any other. */
+/** Requests the server's load, and records the response like that of any other load request. */
 export class LoadProbe extends ServerProbe {
     readonly #parts: LoadProbeDeps;
 
--- a/packages/edge/src/rollout/evidenceClient.ts
+++ b/packages/edge/src/rollout/evidenceClient.ts
@@ -6,11 +6,11 @@
 import { rolloutReportTimeoutMs } from "../constants.js";
 import { type EvidenceResponse, evidenceResponse, evidencePath, evidenceStatus } from "./rolloutMessages.js";
 
-/** Reports to coordinators, over one kept connection to each. */
+/** Sends reports to coordinators, over one persistent connection to each. */
 export class EvidenceClient {
     readonly #clients = new Map<string, Client>();
 
-    /** @returns the coordinator's answer, or why there is none */
+    /** @returns the coordinator's response, or a failure */
     async report(address: ServerAddress, report: EvidenceReport): Promise<Either<Failure, EvidenceResponse>> {
         const origin = `http://${address.host}:${address.port}`;
         const client = this.#clients.get(origin)
@@ -30,7 +30,7 @@
                 : Left(createFailure("peerUnreachable", `status ${res.statusCode}`));
         }
         catch (err) {
-            // A connection that may have gone silent for good must not be used again.
+            // The connection may be dead without having been closed, so it isn't reused.
             this.#clients.delete(origin);
             client.destroy().catch(() => undefined);
             return Left(createFailure("peerUnreachable", err instanceof Error ? err.message : String(err)));
--- a/packages/edge/src/rollout/evidenceServer.ts
+++ b/packages/edge/src/rollout/evidenceServer.ts
@@ -4,18 +4,18 @@
 import { maxRolloutReportBytes } from "../constants.js";
 import { type EvidenceResponse, evidenceReport, evidenceStatus } from "./rolloutMessages.js";
 
-/** Takes reports as a roll-out's coordinator. */
+/** Receives reports while this gateway coordinates a rollout. */
 export abstract class EvidenceCollector {
-    /** @returns the answer, or `undefined` where this gateway can't coordinate now */
+    /** @returns the response, or `undefined` if this gateway can't coordinate now */
     abstract onReport(report: EvidenceReport): EvidenceResponse | undefined;
 }
 
 /**
- * Takes one report of another gateway.
+ * Handles one report from another gateway.
  *
- * @param inbox - what it goes to
- * @param req - its request
- * @param res - where the answer goes
+ * @param inbox - receives the report
+ * @param req - request with the report as its body
+ * @param res - response to the request
  */
 export function handleEvidenceReport(inbox: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
--- a/packages/edge/src/rollout/rolloutMessages.ts
+++ b/packages/edge/src/rollout/rolloutMessages.ts
@@ -1,9 +1,9 @@
 import * as z from "zod";
 
-/** Path on which a gateway takes what others have seen of a roll-out. */
+/** Path on which a gateway receives other gateways' reports on a rollout. */
 export const evidencePath = "/rollout-evidence";
 
-/** Statuses of answers to a report. */
+/** Status codes of responses to a report. */
 export const evidenceStatus = Object.freeze({
     ok: 200,
     badRequest: 400,
@@ -15,7 +15,7 @@
 const ms = z.number().min(0);
 const counts = { sends: z.number().int().min(0), bad: z.number().int().min(0) };
 
-/** What one gateway has seen of a roll-out. */
+/** Report of one gateway on the requests that it sent during a rollout. */
 export const evidenceReport = z.object({
     gateway: z.string().min(1),
     life: z.string().min(1),
@@ -30,10 +30,11 @@
     orderAge: z.object({ atLeastMs: ms, atMostMs: ms.optional() }).optional(),
 });
 
-/** What the coordinator answers. */
+/** The coordinator's response to a report. */
 export const evidenceResponse = z.object({
-    /** Whether the version is to get nothing more. */
+    /** Whether to stop sending requests to the trial version. */
     stop: z.boolean(),
 });
 
+/** The coordinator's response to a report. */
 export type EvidenceResponse = Readonly<z.output<typeof evidenceResponse>>;
--- a/packages/edge/src/rollout/rolloutRunner.ts
+++ b/packages/edge/src/rollout/rolloutRunner.ts
@@ -18,7 +18,7 @@
 import { EvidenceCollector } from "./evidenceServer.js";
 import { type EvidenceResponse } from "./rolloutMessages.js";
 
-/** What roll-outs are carried out with. */
+/** Dependencies of {@link RolloutRunner}. */
 export interface RolloutRunnerDeps extends RolloutParticipantDeps {
     readonly random: RandomSource;
     readonly store: KeyValueStore;
@@ -30,13 +30,13 @@
 
 type Command<Type extends RolloutCommand["type"]> = RolloutCommand & { readonly type: Type; };
 
-/** Carries out what this gateway's part in roll-outs asks for: reports, writes and log lines. */
+/** Executes the commands of this gateway's `RolloutParticipant`: reports, writes to the store and log lines. */
 export class RolloutRunner extends EvidenceCollector {
     readonly #parts: RolloutRunnerDeps;
     readonly #participant: RolloutParticipant;
     readonly #client = new EvidenceClient();
     #timer: NodeJS.Timeout | undefined;
-    /** The store's term for which statuses have been written again. */
+    /** Term of the store for which statuses have been written again. */
     #term: number | undefined;
 
     constructor(parts: RolloutRunnerDeps) {
@@ -67,7 +67,10 @@
         }
     }
 
-    /** Where the store came back from an older copy, it may lack what was decided, and no gateway is alone in knowing it. */
+    /**
+     * Schedules a rewrite of rollout statuses after the store was restored from a backup, which may lack decisions. All
+     * gateways know these and may write them, so a random delay keeps them from writing at once.
+     */
     #checkTerm(): void {
         const { view, random } = this.#parts;
         if (this.#term !== undefined && view.term > this.#term) {
--- a/packages/edge/src/state/hostPauseDetector.ts
+++ b/packages/edge/src/state/hostPauseDetector.ts
@@ -2,8 +2,8 @@
 import { hostPauseThresholdMs } from "../constants.js";
 
 /**
- * Notices that this host stood still: its steady clock stood still with it, and its time of day went on. Setting the time
- * of day looks the same, and costs whoever asks no more than one call too many.
+ * Detects that this host was suspended: its monotonic clock stopped while the wall clock went on. A change of the wall
+ * clock looks the same, which costs the caller of {@link HostPauseDetector.check} no more than one unneeded refresh.
  */
 export class HostPauseDetector {
     readonly #clock: Clock;
@@ -14,7 +14,7 @@
         this.#skewMs = this.#readSkew();
     }
 
-    /** @returns for how long it stood still since this was asked last, in milliseconds; `undefined` where it didn't */
+    /** @returns how long the host was suspended since the last check, in milliseconds; `undefined` if it wasn't */
     check(): number | undefined {
         const skewMs = this.#readSkew();
         const stoodMs = skewMs - this.#skewMs;
--- a/packages/edge/src/state/initialSyncGate.ts
+++ b/packages/edge/src/state/initialSyncGate.ts
@@ -1,7 +1,7 @@
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { admitDuringStartup, type StartupAdmission } from "@galenaglade/placement";
 
-/** Holds what arrives before the store has been read for the first time. */
+/** Holds requests that arrive at startup until the fleet's state has been read from the store for the first time. */
 export class InitialSyncGate {
     readonly #clock: Clock;
     readonly #onFirstRead: () => void;
@@ -12,8 +12,8 @@
     #held = 0;
 
     /**
-     * @param clock - the process's clock
-     * @param onFirstRead - called once, when the fleet is known
+     * @param clock - clock of the process
+     * @param onFirstRead - called once, after the first successful read
      */
     constructor(clock: Clock, onFirstRead: () => void = () => undefined) {
         this.#clock = clock;
@@ -24,7 +24,7 @@
         });
     }
 
-    /** The store has been read. */
+    /** Releases held requests after a successful read of the store. */
     onStateRead(): void {
         if (this.#state !== "read") {
             this.#onFirstRead();
@@ -33,7 +33,7 @@
         this.#end();
     }
 
-    /** The store refused the reading, or didn't answer. */
+    /** Releases held requests after the first read failed; they are then refused instead of waiting for the store. */
     onReadFailed(): void {
         if (this.#state === "underWay") {
             this.#state = "failed";
@@ -42,8 +42,8 @@
     }
 
     /**
-     * @param patienceMs - how long the caller waits; `undefined` where it doesn't say
-     * @returns whether a request is worth holding until the store has been read
+     * @param patienceMs - the caller's timeout in milliseconds; `undefined` if it sent none
+     * @returns whether to hold a request until the store has been read, and for how long
      */
     admit(patienceMs: number | undefined): StartupAdmission {
         return admitDuringStartup({
@@ -54,7 +54,10 @@
         });
     }
 
-    /** @returns once the reading has ended, or the time is over */
+    /**
+     * @param forMs - maximum wait in milliseconds
+     * @returns once the first read has succeeded or failed, or the time is over
+     */
     async wait(forMs: number): Promise<void> {
         this.#held++;
         await Promise.race([this.#ended, sleep(forMs)]);
--- a/packages/edge/src/state/interruptibleSleep.ts
+++ b/packages/edge/src/state/interruptibleSleep.ts
@@ -1,8 +1,8 @@
-/** A pause that can be cut short. */
+/** A sleep that can be interrupted. */
 export class InterruptibleSleep {
     #wake: () => void = () => undefined;
 
-    /** @returns once the time is over, or the pause is cut short */
+    /** @returns once the time is over, or the sleep is interrupted */
     sleep(ms: number): Promise<void> {
         return new Promise(resolve => {
             const timer = setTimeout(resolve, ms);
@@ -13,7 +13,7 @@
         });
     }
 
-    /** Ends the pause that is taken now, if any. */
+    /** Ends the current sleep, if any. */
     interrupt(): void {
         this.#wake();
     }
--- a/packages/edge/src/state/outageVerifier.ts
+++ b/packages/edge/src/state/outageVerifier.ts
@@ -4,9 +4,9 @@
 import { outageQueryDelayMs, outageQueryPeers } from "../constants.js";
 import { type RelayClient } from "./relayClient.js";
 
-/** What an inquiry works with. */
+/** Dependencies of {@link OutageVerifier}. */
 export interface OutageVerifierDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -15,9 +15,9 @@
 }
 
 /**
- * Finds out whether the store was away or only this gateway was cut off from it. Both look the same from here, and after an outage
- * servers are believed whose entries are missing. After a cut, the missing entries are those of servers that left: they would be
- * given requests for as long.
+ * Asks other gateways whether the store was down or only this gateway was partitioned from it; locally, the two look
+ * the same. After an outage of the store, servers stay in use although their entries have lapsed. After a partition,
+ * the missing entries belong to servers that left, and keeping those in use would send them requests.
  */
 export class OutageVerifier {
     readonly #parts: OutageVerifierDeps;
@@ -27,7 +27,7 @@
         this.#parts = parts;
     }
 
-    /** Asks other gateways while any server is believed whose entry is missing, until one of them has vouched for the store. */
+    /** Queries peers until one reports its contact with the store, or no server with a lapsed entry is left in use. */
     async run(): Promise<void> {
         if (this.#isUnderWay) {
             return;
@@ -39,7 +39,7 @@
         this.#isUnderWay = false;
     }
 
-    /** @returns whether any gateway has said for how long it has heard the store */
+    /** @returns whether any gateway reported how long it has been in contact with the store */
     async #ask(): Promise<boolean> {
         const { name, view, clock, relayClient } = this.#parts;
         const others = view.registeredGateways().filter(gateway => gateway.name !== name);
@@ -53,7 +53,7 @@
         return answers.includes(true);
     }
 
-    /** Draws anew for each inquiry, so that no gateway is asked by the whole fleet. */
+    /** Picks a new random sample for each round, so that the fleet's queries don't all go to the same gateways. */
     #draw<T>(values: readonly T[], count: number): readonly T[] {
         const left = [...values];
         const drawn: T[] = [];
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -16,10 +16,10 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { InterruptibleSleep } from "./interruptibleSleep.js";
 
-/** What a registration works with. */
+/** Dependencies of {@link Registration}. */
 export interface RegistrationDeps {
     readonly name: string;
-    /** What the registration says of this gateway; `undefined` where it relays no changes. */
+    /** Content of the registration; `undefined` if this gateway relays no changes. */
     readonly registration: GatewayRegistration | undefined;
     readonly store: KeyValueStore;
     readonly codec: StateCodec;
@@ -33,12 +33,11 @@
 const renewalMs = registrationTtlMs / renewalsPerTtl;
 
 /**
- * Keeps this gateway's registration in the store, under a lease. The others deal out shares by the number of
- * registrations, so a gateway that works without one would make the parts add up to more than the whole.
+ * Keeps this gateway's registration in the store, under a lease. Gateways divide fleet-wide limits by the number of
+ * registrations, so the shares would add up to more than the limit if a gateway ran without one.
  *
- * A process that was restarted goes on with the lease of its life before. Each write of a registration is a change for every
- * gateway of the fleet, and each of them makes a call to hear it: a restart that writes nothing costs a fleet of 15 about
- * 30 calls less.
+ * A restarted process adopts the lease of its previous incarnation. Each write of a registration is a change that every
+ * gateway fetches with a call of its own: a restart without a write saves a fleet of 15 about 30 calls.
  */
 export class Registration {
     readonly #parts: RegistrationDeps;
@@ -46,7 +45,7 @@
     #leaseId: string | undefined;
     #lostLeaseId: string | undefined;
     readonly #pause = new InterruptibleSleep();
-    /** The store's term in which the registration was made. */
+    /** Term of the store in which the registration was written. */
     #term = 0;
 
     constructor(parts: RegistrationDeps) {
@@ -57,15 +56,15 @@
         void this.#run();
     }
 
-    /** Renews no more. The registration stays for the next life of this host, or falls with its lease. */
+    /** Stops renewing the lease. The next incarnation on this host adopts the registration, or it expires. */
     stop(): void {
         this.#stopped = true;
     }
 
-    /** What is believed of the fleet has changed. */
+    /** Registers again if the store was restored from a backup since the last registration. */
     onViewChange(): void {
         if (this.#leaseId !== undefined && this.#parts.view.term !== this.#term) {
-            // The store came back from an older copy: what was written since is gone, and the lease may be another one's.
+            // Writes after the backup are lost, and the ID of the lease may now belong to another holder.
             this.#leaseId = undefined;
             this.#pause.interrupt();
         }
@@ -89,13 +88,13 @@
             this.#term = term;
             await this.#keep();
             if (this.#parts.view.term !== this.#term) {
-                // A whole fleet writes its registrations again at once otherwise.
+                // Keeps the gateways of a fleet from all writing their registrations again at once.
                 await sleep(rewriteSpreadMs * this.#parts.random.next());
             }
         }
     }
 
-    /** Goes on with the registration that this host's life before left, where its lease still holds. */
+    /** Adopts the registration of the previous incarnation if it is up to date and its lease can be renewed. */
     async #adopt(): Promise<boolean> {
         const { store, view, name, log } = this.#parts;
         const leaseId = view.registrationLease(name);
@@ -112,7 +111,7 @@
         return true;
     }
 
-    /** Whether the registration in the store says what this life would write: its ports may be others than before. */
+    /** Whether the stored registration equals the one to be written: the ports may have changed with the restart. */
     #isUpToDate(): boolean {
         const { view, name, registration } = this.#parts;
         const found = view.registeredGateways().find(gateway => gateway.name === name);
@@ -131,7 +130,7 @@
         const key = codec.registrationKey(name);
         const value = registration === undefined ? name : renderGatewayRegistration(registration);
         let expectedRevision = 0;
-        // A second round takes the place of the registration that this host's life before left behind.
+        // The second round overwrites a registration that the previous incarnation left behind.
         for (let round = 0; round < 2; round++) {
             const swap = await store.compareAndSwap({ key, expectedRevision, value, leaseId: id });
             if (swap.isLeft()) {
@@ -150,7 +149,7 @@
         return false;
     }
 
-    /** Renews until the registration is gone. */
+    /** Renews the lease until the registration is lost. */
     async #keep(): Promise<void> {
         const { store, view, name, clock } = this.#parts;
         const registeredAtMs = clock.monotonicMs();
@@ -168,7 +167,7 @@
             if (failure !== undefined) {
                 this.#onFailure("renewLease", failure);
             }
-            // The store may take a registration away without a word to its holder; the watch shows that it is gone.
+            // The store may drop a registration without failing a renewal; the watch then shows that it is gone.
             const lost = view.lastStoreContactMs - registeredAtMs > renewalMs && !view.isRegistered(name);
             if (failure?.kind === "notFound" || lost) {
                 this.#lostLeaseId = leaseId;
--- a/packages/edge/src/state/relayClient.ts
+++ b/packages/edge/src/state/relayClient.ts
@@ -14,33 +14,33 @@
     relayStatus,
 } from "./relayMessages.js";
 
-/** A question for changes. */
+/** A request for changes of the store. */
 export interface RelayRequest {
     readonly address: ServerAddress;
     readonly afterRevision: number;
-    /** Whether to wait for changes; otherwise the answer comes at once. */
+    /** Whether the peer holds the request open until there are changes; otherwise it responds at once. */
     readonly longPoll: boolean;
     readonly signal: AbortSignal;
 }
 
-/** Asks other gateways for changes of the store. */
+/** Client of other gateways that relay changes of the store. */
 export abstract class RelayClient {
     /**
-     * @param req - what to ask, and whom
-     * @returns the changes, or `storeHistoryLost` where the peer doesn't know that far back, `bodyTooLarge` where there are some that it
-     * doesn't pass on, or why none came
+     * @param req - the peer's address and the revision after which to fetch changes
+     * @returns the changes; `storeHistoryLost` if the peer no longer has the history after that revision,
+     * `bodyTooLarge` if the changes are too large to be relayed, or another failure
      */
     abstract fetchChanges(req: RelayRequest): Promise<Either<Failure, RelayResponse>>;
 
     /**
-     * @param address - of any gateway
-     * @returns for how long it has heard the store without an outage, in milliseconds, or why it doesn't say
+     * @param address - address of any gateway
+     * @returns how long that gateway has been in uninterrupted contact with the store, in milliseconds, or a failure
      */
     abstract fetchStoreContactMs(address: ServerAddress): Promise<Either<Failure, number>>;
     abstract close(): void;
 }
 
-/** Asks over one kept connection. */
+/** Sends requests over one persistent connection. */
 export class HttpRelayClient extends RelayClient {
     #client: Client | undefined;
     #origin = "";
@@ -61,14 +61,14 @@
             return parseRelayResponse(res.statusCode, text);
         }
         catch (err) {
-            // A connection that may have gone silent for good must not be asked again.
+            // The connection may be dead without having been closed, so it isn't reused.
             this.close();
             return Left(createFailure("peerUnreachable", err instanceof Error ? err.message : String(err)));
         }
     }
 
     override async fetchStoreContactMs({ host, port }: ServerAddress): Promise<Either<Failure, number>> {
-        // A connection of its own: the kept one is for the relay, which is asked at the same time.
+        // Uses a separate connection, as the persistent one may be busy with a long poll to the relay.
         const client = new Client(`http://${host}:${port}`, { connect: { timeout: catchUpTimeoutMs } });
         try {
             const signal = AbortSignal.timeout(catchUpTimeoutMs);
@@ -99,12 +99,12 @@
     }
 }
 
-/** @returns how long an answer is waited for, in milliseconds */
+/** @returns the timeout of a request in milliseconds */
 export function resolveRelayTimeoutMs(waits: boolean): number {
     return waits ? relayLongPollMs + relayLongPollGraceMs : catchUpTimeoutMs;
 }
 
-/** @returns what a peer's answer says, or why it says nothing */
+/** @returns the changes in a peer's response, or the failure that it reports */
 export function parseRelayResponse(status: number, text: string): Either<Failure, RelayResponse> {
     if (status === relayStatus.gone) {
         return Left(createFailure("storeHistoryLost", "the peer doesn't know that far back"));
@@ -122,7 +122,7 @@
     return parsed.success ? Right(parsed.data) : Left(createFailure("peerUnreachable", "the answer is malformed"));
 }
 
-/** @returns for how long a peer has heard the store, or why it doesn't say */
+/** @returns how long a peer has been in contact with the store, in milliseconds, or the failure that it reports */
 export function parseContactResponse(status: number, text: string): Either<Failure, number> {
     if (status !== relayStatus.ok) {
         return Left(createFailure("peerUnreachable", `status ${status}`));
--- a/packages/edge/src/state/relayMessages.ts
+++ b/packages/edge/src/state/relayMessages.ts
@@ -2,37 +2,37 @@
 import * as z from "zod";
 
 /**
- * Path on which a gateway tells others changes of the store. Programs from before revisions had the store's term in them ask on `/changes`,
- * and get no answer that they would misread.
+ * Path on which a gateway serves changes of the store to others. Releases whose revisions don't include the store's
+ * term request `/changes`, so they never get a response in this format, which they would misread.
  */
 export const relayPath = "/store-changes";
 
-/** Path on which a gateway tells for how long it has heard the store without an outage. */
+/** Path on which a gateway serves how long it has been in uninterrupted contact with the store. */
 export const contactPath = "/contact";
 
-/** Query parameters of a question for changes. */
+/** Query parameters of a request for changes. */
 export const relayParams = Object.freeze({
-    /** Revision up to which the asking gateway knows everything. */
+    /** Revision up to which the client has all changes. */
     after: "after",
-    /** How long to wait for changes, in milliseconds. */
+    /** Maximum time to hold the request open until there are changes, in milliseconds. */
     wait: "wait",
 });
 
-/** Statuses of answers to a question for changes. */
+/** Status codes of responses to a request for changes. */
 export const relayStatus = Object.freeze({
     ok: 200,
     badRequest: 400,
-    /** What came after the revision is not known any more: the store has to be read. */
+    /** The history after the revision is no longer kept: the client has to read the whole state from the store. */
     gone: 410,
-    /** There are changes, too large to be passed on: the store has to be asked. */
+    /** The changes are too large to be relayed: the client has to fetch them from the store. */
     tooLarge: 413,
     /** The gateway doesn't reach the store itself. */
     unavailable: 503,
 });
 
-/** What a gateway answers where it reads the store. */
+/** Response with changes of the store. */
 export const relayResponse = z.object({
-    /** Up to which the changes go. */
+    /** Revision up to which the response has all changes. */
     revision: z.number(),
     changed: z.array(z.object({
         key: z.string(),
@@ -41,15 +41,15 @@
         leaseId: z.string().optional(),
     })),
     deleted: z.array(z.string()),
-    /** How long ago the store was heard, in milliseconds. */
+    /** Time since the last contact with the store, in milliseconds. */
     ageMs: z.number(),
-    /** How long ago these changes were the store's whole present state, in milliseconds; missing where that isn't known. */
+    /** Time since the relay's state was last known to be up to date, in milliseconds; absent if unknown. */
     currentAgeMs: z.number().min(0).optional(),
-    /** For how long the store was heard without an outage, in milliseconds; missing where that isn't known. */
+    /** Duration of the relay's uninterrupted contact with the store, in milliseconds; absent if unknown. */
     heardForMs: z.number().min(0).optional(),
 });
 
-/** What a gateway says of its contact with the store. */
+/** Response with the duration of a gateway's uninterrupted contact with the store, in milliseconds. */
 export const contactResponse = z.object({
     heardForMs: z.number().min(0),
 });
--- a/packages/edge/src/state/relayServer.ts
+++ b/packages/edge/src/state/relayServer.ts
@@ -3,25 +3,25 @@
 import { maxRelayedChangesBytes, relayLongPollMs } from "../constants.js";
 import { contactPath, type RelayResponse, relayPath, relayParams, relayStatus } from "./relayMessages.js";
 
-/** What a gateway tells of the store. */
+/** State that a gateway relays to others. */
 export abstract class RelayFeed {
-    /** Whether this gateway reads the store itself now, and reaches it. */
+    /** Whether this gateway currently watches the store itself, and reaches it. */
     abstract readonly isStoreReachable: boolean;
-    /** How long ago the store was heard. */
+    /** Time since the last contact with the store, in milliseconds. */
     abstract readonly ageMs: number;
-    /** How long ago what this gateway holds was the store's whole present state; `undefined` where that isn't known. */
+    /** Time since this gateway's state was last known to be up to date, in milliseconds; `undefined` if unknown. */
     abstract readonly currentAgeMs: number | undefined;
-    /** Whether changes are arriving that are too large to be passed on. */
+    /** Whether changes that are too large to be relayed are being received. */
     abstract readonly isReceivingLargeChange: boolean;
-    /** For how long the store has been heard without an outage; `undefined` where that isn't known. */
+    /** Duration of uninterrupted contact with the store, in milliseconds; `undefined` if unknown. */
     abstract readonly heardForMs: number | undefined;
     /**
-     * Another gateway asks: from now on this one should read the store itself.
+     * Another gateway requests changes, so this one has to watch the store itself from now on.
      *
-     * @param afterRevision - up to which the other one knows everything
+     * @param afterRevision - revision up to which the other gateway has all changes
      */
     abstract onPeerRequest(afterRevision: number): void;
-    /** @returns what changed, or `undefined` where that is not known any more */
+    /** @returns the changes after a revision, or `undefined` if that history is no longer kept */
     abstract changesSince(afterRevision: number): MirroredChanges | undefined;
 }
 
@@ -29,15 +29,15 @@
     readonly res: ServerResponse;
     readonly afterRevision: number;
     timer: NodeJS.Timeout;
-    /** Whether its time was cut short since the store was lost. */
+    /** Whether its timeout has been shortened because the store was lost. */
     isShortened: boolean;
 }
 
 const noBody = "";
-/** Time for a gateway that has to hear of the store first, in milliseconds. */
+/** Time that a gateway has to reach the store before it responds that it doesn't, in milliseconds. */
 const firstAnswerMs = 200;
 
-/** Answers other gateways' questions for changes, at once where there are some and otherwise when they come. */
+/** Serves other gateways' requests for changes: at once if there are any, otherwise as a long poll. */
 export class RelayServer {
     readonly #teller: RelayFeed;
     readonly #waiting = new Set<Waiting>();
@@ -47,20 +47,20 @@
         this.#teller = teller;
     }
 
-    /** Something that is told has changed: changes came, or the store was lost or found. */
+    /** Completes waiting requests after changes arrived, or the store was lost or reached again. */
     onFeedChange(): void {
         for (const waiting of [...this.#waiting]) {
             this.#answerIfDue(waiting, false);
         }
     }
 
-    /** Sends everyone elsewhere, so that nobody waits for a process that is about to end. */
+    /** Responds to all requests with `unavailable`, so that no peer waits for a process that is about to exit. */
     stop(): void {
         this.#stopped = true;
         this.onFeedChange();
     }
 
-    /** Takes one question of another gateway. */
+    /** Serves one request of another gateway. */
     handle(req: IncomingMessage, res: ServerResponse): void {
         const url = new URL(req.url ?? "/", "http://gateway");
         if (url.pathname === contactPath) {
@@ -86,7 +86,7 @@
         this.#answerIfDue(waiting, false);
     }
 
-    /** Costs no call of the store, whether this gateway reads it itself or not. */
+    /** Serves what this gateway already knows: the request must not make it call the store. */
     #tellContact(res: ServerResponse): void {
         const { heardForMs } = this.#teller;
         if (heardForMs === undefined) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Whoever waits as the store is lost hears so after the time in which it would be found again, if it were. */
+    /** Leaves waiting requests a short time in which the store may be reached again, before they get a response. */
     #shorten(waiting: Waiting): void {
         if (!waiting.isShortened) {
             waiting.isShortened = true;
--- a/packages/edge/src/state/revisionReader.ts
+++ b/packages/edge/src/state/revisionReader.ts
@@ -3,18 +3,24 @@
 import { type KeyValueStore } from "@galenaglade/platform";
 import { type Either, Left } from "purify-ts";
 
-/** Asks the store for its revision by the cheapest call, and waits for no longer than whoever asks can. */
+/** Reads the store's revision with its cheapest call, with a timeout of the caller's choice. */
 export class RevisionReader {
     readonly #store: KeyValueStore;
     readonly #prefix: string;
 
-    /** @param prefix - of few keys */
+    /**
+     * @param store - the store
+     * @param prefix - a prefix that few keys have, to keep the response small
+     */
     constructor(store: KeyValueStore, prefix: string) {
         this.#store = store;
         this.#prefix = prefix;
     }
 
-    /** @returns the store's revision, which may be seconds old, or why it wasn't told in time */
+    /**
+     * @param timeoutMs - timeout in milliseconds
+     * @returns the store's revision, which may be seconds out of date, or a failure
+     */
     read(timeoutMs: number): Promise<Either<Failure, number>> {
         const late = sleep(timeoutMs).then(() => Left(createFailure("storeOutcomeUnknown", "no answer in time")));
         return Promise.race([this.#store.peekRevision(this.#prefix), late]);
--- a/packages/edge/src/state/stateSnapshot.ts
+++ b/packages/edge/src/state/stateSnapshot.ts
@@ -4,7 +4,7 @@
 import { type Either } from "purify-ts";
 import { type StateCodec } from "../stateCodec.js";
 
-/** A whole reading of the store. */
+/** The fleet's whole state at one revision of the store. */
 export interface StateSnapshot {
     readonly revision: number;
     readonly entries: readonly KeyValue[];
@@ -12,12 +12,12 @@
 }
 
 /**
- * Reads the whole state of the fleet.
+ * Reads the fleet's whole state from the store.
  *
- * @param store - where it lies
- * @param codec - how it is written
- * @param onOperatorRead - called with each part that has all of the operator's keys, before the last one
- * @returns what was read, or why nothing was
+ * @param store - the store
+ * @param codec - decodes keys and values
+ * @param onOperatorRead - called with each partial result that has all of the operator's keys
+ * @returns the state, or the failure of the call
  */
 export async function readState(
     store: KeyValueStore,
@@ -25,7 +25,7 @@
     onOperatorRead: (items: readonly StateItem[]) => void,
 ): Promise<Either<Failure, StateSnapshot>> {
     const items: StateItem[] = [];
-    // Parts come with all that was read before them: each entry is decoded once.
+    // Each partial result includes the entries of the ones before; only the new ones are decoded.
     const decode = (entries: readonly KeyValue[]): readonly StateItem[] => {
         items.push(...entries.slice(items.length).map(entry => codec.decode(entry)));
         return items;
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -35,8 +35,8 @@
 import { WatchCheck } from "./watchCheck.js";
 
 /**
- * Keeps the view of the fleet in step with the store: one whole reading, then one question for changes after the other, to
- * the store itself or to a gateway that reads it.
+ * Keeps the view of the fleet in sync with the store: lists the whole state once, then watches for changes, either in
+ * the store itself or through a gateway that relays them.
  */
 export class StateSync extends RelayFeed {
     readonly #parts: StateSyncDeps;
@@ -49,15 +49,15 @@
     readonly #inquiry: OutageVerifier;
     readonly #pauseDetector: HostPauseDetector;
     readonly #pause = new InterruptibleSleep();
-    /** Aborted where another source must be asked at once. */
+    /** Aborts the current turn when another source must be used at once. */
     #turn = new AbortController();
     #afterRevision: number | undefined;
     #source: WatchSource["type"] = "store";
-    /** Whether the store itself has answered since it was last chosen, and no check has failed since. */
+    /** Whether the store has answered since it was last chosen as the source, and no check has failed since then. */
     #confirmed = false;
     #askedAtMs = -Infinity;
     #isReadingLarge = false;
-    /** When the watch that waits now was sent; `undefined` while none does. */
+    /** When the pending watch was sent; `undefined` if none is pending. */
     #watchingSinceMs: number | undefined;
     #timers: readonly NodeJS.Timeout[] = [];
 
@@ -118,19 +118,19 @@
     override onPeerRequest(afterRevision: number): void {
         const nowMs = this.#now();
         if (termOf(afterRevision) > termOf(this.#afterRevision ?? Infinity)) {
-            // Whoever asks has read the store after its return, and this gateway hasn't.
+            // The peer has read the store since it was restored from a backup, and this gateway hasn't.
             this.#suspect({ kind: "earlierTerm", askedAfter: afterRevision });
             this.#turnNow();
         }
         const isFirst = !this.#isAsked();
         this.#askedAtMs = nowMs;
         this.#sources.onPeerRequest(nowMs);
-        // A call of the store that is under way must not be given up with each further question, or none would end.
+        // A pending call of the store is aborted by the first request only: if each one did, none would ever complete.
         if (!this.isStoreReachable && (isFirst || this.#source === "peer")) {
             this.#turnNow();
         }
         if (this.#contact.outage === "lost" && nowMs - this.#contact.lastFailureAtMs >= minStoreProbePeriodMs) {
-            // Whoever asks may have just found the store again.
+            // The peer may have just reached the store again.
             this.#pause.interrupt();
         }
     }
@@ -166,7 +166,7 @@
         return pauseMs ?? (afterRevision === undefined ? this.#readAll() : this.#watch(afterRevision));
     }
 
-    /** What was known of a store that came back from an older copy since is no position in it: everything is read anew. */
+    /** Drops a revision from before a restore of the store, as it is no position in it, to list the state again. */
     #dropEarlierTerm(): void {
         if (this.#afterRevision !== undefined && termOf(this.#afterRevision) < this.#parts.store.term) {
             this.#afterRevision = undefined;
@@ -174,10 +174,10 @@
     }
 
     /**
-     * Finds out whether a store that may be away answers. A call that waits, sent right before its return and lost, would be waited for
-     * long after it, and a probe costs a tenth of any other call.
+     * Probes a store that may be down before it is called. A watch that is sent and lost right before the store's
+     * recovery would be waited for long after it, and a probe costs a tenth of any other call.
      *
-     * @returns how long to pause until the next turn, in milliseconds; `undefined` where the store may be called in this one
+     * @returns the pause until the next turn in milliseconds; `undefined` if the store can be called in this turn
      */
     async #probe(): Promise<number | undefined> {
         const startedAtMs = this.#now();
@@ -192,7 +192,7 @@
         if (!this.#contact.onProbeSucceeded()) {
             return undefined;
         }
-        // Hundreds of gateways find the store again at about the same time; most of them need not call it themselves.
+        // Hundreds of gateways reach the store again at about the same time, and most of them can use a relay instead.
         this.#sources.onStoreRecovered();
         return 0;
     }
@@ -227,13 +227,13 @@
                 this.#report(beliefs);
                 this.#parts.onRelayFeedChange();
                 initialSyncGate.onStateRead();
-                // When a whole fleet starts, each registration would be a change of its own for every gateway.
+                // While a whole fleet starts, each registration would be a separate change for every gateway.
                 return isFirst && view.registeredGateways().length === 0 ? initialWatchDelayMs : 0;
             },
         });
     }
 
-    /** The store came back from an older copy and has been read. */
+    /** Logs and counts that the store was restored from a backup, after the first list since then. */
     #onRestored(before: { readonly term: number; readonly revision: number; }, revision: number): void {
         const { log, view, metrics, onViewChange } = this.#parts;
         log.log("warn", "storeRestored", {
@@ -248,7 +248,7 @@
         onViewChange();
     }
 
-    /** Serves by a part of the first reading: a large fleet waits for the store's link. */
+    /** Starts to serve with a part of the first list, as the whole state of a large fleet takes long to transfer. */
     #onOperatorRead(items: readonly StateItem[]): void {
         const { view, initialSyncGate } = this.#parts;
         if (!view.hasSynced) {
@@ -260,7 +260,7 @@
     async #watch(afterRevision: number): Promise<number> {
         const { store, codec } = this.#parts;
         const startedAtMs = this.#now();
-        // While nobody knows whether the store is reached, a watch that waits would say so seconds later.
+        // Unless the store is known to be reachable, the watch returns at once: a long poll would take seconds to fail.
         const wait = this.#confirmed ? { waitMs: watchLongPollMs, slackMs: watchLongPollGraceMs } : { waitMs: 0 };
         const { signal } = this.#turn;
         this.#watchingSinceMs = startedAtMs;
@@ -282,7 +282,7 @@
                     return 0;
                 }
                 if (failure.kind === "storeOutcomeUnknown" && this.#parts.view.lastStoreContactMs > startedAtMs) {
-                    // Other calls were answered meanwhile: the connection is dead, not the store.
+                    // Other calls were answered in the meantime, so the connection is dead, not the store.
                     this.#suspect({ kind: "silent", waitedMs: Math.round(this.#now() - startedAtMs) });
                     return 0;
                 }
@@ -290,21 +290,24 @@
             },
             Right: events => {
                 this.#onContact("watch");
-                // One that waited tells the state as of when its answer began.
+                // A long poll returns the state as of when its response began to arrive.
                 this.#parts.view.markCurrentAsOf(wait.waitMs > 0 ? answeredAtMs ?? this.#now() : startedAtMs);
                 this.#learn(events);
                 this.#sources.onCaughtUp();
-                // A store that answers a watch at once without changes must not be asked in a tight loop.
+                // Avoids a tight loop if the store answers a long poll at once without changes.
                 const cameEarly = wait.waitMs > 0 && this.#now() - startedAtMs < watchBatchDelayMs;
                 return cameEarly || hasChanges(events) ? watchBatchDelayMs : 0;
             },
         });
     }
 
-    /** A watch that is being answered isn't dead; where the answer is large, whoever waits for it here gets it sooner from the store. */
+    /**
+     * Marks the watch as alive, as its response is arriving. Peers that wait for changes are sent to the store if the
+     * response is large: they get it sooner from there.
+     */
     #onArriving(bytes: number): void {
         this.#watchingSinceMs = undefined;
-        // What arrives is longer than what is passed on: the store encodes its values.
+        // The store encodes values, so they take more bytes here than in a relayed response.
         if (bytes > 2 * maxRelayedChangesBytes && !this.#isReadingLarge) {
             this.#isReadingLarge = true;
             this.#parts.onRelayFeedChange();
@@ -350,7 +353,7 @@
             },
             Right: answer => {
                 if (termOf(answer.revision) < termOf(afterRevision)) {
-                    // It hasn't noticed the store's return yet, and can't tell what came since.
+                    // The peer hasn't noticed the restore of the store yet, so it lacks the changes made since then.
                     log.log("warn", "relayLost", {
                         peer: peer.name,
                         kind: "earlierTerm",
@@ -385,7 +388,7 @@
         }
     }
 
-    /** A watch of which a check finds that it may be dead, or of a store that has since come back from an older copy, is opened anew. */
+    /** Opens a new watch if a check finds that the current one may be dead, or if the store has been restored. */
     async #checkWatch(): Promise<void> {
         const suspicion = this.isStoreReachable ? await this.#check.run() : undefined;
         if (termOf(this.#afterRevision ?? Infinity) < this.#parts.store.term) {
@@ -397,14 +400,14 @@
         }
     }
 
-    /** The watch may be dead: the next one doesn't wait. */
+    /** Records that the watch may be dead, so that the next one returns at once. */
     #suspect(suspicion: LogFields): void {
         this.#parts.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#describeCurrentAge() });
         this.#confirmed = false;
         this.#parts.onRelayFeedChange();
     }
 
-    /** Ends the present turn, so that the next one asks whom it should. */
+    /** Aborts the current turn, so that the next one chooses its source again. */
     #turnNow(): void {
         this.#turn.abort();
     }
@@ -415,8 +418,8 @@
 
     #tick(): void {
         this.#report(this.#parts.view.expire(this.#now()));
-        // What a host believes that stood still is as old as the time that it missed, and its connections may be dead: the
-        // present turn is given up and the source asked anew.
+        // After a suspension of the host, its state is outdated by that time and its connections may be dead, so the
+        // current turn is aborted and the source is queried again.
         const stoodMs = this.#pauseDetector.check();
         if (stoodMs !== undefined) {
             this.#parts.log.log("warn", "hostPaused", { forMs: Math.round(stoodMs) });
--- a/packages/edge/src/state/stateSyncDeps.ts
+++ b/packages/edge/src/state/stateSyncDeps.ts
@@ -4,16 +4,16 @@
 import { type RelayClient } from "./relayClient.js";
 import { type StoreContactDeps } from "./storeContact.js";
 
-/** What the synchronisation works with. */
+/** Dependencies of `StateSync`. */
 export interface StateSyncDeps extends StoreContactDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
     readonly availabilityZone: string;
     readonly store: KeyValueStore;
     readonly codec: StateCodec;
-    /** Called after each change of what is believed. */
+    /** Called after each change of the fleet view. */
     readonly onViewChange: () => void;
-    /** Called when other gateways may be told something new. */
+    /** Called when the state that is relayed to other gateways may have changed. */
     readonly onRelayFeedChange: () => void;
     readonly initialSyncGate: InitialSyncGate;
     readonly relayClient: RelayClient;
--- a/packages/edge/src/state/storeContact.ts
+++ b/packages/edge/src/state/storeContact.ts
@@ -7,7 +7,7 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type RelayResponse } from "./relayMessages.js";
 
-/** What contact with the store is kept with. */
+/** Dependencies of {@link StoreContact}. */
 export interface StoreContactDeps {
     readonly view: FleetView;
     readonly clock: Clock;
@@ -16,16 +16,16 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** Whether the store may be away: a relay has said so, or a call of this gateway's own has failed. */
+/** Whether the store may be down: `suspected` after a relay failed, `lost` after a call of this gateway failed. */
 export type StoreOutage = "none" | "suspected" | "lost";
 
-/** Keeps account of whether the store is heard, by itself or through another gateway, and says when it is lost and found. */
+/** Tracks contact with the store, direct or through a relay, and logs when the store is lost and reached again. */
 export class StoreContact {
     readonly #parts: StoreContactDeps;
     #failures = 0;
     #failedAtMs = -Infinity;
     #doubt: StoreOutage = "none";
-    /** When a relay or a check first said that the store may be away; only a failed call of one's own makes it so. */
+    /** When a relay or check first indicated an outage; it counts as one only once a call of this gateway fails. */
     #suspectedSinceMs: number | undefined;
 
     constructor(parts: StoreContactDeps) {
@@ -36,19 +36,19 @@
         return this.#doubt;
     }
 
-    /** When a call last failed. */
+    /** Monotonic time of the last failed call, in milliseconds. */
     get lastFailureAtMs(): number {
         return this.#failedAtMs;
     }
 
-    /** A call of the store was answered. */
+    /** Records that the store answered a call. */
     onCallSucceeded(call: string): void {
         const { view, metrics, clock } = this.#parts;
         metrics.onStoreCall(call, "answered");
         this.#onHeard(view.onStoreContact(clock.monotonicMs()));
     }
 
-    /** Another gateway passed on what it heard of the store. */
+    /** Records the relay's contact with the store from its response. */
     onRelayResponse(
         { ageMs, currentAgeMs, heardForMs }: Pick<RelayResponse, "ageMs" | "currentAgeMs" | "heardForMs">,
     ): void {
@@ -63,18 +63,18 @@
         }
     }
 
-    /** The store may be away since then. */
+    /** Records that the store may be down since a point in time. */
     onSuspected(sinceMs: number): void {
         this.#suspectedSinceMs ??= sinceMs;
     }
 
-    /** A relay didn't answer, or said that it doesn't reach the store. */
+    /** Records that a relay didn't respond, or doesn't reach the store. */
     onRelayFailed(nowMs: number): void {
         this.onSuspected(nowMs);
         this.#doubt = this.#doubt === "lost" ? "lost" : "suspected";
     }
 
-    /** A probe was answered: the store may be called. @returns whether it had been lost */
+    /** Records that the store answered a probe, so it can be called. @returns whether it had been lost */
     onProbeSucceeded(): boolean {
         const wasLost = this.#doubt === "lost";
         this.#doubt = "none";
@@ -82,14 +82,14 @@
     }
 
     /**
-     * A call of the store has failed.
+     * Records that a call of the store failed.
      *
-     * @returns how long to pause before the next one, in milliseconds
+     * @returns the back-off before the next call in milliseconds
      */
     onCallFailed(call: string, failure: Failure, startedAtMs: number): number {
         const { view, clock, random, log, metrics } = this.#parts;
         metrics.onStoreCall(call, failure.kind);
-        // A call that got no answer may have been lost since it began; one that was refused was refused just now.
+        // After a timeout, the store may have been down since the call began; a refusal shows an outage from now on.
         const sinceMs = failure.kind === "storeOutcomeUnknown" ? startedAtMs : clock.monotonicMs();
         view.onStoreCallFailed(Math.min(sinceMs, this.#suspectedSinceMs ?? sinceMs));
         if (this.#failures === 0) {
--- a/packages/edge/src/state/watchCheck.ts
+++ b/packages/edge/src/state/watchCheck.ts
@@ -6,15 +6,15 @@
 import { type StoreContact } from "./storeContact.js";
 import { type RevisionReader } from "./revisionReader.js";
 
-/** A gateway's watch of the store. */
+/** State of a gateway's watch of the store. */
 export interface WatchState {
-    /** Up to which the store's changes are known; `undefined` before the first reading. */
+    /** Revision up to which this gateway has all changes; `undefined` before the first list. */
     readonly afterRevision: number | undefined;
-    /** When the watch that waits now was sent; `undefined` while none does. */
+    /** When the pending watch was sent; `undefined` if none is pending. */
     readonly sentAtMs: number | undefined;
 }
 
-/** What a check works with. */
+/** Dependencies of {@link WatchCheck}. */
 export interface WatchCheckDeps {
     readonly revisionReader: RevisionReader;
     readonly contact: StoreContact;
@@ -25,8 +25,8 @@
 }
 
 /**
- * Checks that the store is still reached, and that a watch brings what has changed. A watch whose connection has gone silent, or
- * whose answer was lost, looks like one of a store in which nothing changes.
+ * Checks that the store is still reachable, and that a watch delivers its changes. A watch whose connection is dead, or
+ * whose response was lost, looks the same as a watch of a store without changes.
  */
 export class WatchCheck {
     readonly #parts: WatchCheckDeps;
@@ -35,7 +35,7 @@
         this.#parts = parts;
     }
 
-    /** @returns what speaks against the watch, for the log; `undefined` where nothing does */
+    /** @returns why the watch may be dead, as log fields; `undefined` if the check found no fault */
     async run(): Promise<LogFields | undefined> {
         const { revisionReader, contact, view, clock, metrics } = this.#parts;
         const startedAtMs = clock.monotonicMs();
@@ -57,7 +57,7 @@
         });
     }
 
-    /** The store has a revision; a watch that was sent before the check and doesn't bring it is dead. */
+    /** Waits for the watch to deliver a revision that the check saw: if sent earlier, it is dead unless it does. */
     async #awaitChange(revision: number, checkedAtMs: number): Promise<LogFields | undefined> {
         const { state, clock } = this.#parts;
         const { sentAtMs, afterRevision = revision } = state();
