--- a/packages/edge/src/__tests__/linkFaultFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -13,28 +13,28 @@
 /** Bounds that the users' platform requires. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 /** Time limits to detect a link fault, from its start, and that it is over, from its end, in milliseconds. */
-const knownWithinMs = 3_000;
-const regainedWithinMs = 8_000;
-const calmMs = 1_500;
+const detectionLimitMs = 3_000;
+const recoveryLimitMs = 8_000;
+const warmUpMs = 1_500;
 const sampleMs = 50;
 
 /** Result of one simulation. */
-interface Run {
+interface SimulationResult {
     readonly violations: readonly Violation[];
     /** Number of samples in which a gateway's state was wrong after the time to detect a change, and of all samples. */
-    readonly wrong: number;
-    readonly samples: number;
+    readonly wrongSamples: number;
+    readonly totalSamples: number;
     readonly handedOver: number;
 }
 
-interface Cut {
+interface LinkFaultScenario {
     readonly gateways: readonly SimulatedReachGateway[];
-    readonly lengthMs: number;
-    readonly flapMs: number | undefined;
+    readonly durationMs: number;
+    readonly flapIntervalMs: number | undefined;
 }
 
 /** Draws the gateways to cut off: one, some, a whole availability zone, most or all. */
-function drawCut(fleet: SimulatedReachFleet, random: RandomSource): Cut {
+function drawLinkFault(fleet: SimulatedReachFleet, random: RandomSource): LinkFaultScenario {
     const { gateways, size } = fleet;
     const kind = Math.floor(random.next() * 5);
     const share = [1 / gateways.length, 0.3, 0, 0.8, 1][kind] ?? 1;
@@ -44,97 +44,99 @@
         : gateways.filter((_, i) => random.next() < share || i === 0);
     return {
         gateways: chosen,
-        lengthMs: 4_000 + random.next() * 4_000,
-        flapMs: random.next() < 0.15 ? 300 + random.next() * 1_200 : undefined,
+        durationMs: 4_000 + random.next() * 4_000,
+        flapIntervalMs: random.next() < 0.15 ? 300 + random.next() * 1_200 : undefined,
     };
 }
 
-async function run(time: VirtualClock, seed: number, size: SimulatedReachFleetSize): Promise<Run> {
+async function simulate(clock: VirtualClock, seed: number, size: SimulatedReachFleetSize): Promise<SimulationResult> {
     const random = createRandomSource(seed);
-    const fleet = new SimulatedReachFleet(time, random, size);
+    const fleet = new SimulatedReachFleet(clock, random, size);
     fleet.start();
-    await time.advance(calmMs + random.next() * 500);
-    const manner = linkFaults[Math.floor(random.next() * linkFaults.length)] ?? "hang";
-    const { gateways, lengthMs, flapMs } = drawCut(fleet, random);
-    const dies = fleet.gateways.filter(() => random.next() < 0.1);
+    await clock.advance(warmUpMs + random.next() * 500);
+    const fault = linkFaults[Math.floor(random.next() * linkFaults.length)] ?? "hang";
+    const { gateways, durationMs, flapIntervalMs } = drawLinkFault(fleet, random);
+    const crashing = fleet.gateways.filter(() => random.next() < 0.1);
     const deadServers = Math.floor(random.next() * random.next() * size.servers * 0.4);
-    setTimeout(() => dies.forEach(gateway => (gateway.isDead = true)), random.next() * lengthMs);
-    setTimeout(() => dies.forEach(gateway => (gateway.isDead = false)), lengthMs * (1 + random.next()));
+    setTimeout(() => crashing.forEach(gateway => (gateway.isDead = true)), random.next() * durationMs);
+    setTimeout(() => crashing.forEach(gateway => (gateway.isDead = false)), durationMs * (1 + random.next()));
     setTimeout(() => {
         for (let i = 0; i < deadServers; i++) {
             fleet.deadServers.add(`server-${i}`);
         }
-    }, random.next() * lengthMs);
-    const beganAtMs = time.monotonicMs();
-    const endsAtMs = beganAtMs + lengthMs;
-    gateways.forEach(gateway => fleet.cut(gateway, manner));
-    if (flapMs !== undefined) {
+    }, random.next() * durationMs);
+    const startMs = clock.monotonicMs();
+    const endMs = startMs + durationMs;
+    gateways.forEach(gateway => fleet.cut(gateway, fault));
+    if (flapIntervalMs !== undefined) {
         const flap = (): void => {
-            if (time.monotonicMs() < endsAtMs) {
-                gateways.forEach(gateway => (gateway.fault = gateway.fault === undefined ? manner : undefined));
-                setTimeout(flap, flapMs);
+            if (clock.monotonicMs() < endMs) {
+                gateways.forEach(gateway => (gateway.fault = gateway.fault === undefined ? fault : undefined));
+                setTimeout(flap, flapIntervalMs);
             }
         };
-        setTimeout(flap, flapMs);
+        setTimeout(flap, flapIntervalMs);
     }
     let wrong = 0;
     let samples = 0;
-    const canBeHelped = fleet.gateways.some(gateway => !gateways.includes(gateway) && !dies.includes(gateway));
-    while (time.monotonicMs() < endsAtMs + regainedWithinMs + 1_000) {
-        await time.advance(sampleMs);
-        const nowMs = time.monotonicMs();
-        if (nowMs >= endsAtMs && nowMs < endsAtMs + sampleMs) {
+    const hasHealthyGateway = fleet.gateways.some(gateway =>
+        !gateways.includes(gateway) && !crashing.includes(gateway)
+    );
+    while (clock.monotonicMs() < endMs + recoveryLimitMs + 1_000) {
+        await clock.advance(sampleMs);
+        const nowMs = clock.monotonicMs();
+        if (nowMs >= endMs && nowMs < endMs + sampleMs) {
             gateways.forEach(gateway => fleet.restore(gateway));
         }
-        for (const gateway of flapMs === undefined ? fleet.gateways : []) {
-            const isCut = gateways.includes(gateway) && nowMs < endsAtMs;
+        for (const gateway of flapIntervalMs === undefined ? fleet.gateways : []) {
+            const isCut = gateways.includes(gateway) && nowMs < endMs;
             const state = gateway.reach.stateOf("tables");
-            const mustKnowCut = isCut && canBeHelped && nowMs > beganAtMs + knownWithinMs;
-            const mustKnowWell = !isCut && (!gateways.includes(gateway) || nowMs > endsAtMs + regainedWithinMs);
+            const mustDetectFault = isCut && hasHealthyGateway && nowMs > startMs + detectionLimitMs;
+            const mustDetectRecovery = !isCut && (!gateways.includes(gateway) || nowMs > endMs + recoveryLimitMs);
             samples++;
-            wrong +=
-                (mustKnowCut && state === "reached" && manner !== "refuseNew") || (mustKnowWell && state === "lost")
-                    ? 1
-                    : 0;
+            wrong += (mustDetectFault && state === "reached" && fault !== "refuseNew")
+                    || (mustDetectRecovery && state === "lost")
+                ? 1
+                : 0;
         }
     }
     fleet.stop();
-    await time.advance(3_000);
-    const violations = canBeHelped ? checkCutGateways(fleet.history, bounds) : [];
-    time.clear();
-    return { violations, wrong, samples, handedOver: fleet.handoverCount };
+    await clock.advance(3_000);
+    const violations = hasHealthyGateway ? checkCutGateways(fleet.history, bounds) : [];
+    clock.clear();
+    return { violations, wrongSamples: wrong, totalSamples: samples, handedOver: fleet.handoverCount };
 }
 
 const small: SimulatedReachFleetSize = { gateways: 15, zones: 3, servers: 12, requestsPerSecond: 6, peersAnswer: true };
-const worlds = Number(process.env["CUT_WORLDS"] ?? 120);
+const simulationCount = Number(process.env["CUT_WORLDS"] ?? 120);
 
 // Guards against a gateway that refuses its callers, or hands requests to others needlessly, by a wrong reach state.
 test("callers of cut-off gateways are served for all combinations of gateways, link faults and durations", async t => {
-    const time = VirtualClock.install(t);
+    const clock = VirtualClock.install(t);
     const random = createRandomSource(7);
     let wrong = 0;
     let samples = 0;
     let handedOver = 0;
-    for (let seed = 1; seed <= worlds; seed++) {
+    for (let seed = 1; seed <= simulationCount; seed++) {
         const gateways = 1 + Math.floor(random.next() * 15);
         const size = { ...small, gateways, zones: Math.min(3, gateways), servers: 3 + Math.floor(random.next() * 12) };
-        const ended = await run(time, seed, size);
-        assert.deepEqual(ended.violations, [], `seed ${seed}`);
-        wrong += ended.wrong;
-        samples += ended.samples;
-        handedOver += ended.handedOver;
+        const result = await simulate(clock, seed, size);
+        assert.deepEqual(result.violations, [], `seed ${seed}`);
+        wrong += result.wrongSamples;
+        samples += result.totalSamples;
+        handedOver += result.handedOver;
     }
-    assert.ok(handedOver > worlds, `${handedOver} requests handed over`);
+    assert.ok(handedOver > simulationCount, `${handedOver} requests handed over`);
     assert.ok(wrong <= samples / 100, `${wrong} of ${samples} samples are wrong`);
 });
 
 // Guards against cut-off gateways in a large fleet that don't find the few others which still reach the servers.
 for (const [gateways, seeds] of [[131, 4], [312, 2]] as const) {
     test(`callers of cut-off gateways are served in a fleet of ${gateways}`, async t => {
-        const time = VirtualClock.install(t);
+        const clock = VirtualClock.install(t);
         for (let seed = 1; seed <= seeds; seed++) {
             const size = { ...small, gateways, servers: 60, requestsPerSecond: 3 };
-            const { violations } = await run(time, seed, size);
+            const { violations } = await simulate(clock, seed, size);
             assert.deepEqual(violations, [], `seed ${seed}`);
         }
     });
@@ -142,11 +144,11 @@
 
 // Guards against a check that can't fail: without gateways' responses to each other, simulations violate the bounds.
 test("callers of cut-off gateways are not served if gateways don't respond to each other", async t => {
-    const time = VirtualClock.install(t);
-    let broken = 0;
+    const clock = VirtualClock.install(t);
+    let violationCount = 0;
     for (let seed = 1; seed <= 20; seed++) {
-        const { violations } = await run(time, seed, { ...small, peersAnswer: false });
-        broken += violations.length;
+        const { violations } = await simulate(clock, seed, { ...small, peersAnswer: false });
+        violationCount += violations.length;
     }
-    assert.ok(broken >= 5, `${broken} violations in 20 simulations`);
+    assert.ok(violationCount >= 5, `${violationCount} violations in 20 simulations`);
 });
--- a/packages/edge/src/__tests__/linkFaults.test.ts
+++ b/packages/edge/src/__tests__/linkFaults.test.ts
@@ -9,12 +9,12 @@
 const cutMs = 5_000;
 
 // Guards against a gateway that reaches no backend server but still accepts callers, and refuses all their requests.
-for (const manner of linkFaults) {
-    test(`callers of gateways that are cut off from all servers are served as well as others (${manner})`, async t => {
+for (const fault of linkFaults) {
+    test(`callers of gateways that are cut off from all servers are served as well as others (${fault})`, async t => {
         const fleet = await FaultyLinkFleet.start(t, 4);
         await fleet.sendFor(500, 10);
-        fleet.cut(0, manner);
-        fleet.cut(1, manner);
+        fleet.cut(0, fault);
+        fleet.cut(1, fault);
         await fleet.sendFor(cutMs, 10);
         assert.deepEqual(checkCutGateways(fleet.history, bounds), []);
     });
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -7,29 +7,29 @@
 import { VirtualClock } from "./support/virtualClock.js";
 
 /** Time limit of the users' platform, from the store's response to a server that starts to drain, in milliseconds. */
-const allowedMs = 2_500;
+const platformLimitMs = 2_500;
 /** Time from the end of a partition until that limit applies to a gateway again, in milliseconds. */
-const inTouchMs = 3_000;
+const reconnectedMs = 3_000;
 /** Time limit by design, from the end of the last fault that keeps a change from a gateway, in milliseconds. */
-const boundMs = 1_500;
+const designLimitMs = 1_500;
 const settleMs = 8_000;
 const serversSettleMs = 3_000;
 const sampleMs = 10;
-const afterMs = 6_000;
-const drainsPerTrouble = 6;
-const longestCutMs = 12_000;
+const settleAfterMs = 6_000;
+const drainsPerScenario = 6;
+const maxPartitionMs = 12_000;
 /** Time in which a running server writes its entry again after the store's recovery, in milliseconds. */
-const rewriteMs = 1_500;
+const rewriteLimitMs = 1_500;
 
-interface Trouble {
-    readonly cutMs: number;
+interface Scenario {
+    readonly partitionMs: number;
     /** Whether the gateways that are cut off reach each other. */
-    readonly together: boolean;
+    readonly areConnected: boolean;
     /** Time from the start of the partition to the store's fault, and the duration of that, in milliseconds. */
-    readonly troubledAfterMs: number;
-    readonly troubledMs: number;
+    readonly storeFaultAfterMs: number;
+    readonly storeFaultMs: number;
     /** Fault of watches: changes are held back until it ends, or the connections are dead. */
-    readonly watches: "heldBack" | "dead";
+    readonly watchFault: "heldBack" | "dead";
     readonly losesHistory: boolean;
     readonly staleMs: number;
     readonly drains: readonly Drain[];
@@ -42,81 +42,81 @@
     readonly deletedAfterMs: number | undefined;
 }
 
-function drawTrouble(random: RandomSource): Trouble {
-    const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
+function drawScenario(random: RandomSource): Scenario {
+    const partitionMs = 1_000 + random.next() * (maxPartitionMs - 1_000);
     return {
-        cutMs,
-        together: random.next() < 0.5,
-        troubledAfterMs: random.next() * cutMs,
-        troubledMs: 500 + random.next() * 4_000,
-        watches: random.next() < 0.5 ? "heldBack" : "dead",
+        partitionMs,
+        areConnected: random.next() < 0.5,
+        storeFaultAfterMs: random.next() * partitionMs,
+        storeFaultMs: 500 + random.next() * 4_000,
+        watchFault: random.next() < 0.5 ? "heldBack" : "dead",
         losesHistory: random.next() < 0.7,
         staleMs: random.next() < 0.7 ? 3_000 : 0,
-        drains: Array.from({ length: drainsPerTrouble }, () => ({
-            atMs: random.next() * (cutMs + 1_000),
+        drains: Array.from({ length: drainsPerScenario }, () => ({
+            atMs: random.next() * (partitionMs + 1_000),
             deletedAfterMs: random.next() < 0.4 ? undefined : random.next() * 6_000,
         })),
     };
 }
 
 /** Result for one gateway and one draining server. */
-interface Seen {
+interface DrainResult {
     readonly gateway: SimulatedGateway;
     readonly wasCut: boolean;
     readonly drain: Drain;
     /** Time from when nothing kept the change from the gateway until it last considered the server usable. */
-    readonly lateMs: number;
+    readonly delayMs: number;
     /** Whether it violates the platform's limit. */
     readonly isTooLate: boolean;
 }
 
 /** Simulated fleet, a third of which is cut off from all other gateways and from the store. */
-class PartitionWorld {
-    readonly #time: VirtualClock;
+class PartitionSimulation {
+    readonly #clock: VirtualClock;
     readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     readonly #random: RandomSource;
-    #started = 0;
+    #serverCount = 0;
 
     constructor(
-        time: VirtualClock,
+        clock: VirtualClock,
         random: RandomSource,
         size: { readonly gateways: number; readonly zones: number; },
     ) {
-        this.#time = time;
+        this.#clock = clock;
         this.#random = random;
-        this.#store = new FaultyStore(time, random);
+        this.#store = new FaultyStore(clock, random);
         this.#store.put("configuration", createConfiguration(1));
-        this.#fleet = new SimulatedFleet(time, this.#store, random, size);
+        this.#fleet = new SimulatedFleet(clock, this.#store, random, size);
         for (const gateway of this.#fleet.gateways) {
             setTimeout(() => gateway.start(), random.next() * 300);
         }
     }
 
     /** Drains servers while a third of the gateways is cut off and the store has a fault. */
-    async drain(trouble: Trouble): Promise<readonly Seen[]> {
-        const { drains, cutMs, troubledAfterMs, troubledMs } = trouble;
-        const ids = drains.map(() => this.#startServer());
-        await this.#time.advance(serversSettleMs);
-        const startMs = this.#time.monotonicMs();
-        const cut = this.#cutOff(trouble.together);
-        setTimeout(() => this.#reconnect(cut), cutMs);
-        this.#troubleStore(trouble);
+    async simulateDrains(scenario: Scenario): Promise<readonly DrainResult[]> {
+        const { drains, partitionMs, storeFaultAfterMs, storeFaultMs } = scenario;
+        const serverIds = drains.map(() => this.#startServer());
+        await this.#clock.advance(serversSettleMs);
+        const startMs = this.#clock.monotonicMs();
+        const cut = this.#cutOff(scenario.areConnected);
+        setTimeout(() => this.#reconnect(cut), partitionMs);
+        this.#startStoreFault(scenario);
         drains.forEach(({ atMs, deletedAfterMs }, i) => {
-            const id = ids[i] ?? "";
+            const id = serverIds[i] ?? "";
             setTimeout(() => this.#put(id, "draining"), atMs);
             if (deletedAfterMs !== undefined) {
                 setTimeout(() => this.#store.delete(`servers/${id}`), atMs + deletedAfterMs);
             }
         });
         const lastUsableMs = new Map<string, number>();
-        const untilMs = startMs + Math.max(cutMs, troubledAfterMs + troubledMs) + afterMs;
-        while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.advance(sampleMs);
+        const untilMs = startMs + Math.max(partitionMs, storeFaultAfterMs + storeFaultMs) + settleAfterMs;
+        while (this.#clock.monotonicMs() < untilMs) {
+            await this.#clock.advance(sampleMs);
             for (const { name, view } of this.#fleet.gateways) {
-                for (const id of ids) {
-                    if (view.isUsable(id, this.#time.monotonicMs())) {
-                        lastUsableMs.set(`${name} ${id}`, this.#time.monotonicMs() - startMs);
+                for (const id of serverIds) {
+                    if (view.isUsable(id, this.#clock.monotonicMs())) {
+                        lastUsableMs.set(`${name} ${id}`, this.#clock.monotonicMs() - startMs);
                     }
                 }
             }
@@ -124,10 +124,11 @@
         return drains.flatMap((drain, i) =>
             this.#fleet.gateways.map(gateway => {
                 const wasCut = cut.has(gateway);
-                const lastMs = lastUsableMs.get(`${gateway.name} ${ids[i]}`) ?? -Infinity;
-                const lateMs = lastMs - findKnowableMs(trouble, drain, wasCut);
-                const isTooLate = wasCut && lastMs > Math.max(drain.atMs + allowedMs, cutMs + inTouchMs);
-                return { gateway, wasCut, drain, lateMs, isTooLate };
+                const lastMs = lastUsableMs.get(`${gateway.name} ${serverIds[i]}`) ?? -Infinity;
+                const delayMs = lastMs - findReachableMs(scenario, drain, wasCut);
+                const isTooLate = wasCut
+                    && lastMs > Math.max(drain.atMs + platformLimitMs, partitionMs + reconnectedMs);
+                return { gateway, wasCut, drain, delayMs, isTooLate };
             })
         );
     }
@@ -138,37 +139,39 @@
      *
      * @returns the number of samples in which a gateway considered a running server unusable
      */
-    async lapse({ awayMs, cutMs, together }: { awayMs: number; cutMs: number; together: boolean; }): Promise<number> {
-        const ids = Array.from({ length: drainsPerTrouble }, () => this.#startServer());
-        await this.#time.advance(serversSettleMs);
-        const cut = this.#cutOff(together);
-        setTimeout(() => this.#reconnect(cut), cutMs);
+    async simulateOutage(
+        { outageMs, partitionMs, areConnected }: { outageMs: number; partitionMs: number; areConnected: boolean; },
+    ): Promise<number> {
+        const serverIds = Array.from({ length: drainsPerScenario }, () => this.#startServer());
+        await this.#clock.advance(serversSettleMs);
+        const cut = this.#cutOff(areConnected);
+        setTimeout(() => this.#reconnect(cut), partitionMs);
         this.#store.startFault("silent");
         setTimeout(() => {
-            for (const id of ids) {
+            for (const id of serverIds) {
                 this.#store.delete(`servers/${id}`);
-                setTimeout(() => this.#put(id, "ready"), this.#random.next() * rewriteMs);
+                setTimeout(() => this.#put(id, "ready"), this.#random.next() * rewriteLimitMs);
             }
             this.#store.endFault(false);
-        }, awayMs);
-        let givenUp = 0;
-        const untilMs = this.#time.monotonicMs() + Math.max(awayMs, cutMs) + afterMs;
-        while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.advance(sampleMs);
+        }, outageMs);
+        let unusableCount = 0;
+        const untilMs = this.#clock.monotonicMs() + Math.max(outageMs, partitionMs) + settleAfterMs;
+        while (this.#clock.monotonicMs() < untilMs) {
+            await this.#clock.advance(sampleMs);
             for (const { view } of this.#fleet.gateways) {
-                givenUp += ids.filter(id => !view.isUsable(id, this.#time.monotonicMs())).length;
+                unusableCount += serverIds.filter(id => !view.isUsable(id, this.#clock.monotonicMs())).length;
             }
         }
-        return givenUp;
+        return unusableCount;
     }
 
     stop(): void {
         this.#fleet.stop();
-        this.#time.clear();
+        this.#clock.clear();
     }
 
     /** Cuts off a third of the gateways, including one that relays changes to others. */
-    #cutOff(together: boolean): ReadonlySet<SimulatedGateway> {
+    #cutOff(areConnected: boolean): ReadonlySet<SimulatedGateway> {
         const { gateways } = this.#fleet;
         const asked = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
         const relays = gateways.filter(({ name }) => asked.has(name));
@@ -180,7 +183,7 @@
         for (const gateway of cut) {
             gateway.link.cut = true;
             gateway.partition = partition;
-            partition += together ? 0 : 1;
+            partition += areConnected ? 0 : 1;
         }
         return cut;
     }
@@ -192,7 +195,7 @@
         }
     }
 
-    #troubleStore({ troubledAfterMs, troubledMs, watches, losesHistory, staleMs }: Trouble): void {
+    #startStoreFault({ storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs }: Scenario): void {
         const store = this.#store;
         const loseHistory = (): void => {
             store.compactRevision = losesHistory ? store.engine.revision : store.compactRevision;
@@ -200,23 +203,23 @@
         setTimeout(() => {
             store.stalenessMs = staleMs;
             loseHistory();
-            if (watches === "dead") {
+            if (watchFault === "dead") {
                 store.silenceWatches();
             }
             else {
                 store.watchSnapshot = store.engine.freeze();
             }
-        }, troubledAfterMs);
+        }, storeFaultAfterMs);
         setTimeout(() => {
             store.stalenessMs = 0;
             store.watchSnapshot = undefined;
             loseHistory();
             store.notifyWatches();
-        }, troubledAfterMs + troubledMs);
+        }, storeFaultAfterMs + storeFaultMs);
     }
 
     #startServer(): string {
-        const id = `server-${this.#started++}`;
+        const id = `server-${this.#serverCount++}`;
         this.#put(id, "ready");
         return id;
     }
@@ -236,12 +239,16 @@
 }
 
 /** @returns when neither the partition nor the store's fault keeps a gateway from learning that a server drains */
-function findKnowableMs({ cutMs, troubledAfterMs, troubledMs }: Trouble, { atMs }: Drain, wasCut: boolean): number {
-    const inTouchAtMs = wasCut ? Math.max(atMs, cutMs) : atMs;
-    const troubleEndMs = troubledAfterMs + troubledMs;
+function findReachableMs(
+    { partitionMs, storeFaultAfterMs, storeFaultMs }: Scenario,
+    { atMs }: Drain,
+    wasCut: boolean,
+): number {
+    const connectedAtMs = wasCut ? Math.max(atMs, partitionMs) : atMs;
+    const storeFaultEndMs = storeFaultAfterMs + storeFaultMs;
     // A watch that died unnoticed shortly before the change delivers it no more than one that dies after it.
-    const isMute = inTouchAtMs >= troubledAfterMs - boundMs && inTouchAtMs < troubleEndMs;
-    return isMute ? troubleEndMs : inTouchAtMs;
+    const isHidden = connectedAtMs >= storeFaultAfterMs - designLimitMs && connectedAtMs < storeFaultEndMs;
+    return isHidden ? storeFaultEndMs : connectedAtMs;
 }
 
 function isRelayChosen({ message }: Readonly<Record<string, unknown>>): boolean {
@@ -252,59 +259,59 @@
     return values[Math.floor(random.next() * values.length)] as T;
 }
 
-function describe({ gateway, wasCut, drain, lateMs }: Seen, trouble: Trouble): string {
+function describe({ gateway, wasCut, drain, delayMs }: DrainResult, scenario: Scenario): string {
     const lines = gateway.logs.slice(-12).map(line => JSON.stringify(line));
-    const { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs } = trouble;
-    const rest = { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs };
+    const { partitionMs, areConnected, storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs } = scenario;
+    const rest = { partitionMs, areConnected, storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs };
     return [
-        `${gateway.name}, ${wasCut ? "cut off" : "connected"}, late by ${Math.round(lateMs)} ms`,
+        `${gateway.name}, ${wasCut ? "cut off" : "connected"}, late by ${Math.round(delayMs)} ms`,
         JSON.stringify({ ...rest, ...drain }),
         ...lines,
     ].join("\n");
 }
 
 const sizes = [
-    { gateways: 13, zones: 3, lives: 20, troubles: 4 },
-    { gateways: 131, zones: 4, lives: 2, troubles: 3 },
+    { gateways: 13, zones: 3, runs: 20, scenarioCount: 4 },
+    { gateways: 131, zones: 4, runs: 2, scenarioCount: 3 },
 ];
 /** Factor for the number of simulations, to run more of them by hand. */
-const more = Number(process.env["OUTAGES"] ?? 1);
+const repetitions = Number(process.env["OUTAGES"] ?? 1);
 
 // Guards against a gateway that keeps sending to a server which left while the gateway was cut off: it mistook the
 // partition for an outage of the store, and the missing entry for one that expired in the outage.
-for (const { lives, troubles, ...size } of sizes) {
+for (const { runs, scenarioCount, ...size } of sizes) {
     test(`after a partition, ${size.gateways} gateways learn in time which servers drain or have left`, async t => {
-        const time = VirtualClock.install(t);
-        let latest: { readonly seen: Seen; readonly trouble: Trouble; readonly where: string; } | undefined;
+        const clock = VirtualClock.install(t);
+        let latest: { readonly result: DrainResult; readonly scenario: Scenario; readonly where: string; } | undefined;
         let count = 0;
-        let overBound = 0;
-        let tooLate = 0;
-        for (let life = 0; life < lives * more; life++) {
-            const seed = size.gateways * 10_000 + life;
+        let overDesignLimit = 0;
+        let overPlatformLimit = 0;
+        for (let run = 0; run < runs * repetitions; run++) {
+            const seed = size.gateways * 10_000 + run;
             const random = createRandomSource(seed);
-            const world = new PartitionWorld(time, createRandomSource(seed + 1), size);
-            await time.advance(settleMs);
-            for (let i = 0; i < troubles; i++) {
-                const trouble = drawTrouble(random);
-                for (const seen of await world.drain(trouble)) {
+            const simulation = new PartitionSimulation(clock, createRandomSource(seed + 1), size);
+            await clock.advance(settleMs);
+            for (let i = 0; i < scenarioCount; i++) {
+                const scenario = drawScenario(random);
+                for (const result of await simulation.simulateDrains(scenario)) {
                     count++;
-                    overBound += seen.lateMs > boundMs ? 1 : 0;
-                    tooLate += seen.isTooLate && seen.lateMs > boundMs ? 1 : 0;
-                    if (latest === undefined || seen.lateMs > latest.seen.lateMs) {
-                        latest = { seen, trouble, where: `simulation ${life}, fault ${i}` };
+                    overDesignLimit += result.delayMs > designLimitMs ? 1 : 0;
+                    overPlatformLimit += result.isTooLate && result.delayMs > designLimitMs ? 1 : 0;
+                    if (latest === undefined || result.delayMs > latest.result.delayMs) {
+                        latest = { result, scenario, where: `simulation ${run}, fault ${i}` };
                     }
                 }
             }
-            world.stop();
+            simulation.stop();
         }
         assert.ok(latest);
-        const { seen, trouble, where } = latest;
-        t.diagnostic(`latest ${Math.round(seen.lateMs)} ms, of ${count} cases`);
+        const { result, scenario, where } = latest;
+        t.diagnostic(`latest ${Math.round(result.delayMs)} ms, of ${count} cases`);
         assert.equal(
-            overBound,
+            overDesignLimit,
             0,
-            `${overBound} of ${count} cases over the limit by design, ${tooLate} over the platform's: ${where}: ${
-                describe(seen, trouble)
+            `${overDesignLimit} of ${count} cases over the limit by design, ${overPlatformLimit} over the platform's: ${where}: ${
+                describe(result, scenario)
             }`,
         );
     });
@@ -313,17 +320,25 @@
 // Guards against running servers that are dropped after a real outage of the store, because a gateway that was cut off
 // as well, or that reached the store early, reports that there was no outage.
 test("after an outage of the store, gateways that were cut off also keep servers whose entries expired", async t => {
-    const time = VirtualClock.install(t);
-    for (let life = 0; life < 20 * more; life++) {
-        const random = createRandomSource(life);
-        const world = new PartitionWorld(time, createRandomSource(life), { gateways: 13, zones: 3 });
-        await time.advance(settleMs);
+    const clock = VirtualClock.install(t);
+    for (let run = 0; run < 20 * repetitions; run++) {
+        const random = createRandomSource(run);
+        const simulation = new PartitionSimulation(clock, createRandomSource(run), { gateways: 13, zones: 3 });
+        await clock.advance(settleMs);
         for (let i = 0; i < 2; i++) {
-            const awayMs = 3_000 + random.next() * 6_000;
-            const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
-            const givenUp = await world.lapse({ awayMs, cutMs, together: random.next() < 0.5 });
-            assert.equal(givenUp, 0, `simulation ${life}, outage ${i}: ${JSON.stringify({ awayMs, cutMs })}`);
+            const outageMs = 3_000 + random.next() * 6_000;
+            const partitionMs = 1_000 + random.next() * (maxPartitionMs - 1_000);
+            const unusableCount = await simulation.simulateOutage({
+                outageMs,
+                partitionMs,
+                areConnected: random.next() < 0.5,
+            });
+            assert.equal(
+                unusableCount,
+                0,
+                `simulation ${run}, outage ${i}: ${JSON.stringify({ outageMs, partitionMs })}`,
+            );
         }
-        world.stop();
+        simulation.stop();
     }
 });
--- a/packages/edge/src/__tests__/reachabilityMonitor.test.ts
+++ b/packages/edge/src/__tests__/reachabilityMonitor.test.ts
@@ -6,13 +6,13 @@
 
 // Guards against a gateway that mistakes one dead server for a failure of its own links, and queries other gateways.
 test("a service counts as reached while only one of its servers refuses new connections", async t => {
-    const time = VirtualClock.install(t);
+    const clock = VirtualClock.install(t);
     const size = { gateways: 2, zones: 1, servers: 6, requestsPerSecond: 1, peersAnswer: true };
-    const fleet = new SimulatedReachFleet(time, createRandomSource(1), size);
+    const fleet = new SimulatedReachFleet(clock, createRandomSource(1), size);
     const [gateway] = fleet.gateways;
     assert.ok(gateway, "the fleet has a gateway");
     for (let i = 0; i < 10; i++) {
-        const startedAtMs = time.monotonicMs();
+        const startedAtMs = clock.monotonicMs();
         const refused = {
             service: "tables",
             serverId: "server-0",
@@ -20,11 +20,11 @@
             end: "refused",
             startedAtMs,
         } as const;
-        await time.advance(1);
+        await clock.advance(1);
         gateway.reach.onContact(refused);
         gateway.reach.onContact({ ...refused, serverId: "server-1", isNewConnection: false, end: "heard" });
         assert.equal(gateway.reach.stateOf("tables"), "reached");
-        await time.advance(100);
+        await clock.advance(100);
     }
     fleet.stop();
 });
--- a/packages/edge/src/__tests__/storeRestored.test.ts
+++ b/packages/edge/src/__tests__/storeRestored.test.ts
@@ -15,159 +15,159 @@
 const stableAfterMs = 3_000;
 const settleMs = 8_000;
 const afterMs = 8_000;
-const lookMs = 20;
-const longestAwayMs = 3_000;
-const oldestCopyMs = 30_000;
+const sampleMs = 20;
+const maxOutageMs = 3_000;
+const maxBackupAgeMs = 30_000;
 /** Time in which operators and servers write lost entries again, in milliseconds. */
-const rewriteMs = 1_500;
+const rewriteLimitMs = 1_500;
 /** Time after a recovery in which calls are counted, in milliseconds. */
-const herdMs = 2_000;
+const recoveryWindowMs = 2_000;
 const readsPerSecond = 2_000;
 const writesPerSecond = 400;
 const serverCount = 12;
 const zones = ["zone-0", "zone-1", "zone-2"];
-const manners: readonly StoreFault[] = ["silent", "reset", "busy", "refusing"];
+const storeFaults: readonly StoreFault[] = ["silent", "reset", "busy", "refusing"];
 
 /** An outage of the store that ends with a restore from a backup. */
-interface Drill {
-    readonly how: StoreFault;
-    readonly awayMs: number;
-    readonly copyMs: number;
+interface RestoreScenario {
+    readonly fault: StoreFault;
+    readonly outageMs: number;
+    readonly backupAgeMs: number;
     /** Number of changes by operators and servers before the outage. */
-    readonly changes: number;
+    readonly changeCount: number;
     readonly relayDies: boolean;
     /** Time from the recovery to the next configuration version, in milliseconds. */
-    readonly nextAfterMs: number;
+    readonly nextVersionAfterMs: number;
 }
 
-function drawDrill(random: RandomSource): Drill {
+function drawScenario(random: RandomSource): RestoreScenario {
     return {
-        how: manners[Math.floor(random.next() * manners.length)] ?? "silent",
-        awayMs: random.next() * longestAwayMs,
-        copyMs: random.next() < 0.5 ? random.next() * 5_000 : random.next() * oldestCopyMs,
-        changes: Math.floor(random.next() * 12),
+        fault: storeFaults[Math.floor(random.next() * storeFaults.length)] ?? "silent",
+        outageMs: random.next() * maxOutageMs,
+        backupAgeMs: random.next() < 0.5 ? random.next() * 5_000 : random.next() * maxBackupAgeMs,
+        changeCount: Math.floor(random.next() * 12),
         relayDies: random.next() < 0.2,
-        nextAfterMs: random.next() * 3_000,
+        nextVersionAfterMs: random.next() * 3_000,
     };
 }
 
 /** A change that the store has acknowledged, with a check whether a gateway has it. */
-interface Acknowledged {
-    readonly what: string;
+interface AcknowledgedChange {
+    readonly description: string;
     readonly atMs: number;
     readonly withinMs: number;
-    readonly isKept: (gateway: SimulatedGateway, nowMs: number) => boolean;
+    readonly isKnownTo: (gateway: SimulatedGateway, nowMs: number) => boolean;
     /** Gateways that lacked it at the store's recovery, from which the time counts for them. */
-    readonly unheard: Set<SimulatedGateway>;
+    readonly laggingGateways: Set<SimulatedGateway>;
 }
 
 interface Finding {
-    readonly what: string;
+    readonly description: string;
     readonly gateway: SimulatedGateway;
-    readonly lateMs: number;
+    readonly delayMs: number;
 }
 
 /** Simulated gateways, operators and servers with a store that is restored from backups. */
-class DrillWorld {
-    readonly #time: VirtualClock;
+class RestoreSimulation {
+    readonly #clock: VirtualClock;
     readonly #random: RandomSource;
     readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
-    readonly #acknowledged = new Map<string, Acknowledged>();
+    readonly #acknowledged = new Map<string, AcknowledgedChange>();
     /** Latest values that operators and servers wrote, by key; `undefined` for a deleted key. */
-    readonly #wanted = new Map<string, object | undefined>();
+    readonly #expectedValues = new Map<string, object | undefined>();
     #version = 0;
-    #returnedAtMs = -Infinity;
-    #revisionOfServers = 0;
+    #recoveredAtMs = -Infinity;
+    #serverSequence = 0;
 
     constructor(
-        time: VirtualClock,
+        clock: VirtualClock,
         random: RandomSource,
         size: { readonly gateways: number; readonly zones: number; },
     ) {
-        this.#time = time;
+        this.#clock = clock;
         this.#random = random;
-        this.#store = new FaultyStore(time, random);
+        this.#store = new FaultyStore(clock, random);
         this.#putVersion();
         for (let i = 0; i < serverCount; i++) {
             this.#putServer(`s${i}`, "ready");
         }
-        this.#fleet = new SimulatedFleet(time, this.#store, random, size);
+        this.#fleet = new SimulatedFleet(clock, this.#store, random, size);
         for (const gateway of this.#fleet.gateways) {
             setTimeout(() => gateway.start(), random.next() * 300);
         }
     }
 
-    async play(
-        drill: Drill,
+    async run(
+        scenario: RestoreScenario,
     ): Promise<{ readonly findings: readonly Finding[]; readonly reads: number; readonly writes: number; }> {
-        await this.#time.advance(4_000);
-        for (let i = 0; i < drill.changes; i++) {
-            await this.#time.advance(this.#random.next() * 600);
+        await this.#clock.advance(4_000);
+        for (let i = 0; i < scenario.changeCount; i++) {
+            await this.#clock.advance(this.#random.next() * 600);
             this.#change();
         }
-        await this.#time.advance(500);
-        this.#store.startFault(drill.how);
-        await this.#time.advance(drill.awayMs);
+        await this.#clock.advance(500);
+        this.#store.startFault(scenario.fault);
+        await this.#clock.advance(scenario.outageMs);
         const relay = this.#findRelay();
-        this.#noteUnheard(this.#time.monotonicMs());
-        const lost = this.#store.restoreBackup(drill.copyMs);
+        this.#recordLagging(this.#clock.monotonicMs());
+        const lostKeys = this.#store.restoreBackup(scenario.backupAgeMs);
         this.#store.endFault(false);
-        if (drill.relayDies) {
+        if (scenario.relayDies) {
             relay?.powerOff();
         }
         const { reads, writes } = this.#store.calls;
-        this.#writeAgain(lost);
-        setTimeout(() => this.#putVersion(), drill.nextAfterMs);
+        this.#rewrite(lostKeys);
+        setTimeout(() => this.#putVersion(), scenario.nextVersionAfterMs);
         setTimeout(() => this.#change(), this.#random.next() * 3_000);
         const findings = new Map<string, Finding>();
-        const startMs = this.#time.monotonicMs();
-        let herd = { reads: 0, writes: 0 };
-        for (let nowMs = startMs; nowMs < startMs + afterMs; nowMs = this.#time.monotonicMs()) {
-            this.#look(nowMs, findings);
-            if (nowMs <= startMs + herdMs) {
-                herd = { reads: this.#store.calls.reads - reads, writes: this.#store.calls.writes - writes };
+        const recoveredAtMs = this.#clock.monotonicMs();
+        let recoveryCalls = { reads: 0, writes: 0 };
+        for (let nowMs = recoveredAtMs; nowMs < recoveredAtMs + afterMs; nowMs = this.#clock.monotonicMs()) {
+            this.#checkChanges(nowMs, findings);
+            if (nowMs <= recoveredAtMs + recoveryWindowMs) {
+                recoveryCalls = { reads: this.#store.calls.reads - reads, writes: this.#store.calls.writes - writes };
             }
-            await this.#time.advance(lookMs);
+            await this.#clock.advance(sampleMs);
         }
-        return { findings: [...findings.values()], ...herd };
+        return { findings: [...findings.values()], ...recoveryCalls };
     }
 
     stop(): void {
         this.#fleet.stop();
-        this.#time.clear();
+        this.#clock.clear();
     }
 
-    #noteUnheard(nowMs: number): void {
-        this.#returnedAtMs = nowMs;
-        for (const { isKept, unheard } of this.#acknowledged.values()) {
+    #recordLagging(nowMs: number): void {
+        this.#recoveredAtMs = nowMs;
+        for (const { isKnownTo, laggingGateways } of this.#acknowledged.values()) {
             for (const gateway of this.#fleet.gateways) {
-                if (!isKept(gateway, nowMs)) {
-                    unheard.add(gateway);
+                if (!isKnownTo(gateway, nowMs)) {
+                    laggingGateways.add(gateway);
                 }
             }
         }
     }
 
-    #look(nowMs: number, findings: Map<string, Finding>): void {
-        for (const { what, atMs, withinMs, isKept, unheard } of this.#acknowledged.values()) {
+    #checkChanges(nowMs: number, findings: Map<string, Finding>): void {
+        for (const { description, atMs, withinMs, isKnownTo, laggingGateways } of this.#acknowledged.values()) {
             const gateway = this.#fleet.gateways.find(each => {
-                const fromMs = unheard.has(each) ? Math.max(atMs, this.#returnedAtMs) : atMs;
-                const isUnstable = what.endsWith("unused") && atMs > this.#returnedAtMs;
-                const stableMs = isUnstable ? this.#returnedAtMs + stableAfterMs : -Infinity;
-                return !each.isDead && nowMs > Math.max(fromMs + withinMs, stableMs) && !isKept(each, nowMs);
+                const fromMs = laggingGateways.has(each) ? Math.max(atMs, this.#recoveredAtMs) : atMs;
+                const isUnstable = description.endsWith("unused") && atMs > this.#recoveredAtMs;
+                const stableMs = isUnstable ? this.#recoveredAtMs + stableAfterMs : -Infinity;
+                return !each.isDead && nowMs > Math.max(fromMs + withinMs, stableMs) && !isKnownTo(each, nowMs);
             });
             if (gateway !== undefined) {
-                findings.set(what, { what, gateway, lateMs: Math.round(nowMs - atMs) });
+                findings.set(description, { description, gateway, delayMs: Math.round(nowMs - atMs) });
             }
         }
     }
 
     /** Lets operators write the configuration and evacuations again, and servers their entries. */
-    #writeAgain(keys: readonly string[]): void {
+    #rewrite(keys: readonly string[]): void {
         for (const key of keys) {
-            if (this.#wanted.has(key)) {
-                setTimeout(() => this.#write(key, this.#wanted.get(key)), this.#random.next() * rewriteMs);
+            if (this.#expectedValues.has(key)) {
+                setTimeout(() => this.#write(key, this.#expectedValues.get(key)), this.#random.next() * rewriteLimitMs);
             }
         }
     }
@@ -183,11 +183,11 @@
             this.#putServer(id, "draining");
         }
         else if (draw < 0.75) {
-            this.#set(`servers/${id}`, undefined);
+            this.#writeExpected(`servers/${id}`, undefined);
             this.#expectUnused(id);
         }
         else if (draw < 0.9) {
-            this.#set(`out/${zone}`, { availabilityZone: zone });
+            this.#writeExpected(`out/${zone}`, { availabilityZone: zone });
             this.#expect(
                 `zone ${zone} out`,
                 evacuatedWithinMs,
@@ -196,14 +196,14 @@
             );
         }
         else {
-            this.#set(`out/${zone}`, undefined);
+            this.#writeExpected(`out/${zone}`, undefined);
             this.#acknowledged.delete(`zone ${zone} out`);
         }
     }
 
     #putVersion(): void {
         const version = ++this.#version;
-        this.#set("configuration", createConfiguration(version));
+        this.#writeExpected("configuration", createConfiguration(version));
         this.#expect(
             "configuration",
             inForceWithinMs,
@@ -212,11 +212,11 @@
     }
 
     #putServer(id: string, state: RegisteredServer["state"]): void {
-        const current = this.#wanted.get(`servers/${id}`) as RegisteredServer | undefined;
+        const current = this.#expectedValues.get(`servers/${id}`) as RegisteredServer | undefined;
         if (state === "draining" && current === undefined) {
             return;
         }
-        this.#set(`servers/${id}`, {
+        this.#writeExpected(`servers/${id}`, {
             id,
             service: "tables",
             address: { host: "server", port: Number(id.slice(1)) },
@@ -225,7 +225,7 @@
             state,
             coldRemainingMs: 0,
             startedAtEpochMs: 1,
-            sequence: ++this.#revisionOfServers,
+            sequence: ++this.#serverSequence,
         });
         if (state === "draining") {
             this.#expectUnused(id);
@@ -236,12 +236,18 @@
         this.#expect(`server ${id} unused`, drainWithinMs, ({ view }, nowMs) => !view.isUsable(id, nowMs));
     }
 
-    #expect(what: string, withinMs: number, isKept: Acknowledged["isKept"]): void {
-        this.#acknowledged.set(what, { what, atMs: this.#time.monotonicMs(), withinMs, isKept, unheard: new Set() });
+    #expect(description: string, withinMs: number, isKnownTo: AcknowledgedChange["isKnownTo"]): void {
+        this.#acknowledged.set(description, {
+            description,
+            atMs: this.#clock.monotonicMs(),
+            withinMs,
+            isKnownTo,
+            laggingGateways: new Set(),
+        });
     }
 
-    #set(key: string, value: object | undefined): void {
-        this.#wanted.set(key, value);
+    #writeExpected(key: string, value: object | undefined): void {
+        this.#expectedValues.set(key, value);
         this.#write(key, value);
     }
 
@@ -250,7 +256,7 @@
             this.#store.put(key, value);
             return;
         }
-        if (this.#store.engine.get(key, this.#time.monotonicMs()) !== undefined) {
+        if (this.#store.engine.get(key, this.#clock.monotonicMs()) !== undefined) {
             this.#store.delete(key);
         }
     }
@@ -265,44 +271,51 @@
 }
 
 /** Factor for the number of simulations, to run more of them by hand. */
-const more = Number(process.env["DRILLS"] ?? 1);
+const repetitions = Number(process.env["DRILLS"] ?? 1);
 const sizes = [
-    { gateways: 13, zones: 3, lives: 24, drills: 3 },
-    { gateways: 131, zones: 4, lives: 1, drills: 2 },
-    { gateways: 312, zones: 6, lives: 1, drills: 1 },
+    { gateways: 13, zones: 3, runs: 24, scenarioCount: 3 },
+    { gateways: 131, zones: 4, runs: 1, scenarioCount: 2 },
+    { gateways: 312, zones: 6, runs: 1, scenarioCount: 1 },
 ];
 
 // Guards against changes that are missed or lost when the store is restored from a backup and reuses later revisions.
-for (const { lives, drills, ...size } of sizes) {
+for (const { runs, scenarioCount, ...size } of sizes) {
     test(`after a restore of the store from a backup, ${size.gateways} gateways keep acknowledged changes`, async t => {
-        const time = VirtualClock.install(t);
-        let mostReads = 0;
-        let mostWrites = 0;
-        for (let life = 0; life < lives * more; life++) {
-            const seed = size.gateways * 40_000 + life;
+        const clock = VirtualClock.install(t);
+        let maxReads = 0;
+        let maxWrites = 0;
+        for (let run = 0; run < runs * repetitions; run++) {
+            const seed = size.gateways * 40_000 + run;
             const random = createRandomSource(seed);
-            const world = new DrillWorld(time, createRandomSource(seed), size);
-            await time.advance(settleMs);
-            for (let i = 0; i < drills; i++) {
-                const drill = drawDrill(random);
-                const { findings, reads, writes } = await world.play(drill);
+            const simulation = new RestoreSimulation(clock, createRandomSource(seed), size);
+            await clock.advance(settleMs);
+            for (let i = 0; i < scenarioCount; i++) {
+                const scenario = drawScenario(random);
+                const { findings, reads, writes } = await simulation.run(scenario);
                 const [first] = findings;
                 const lines = first?.gateway.logs.filter(({ message }) => message !== "belief").slice(-8) ?? [];
-                const told = [JSON.stringify(drill), ...lines.map(line => JSON.stringify(line))].join("\n");
-                const what = findings.map(each => `${each.what} at ${each.gateway.name} (${each.lateMs} ms)`).join(
+                const details = [JSON.stringify(scenario), ...lines.map(line => JSON.stringify(line))].join("\n");
+                const description = findings.map(each =>
+                    `${each.description} at ${each.gateway.name} (${each.delayMs} ms)`
+                ).join(
                     ", ",
                 );
-                assert.equal(findings.length, 0, `simulation ${life}, drill ${i}: ${what}\n${told}`);
-                assert.ok(reads <= herdMs / 1_000 * readsPerSecond, `simulation ${life}, drill ${i}: ${reads} reads`);
+                assert.equal(findings.length, 0, `simulation ${run}, scenario ${i}: ${description}\n${details}`);
+                assert.ok(
+                    reads <= recoveryWindowMs / 1_000 * readsPerSecond,
+                    `simulation ${run}, scenario ${i}: ${reads} reads`,
+                );
                 assert.ok(
-                    writes <= herdMs / 1_000 * writesPerSecond,
-                    `simulation ${life}, drill ${i}: ${writes} writes`,
+                    writes <= recoveryWindowMs / 1_000 * writesPerSecond,
+                    `simulation ${run}, scenario ${i}: ${writes} writes`,
                 );
-                mostReads = Math.max(mostReads, reads);
-                mostWrites = Math.max(mostWrites, writes);
+                maxReads = Math.max(maxReads, reads);
+                maxWrites = Math.max(maxWrites, writes);
             }
-            world.stop();
+            simulation.stop();
         }
-        t.diagnostic(`at most ${mostReads} reads and ${mostWrites} writes in the ${herdMs} ms after a recovery`);
+        t.diagnostic(
+            `at most ${maxReads} reads and ${maxWrites} writes in the ${recoveryWindowMs} ms after a recovery`,
+        );
     });
 }
--- a/packages/edge/src/__tests__/support/faultyLinkFleet.ts
+++ b/packages/edge/src/__tests__/support/faultyLinkFleet.ts
@@ -61,9 +61,9 @@
         return edge;
     }
 
-    cut(gateway: number, manner: LinkFault): void {
+    cut(gateway: number, fault: LinkFault): void {
         this.record({ type: "gatewayCutFromServers", gateway: this.edgeOf(gateway).name });
-        this.linksOf(gateway).cut(manner);
+        this.linksOf(gateway).cut(fault);
     }
 
     restore(gateway: number): void {
@@ -76,8 +76,8 @@
         const requestId = this.createRequestId();
         const edge = this.edgeOf(gateway);
         const idempotent = method === "GET";
-        const more = { gateway: edge.name, patienceMs: 8_000 };
-        this.record({ type: "callerSent", requestId, service: "tables", idempotent, ...more });
+        const common = { gateway: edge.name, patienceMs: 8_000 };
+        this.record({ type: "callerSent", requestId, service: "tables", idempotent, ...common });
         const path = `/${idempotent ? "tables" : "returns"}/${requestId}`;
         const got = await call(edge, path, {
             requestId,
@@ -98,9 +98,9 @@
 
     /** Sends requests for a while, to each gateway in turn. @returns the responses */
     async sendFor(forMs: number, everyMs: number): Promise<readonly CallerResponse[]> {
-        const untilMs = performance.now() + forMs;
+        const endMs = performance.now() + forMs;
         const sent: Promise<CallerResponse>[] = [];
-        for (let i = 0; performance.now() < untilMs; i++) {
+        for (let i = 0; performance.now() < endMs; i++) {
             sent.push(this.send(i % this.#edges.length, i % 4 === 0 ? "POST" : "GET"));
             await sleep(everyMs);
         }
--- a/packages/edge/src/__tests__/support/faultyLinks.ts
+++ b/packages/edge/src/__tests__/support/faultyLinks.ts
@@ -38,13 +38,13 @@
     readonly #direct = new DirectConnector();
     readonly #sockets = new Set<Socket>();
     readonly #held: HeldSocket[] = [];
-    #manner: LinkFault | undefined;
+    #fault: LinkFault | undefined;
     /** Number of sockets opened so far. */
     openedCount = 0;
 
     override connect(address: ServerAddress, onOpened: OnConnected): void {
-        const manner = this.#manner;
-        if (manner === undefined) {
+        const fault = this.#fault;
+        if (fault === undefined) {
             this.#direct.connect(address, opened => {
                 if (!(opened instanceof Error)) {
                     this.openedCount++;
@@ -55,28 +55,28 @@
             });
             return;
         }
-        if (manner === "hang" || manner === "oneWayOut" || manner === "oneWayBack") {
+        if (fault === "hang" || fault === "oneWayOut" || fault === "oneWayBack") {
             setTimeout(() => onOpened(createError("UND_ERR_CONNECT_TIMEOUT")), connectTimeoutMs);
             return;
         }
         setImmediate(() => onOpened(createError("ECONNREFUSED", "connect")));
     }
 
-    cut(manner: LinkFault): void {
-        this.#manner = manner;
+    cut(fault: LinkFault): void {
+        this.#fault = fault;
         for (const socket of this.#sockets) {
-            if (manner === "reset") {
+            if (fault === "reset") {
                 socket.destroy(createError("ECONNRESET", "read"));
             }
-            else if (manner !== "refuseNew") {
-                this.#held.push(hold(socket, manner !== "oneWayBack", manner !== "oneWayOut"));
+            else if (fault !== "refuseNew") {
+                this.#held.push(hold(socket, fault !== "oneWayBack", fault !== "oneWayOut"));
             }
         }
     }
 
     /** Ends the fault and passes on the data that it held back. */
     restore(): void {
-        this.#manner = undefined;
+        this.#fault = undefined;
         for (const { release } of this.#held.splice(0)) {
             release();
         }
@@ -88,17 +88,17 @@
 }
 
 /** Holds back data written to a socket, data read from it, or both, until it is released. */
-function hold(socket: Socket, there: boolean, back: boolean): HeldSocket {
-    const unwritten: (() => void)[] = [];
+function hold(socket: Socket, holdWrites: boolean, holdReads: boolean): HeldSocket {
+    const heldWrites: (() => void)[] = [];
     const write = socket.write.bind(socket);
     const read = socket.read.bind(socket);
-    if (there) {
+    if (holdWrites) {
         socket.write = (...args: unknown[]) => {
-            unwritten.push(() => void Reflect.apply(write, socket, args));
+            heldWrites.push(() => void Reflect.apply(write, socket, args));
             return true;
         };
     }
-    if (back) {
+    if (holdReads) {
         socket.read = () => null;
     }
     return {
@@ -109,8 +109,8 @@
             if (socket.destroyed) {
                 return;
             }
-            for (const send of unwritten) {
-                send();
+            for (const writeHeld of heldWrites) {
+                writeHeld();
             }
             socket.emit("readable");
         },
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -19,10 +19,10 @@
 
 /** Timeout of a call, on top of a watch's wait, in milliseconds; the same as that of the platform's client. */
 const callTimeoutMs = 800;
-const usualAnswerMs = 4;
-const slowAnswerMs = 240;
+const usualLatencyMs = 4;
+const slowLatencyMs = 240;
 /** Age of the oldest backup that the store can be restored from, in milliseconds. */
-const oldestCopyMs = 40_000;
+const maxBackupAgeMs = 40_000;
 
 /** Calls of all gateways in total. */
 export interface CallCounts {
@@ -49,15 +49,15 @@
     /** State that watches see in place of the current one, to hold changes back from them. */
     watchSnapshot: KeyValueEngine | undefined;
     readonly calls: CallCounts = { cost: 0, writes: 0, reads: 0 };
-    readonly #waiting = new Set<() => void>();
+    readonly #listeners = new Set<() => void>();
     /** Backups of the state after each recent change, oldest first. */
-    #copies: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
-    #absences = 0;
+    #backups: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
+    #faultCount = 0;
     /** Start of each recent revision, oldest first. */
     #revisions: readonly { readonly atMs: number; readonly revision: number; }[] = [];
 
-    constructor(time: VirtualClock, random: RandomSource) {
-        this.clock = time;
+    constructor(clock: VirtualClock, random: RandomSource) {
+        this.clock = clock;
         this.random = random;
     }
 
@@ -74,12 +74,12 @@
     restoreBackup(ageMs: number): readonly string[] {
         const lost = this.#engine;
         const fromMs = this.clock.monotonicMs() - ageMs;
-        const copy = this.#copies.findLast(({ atMs }) => atMs <= fromMs) ?? this.#copies[0];
+        const copy = this.#backups.findLast(({ atMs }) => atMs <= fromMs) ?? this.#backups[0];
         if (copy === undefined) {
             return [];
         }
         this.#engine = copy.engine.copy();
-        this.#copies = this.#copies.filter(({ atMs }) => atMs <= copy.atMs);
+        this.#backups = this.#backups.filter(({ atMs }) => atMs <= copy.atMs);
         this.term++;
         this.notifyWatches();
         const nowMs = this.clock.monotonicMs();
@@ -90,19 +90,19 @@
 
     /** Number of faults so far; watches that were pending during one of them get no response. */
     get faultCount(): number {
-        return this.#absences;
+        return this.#faultCount;
     }
 
     /** Starts a fault. Pending watches fail or get no response. */
     startFault(how: StoreFault): void {
         this.fault = how;
-        this.#absences++;
+        this.#faultCount++;
         this.notifyWatches();
     }
 
     /** Makes all open connections dead for good, while new ones work. */
     silenceWatches(): void {
-        this.#absences++;
+        this.#faultCount++;
     }
 
     /** Ends the fault. @param lapses - whether all leases have expired meanwhile */
@@ -146,18 +146,18 @@
         if (this.#revisions.at(-1)?.revision !== revision) {
             const atMs = this.clock.monotonicMs();
             this.#revisions = [...this.#revisions.slice(-200), { atMs, revision }];
-            const kept = this.#copies.filter(copy => atMs - copy.atMs <= oldestCopyMs);
-            this.#copies = [...kept, { atMs, engine: this.engine.copy() }];
+            const kept = this.#backups.filter(copy => atMs - copy.atMs <= maxBackupAgeMs);
+            this.#backups = [...kept, { atMs, engine: this.engine.copy() }];
         }
-        for (const look of [...this.#waiting]) {
+        for (const look of [...this.#listeners]) {
             look();
         }
     }
 
     /** Calls `look` on each change. @returns a function that unsubscribes it */
     onChange(look: () => void): () => void {
-        this.#waiting.add(look);
-        return () => void this.#waiting.delete(look);
+        this.#listeners.add(look);
+        return () => void this.#listeners.delete(look);
     }
 }
 
@@ -180,7 +180,7 @@
     override get(key: string): Promise<Either<Failure, KeyValue | undefined>> {
         return this.#call("reads", 1, nowMs => {
             const found = this.#store.engine.get(key, nowMs);
-            return Right(found && this.#place(found));
+            return Right(found && this.#addTerm(found));
         });
     }
 
@@ -189,7 +189,7 @@
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
         return this.#call("reads", 1, nowMs => {
             const entries = this.#store.engine.list(prefix, nowMs);
-            return Right({ entries: entries.map(each => this.#place(each)), revision: this.#position() });
+            return Right({ entries: entries.map(each => this.#addTerm(each)), revision: this.#position() });
         });
     }
 
@@ -218,7 +218,7 @@
             }
             return outcome.swapped
                 ? Right({ swapped: true, revision: this.#position() })
-                : Right({ swapped: false, current: outcome.current && this.#place(outcome.current) });
+                : Right({ swapped: false, current: outcome.current && this.#addTerm(outcome.current) });
         });
     }
 
@@ -253,16 +253,16 @@
         if (watchedTerm < this.term) {
             return lost;
         }
-        const numberAfter = revisionOf(afterRevision);
-        if (numberAfter < this.#store.compactRevision || numberAfter > this.#store.engine.revision) {
+        const plainRevision = revisionOf(afterRevision);
+        if (plainRevision < this.#store.compactRevision || plainRevision > this.#store.engine.revision) {
             return await this.#call("reads", 1, () => lost);
         }
         const find = (nowMs: number): WatchEvents => {
             const { engine, watchSnapshot = engine } = this.#store;
-            const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, numberAfter, nowMs);
+            const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, plainRevision, nowMs);
             const position = toPosition(this.#store.term, revision) ?? 0;
             return {
-                changed: changed.map(each => this.#place(each)),
+                changed: changed.map(each => this.#addTerm(each)),
                 deleted,
                 revision: Math.max(afterRevision, position),
             };
@@ -287,7 +287,7 @@
     }
 
     /** Adds the term to an entry's revision and lease ID, as the platform's client does. */
-    #place({ modifiedRevision, leaseId, ...entry }: KeyValue): KeyValue {
+    #addTerm({ modifiedRevision, leaseId, ...entry }: KeyValue): KeyValue {
         return {
             ...entry,
             modifiedRevision: toPosition(this.#store.term, modifiedRevision) ?? 0,
@@ -351,7 +351,7 @@
                 resolve(result);
             };
             const isSilent = this.cut || fault === "silent";
-            const answerMs = fault === "slow" ? slowAnswerMs : usualAnswerMs;
+            const answerMs = fault === "slow" ? slowLatencyMs : usualLatencyMs;
             const timer = isSilent
                 ? setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs)
                 : setTimeout(() => {
--- a/packages/edge/src/__tests__/support/simulatedGateways.ts
+++ b/packages/edge/src/__tests__/support/simulatedGateways.ts
@@ -23,7 +23,7 @@
 import { type VirtualClock } from "./virtualClock.js";
 
 /** One-way latency between gateways, in milliseconds. */
-const hopMs = 1;
+const latencyMs = 1;
 const metrics = new EdgeMetrics(createMetrics("test"));
 
 /** The parts of one gateway that use the store, on a simulated network. */
@@ -100,12 +100,12 @@
     readonly gateways: readonly SimulatedGateway[];
 
     constructor(
-        time: VirtualClock,
+        clock: VirtualClock,
         store: FaultyStore,
         random: RandomSource,
         size: { readonly gateways: number; readonly zones: number; },
     ) {
-        this.clock = time;
+        this.clock = clock;
         this.store = store;
         this.random = random;
         this.gateways = Array.from(
@@ -157,14 +157,14 @@
         const peer = this.#fleet.gateways[address.port];
         return new Promise(resolve => {
             let close: () => void = () => undefined;
-            const settle = (answer: Either<Failure, T>): void => {
+            const finish = (answer: Either<Failure, T>): void => {
                 clearTimeout(timer);
                 close();
                 resolve(answer);
             };
-            const giveUp = (): void => settle(Left(createFailure("peerUnreachable", "no answer")));
-            const timer = setTimeout(giveUp, timeoutMs);
-            signal?.addEventListener("abort", giveUp, { once: true });
+            const timeOut = (): void => finish(Left(createFailure("peerUnreachable", "no answer")));
+            const timer = setTimeout(timeOut, timeoutMs);
+            signal?.addEventListener("abort", timeOut, { once: true });
             let status = 0;
             const res = {
                 once: (_event: "close", onClose: () => void) => {
@@ -176,16 +176,16 @@
                 end: (body: string) => {
                     setTimeout(() => {
                         if (this.#reaches(peer)) {
-                            settle(read(status, body));
+                            finish(read(status, body));
                         }
-                    }, hopMs);
+                    }, latencyMs);
                 },
             };
             setTimeout(() => {
                 if (this.#reaches(peer)) {
                     peer.relayServer.handle({ url } as unknown as IncomingMessage, res as unknown as ServerResponse);
                 }
-            }, hopMs);
+            }, latencyMs);
         });
     }
 
--- a/packages/edge/src/__tests__/support/simulatedReachFleet.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -14,15 +14,15 @@
 import { type VirtualClock } from "./virtualClock.js";
 
 const service = "tables";
-const hopMs = 1;
+const latencyMs = 1;
 const workMs = 60;
 const patienceMs = 2_000;
-const connectMs = 150;
-const askMs = 150;
-const questionMs = [35, 70, 140];
-const askedAtOnce = 2;
-const mostSends = 6;
-const mostHelpers = 4;
+const connectTimeoutMs = 150;
+const queryTimeoutMs = 150;
+const probeTimeoutsMs = [35, 70, 140];
+const parallelProbes = 2;
+const maxSends = 6;
+const maxHandovers = 4;
 const metrics = new EdgeMetrics(createMetrics("test"));
 
 /** Size and load of a simulated fleet. */
@@ -76,16 +76,16 @@
     #requests = 0;
     #isOver = false;
 
-    constructor(time: VirtualClock, random: RandomSource, size: SimulatedReachFleetSize) {
-        this.clock = time;
+    constructor(clock: VirtualClock, random: RandomSource, size: SimulatedReachFleetSize) {
+        this.clock = clock;
         this.random = random;
         this.size = size;
         const zoneOf = (index: number): string => `zone-${index % size.zones}`;
         this.gateways = Array.from({ length: size.gateways }, (_, i) => new SimulatedReachGateway(this, i, zoneOf(i)));
         const items = this.#createItems(zoneOf);
         for (const { view } of this.gateways) {
-            view.onFullRead(items, time.monotonicMs());
-            view.onStoreContact(time.monotonicMs());
+            view.onFullRead(items, clock.monotonicMs());
+            view.onStoreContact(clock.monotonicMs());
         }
     }
 
@@ -113,8 +113,8 @@
         }
     }
 
-    cut(gateway: SimulatedReachGateway, manner: LinkFault): void {
-        gateway.fault = manner;
+    cut(gateway: SimulatedReachGateway, fault: LinkFault): void {
+        gateway.fault = fault;
         this.#record({ type: "gatewayCutFromServers", gateway: gateway.name });
     }
 
@@ -141,7 +141,7 @@
             await sleep(timeoutMs);
             return "silent";
         }
-        await sleep(hopMs);
+        await sleep(latencyMs);
         const isRefused = fault === "reset" || ((fault === "refuseNew" || fault === "silentRefuseNew") && isNew);
         return isRefused ? "refused" : "heard";
     }
@@ -161,19 +161,19 @@
         const { reach } = gateway;
         const tried = new Set<string>();
         const untilMs = this.clock.monotonicMs() + patienceMs;
-        for (let sends = 0; sends < mostSends && this.clock.monotonicMs() < untilMs; sends++) {
+        for (let sends = 0; sends < maxSends && this.clock.monotonicMs() < untilMs; sends++) {
             if (await reach.whenSettled(service) !== "reached") {
-                const helper = reach.stateOf(service) === "lost" && tried.size < mostHelpers
+                const target = reach.stateOf(service) === "lost" && tried.size < maxHandovers
                     ? reach.chooseHandoverTarget(service, tried)
                     : undefined;
-                if (helper !== undefined) {
-                    tried.add(helper.name);
-                    if (await this.#handOver(gateway, helper.name, helper.peerAddress.port)) {
+                if (target !== undefined) {
+                    tried.add(target.name);
+                    if (await this.#handOver(gateway, target.name, target.peerAddress.port)) {
                         return true;
                     }
                     continue;
                 }
-                if (reach.stateOf(service) === "lost" && tried.size < mostHelpers) {
+                if (reach.stateOf(service) === "lost" && tried.size < maxHandovers) {
                     reach.onHandoverTargetsExhausted(service);
                 }
                 if (!reach.tryAcquireLocalAttempt(service)) {
@@ -187,7 +187,7 @@
                 }
                 continue;
             }
-            if (await this.#contact(gateway, server, needsNew, connectMs) === "heard") {
+            if (await this.#contact(gateway, server, needsNew, connectTimeoutMs) === "heard") {
                 await sleep(workMs);
                 return true;
             }
@@ -196,8 +196,8 @@
     }
 
     async #search(gateway: SimulatedReachGateway): Promise<string | undefined> {
-        for (const timeoutMs of questionMs) {
-            const servers = Array.from({ length: askedAtOnce }, () => `server-${this.#draw(this.size.servers)}`);
+        for (const timeoutMs of probeTimeoutsMs) {
+            const servers = Array.from({ length: parallelProbes }, () => `server-${this.#draw(this.size.servers)}`);
             const ends = await Promise.all(servers.map(id => this.#contact(gateway, id, false, timeoutMs)));
             const heard = servers.find((_, i) => ends[i] === "heard");
             if (heard !== undefined || gateway.reach.stateOf(service) === "lost") {
@@ -221,21 +221,21 @@
     }
 
     async #handOver(gateway: SimulatedReachGateway, name: string, port: number): Promise<boolean> {
-        const helper = this.findGateway(port);
+        const target = this.findGateway(port);
         const { handoverTargets } = gateway.reach;
-        if (helper === undefined || helper.isDead) {
-            await sleep(connectMs);
+        if (target === undefined || target.isDead) {
+            await sleep(connectTimeoutMs);
             handoverTargets.onUnresponsive(name, this.clock.monotonicMs());
             return false;
         }
         const end = handoverTargets.trackRequest(name);
-        await sleep(hopMs);
-        const reaches = helper.reach.stateOf(service) === "reached" && await this.#serveHere(helper);
-        await sleep(hopMs);
+        await sleep(latencyMs);
+        const reaches = target.reach.stateOf(service) === "reached" && await this.#serveHere(target);
+        await sleep(latencyMs);
         end();
         const nowMs = this.clock.monotonicMs();
         handoverTargets.onReachability(service, name, reaches, nowMs);
-        handoverTargets.onSuggested(service, helper.reach.handoverTargets.suggest(service, nowMs), nowMs);
+        handoverTargets.onSuggested(service, target.reach.handoverTargets.suggest(service, nowMs), nowMs);
         this.handoverCount += reaches ? 1 : 0;
         return reaches;
     }
@@ -247,7 +247,7 @@
             if (server === undefined) {
                 return false;
             }
-            if (await this.#contact(gateway, server, sends > 0, connectMs) === "heard") {
+            if (await this.#contact(gateway, server, sends > 0, connectTimeoutMs) === "heard") {
                 await sleep(workMs);
                 return true;
             }
@@ -299,7 +299,7 @@
     }
 
     override probe(_service: string, { id }: RegisteredServer): Promise<ServerContactResult> {
-        return this.#fleet.exchange(this.#gateway, id, true, askMs);
+        return this.#fleet.exchange(this.#gateway, id, true, queryTimeoutMs);
     }
 }
 
@@ -317,12 +317,12 @@
     ): Promise<ReachabilityResponse | undefined> {
         const peer = this.#fleet.findGateway(port);
         if (peer === undefined || peer.isDead || !this.#fleet.size.peersAnswer) {
-            await sleep(connectMs);
+            await sleep(connectTimeoutMs);
             return undefined;
         }
-        await sleep(hopMs);
+        await sleep(latencyMs);
         const answer = await peer.reach.getReachability(asked);
-        await sleep(hopMs);
+        await sleep(latencyMs);
         return answer;
     }
 }
--- a/packages/edge/src/__tests__/support/storeLink.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -54,24 +54,24 @@
     override async watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>> {
         const seen = await this.#call(() => this.#store.watch(req), req.signal);
         // A watch whose link is cut while it is pending gets no response.
-        return this.cut ? this.#silence(req.signal) : seen;
+        return this.cut ? this.#timeOut(req.signal) : seen;
     }
 
     #call<T>(run: () => Promise<Either<Failure, T>>, signal?: AbortSignal): Promise<Either<Failure, T>> {
         this.calls++;
         if (this.cut) {
-            return this.#silence(signal);
+            return this.#timeOut(signal);
         }
         return this.refused ? Promise.resolve(Left(createFailure("storeUnavailable", "refused"))) : run();
     }
 
-    #silence<T>(signal: AbortSignal | undefined): Promise<Either<Failure, T>> {
-        const givenUp = Left(createFailure("storeOutcomeUnknown", "no answer"));
+    #timeOut<T>(signal: AbortSignal | undefined): Promise<Either<Failure, T>> {
+        const timedOut = Left(createFailure("storeOutcomeUnknown", "no answer"));
         return new Promise(resolve => {
-            const timer = setTimeout(() => resolve(givenUp), 800);
+            const timer = setTimeout(() => resolve(timedOut), 800);
             signal?.addEventListener("abort", () => {
                 clearTimeout(timer);
-                resolve(givenUp);
+                resolve(timedOut);
             }, { once: true });
         });
     }
--- a/packages/edge/src/__tests__/support/virtualClock.ts
+++ b/packages/edge/src/__tests__/support/virtualClock.ts
@@ -13,7 +13,7 @@
 /** Wall-clock time at the start, in milliseconds since the epoch. */
 const epochMs = 1_000_000;
 /** Maximum number of timer events; a simulation with more of them never ends. */
-const mostEvents = 5_000_000;
+const maxEvents = 5_000_000;
 
 /**
  * Clock that advances from timer to timer and replaces the timers of the process: real code that sleeps runs hours in
@@ -29,20 +29,20 @@
 
     /** Replaces the timers of the process until the test is over. */
     static install(t: TestContext): VirtualClock {
-        const time = new VirtualClock();
+        const clock = new VirtualClock();
         const { setTimeout, setInterval, clearTimeout, clearInterval } = globalThis;
         t.after(() => Object.assign(globalThis, { setTimeout, setInterval, clearTimeout, clearInterval }));
         const clear = (id: unknown): void => {
-            time.#timers.delete(Number(id));
+            clock.#timers.delete(Number(id));
         };
         Object.assign(globalThis, {
             setTimeout: (run: (...args: unknown[]) => void, ms = 0, ...args: unknown[]) =>
-                time.#add(() => run(...args), ms, undefined),
-            setInterval: (run: () => void, ms: number) => time.#add(run, ms, ms),
+                clock.#add(() => run(...args), ms, undefined),
+            setInterval: (run: () => void, ms: number) => clock.#add(run, ms, ms),
             clearTimeout: clear,
             clearInterval: clear,
         });
-        return time;
+        return clock;
     }
 
     monotonicMs(): number {
@@ -62,7 +62,7 @@
             if (this.#timers.get(next.id) !== next) {
                 continue;
             }
-            if (++this.#events > mostEvents) {
+            if (++this.#events > maxEvents) {
                 throw new Error(`too many timer events by ${this.#nowMs} ms: the simulation doesn't end`);
             }
             this.#nowMs = next.dueMs;
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -31,30 +31,30 @@
 }
 
 /** Maximum number of addresses kept of gateways that sent a datagram before their registration was known. */
-const mostUnregistered = 1_024;
+const maxUnregisteredAddresses = 1_024;
 
 /** Minimum delay of the next tick, in milliseconds: avoids a tight loop after a missed deadline. */
-const shortestTickMs = 2;
+const minTickDelayMs = 2;
 
 /** Enforces the rate limits of workspaces together with other gateways: runs `RateLimiter` on a socket and timers. */
 export class WorkspaceLimits {
-    readonly #parts: WorkspaceLimitsDeps;
+    readonly #deps: WorkspaceLimitsDeps;
     readonly #limiter: RateLimiter;
-    readonly #pauses: HostPauseDetector;
-    readonly #waiting = new Map<number, (decision: Decision) => void>();
+    readonly #pauseDetector: HostPauseDetector;
+    readonly #pendingDecisions = new Map<number, (decision: Decision) => void>();
     readonly #addresses = new Map<string, ListenAddress>();
-    readonly #unregistered = new Map<string, ListenAddress>();
-    #names: readonly string[] = [];
+    readonly #unregisteredAddresses = new Map<string, ListenAddress>();
+    #gatewayNames: readonly string[] = [];
     #isOpen = false;
     #isActive = false;
     #isStopped = false;
     #timer: NodeJS.Timeout | undefined;
-    #dueAtMs = Infinity;
+    #nextTickAtMs = Infinity;
 
-    constructor(parts: WorkspaceLimitsDeps) {
-        const { name, incarnation, random, clock, tolerance } = parts;
-        this.#parts = parts;
-        this.#pauses = new HostPauseDetector(clock);
+    constructor(deps: WorkspaceLimitsDeps) {
+        const { name, incarnation, random, clock, tolerance } = deps;
+        this.#deps = deps;
+        this.#pauseDetector = new HostPauseDetector(clock);
         this.#limiter = new RateLimiter({
             name,
             incarnation,
@@ -66,12 +66,12 @@
 
     /** Applies a change of the fleet view: of the registered gateways, or whether any workspace has a limit. */
     onViewChange(): void {
-        const { view, clock } = this.#parts;
+        const { view, clock } = this.#deps;
         const workspaces = view.configurationInForce?.configuration.workspaces ?? [];
         const active = workspaces.some(({ limit }) => limit !== undefined);
         if (active && !this.#isOpen) {
             this.#isOpen = true;
-            this.#parts.metrics.observeLimits(() => this.#limiter.snapshot(this.#parts.clock.monotonicMs()));
+            this.#deps.metrics.observeLimits(() => this.#limiter.snapshot(this.#deps.clock.monotonicMs()));
             void this.#open();
         }
         if (!this.#isOpen) {
@@ -81,7 +81,7 @@
         this.#updateRoster(nowMs);
         if (active !== this.#isActive) {
             this.#isActive = active;
-            this.#carryOut(this.#limiter.setActive(active, nowMs));
+            this.#execute(this.#limiter.setActive(active, nowMs));
         }
     }
 
@@ -93,22 +93,22 @@
      * @returns the decision; `undefined` after an abort
      */
     admit(req: TokenRequest, signal: AbortSignal): Promise<Decision | undefined> {
-        const { clock } = this.#parts;
+        const { clock } = this.#deps;
         this.#updateRoster(clock.monotonicMs());
         const { requestId, commands } = this.#limiter.request(req, clock.monotonicMs(), clock.epochMs());
         const decided = new Promise<Decision | undefined>(resolve => {
             const onAbort = (): void => {
-                this.#waiting.delete(requestId);
+                this.#pendingDecisions.delete(requestId);
                 this.#limiter.cancel(requestId);
                 resolve(undefined);
             };
-            this.#waiting.set(requestId, decision => {
+            this.#pendingDecisions.set(requestId, decision => {
                 signal.removeEventListener("abort", onAbort);
                 resolve(decision);
             });
             signal.addEventListener("abort", onAbort, { once: true });
         });
-        this.#carryOut(commands);
+        this.#execute(commands);
         return decided;
     }
 
@@ -120,18 +120,18 @@
     /** Releases this gateway's shares before the process exits, so that peers request their tokens elsewhere. */
     beginDrain(): void {
         if (this.#isOpen) {
-            this.#carryOut(this.#limiter.stop(this.#parts.clock.monotonicMs()));
+            this.#execute(this.#limiter.stop(this.#deps.clock.monotonicMs()));
         }
     }
 
     stop(): void {
         this.#isStopped = true;
         clearTimeout(this.#timer);
-        this.#parts.socket.close();
+        this.#deps.socket.close();
     }
 
     async #open(): Promise<void> {
-        const { socket, log } = this.#parts;
+        const { socket, log } = this.#deps;
         try {
             await socket.open((text, from) => this.#onDatagram(text, from));
         }
@@ -141,82 +141,82 @@
     }
 
     #updateRoster(nowMs: number): void {
-        const { view } = this.#parts;
+        const { view } = this.#deps;
         const { names } = view.gatewayMembers(nowMs);
-        if (names === this.#names) {
+        if (names === this.#gatewayNames) {
             return;
         }
-        this.#names = names;
+        this.#gatewayNames = names;
         this.#addresses.clear();
         for (const { name, peerAddress } of view.registeredGateways()) {
             this.#addresses.set(name, { address: peerAddress.host, port: peerAddress.port });
-            this.#unregistered.delete(name);
+            this.#unregisteredAddresses.delete(name);
         }
-        this.#carryOut(this.#limiter.onRoster(names, nowMs));
+        this.#execute(this.#limiter.onRoster(names, nowMs));
     }
 
     #onDatagram(text: string, from: ListenAddress): void {
-        const { clock } = this.#parts;
+        const { clock } = this.#deps;
         const json = parseJson(text);
         const sender = senderOf(json);
         if (sender === undefined) {
             return;
         }
-        if (!this.#addresses.has(sender) && this.#unregistered.size < mostUnregistered) {
-            this.#unregistered.set(sender, from);
+        if (!this.#addresses.has(sender) && this.#unregisteredAddresses.size < maxUnregisteredAddresses) {
+            this.#unregisteredAddresses.set(sender, from);
         }
         this.#checkPause();
-        this.#carryOut(this.#limiter.onMessage(sender, json, clock.monotonicMs(), clock.epochMs()));
+        this.#execute(this.#limiter.onMessage(sender, json, clock.monotonicMs(), clock.epochMs()));
     }
 
     #tick(): void {
-        const { clock } = this.#parts;
-        this.#dueAtMs = Infinity;
+        const { clock } = this.#deps;
+        this.#nextTickAtMs = Infinity;
         this.#checkPause();
         this.#updateRoster(clock.monotonicMs());
-        this.#carryOut(this.#limiter.tick(clock.monotonicMs(), clock.epochMs()));
+        this.#execute(this.#limiter.tick(clock.monotonicMs(), clock.epochMs()));
     }
 
     /** Checks for a suspension of the host, by which the limiter's view of other gateways' shares is outdated. */
     #checkPause(): void {
-        if (this.#pauses.check() !== undefined) {
-            this.#carryOut(this.#limiter.onSuspended(this.#parts.clock.monotonicMs()));
+        if (this.#pauseDetector.check() !== undefined) {
+            this.#execute(this.#limiter.onSuspended(this.#deps.clock.monotonicMs()));
         }
     }
 
-    #carryOut(commands: readonly Command[]): void {
+    #execute(commands: readonly Command[]): void {
         for (const command of commands) {
             if (command.type === "send") {
                 this.#send(command.to, command.message);
                 continue;
             }
-            const decide = this.#waiting.get(command.requestId);
-            this.#waiting.delete(command.requestId);
-            decide?.(command.decision);
+            const resolveDecision = this.#pendingDecisions.get(command.requestId);
+            this.#pendingDecisions.delete(command.requestId);
+            resolveDecision?.(command.decision);
         }
         for (const { type, ...change } of this.#limiter.drainChanges()) {
-            this.#parts.log.log("info", type, change);
+            this.#deps.log.log("info", type, change);
         }
         this.#schedule();
     }
 
     #send(to: string, message: LimitMessage): void {
-        const address = this.#addresses.get(to) ?? this.#unregistered.get(to);
+        const address = this.#addresses.get(to) ?? this.#unregisteredAddresses.get(to);
         if (address !== undefined) {
-            this.#parts.socket.send(JSON.stringify(message), address);
+            this.#deps.socket.send(JSON.stringify(message), address);
         }
     }
 
     /** Schedules the next tick, unless the current timer fires early enough. */
     #schedule(): void {
-        const nowMs = this.#parts.clock.monotonicMs();
-        const inMs = this.#limiter.nextTickMs(nowMs);
-        if (this.#isStopped || inMs === undefined || nowMs + inMs >= this.#dueAtMs) {
+        const nowMs = this.#deps.clock.monotonicMs();
+        const delayMs = this.#limiter.nextTickMs(nowMs);
+        if (this.#isStopped || delayMs === undefined || nowMs + delayMs >= this.#nextTickAtMs) {
             return;
         }
         clearTimeout(this.#timer);
-        this.#dueAtMs = nowMs + inMs;
-        this.#timer = setTimeout(() => this.#tick(), Math.max(inMs, shortestTickMs));
+        this.#nextTickAtMs = nowMs + delayMs;
+        this.#timer = setTimeout(() => this.#tick(), Math.max(delayMs, minTickDelayMs));
     }
 }
 
--- a/packages/edge/src/reach/reachabilityMonitor.ts
+++ b/packages/edge/src/reach/reachabilityMonitor.ts
@@ -48,33 +48,33 @@
  * servers are at fault, and checks until the links work again. It sends nothing while servers respond to requests.
  */
 export class ReachabilityMonitor extends ReachabilityProvider {
-    readonly #parts: ReachabilityMonitorDeps;
+    readonly #deps: ReachabilityMonitorDeps;
     readonly #services = new Map<string, ServiceReachability>();
-    readonly #helpers: HandoverTargetSelector;
+    readonly #handoverTargets: HandoverTargetSelector;
     /** By service in doubt, callbacks to run once it is known whether other gateways reach the service. */
-    readonly #waiting = new Map<string, (() => void)[]>();
+    readonly #settledCallbacks = new Map<string, (() => void)[]>();
     readonly #checks = new Map<string, Promise<boolean>>();
-    readonly #pauses = new Map<string, InterruptibleSleep>();
+    readonly #recoverySleeps = new Map<string, InterruptibleSleep>();
     #stopped = false;
 
-    constructor(parts: ReachabilityMonitorDeps) {
+    constructor(deps: ReachabilityMonitorDeps) {
         super();
-        this.#parts = parts;
-        this.#helpers = new HandoverTargetSelector(parts);
+        this.#deps = deps;
+        this.#handoverTargets = new HandoverTargetSelector(deps);
     }
 
     /** Gateways that can send requests which this one can't. */
     get handoverTargets(): HandoverTargetSelector {
-        return this.#helpers;
+        return this.#handoverTargets;
     }
 
     /** Records how an exchange with a server ended. */
     onContact(contact: ServerContact): void {
-        const { view } = this.#parts;
+        const { view } = this.#deps;
         const nowMs = this.#nowMs();
-        const reach = this.#reachOf(contact.service);
+        const reach = this.#getServiceReachability(contact.service);
         const countServers = (): number => view.usableServers(contact.service, nowMs).length;
-        this.#note(contact.service, reach.onContact(contact, countServers, nowMs));
+        this.#onStateChange(contact.service, reach.onContact(contact, countServers, nowMs));
     }
 
     /** @returns whether this host reaches a service, by what is known now */
@@ -86,7 +86,7 @@
     async whenSettled(service: string): Promise<ReachabilityState> {
         if (this.stateOf(service) === "doubted" && !this.#stopped) {
             await new Promise<void>(resolve => {
-                this.#waiting.set(service, [...this.#waiting.get(service) ?? [], resolve]);
+                this.#settledCallbacks.set(service, [...this.#settledCallbacks.get(service) ?? [], resolve]);
             });
         }
         return this.stateOf(service);
@@ -94,7 +94,7 @@
 
     /** @returns whether a request that can't be handed to another gateway may try a server from this one */
     tryAcquireLocalAttempt(service: string): boolean {
-        return this.#reachOf(service).tryAcquireLocalAttempt(this.#nowMs());
+        return this.#getServiceReachability(service).tryAcquireLocalAttempt(this.#nowMs());
     }
 
     /**
@@ -106,34 +106,34 @@
         if (this.chooseHandoverTarget(service, new Set()) !== undefined) {
             return;
         }
-        const reach = this.#reachOf(service);
+        const reach = this.#getServiceReachability(service);
         reach.onPeersQueried(nowMs);
-        this.#note(service, reach.onPeerQueryResult(false, nowMs));
+        this.#onStateChange(service, reach.onPeerQueryResult(false, nowMs));
     }
 
     /** @returns a gateway to hand a request to; `undefined` if there is none */
     chooseHandoverTarget(service: string, tried: ReadonlySet<string>): RegisteredGateway | undefined {
-        return this.#helpers.choose(service, this.#parts.view.registeredGateways(), tried, this.#nowMs());
+        return this.#handoverTargets.choose(service, this.#deps.view.registeredGateways(), tried, this.#nowMs());
     }
 
     /** @returns whether this gateway reaches a service; probes servers first if none has responded lately */
     override async getReachability(service: string): Promise<ReachabilityResponse> {
-        if (this.#parts.view.configurationInForce?.services.has(service) !== true) {
+        if (this.#deps.view.configurationInForce?.services.has(service) !== true) {
             return { reaches: false, named: [] };
         }
-        const reach = this.#reachOf(service);
-        const named = this.#helpers.suggest(service, this.#nowMs());
+        const reach = this.#getServiceReachability(service);
+        const named = this.#handoverTargets.suggest(service, this.#nowMs());
         if (reach.state !== "reached") {
             return { reaches: false, named };
         }
-        const isFresh = reach.sinceLastAnswerMs(this.#nowMs()) <= maxReachabilityAgeMs;
-        return { reaches: isFresh || await this.#check(service), named };
+        const hasRecentResponse = reach.sinceLastAnswerMs(this.#nowMs()) <= maxReachabilityAgeMs;
+        return { reaches: hasRecentResponse || await this.#check(service), named };
     }
 
     /** Drops the state of gateways and services that no longer exist. */
     onViewChange(): void {
-        const { view } = this.#parts;
-        this.#helpers.retain(new Set(view.registeredGateways().map(({ name }) => name)));
+        const { view } = this.#deps;
+        this.#handoverTargets.retain(new Set(view.registeredGateways().map(({ name }) => name)));
         for (const service of this.#services.keys()) {
             if (view.configurationInForce?.services.has(service) === false) {
                 this.#services.delete(service);
@@ -143,31 +143,31 @@
 
     stop(): void {
         this.#stopped = true;
-        for (const pause of this.#pauses.values()) {
-            pause.interrupt();
+        for (const recoverySleep of this.#recoverySleeps.values()) {
+            recoverySleep.interrupt();
         }
-        for (const service of [...this.#waiting.keys()]) {
-            this.#release(service);
+        for (const service of [...this.#settledCallbacks.keys()]) {
+            this.#notifySettled(service);
         }
     }
 
-    #release(service: string): void {
-        const waiting = this.#waiting.get(service) ?? [];
-        this.#waiting.delete(service);
-        for (const resume of waiting) {
-            resume();
+    #notifySettled(service: string): void {
+        const callbacks = this.#settledCallbacks.get(service) ?? [];
+        this.#settledCallbacks.delete(service);
+        for (const callback of callbacks) {
+            callback();
         }
     }
 
-    #note(service: string, change: ReachabilityChange | undefined): void {
+    #onStateChange(service: string, change: ReachabilityChange | undefined): void {
         if (change === undefined) {
             return;
         }
-        const { log, metrics, view, onLinksLost, onLinksRestored } = this.#parts;
+        const { log, metrics, view, onLinksLost, onLinksRestored } = this.#deps;
         log.log(change.to === "reached" ? "info" : "warn", "serverReach", { service, ...describeChange(change) });
         metrics.onReachChanged(service, change.to);
         if (change.from === "doubted") {
-            this.#release(service);
+            this.#notifySettled(service);
         }
         const servers = view.readyServers(service, this.#nowMs());
         if (change.to === "reached") {
@@ -180,52 +180,52 @@
             onLinksLost(servers, change.linkFailure?.kind ?? "all");
         }
         if (change.from === "reached") {
-            this.#beginRecovery(service);
+            this.#startRecovery(service);
         }
     }
 
-    #beginRecovery(service: string): void {
-        const underWay = this.#pauses.get(service);
-        if (underWay === undefined) {
+    #startRecovery(service: string): void {
+        const running = this.#recoverySleeps.get(service);
+        if (running === undefined) {
             void this.#recover(service);
             return;
         }
-        underWay.interrupt();
+        running.interrupt();
     }
 
     /** Probes servers and queries gateways periodically until the service is reached. */
     async #recover(service: string): Promise<void> {
-        const pause = new InterruptibleSleep();
-        this.#pauses.set(service, pause);
+        const recoverySleep = new InterruptibleSleep();
+        this.#recoverySleeps.set(service, recoverySleep);
         while (!this.#stopped && this.stateOf(service) !== "reached") {
-            await this.#takeRound(service);
-            await pause.sleep(reachabilityCheckPeriodMs);
+            await this.#runRecoveryRound(service);
+            await recoverySleep.sleep(reachabilityCheckPeriodMs);
         }
-        this.#pauses.delete(service);
+        this.#recoverySleeps.delete(service);
     }
 
-    async #takeRound(service: string): Promise<void> {
-        const reach = this.#reachOf(service);
-        const isInquiry = reach.isPeerQueryDue(this.#nowMs());
-        if (isInquiry) {
+    async #runRecoveryRound(service: string): Promise<void> {
+        const reach = this.#getServiceReachability(service);
+        const isQueryDue = reach.isPeerQueryDue(this.#nowMs());
+        if (isQueryDue) {
             reach.onPeersQueried(this.#nowMs());
         }
-        const [heard, reaches] = await Promise.all([
+        const [responded, reaches] = await Promise.all([
             this.#check(service),
-            isInquiry ? this.#inquire(service) : undefined,
+            isQueryDue ? this.#queryGateways(service) : undefined,
         ]);
         const nowMs = this.#nowMs();
-        this.#note(service, reach.onProbeRound(heard, nowMs));
+        this.#onStateChange(service, reach.onProbeRound(responded, nowMs));
         if (reaches !== undefined) {
-            this.#note(service, reach.onPeerQueryResult(reaches, nowMs));
+            this.#onStateChange(service, reach.onPeerQueryResult(reaches, nowMs));
         }
     }
 
     /** Checks a service; concurrent callers share one check. */
     #check(service: string): Promise<boolean> {
-        const underWay = this.#checks.get(service);
-        if (underWay !== undefined) {
-            return underWay;
+        const running = this.#checks.get(service);
+        if (running !== undefined) {
+            return running;
         }
         const check = this.#checkServers(service).finally(() => this.#checks.delete(service));
         this.#checks.set(service, check);
@@ -234,68 +234,68 @@
 
     /** Probes a few servers over new connections. @returns whether most of them responded */
     async #checkServers(service: string): Promise<boolean> {
-        const { view } = this.#parts;
-        const left = [...view.usableServers(service, this.#nowMs())];
-        const drawn: RegisteredServer[] = [];
-        while (drawn.length < reachabilityCheckServers && left.length > 0) {
-            drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
+        const { view } = this.#deps;
+        const remaining = [...view.usableServers(service, this.#nowMs())];
+        const sample: RegisteredServer[] = [];
+        while (sample.length < reachabilityCheckServers && remaining.length > 0) {
+            sample.push(...remaining.splice(Math.floor(this.#deps.random.next() * remaining.length), 1));
         }
-        const heard = await Promise.all(drawn.map(server => this.#checkServer(service, server)));
-        return heard.filter(Boolean).length * 2 > heard.length;
+        const responded = await Promise.all(sample.map(server => this.#checkServer(service, server)));
+        return responded.filter(Boolean).length * 2 > responded.length;
     }
 
     async #checkServer(service: string, server: RegisteredServer): Promise<boolean> {
         const startedAtMs = this.#nowMs();
-        const end = await this.#parts.probe.probe(service, server);
+        const end = await this.#deps.probe.probe(service, server);
         this.onContact({ service, serverId: server.id, isNewConnection: true, end, startedAtMs });
         return end === "heard";
     }
 
     /** Queries other gateways, a few at a time. @returns whether any of them reaches the service */
-    async #inquire(service: string): Promise<boolean> {
-        const { view } = this.#parts;
-        const asked = new Set<string>();
+    async #queryGateways(service: string): Promise<boolean> {
+        const { view } = this.#deps;
+        const queried = new Set<string>();
         for (let i = 0; i < maxReachabilityQueries; i++) {
             const gateways = view.registeredGateways();
-            const drawn = this.#helpers.choosePeersToQuery(
+            const sample = this.#handoverTargets.choosePeersToQuery(
                 service,
                 gateways,
-                asked,
+                queried,
                 reachabilityQueryPeers,
                 this.#nowMs(),
             );
-            if (drawn.length === 0) {
+            if (sample.length === 0) {
                 return false;
             }
-            drawn.forEach(({ name }) => asked.add(name));
-            const answers = await Promise.all(drawn.map(gateway => this.#ask(service, gateway)));
-            if (answers.includes(true)) {
+            sample.forEach(({ name }) => queried.add(name));
+            const results = await Promise.all(sample.map(gateway => this.#queryGateway(service, gateway)));
+            if (results.includes(true)) {
                 return true;
             }
         }
         return false;
     }
 
-    async #ask(service: string, { name, peerAddress }: RegisteredGateway): Promise<boolean> {
-        const answer = await this.#parts.reachabilityClient.fetchReachability(peerAddress, service);
+    async #queryGateway(service: string, { name, peerAddress }: RegisteredGateway): Promise<boolean> {
+        const response = await this.#deps.reachabilityClient.fetchReachability(peerAddress, service);
         const nowMs = this.#nowMs();
-        if (answer === undefined) {
-            this.#helpers.onUnresponsive(name, nowMs);
+        if (response === undefined) {
+            this.#handoverTargets.onUnresponsive(name, nowMs);
             return false;
         }
-        this.#helpers.onReachability(service, name, answer.reaches, nowMs);
-        this.#helpers.onSuggested(service, answer.named, nowMs);
-        return answer.reaches;
+        this.#handoverTargets.onReachability(service, name, response.reaches, nowMs);
+        this.#handoverTargets.onSuggested(service, response.named, nowMs);
+        return response.reaches;
     }
 
-    #reachOf(service: string): ServiceReachability {
+    #getServiceReachability(service: string): ServiceReachability {
         const reach = this.#services.get(service) ?? new ServiceReachability();
         this.#services.set(service, reach);
         return reach;
     }
 
     #nowMs(): number {
-        return this.#parts.clock.monotonicMs();
+        return this.#deps.clock.monotonicMs();
     }
 }
 
--- a/packages/edge/src/reach/reachabilityServer.ts
+++ b/packages/edge/src/reach/reachabilityServer.ts
@@ -8,7 +8,7 @@
 
 /** Serves another gateway's query whether this one reaches a service. */
 export async function handleReachabilityRequest(
-    feed: ReachabilityProvider,
+    provider: ReachabilityProvider,
     req: IncomingMessage,
     res: ServerResponse,
 ): Promise<void> {
@@ -17,7 +17,7 @@
         send(res, reachabilityStatus.badRequest, "");
         return;
     }
-    send(res, reachabilityStatus.ok, JSON.stringify(await feed.getReachability(service)));
+    send(res, reachabilityStatus.ok, JSON.stringify(await provider.getReachability(service)));
 }
 
 function send(res: ServerResponse, status: number, body: string): void {
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -27,15 +27,15 @@
 
 /** Requests the server's load, and records the response like that of any other load request. */
 export class LoadProbe extends ServerProbe {
-    readonly #parts: LoadProbeDeps;
+    readonly #deps: LoadProbeDeps;
 
-    constructor(parts: LoadProbeDeps) {
+    constructor(deps: LoadProbeDeps) {
         super();
-        this.#parts = parts;
+        this.#deps = deps;
     }
 
     override async probe(service: string, server: RegisteredServer): Promise<ServerContactResult> {
-        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#parts;
+        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#deps;
         const rules = view.configurationInForce?.services.get(service);
         if (rules === undefined) {
             return "lost";
--- a/packages/edge/src/rollout/evidenceServer.ts
+++ b/packages/edge/src/rollout/evidenceServer.ts
@@ -13,11 +13,11 @@
 /**
  * Handles one report from another gateway.
  *
- * @param inbox - receives the report
+ * @param collector - receives the report
  * @param req - request with the report as its body
  * @param res - response to the request
  */
-export function handleEvidenceReport(inbox: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
+export function handleEvidenceReport(collector: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     req.on("data", (chunk: Buffer) => {
@@ -36,13 +36,13 @@
             send(res, evidenceStatus.badRequest, undefined);
             return;
         }
-        const answer = inbox.onReport(parsed.data);
-        send(res, answer === undefined ? evidenceStatus.unavailable : evidenceStatus.ok, answer);
+        const response = collector.onReport(parsed.data);
+        send(res, response === undefined ? evidenceStatus.unavailable : evidenceStatus.ok, response);
     });
 }
 
-function send(res: ServerResponse, status: number, answer: EvidenceResponse | undefined): void {
-    const body = answer === undefined ? "" : JSON.stringify(answer);
+function send(res: ServerResponse, status: number, response: EvidenceResponse | undefined): void {
+    const body = response === undefined ? "" : JSON.stringify(response);
     res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(body) });
     res.end(body);
 }
--- a/packages/edge/src/rollout/rolloutRunner.ts
+++ b/packages/edge/src/rollout/rolloutRunner.ts
@@ -32,17 +32,17 @@
 
 /** Executes the commands of this gateway's `RolloutParticipant`: reports, writes to the store and log lines. */
 export class RolloutRunner extends EvidenceCollector {
-    readonly #parts: RolloutRunnerDeps;
+    readonly #deps: RolloutRunnerDeps;
     readonly #participant: RolloutParticipant;
     readonly #client = new EvidenceClient();
     #timer: NodeJS.Timeout | undefined;
     /** Term of the store for which statuses have been written again. */
     #term: number | undefined;
 
-    constructor(parts: RolloutRunnerDeps) {
+    constructor(deps: RolloutRunnerDeps) {
         super();
-        this.#parts = parts;
-        this.#participant = new RolloutParticipant(parts);
+        this.#deps = deps;
+        this.#participant = new RolloutParticipant(deps);
     }
 
     start(): void {
@@ -55,14 +55,14 @@
     }
 
     override onReport(report: EvidenceReport): EvidenceResponse | undefined {
-        return this.#participant.onPeerReport(report, this.#time());
+        return this.#participant.onPeerReport(report, this.#now());
     }
 
     #tick(): void {
         this.#checkTerm();
-        const openBefore = this.#participant.countOpen();
-        this.#carryOut(this.#participant.tick(this.#time()));
-        if (openBefore > 0 && this.#participant.countOpen() === 0) {
+        const openCount = this.#participant.countOpen();
+        this.#execute(this.#participant.tick(this.#now()));
+        if (openCount > 0 && this.#participant.countOpen() === 0) {
             this.#client.close();
         }
     }
@@ -72,26 +72,26 @@
      * gateways know these and may write them, so a random delay keeps them from writing at once.
      */
     #checkTerm(): void {
-        const { view, random } = this.#parts;
+        const { view, random } = this.#deps;
         if (this.#term !== undefined && view.term > this.#term) {
-            setTimeout(() => void this.#writeAgain(), rewriteSpreadMs * random.next()).unref();
+            setTimeout(() => void this.#rewriteStatuses(), rewriteSpreadMs * random.next()).unref();
         }
         this.#term = view.hasSynced ? view.term : undefined;
     }
 
-    async #writeAgain(): Promise<void> {
-        const { view, store, codec, log, metrics } = this.#parts;
-        const lost = view.rollouts().filter(({ statusRevision }) => termOf(statusRevision) < view.term);
-        for (const { service, status, statusRevision } of lost) {
+    async #rewriteStatuses(): Promise<void> {
+        const { view, store, codec, log, metrics } = this.#deps;
+        const outdated = view.rollouts().filter(({ statusRevision }) => termOf(statusRevision) < view.term);
+        for (const { service, status, statusRevision } of outdated) {
             if (status === undefined) {
                 continue;
             }
             const key = codec.rolloutStatusKey(service);
             const value = codec.encodeRolloutStatus(status);
-            const asked = await store.compareAndSwap({ key, expectedRevision: statusRevision, value });
-            const current = asked.map(outcome => outcome.swapped ? undefined : outcome.current).orDefault(undefined);
+            const swap = await store.compareAndSwap({ key, expectedRevision: statusRevision, value });
+            const current = swap.map(outcome => outcome.swapped ? undefined : outcome.current).orDefault(undefined);
             const item = current && codec.decode(current);
-            if (asked.isLeft() || (item?.type === "rolloutStatus" && !isLaterStatus(status, item.status))) {
+            if (swap.isLeft() || (item?.type === "rolloutStatus" && !isLaterStatus(status, item.status))) {
                 continue;
             }
             const written = await store.compareAndSwap({
@@ -105,7 +105,7 @@
         }
     }
 
-    #carryOut(commands: readonly RolloutCommand[]): void {
+    #execute(commands: readonly RolloutCommand[]): void {
         for (const command of commands) {
             switch (command.type) {
                 case "report":
@@ -115,32 +115,32 @@
                     void this.#write(command);
                     break;
                 case "verdict":
-                    this.#logStep("rolloutVerdict", command);
+                    this.#logEvent("rolloutVerdict", command);
                     break;
                 case "stopped": {
                     const { service, order } = command.plan;
-                    this.#parts.log.log("warn", "trialStopped", { service, version: order?.version, by: command.by });
+                    this.#deps.log.log("warn", "trialStopped", { service, version: order?.version, by: command.by });
                 }
             }
         }
     }
 
     async #report(command: Command<"report">): Promise<void> {
-        const { log, clock } = this.#parts;
+        const { log, clock } = this.#deps;
         const { to, report } = command;
-        const answer = await this.#client.report(to.peerAddress, report);
-        const outcome = answer.caseOf<ReportOutcome>({
+        const response = await this.#client.report(to.peerAddress, report);
+        const outcome = response.caseOf<ReportOutcome>({
             Left: ({ kind, detail }) => {
                 log.log("warn", "coordinatorLost", { service: report.service, peer: to.name, kind, detail });
                 return { taken: false };
             },
             Right: ({ stop }) => ({ taken: true, stop }),
         });
-        this.#carryOut(this.#participant.onReportSent(command, outcome, clock.monotonicMs()));
+        this.#execute(this.#participant.onReportSent(command, outcome, clock.monotonicMs()));
     }
 
     async #write(command: Command<"write">): Promise<void> {
-        const { store, codec, clock, log, metrics } = this.#parts;
+        const { store, codec, clock, log, metrics } = this.#deps;
         const { status, expectedRevision, reason } = command;
         const written = await store.compareAndSwap({
             key: codec.rolloutStatusKey(status.service),
@@ -159,17 +159,17 @@
             },
         });
         if (revision !== undefined) {
-            this.#logStep("rolloutStage", command, { to: status.stage, reason, revision });
+            this.#logEvent("rolloutStage", command, { to: status.stage, reason, revision });
         }
         this.#participant.onStatusWritten(status.service, revision, clock.monotonicMs());
     }
 
-    #logStep(
+    #logEvent(
         event: "rolloutVerdict" | "rolloutStage",
         { plan: { service, order, status }, step }: Command<"verdict"> | Command<"write">,
-        more: Readonly<Record<string, string | number>> = {},
+        extraFields: Readonly<Record<string, string | number>> = {},
     ): void {
-        const { log, view, clock } = this.#parts;
+        const { log, view, clock } = this.#deps;
         const { verdict, sinceOrderMs, sinceOrderAtMostMs, capacity, registered, settled } = step;
         log.log("info", event, {
             service,
@@ -187,12 +187,12 @@
             capacity: Math.round(capacity * 100) / 100,
             registered,
             settled,
-            ...more,
+            ...extraFields,
         });
     }
 
-    #time(): CoordinationTime {
-        const { clock } = this.#parts;
+    #now(): CoordinationTime {
+        const { clock } = this.#deps;
         return { nowMs: clock.monotonicMs(), epochMs: clock.epochMs() };
     }
 }
--- a/packages/edge/src/state/hostPauseDetector.ts
+++ b/packages/edge/src/state/hostPauseDetector.ts
@@ -7,22 +7,22 @@
  */
 export class HostPauseDetector {
     readonly #clock: Clock;
-    #skewMs: number;
+    #clockOffsetMs: number;
 
     constructor(clock: Clock) {
         this.#clock = clock;
-        this.#skewMs = this.#readSkew();
+        this.#clockOffsetMs = this.#readClockOffset();
     }
 
     /** @returns how long the host was suspended since the last check, in milliseconds; `undefined` if it wasn't */
     check(): number | undefined {
-        const skewMs = this.#readSkew();
-        const stoodMs = skewMs - this.#skewMs;
-        this.#skewMs = skewMs;
-        return Math.abs(stoodMs) > hostPauseThresholdMs ? stoodMs : undefined;
+        const offsetMs = this.#readClockOffset();
+        const pausedMs = offsetMs - this.#clockOffsetMs;
+        this.#clockOffsetMs = offsetMs;
+        return Math.abs(pausedMs) > hostPauseThresholdMs ? pausedMs : undefined;
     }
 
-    #readSkew(): number {
+    #readClockOffset(): number {
         return this.#clock.epochMs() - this.#clock.monotonicMs();
     }
 }
--- a/packages/edge/src/state/initialSyncGate.ts
+++ b/packages/edge/src/state/initialSyncGate.ts
@@ -6,10 +6,10 @@
     readonly #clock: Clock;
     readonly #onFirstRead: () => void;
     readonly #startedAtMs: number;
-    readonly #ended: Promise<void>;
-    #end: () => void = () => undefined;
+    readonly #readFinished: Promise<void>;
+    #finishRead: () => void = () => undefined;
     #state: "underWay" | "read" | "failed" = "underWay";
-    #held = 0;
+    #heldCount = 0;
 
     /**
      * @param clock - clock of the process
@@ -19,8 +19,8 @@
         this.#clock = clock;
         this.#onFirstRead = onFirstRead;
         this.#startedAtMs = clock.monotonicMs();
-        this.#ended = new Promise(resolve => {
-            this.#end = resolve;
+        this.#readFinished = new Promise(resolve => {
+            this.#finishRead = resolve;
         });
     }
 
@@ -30,14 +30,14 @@
             this.#onFirstRead();
         }
         this.#state = "read";
-        this.#end();
+        this.#finishRead();
     }
 
     /** Releases held requests after the first read failed; they are then refused instead of waiting for the store. */
     onReadFailed(): void {
         if (this.#state === "underWay") {
             this.#state = "failed";
-            this.#end();
+            this.#finishRead();
         }
     }
 
@@ -48,7 +48,7 @@
     admit(patienceMs: number | undefined): StartupAdmission {
         return admitDuringStartup({
             readFailed: this.#state !== "underWay",
-            held: this.#held,
+            held: this.#heldCount,
             sinceStartMs: this.#clock.monotonicMs() - this.#startedAtMs,
             patienceMs,
         });
@@ -59,8 +59,8 @@
      * @returns once the first read has succeeded or failed, or the time is over
      */
     async wait(forMs: number): Promise<void> {
-        this.#held++;
-        await Promise.race([this.#ended, sleep(forMs)]);
-        this.#held--;
+        this.#heldCount++;
+        await Promise.race([this.#readFinished, sleep(forMs)]);
+        this.#heldCount--;
     }
 }
--- a/packages/edge/src/state/interruptibleSleep.ts
+++ b/packages/edge/src/state/interruptibleSleep.ts
@@ -1,12 +1,12 @@
 /** A sleep that can be interrupted. */
 export class InterruptibleSleep {
-    #wake: () => void = () => undefined;
+    #resume: () => void = () => undefined;
 
     /** @returns once the time is over, or the sleep is interrupted */
     sleep(ms: number): Promise<void> {
         return new Promise(resolve => {
             const timer = setTimeout(resolve, ms);
-            this.#wake = () => {
+            this.#resume = () => {
                 clearTimeout(timer);
                 resolve();
             };
@@ -15,6 +15,6 @@
 
     /** Ends the current sleep, if any. */
     interrupt(): void {
-        this.#wake();
+        this.#resume();
     }
 }
--- a/packages/edge/src/state/outageVerifier.ts
+++ b/packages/edge/src/state/outageVerifier.ts
@@ -20,46 +20,46 @@
  * the missing entries belong to servers that left, and keeping those in use would send them requests.
  */
 export class OutageVerifier {
-    readonly #parts: OutageVerifierDeps;
-    #isUnderWay = false;
+    readonly #deps: OutageVerifierDeps;
+    #isRunning = false;
 
-    constructor(parts: OutageVerifierDeps) {
-        this.#parts = parts;
+    constructor(deps: OutageVerifierDeps) {
+        this.#deps = deps;
     }
 
     /** Queries peers until one reports its contact with the store, or no server with a lapsed entry is left in use. */
     async run(): Promise<void> {
-        if (this.#isUnderWay) {
+        if (this.#isRunning) {
             return;
         }
-        this.#isUnderWay = true;
-        while (this.#parts.view.hasLapsedServers(this.#parts.clock.monotonicMs()) && !await this.#ask()) {
+        this.#isRunning = true;
+        while (this.#deps.view.hasLapsedServers(this.#deps.clock.monotonicMs()) && !await this.#queryPeers()) {
             await sleep(outageQueryDelayMs);
         }
-        this.#isUnderWay = false;
+        this.#isRunning = false;
     }
 
     /** @returns whether any gateway reported how long it has been in contact with the store */
-    async #ask(): Promise<boolean> {
-        const { name, view, clock, relayClient } = this.#parts;
+    async #queryPeers(): Promise<boolean> {
+        const { name, view, clock, relayClient } = this.#deps;
         const others = view.registeredGateways().filter(gateway => gateway.name !== name);
-        const answers = await Promise.all(
-            this.#draw(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
-                const heard = await relayClient.fetchStoreContactMs(address);
-                heard.ifRight(forMs => view.onPeerStoreContact(forMs, clock.monotonicMs()));
-                return heard.isRight();
+        const results = await Promise.all(
+            this.#pickSample(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
+                const contact = await relayClient.fetchStoreContactMs(address);
+                contact.ifRight(contactMs => view.onPeerStoreContact(contactMs, clock.monotonicMs()));
+                return contact.isRight();
             }),
         );
-        return answers.includes(true);
+        return results.includes(true);
     }
 
     /** Picks a new random sample for each round, so that the fleet's queries don't all go to the same gateways. */
-    #draw<T>(values: readonly T[], count: number): readonly T[] {
-        const left = [...values];
-        const drawn: T[] = [];
-        while (drawn.length < count && left.length > 0) {
-            drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
+    #pickSample<T>(candidates: readonly T[], count: number): readonly T[] {
+        const remaining = [...candidates];
+        const sample: T[] = [];
+        while (sample.length < count && remaining.length > 0) {
+            sample.push(...remaining.splice(Math.floor(this.#deps.random.next() * remaining.length), 1));
         }
-        return drawn;
+        return sample;
     }
 }
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -30,7 +30,7 @@
     readonly metrics: EdgeMetrics;
 }
 
-const renewalMs = registrationTtlMs / renewalsPerTtl;
+const renewalIntervalMs = registrationTtlMs / renewalsPerTtl;
 
 /**
  * Keeps this gateway's registration in the store, under a lease. Gateways divide fleet-wide limits by the number of
@@ -40,16 +40,16 @@
  * gateway fetches with a call of its own: a restart without a write saves a fleet of 15 about 30 calls.
  */
 export class Registration {
-    readonly #parts: RegistrationDeps;
+    readonly #deps: RegistrationDeps;
     #stopped = false;
     #leaseId: string | undefined;
     #lostLeaseId: string | undefined;
-    readonly #pause = new InterruptibleSleep();
+    readonly #renewalSleep = new InterruptibleSleep();
     /** Term of the store in which the registration was written. */
     #term = 0;
 
-    constructor(parts: RegistrationDeps) {
-        this.#parts = parts;
+    constructor(deps: RegistrationDeps) {
+        this.#deps = deps;
     }
 
     start(): void {
@@ -63,40 +63,40 @@
 
     /** Registers again if the store was restored from a backup since the last registration. */
     onViewChange(): void {
-        if (this.#leaseId !== undefined && this.#parts.view.term !== this.#term) {
+        if (this.#leaseId !== undefined && this.#deps.view.term !== this.#term) {
             // Writes after the backup are lost, and the ID of the lease may now belong to another holder.
             this.#leaseId = undefined;
-            this.#pause.interrupt();
+            this.#renewalSleep.interrupt();
         }
     }
 
     async #run(): Promise<void> {
-        while (!this.#stopped && !this.#parts.view.hasSynced) {
+        while (!this.#stopped && !this.#deps.view.hasSynced) {
             await sleep(expiryCheckPeriodMs);
         }
         let failures = 0;
         while (!this.#stopped) {
-            const { term } = this.#parts.view;
+            const { term } = this.#deps.view;
             const registered = await this.#adopt() || await this.#register();
             if (!registered) {
-                const limitMs = Math.min(maxRegistrationBackoffMs, maxStoreBackoffMs * 2 ** failures);
+                const maxBackoffMs = Math.min(maxRegistrationBackoffMs, maxStoreBackoffMs * 2 ** failures);
                 failures++;
-                await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
+                await sleep(maxBackoffMs * (1 + this.#deps.random.next()) / 2);
                 continue;
             }
             failures = 0;
             this.#term = term;
-            await this.#keep();
-            if (this.#parts.view.term !== this.#term) {
+            await this.#keepRenewing();
+            if (this.#deps.view.term !== this.#term) {
                 // Keeps the gateways of a fleet from all writing their registrations again at once.
-                await sleep(rewriteSpreadMs * this.#parts.random.next());
+                await sleep(rewriteSpreadMs * this.#deps.random.next());
             }
         }
     }
 
     /** Adopts the registration of the previous incarnation if it is up to date and its lease can be renewed. */
     async #adopt(): Promise<boolean> {
-        const { store, view, name, log } = this.#parts;
+        const { store, view, name, log } = this.#deps;
         const leaseId = view.registrationLease(name);
         if (leaseId === undefined || leaseId === this.#lostLeaseId || !this.#isUpToDate()) {
             return false;
@@ -113,14 +113,14 @@
 
     /** Whether the stored registration equals the one to be written: the ports may have changed with the restart. */
     #isUpToDate(): boolean {
-        const { view, name, registration } = this.#parts;
-        const found = view.registeredGateways().find(gateway => gateway.name === name);
-        const [before, now] = [found, registration].map(each => each && renderGatewayRegistration(each));
+        const { view, name, registration } = this.#deps;
+        const stored = view.registeredGateways().find(gateway => gateway.name === name);
+        const [before, now] = [stored, registration].map(each => each && renderGatewayRegistration(each));
         return before === now;
     }
 
     async #register(): Promise<boolean> {
-        const { store, codec, name, registration, log, metrics } = this.#parts;
+        const { store, codec, name, registration, log, metrics } = this.#deps;
         const lease = await store.grantLease(registrationTtlMs);
         if (lease.isLeft()) {
             this.#onFailure("grantLease", lease.extract());
@@ -150,15 +150,15 @@
     }
 
     /** Renews the lease until the registration is lost. */
-    async #keep(): Promise<void> {
-        const { store, view, name, clock } = this.#parts;
+    async #keepRenewing(): Promise<void> {
+        const { store, view, name, clock } = this.#deps;
         const registeredAtMs = clock.monotonicMs();
         while (!this.#stopped) {
             const leaseId = this.#leaseId;
             if (leaseId === undefined) {
                 return;
             }
-            await this.#pause.sleep(renewalMs);
+            await this.#renewalSleep.sleep(renewalIntervalMs);
             if (this.#leaseId !== leaseId) {
                 return;
             }
@@ -168,7 +168,7 @@
                 this.#onFailure("renewLease", failure);
             }
             // The store may drop a registration without failing a renewal; the watch then shows that it is gone.
-            const lost = view.lastStoreContactMs - registeredAtMs > renewalMs && !view.isRegistered(name);
+            const lost = view.lastStoreContactMs - registeredAtMs > renewalIntervalMs && !view.isRegistered(name);
             if (failure?.kind === "notFound" || lost) {
                 this.#lostLeaseId = leaseId;
                 this.#leaseId = undefined;
@@ -177,7 +177,7 @@
     }
 
     #onFailure(call: string, failure: Failure): void {
-        const { log, metrics } = this.#parts;
+        const { log, metrics } = this.#deps;
         metrics.onStoreCall(call, failure.kind);
         log.log("warn", "registrationFailed", { call, kind: failure.kind, detail: failure.detail });
     }
--- a/packages/edge/src/state/relayServer.ts
+++ b/packages/edge/src/state/relayServer.ts
@@ -25,32 +25,32 @@
     abstract changesSince(afterRevision: number): MirroredChanges | undefined;
 }
 
-interface Waiting {
+interface PendingRequest {
     readonly res: ServerResponse;
     readonly afterRevision: number;
     timer: NodeJS.Timeout;
     /** Whether its timeout has been shortened because the store was lost. */
-    isShortened: boolean;
+    hasShortTimeout: boolean;
 }
 
-const noBody = "";
+const emptyBody = "";
 /** Time that a gateway has to reach the store before it responds that it doesn't, in milliseconds. */
-const firstAnswerMs = 200;
+const storeContactTimeoutMs = 200;
 
 /** Serves other gateways' requests for changes: at once if there are any, otherwise as a long poll. */
 export class RelayServer {
-    readonly #teller: RelayFeed;
-    readonly #waiting = new Set<Waiting>();
+    readonly #feed: RelayFeed;
+    readonly #pending = new Set<PendingRequest>();
     #stopped = false;
 
-    constructor(teller: RelayFeed) {
-        this.#teller = teller;
+    constructor(feed: RelayFeed) {
+        this.#feed = feed;
     }
 
     /** Completes waiting requests after changes arrived, or the store was lost or reached again. */
     onFeedChange(): void {
-        for (const waiting of [...this.#waiting]) {
-            this.#answerIfDue(waiting, false);
+        for (const pending of [...this.#pending]) {
+            this.#respondIfDue(pending, false);
         }
     }
 
@@ -64,81 +64,81 @@
     handle(req: IncomingMessage, res: ServerResponse): void {
         const url = new URL(req.url ?? "/", "http://gateway");
         if (url.pathname === contactPath) {
-            this.#tellContact(res);
+            this.#sendContact(res);
             return;
         }
         const afterRevision = Number(url.searchParams.get(relayParams.after) ?? Number.NaN);
         const waitMs = Number(url.searchParams.get(relayParams.wait) ?? Number.NaN);
         if (url.pathname !== relayPath || !Number.isFinite(afterRevision) || !(waitMs >= 0)) {
-            send(res, relayStatus.badRequest, noBody);
+            send(res, relayStatus.badRequest, emptyBody);
             return;
         }
-        this.#teller.onPeerRequest(afterRevision);
-        const untilMs = this.#teller.isStoreReachable ? Math.min(waitMs, relayLongPollMs) : firstAnswerMs;
-        const waiting: Waiting = {
+        this.#feed.onPeerRequest(afterRevision);
+        const timeoutMs = this.#feed.isStoreReachable ? Math.min(waitMs, relayLongPollMs) : storeContactTimeoutMs;
+        const pending: PendingRequest = {
             res,
             afterRevision,
-            timer: setTimeout(() => this.#answerIfDue(waiting, true), untilMs),
-            isShortened: !this.#teller.isStoreReachable,
+            timer: setTimeout(() => this.#respondIfDue(pending, true), timeoutMs),
+            hasShortTimeout: !this.#feed.isStoreReachable,
         };
-        this.#waiting.add(waiting);
-        res.once("close", () => this.#forget(waiting));
-        this.#answerIfDue(waiting, false);
+        this.#pending.add(pending);
+        res.once("close", () => this.#remove(pending));
+        this.#respondIfDue(pending, false);
     }
 
     /** Serves what this gateway already knows: the request must not make it call the store. */
-    #tellContact(res: ServerResponse): void {
-        const { heardForMs } = this.#teller;
+    #sendContact(res: ServerResponse): void {
+        const { heardForMs } = this.#feed;
         if (heardForMs === undefined) {
-            send(res, relayStatus.unavailable, noBody);
+            send(res, relayStatus.unavailable, emptyBody);
             return;
         }
         send(res, relayStatus.ok, JSON.stringify({ heardForMs }));
     }
 
-    #answerIfDue(waiting: Waiting, timeIsOver: boolean): void {
-        const { isStoreReachable, ageMs, currentAgeMs, heardForMs } = this.#teller;
-        if (this.#stopped || (!isStoreReachable && timeIsOver)) {
-            this.#answer(waiting, relayStatus.unavailable, noBody);
+    #respondIfDue(pending: PendingRequest, isTimedOut: boolean): void {
+        const { isStoreReachable, ageMs, currentAgeMs, heardForMs } = this.#feed;
+        if (this.#stopped || (!isStoreReachable && isTimedOut)) {
+            this.#respond(pending, relayStatus.unavailable, emptyBody);
             return;
         }
         if (!isStoreReachable) {
-            this.#shorten(waiting);
+            this.#shortenTimeout(pending);
             return;
         }
-        if (this.#teller.isReceivingLargeChange) {
-            this.#answer(waiting, relayStatus.tooLarge, noBody);
+        if (this.#feed.isReceivingLargeChange) {
+            this.#respond(pending, relayStatus.tooLarge, emptyBody);
             return;
         }
-        const changes = this.#teller.changesSince(waiting.afterRevision);
+        const changes = this.#feed.changesSince(pending.afterRevision);
         if (changes === undefined) {
-            this.#answer(waiting, relayStatus.gone, noBody);
+            this.#respond(pending, relayStatus.gone, emptyBody);
             return;
         }
-        if (timeIsOver || changes.changed.length + changes.deleted.length > 0) {
-            const answer: RelayResponse = { ...changes, ageMs, currentAgeMs, heardForMs };
-            const body = isTooLarge(changes) ? undefined : JSON.stringify(answer);
-            this.#answer(waiting, body === undefined ? relayStatus.tooLarge : relayStatus.ok, body ?? noBody);
+        if (isTimedOut || changes.changed.length + changes.deleted.length > 0) {
+            const response: RelayResponse = { ...changes, ageMs, currentAgeMs, heardForMs };
+            const body = isTooLarge(changes) ? undefined : JSON.stringify(response);
+            this.#respond(pending, body === undefined ? relayStatus.tooLarge : relayStatus.ok, body ?? emptyBody);
         }
     }
 
     /** Leaves waiting requests a short time in which the store may be reached again, before they get a response. */
-    #shorten(waiting: Waiting): void {
-        if (!waiting.isShortened) {
-            waiting.isShortened = true;
-            clearTimeout(waiting.timer);
-            waiting.timer = setTimeout(() => this.#answerIfDue(waiting, true), firstAnswerMs);
+    #shortenTimeout(pending: PendingRequest): void {
+        if (!pending.hasShortTimeout) {
+            pending.hasShortTimeout = true;
+            clearTimeout(pending.timer);
+            pending.timer = setTimeout(() => this.#respondIfDue(pending, true), storeContactTimeoutMs);
         }
     }
 
-    #answer(waiting: Waiting, status: number, body: string): void {
-        this.#forget(waiting);
-        send(waiting.res, status, body);
+    #respond(pending: PendingRequest, status: number, body: string): void {
+        this.#remove(pending);
+        send(pending.res, status, body);
     }
 
-    #forget(waiting: Waiting): void {
-        clearTimeout(waiting.timer);
-        this.#waiting.delete(waiting);
+    #remove(pending: PendingRequest): void {
+        clearTimeout(pending.timer);
+        this.#pending.delete(pending);
     }
 }
 
--- a/packages/edge/src/state/revisionReader.ts
+++ b/packages/edge/src/state/revisionReader.ts
@@ -22,7 +22,7 @@
      * @returns the store's revision, which may be seconds out of date, or a failure
      */
     read(timeoutMs: number): Promise<Either<Failure, number>> {
-        const late = sleep(timeoutMs).then(() => Left(createFailure("storeOutcomeUnknown", "no answer in time")));
-        return Promise.race([this.#store.peekRevision(this.#prefix), late]);
+        const timedOut = sleep(timeoutMs).then(() => Left(createFailure("storeOutcomeUnknown", "no answer in time")));
+        return Promise.race([this.#store.peekRevision(this.#prefix), timedOut]);
     }
 }
--- a/packages/edge/src/state/stateSnapshot.ts
+++ b/packages/edge/src/state/stateSnapshot.ts
@@ -26,16 +26,16 @@
 ): Promise<Either<Failure, StateSnapshot>> {
     const items: StateItem[] = [];
     // Each partial result includes the entries of the ones before; only the new ones are decoded.
-    const decode = (entries: readonly KeyValue[]): readonly StateItem[] => {
+    const decodeNew = (entries: readonly KeyValue[]): readonly StateItem[] => {
         items.push(...entries.slice(items.length).map(entry => codec.decode(entry)));
         return items;
     };
     const read = await store.list(codec.prefix, entries => {
         const lastKey = entries.at(-1)?.key;
-        const soFar = decode(entries);
+        const partialItems = decodeNew(entries);
         if (lastKey !== undefined && codec.isAfterOperatorKeys(lastKey)) {
-            onOperatorRead(soFar);
+            onOperatorRead(partialItems);
         }
     });
-    return read.map(({ revision, entries }) => ({ revision, entries, items: decode(entries) }));
+    return read.map(({ revision, entries }) => ({ revision, entries, items: decodeNew(entries) }));
 }
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -39,42 +39,42 @@
  * the store itself or through a gateway that relays them.
  */
 export class StateSync extends RelayFeed {
-    readonly #parts: StateSyncDeps;
+    readonly #deps: StateSyncDeps;
     readonly #stop = new AbortController();
     readonly #sources: WatchSourceSelector;
     readonly #mirror = new StoreMirror();
     readonly #contact: StoreContact;
-    readonly #peek: RevisionReader;
-    readonly #check: WatchCheck;
-    readonly #inquiry: OutageVerifier;
+    readonly #revisionReader: RevisionReader;
+    readonly #watchCheck: WatchCheck;
+    readonly #outageVerifier: OutageVerifier;
     readonly #pauseDetector: HostPauseDetector;
-    readonly #pause = new InterruptibleSleep();
+    readonly #backoffSleep = new InterruptibleSleep();
     /** Aborts the current turn when another source must be used at once. */
-    #turn = new AbortController();
+    #turnAbort = new AbortController();
     #afterRevision: number | undefined;
     #source: WatchSource["type"] = "store";
     /** Whether the store has answered since it was last chosen as the source, and no check has failed since then. */
-    #confirmed = false;
-    #askedAtMs = -Infinity;
-    #isReadingLarge = false;
+    #isStoreConfirmed = false;
+    #lastPeerRequestAtMs = -Infinity;
+    #hasLargeChange = false;
     /** When the pending watch was sent; `undefined` if none is pending. */
-    #watchingSinceMs: number | undefined;
+    #watchSentAtMs: number | undefined;
     #timers: readonly NodeJS.Timeout[] = [];
 
-    constructor(parts: StateSyncDeps) {
+    constructor(deps: StateSyncDeps) {
         super();
-        this.#parts = parts;
-        this.#sources = new WatchSourceSelector(parts.name, parts.availabilityZone);
-        this.#contact = new StoreContact(parts);
-        this.#peek = new RevisionReader(parts.store, parts.codec.registrationKey(parts.name));
-        this.#check = new WatchCheck({
-            ...parts,
-            revisionReader: this.#peek,
+        this.#deps = deps;
+        this.#sources = new WatchSourceSelector(deps.name, deps.availabilityZone);
+        this.#contact = new StoreContact(deps);
+        this.#revisionReader = new RevisionReader(deps.store, deps.codec.registrationKey(deps.name));
+        this.#watchCheck = new WatchCheck({
+            ...deps,
+            revisionReader: this.#revisionReader,
             contact: this.#contact,
-            state: () => ({ afterRevision: this.#afterRevision, sentAtMs: this.#watchingSinceMs }),
+            state: () => ({ afterRevision: this.#afterRevision, sentAtMs: this.#watchSentAtMs }),
         });
-        this.#inquiry = new OutageVerifier(parts);
-        this.#pauseDetector = new HostPauseDetector(parts.clock);
+        this.#outageVerifier = new OutageVerifier(deps);
+        this.#pauseDetector = new HostPauseDetector(deps.clock);
     }
 
     start(): void {
@@ -90,48 +90,48 @@
             clearInterval(timer);
         }
         this.#stop.abort();
-        this.#turn.abort();
-        this.#parts.relayClient.close();
+        this.#turnAbort.abort();
+        this.#deps.relayClient.close();
     }
 
     override get isStoreReachable(): boolean {
-        return this.#source === "store" && this.#confirmed;
+        return this.#source === "store" && this.#isStoreConfirmed;
     }
 
     override get ageMs(): number {
-        return Math.max(0, this.#now() - this.#parts.view.lastStoreContactMs);
+        return Math.max(0, this.#now() - this.#deps.view.lastStoreContactMs);
     }
 
     override get currentAgeMs(): number | undefined {
-        const ageMs = this.#now() - this.#parts.view.currentAsOfMs;
+        const ageMs = this.#now() - this.#deps.view.currentAsOfMs;
         return Number.isFinite(ageMs) ? Math.max(0, ageMs) : undefined;
     }
 
     override get isReceivingLargeChange(): boolean {
-        return this.#isReadingLarge;
+        return this.#hasLargeChange;
     }
 
     override get heardForMs(): number | undefined {
-        return this.#parts.view.storeReachableForMs(this.#now());
+        return this.#deps.view.storeReachableForMs(this.#now());
     }
 
     override onPeerRequest(afterRevision: number): void {
         const nowMs = this.#now();
         if (termOf(afterRevision) > termOf(this.#afterRevision ?? Infinity)) {
             // The peer has read the store since it was restored from a backup, and this gateway hasn't.
-            this.#suspect({ kind: "earlierTerm", askedAfter: afterRevision });
-            this.#turnNow();
+            this.#onWatchSuspected({ kind: "earlierTerm", askedAfter: afterRevision });
+            this.#abortTurn();
         }
-        const isFirst = !this.#isAsked();
-        this.#askedAtMs = nowMs;
+        const isFirst = !this.#hasRecentPeerRequest();
+        this.#lastPeerRequestAtMs = nowMs;
         this.#sources.onPeerRequest(nowMs);
         // A pending call of the store is aborted by the first request only: if each one did, none would ever complete.
         if (!this.isStoreReachable && (isFirst || this.#source === "peer")) {
-            this.#turnNow();
+            this.#abortTurn();
         }
         if (this.#contact.outage === "lost" && nowMs - this.#contact.lastFailureAtMs >= minStoreProbePeriodMs) {
             // The peer may have just reached the store again.
-            this.#pause.interrupt();
+            this.#backoffSleep.interrupt();
         }
     }
 
@@ -143,7 +143,7 @@
         while (!this.#stop.signal.aborted) {
             const pauseMs = await this.#takeTurn();
             if (pauseMs > 0) {
-                await this.#pause.sleep(pauseMs);
+                await this.#backoffSleep.sleep(pauseMs);
             }
         }
     }
@@ -154,12 +154,12 @@
         const afterRevision = this.#afterRevision;
         const source: WatchSource = afterRevision === undefined
             ? { type: "store" }
-            : this.#sources.choose(this.#parts.view.registeredGateways(), this.#now());
-        this.#turn = new AbortController();
+            : this.#sources.choose(this.#deps.view.registeredGateways(), this.#now());
+        this.#turnAbort = new AbortController();
         if (source.type === "peer" && afterRevision !== undefined) {
             this.#source = "peer";
-            this.#confirmed = false;
-            return this.#watchPeer(source, afterRevision);
+            this.#isStoreConfirmed = false;
+            return this.#watchRelay(source, afterRevision);
         }
         this.#chooseStore();
         const pauseMs = this.#contact.outage === "none" ? undefined : await this.#probe();
@@ -168,7 +168,7 @@
 
     /** Drops a revision from before a restore of the store, as it is no position in it, to list the state again. */
     #dropEarlierTerm(): void {
-        if (this.#afterRevision !== undefined && termOf(this.#afterRevision) < this.#parts.store.term) {
+        if (this.#afterRevision !== undefined && termOf(this.#afterRevision) < this.#deps.store.term) {
             this.#afterRevision = undefined;
         }
     }
@@ -181,13 +181,13 @@
      */
     async #probe(): Promise<number | undefined> {
         const startedAtMs = this.#now();
-        const { signal } = this.#turn;
-        const peeked = await this.#peek.read(storeProbeTimeoutMs);
+        const { signal } = this.#turnAbort;
+        const probed = await this.#revisionReader.read(storeProbeTimeoutMs);
         if (signal.aborted) {
             return 0;
         }
-        if (peeked.isLeft()) {
-            return this.#onFailure("probe", peeked.extract(), startedAtMs);
+        if (probed.isLeft()) {
+            return this.#onStoreFailed("probe", probed.extract(), startedAtMs);
         }
         if (!this.#contact.onProbeSucceeded()) {
             return undefined;
@@ -200,32 +200,32 @@
     #chooseStore(): void {
         if (this.#source !== "store") {
             this.#source = "store";
-            this.#confirmed = false;
+            this.#isStoreConfirmed = false;
         }
     }
 
     async #readAll(): Promise<number> {
-        const { store, codec, view, initialSyncGate } = this.#parts;
+        const { store, codec, view, initialSyncGate } = this.#deps;
         const startedAtMs = this.#now();
         const read = await readState(store, codec, items => this.#onOperatorRead(items));
         return read.caseOf({
             Left: failure => {
                 initialSyncGate.onReadFailed();
-                return this.#onFailure("list", failure, startedAtMs);
+                return this.#onStoreFailed("list", failure, startedAtMs);
             },
             Right: ({ revision, entries, items }) => {
                 const isFirst = !view.hasSynced;
                 const before = { term: view.term, revision: this.#mirror.revision };
-                this.#onContact("list");
+                this.#onStoreAnswered("list");
                 view.markCurrentAsOf(startedAtMs);
                 this.#afterRevision = revision;
                 this.#mirror.onFullRead(revision, entries);
                 const beliefs = view.onFullRead(items, this.#now(), termOf(revision));
                 if (!isFirst && view.term > before.term) {
-                    this.#onRestored(before, revision);
+                    this.#onStoreRestored(before, revision);
                 }
                 this.#report(beliefs);
-                this.#parts.onRelayFeedChange();
+                this.#deps.onRelayFeedChange();
                 initialSyncGate.onStateRead();
                 // While a whole fleet starts, each registration would be a separate change for every gateway.
                 return isFirst && view.registeredGateways().length === 0 ? initialWatchDelayMs : 0;
@@ -234,8 +234,8 @@
     }
 
     /** Logs and counts that the store was restored from a backup, after the first list since then. */
-    #onRestored(before: { readonly term: number; readonly revision: number; }, revision: number): void {
-        const { log, view, metrics, onViewChange } = this.#parts;
+    #onStoreRestored(before: { readonly term: number; readonly revision: number; }, revision: number): void {
+        const { log, view, metrics, onViewChange } = this.#deps;
         log.log("warn", "storeRestored", {
             term: view.term,
             termBefore: before.term,
@@ -250,7 +250,7 @@
 
     /** Starts to serve with a part of the first list, as the whole state of a large fleet takes long to transfer. */
     #onOperatorRead(items: readonly StateItem[]): void {
-        const { view, initialSyncGate } = this.#parts;
+        const { view, initialSyncGate } = this.#deps;
         if (!view.hasSynced) {
             this.#report(view.onChanges({ items, deletedKeys: [] }, this.#now()));
             initialSyncGate.onStateRead();
@@ -258,45 +258,47 @@
     }
 
     async #watch(afterRevision: number): Promise<number> {
-        const { store, codec } = this.#parts;
+        const { store, codec } = this.#deps;
         const startedAtMs = this.#now();
         // Unless the store is known to be reachable, the watch returns at once: a long poll would take seconds to fail.
-        const wait = this.#confirmed ? { waitMs: watchLongPollMs, slackMs: watchLongPollGraceMs } : { waitMs: 0 };
-        const { signal } = this.#turn;
-        this.#watchingSinceMs = startedAtMs;
+        const wait = this.#isStoreConfirmed
+            ? { waitMs: watchLongPollMs, slackMs: watchLongPollGraceMs }
+            : { waitMs: 0 };
+        const { signal } = this.#turnAbort;
+        this.#watchSentAtMs = startedAtMs;
         let answeredAtMs: number | undefined;
         const onArriving = (bytes: number): void => {
             answeredAtMs ??= this.#now();
-            this.#onArriving(bytes);
+            this.#onResponseData(bytes);
         };
-        const seen = await store.watch({ prefix: codec.prefix, afterRevision, ...wait, onArriving, signal });
-        this.#watchingSinceMs = undefined;
-        this.#isReadingLarge = false;
+        const watched = await store.watch({ prefix: codec.prefix, afterRevision, ...wait, onArriving, signal });
+        this.#watchSentAtMs = undefined;
+        this.#hasLargeChange = false;
         if (signal.aborted) {
             return 0;
         }
-        return seen.caseOf({
+        return watched.caseOf({
             Left: failure => {
                 if (failure.kind === "storeHistoryLost") {
                     this.#afterRevision = undefined;
                     return 0;
                 }
-                if (failure.kind === "storeOutcomeUnknown" && this.#parts.view.lastStoreContactMs > startedAtMs) {
+                if (failure.kind === "storeOutcomeUnknown" && this.#deps.view.lastStoreContactMs > startedAtMs) {
                     // Other calls were answered in the meantime, so the connection is dead, not the store.
-                    this.#suspect({ kind: "silent", waitedMs: Math.round(this.#now() - startedAtMs) });
+                    this.#onWatchSuspected({ kind: "silent", waitedMs: Math.round(this.#now() - startedAtMs) });
                     return 0;
                 }
-                return this.#onFailure("watch", failure, startedAtMs);
+                return this.#onStoreFailed("watch", failure, startedAtMs);
             },
             Right: events => {
-                this.#onContact("watch");
+                this.#onStoreAnswered("watch");
                 // A long poll returns the state as of when its response began to arrive.
-                this.#parts.view.markCurrentAsOf(wait.waitMs > 0 ? answeredAtMs ?? this.#now() : startedAtMs);
-                this.#learn(events);
+                this.#deps.view.markCurrentAsOf(wait.waitMs > 0 ? answeredAtMs ?? this.#now() : startedAtMs);
+                this.#applyChanges(events);
                 this.#sources.onCaughtUp();
                 // Avoids a tight loop if the store answers a long poll at once without changes.
-                const cameEarly = wait.waitMs > 0 && this.#now() - startedAtMs < watchBatchDelayMs;
-                return cameEarly || hasChanges(events) ? watchBatchDelayMs : 0;
+                const isEarly = wait.waitMs > 0 && this.#now() - startedAtMs < watchBatchDelayMs;
+                return isEarly || hasChanges(events) ? watchBatchDelayMs : 0;
             },
         });
     }
@@ -305,20 +307,20 @@
      * Marks the watch as alive, as its response is arriving. Peers that wait for changes are sent to the store if the
      * response is large: they get it sooner from there.
      */
-    #onArriving(bytes: number): void {
-        this.#watchingSinceMs = undefined;
+    #onResponseData(bytes: number): void {
+        this.#watchSentAtMs = undefined;
         // The store encodes values, so they take more bytes here than in a relayed response.
-        if (bytes > 2 * maxRelayedChangesBytes && !this.#isReadingLarge) {
-            this.#isReadingLarge = true;
-            this.#parts.onRelayFeedChange();
+        if (bytes > 2 * maxRelayedChangesBytes && !this.#hasLargeChange) {
+            this.#hasLargeChange = true;
+            this.#deps.onRelayFeedChange();
         }
     }
 
-    async #watchPeer(peer: Extract<WatchSource, { readonly type: "peer"; }>, afterRevision: number): Promise<number> {
-        const { log, metrics } = this.#parts;
-        const { signal } = this.#turn;
+    async #watchRelay(peer: Extract<WatchSource, { readonly type: "peer"; }>, afterRevision: number): Promise<number> {
+        const { log, metrics } = this.#deps;
+        const { signal } = this.#turnAbort;
         const askedAtMs = this.#now();
-        const told = await this.#parts.relayClient.fetchChanges({
+        const fetched = await this.#deps.relayClient.fetchChanges({
             address: peer.address,
             afterRevision,
             longPoll: peer.answeredLast,
@@ -327,7 +329,7 @@
         if (signal.aborted) {
             return 0;
         }
-        return told.caseOf({
+        return fetched.caseOf({
             Left: failure => {
                 if (failure.kind === "storeHistoryLost") {
                     this.#afterRevision = undefined;
@@ -346,8 +348,8 @@
                     kind: failure.kind,
                     detail: failure.detail,
                     tookMs: Math.round(this.#now() - askedAtMs),
-                    sinceStoreMs: Math.round(this.#now() - this.#parts.view.lastStoreContactMs),
-                    sinceCurrentMs: this.#describeCurrentAge(),
+                    sinceStoreMs: Math.round(this.#now() - this.#deps.view.lastStoreContactMs),
+                    sinceCurrentMs: this.#roundedCurrentAgeMs(),
                 });
                 return 0;
             },
@@ -371,94 +373,94 @@
                 metrics.onRelayRequest("answered");
                 this.#sources.onAnswer(peer.name);
                 this.#contact.onRelayResponse(answer);
-                this.#learn(answer);
+                this.#applyChanges(answer);
                 return 0;
             },
         });
     }
 
-    #learn(events: WatchEvents): void {
-        const { view, codec } = this.#parts;
+    #applyChanges(events: WatchEvents): void {
+        const { view, codec } = this.#deps;
         this.#afterRevision = Math.max(this.#afterRevision ?? 0, events.revision);
         this.#mirror.onChanges(events);
         const items = events.changed.map(entry => codec.decode(entry));
         this.#report(view.onChanges({ items, deletedKeys: events.deleted }, this.#now()));
         if (hasChanges(events)) {
-            this.#parts.onRelayFeedChange();
+            this.#deps.onRelayFeedChange();
         }
     }
 
     /** Opens a new watch if a check finds that the current one may be dead, or if the store has been restored. */
     async #checkWatch(): Promise<void> {
-        const suspicion = this.isStoreReachable ? await this.#check.run() : undefined;
-        if (termOf(this.#afterRevision ?? Infinity) < this.#parts.store.term) {
-            this.#turnNow();
+        const suspicion = this.isStoreReachable ? await this.#watchCheck.run() : undefined;
+        if (termOf(this.#afterRevision ?? Infinity) < this.#deps.store.term) {
+            this.#abortTurn();
         }
         if (suspicion !== undefined) {
-            this.#suspect(suspicion);
-            this.#turnNow();
+            this.#onWatchSuspected(suspicion);
+            this.#abortTurn();
         }
     }
 
     /** Records that the watch may be dead, so that the next one returns at once. */
-    #suspect(suspicion: LogFields): void {
-        this.#parts.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#describeCurrentAge() });
-        this.#confirmed = false;
-        this.#parts.onRelayFeedChange();
+    #onWatchSuspected(suspicion: LogFields): void {
+        this.#deps.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#roundedCurrentAgeMs() });
+        this.#isStoreConfirmed = false;
+        this.#deps.onRelayFeedChange();
     }
 
     /** Aborts the current turn, so that the next one chooses its source again. */
-    #turnNow(): void {
-        this.#turn.abort();
+    #abortTurn(): void {
+        this.#turnAbort.abort();
     }
 
-    #isAsked(): boolean {
-        return this.#now() - this.#askedAtMs < directStoreReadMs;
+    #hasRecentPeerRequest(): boolean {
+        return this.#now() - this.#lastPeerRequestAtMs < directStoreReadMs;
     }
 
     #tick(): void {
-        this.#report(this.#parts.view.expire(this.#now()));
+        this.#report(this.#deps.view.expire(this.#now()));
         // After a suspension of the host, its state is outdated by that time and its connections may be dead, so the
         // current turn is aborted and the source is queried again.
-        const stoodMs = this.#pauseDetector.check();
-        if (stoodMs !== undefined) {
-            this.#parts.log.log("warn", "hostPaused", { forMs: Math.round(stoodMs) });
-            this.#parts.view.onProcessPaused();
-            this.#confirmed = false;
-            this.#turnNow();
+        const pausedMs = this.#pauseDetector.check();
+        if (pausedMs !== undefined) {
+            this.#deps.log.log("warn", "hostPaused", { forMs: Math.round(pausedMs) });
+            this.#deps.view.onProcessPaused();
+            this.#isStoreConfirmed = false;
+            this.#abortTurn();
         }
     }
 
-    #onContact(call: string): void {
+    #onStoreAnswered(call: string): void {
         this.#contact.onCallSucceeded(call);
-        if (!this.#confirmed) {
-            this.#confirmed = true;
-            this.#parts.onRelayFeedChange();
+        if (!this.#isStoreConfirmed) {
+            this.#isStoreConfirmed = true;
+            this.#deps.onRelayFeedChange();
         }
     }
 
-    #onFailure(call: string, failure: Failure, startedAtMs: number): number {
+    #onStoreFailed(call: string, failure: Failure, startedAtMs: number): number {
         if (this.#stop.signal.aborted) {
             return 0;
         }
-        this.#confirmed = false;
-        this.#parts.onRelayFeedChange();
+        this.#isStoreConfirmed = false;
+        this.#deps.onRelayFeedChange();
         return this.#contact.onCallFailed(call, failure, startedAtMs);
     }
 
-    #describeCurrentAge(): number | undefined {
+    #roundedCurrentAgeMs(): number | undefined {
         const { currentAgeMs } = this;
         return currentAgeMs === undefined ? undefined : Math.round(currentAgeMs);
     }
 
     #now(): number {
-        return this.#parts.clock.monotonicMs();
+        return this.#deps.clock.monotonicMs();
     }
 
     #report(beliefs: readonly FleetChange[]): void {
-        const { log, view, onViewChange } = this.#parts;
+        const { log, view, onViewChange } = this.#deps;
         const sinceStoreMs = Math.round(this.#now() - view.lastStoreContactMs);
-        const sinceCurrentMs = this.#describeCurrentAge();
+        const sinceCurrentMs = this.#roundedCurrentAgeMs();
         for (const { subject, name, change } of beliefs) {
             log.log("info", "belief", {
                 subject,
@@ -473,7 +475,7 @@
             onViewChange();
         }
         if (beliefs.some(({ change }) => change === "lapsed")) {
-            void this.#inquiry.run();
+            void this.#outageVerifier.run();
         }
     }
 }
--- a/packages/edge/src/state/storeContact.ts
+++ b/packages/edge/src/state/storeContact.ts
@@ -21,40 +21,40 @@
 
 /** Tracks contact with the store, direct or through a relay, and logs when the store is lost and reached again. */
 export class StoreContact {
-    readonly #parts: StoreContactDeps;
-    #failures = 0;
-    #failedAtMs = -Infinity;
-    #doubt: StoreOutage = "none";
+    readonly #deps: StoreContactDeps;
+    #failureCount = 0;
+    #lastFailureAtMs = -Infinity;
+    #outage: StoreOutage = "none";
     /** When a relay or check first indicated an outage; it counts as one only once a call of this gateway fails. */
     #suspectedSinceMs: number | undefined;
 
-    constructor(parts: StoreContactDeps) {
-        this.#parts = parts;
+    constructor(deps: StoreContactDeps) {
+        this.#deps = deps;
     }
 
     get outage(): StoreOutage {
-        return this.#doubt;
+        return this.#outage;
     }
 
     /** Monotonic time of the last failed call, in milliseconds. */
     get lastFailureAtMs(): number {
-        return this.#failedAtMs;
+        return this.#lastFailureAtMs;
     }
 
     /** Records that the store answered a call. */
     onCallSucceeded(call: string): void {
-        const { view, metrics, clock } = this.#parts;
+        const { view, metrics, clock } = this.#deps;
         metrics.onStoreCall(call, "answered");
-        this.#onHeard(view.onStoreContact(clock.monotonicMs()));
+        this.#onContact(view.onStoreContact(clock.monotonicMs()));
     }
 
     /** Records the relay's contact with the store from its response. */
     onRelayResponse(
         { ageMs, currentAgeMs, heardForMs }: Pick<RelayResponse, "ageMs" | "currentAgeMs" | "heardForMs">,
     ): void {
-        const { view, clock } = this.#parts;
+        const { view, clock } = this.#deps;
         const nowMs = clock.monotonicMs();
-        this.#onHeard(view.onStoreContact(nowMs, ageMs));
+        this.#onContact(view.onStoreContact(nowMs, ageMs));
         if (currentAgeMs !== undefined) {
             view.markCurrentAsOf(nowMs - currentAgeMs);
         }
@@ -71,13 +71,13 @@
     /** Records that a relay didn't respond, or doesn't reach the store. */
     onRelayFailed(nowMs: number): void {
         this.onSuspected(nowMs);
-        this.#doubt = this.#doubt === "lost" ? "lost" : "suspected";
+        this.#outage = this.#outage === "lost" ? "lost" : "suspected";
     }
 
     /** Records that the store answered a probe, so it can be called. @returns whether it had been lost */
     onProbeSucceeded(): boolean {
-        const wasLost = this.#doubt === "lost";
-        this.#doubt = "none";
+        const wasLost = this.#outage === "lost";
+        this.#outage = "none";
         return wasLost;
     }
 
@@ -87,20 +87,20 @@
      * @returns the back-off before the next call in milliseconds
      */
     onCallFailed(call: string, failure: Failure, startedAtMs: number): number {
-        const { view, clock, random, log, metrics } = this.#parts;
+        const { view, clock, random, log, metrics } = this.#deps;
         metrics.onStoreCall(call, failure.kind);
         // After a timeout, the store may have been down since the call began; a refusal shows an outage from now on.
         const sinceMs = failure.kind === "storeOutcomeUnknown" ? startedAtMs : clock.monotonicMs();
         view.onStoreCallFailed(Math.min(sinceMs, this.#suspectedSinceMs ?? sinceMs));
-        if (this.#failures === 0) {
+        if (this.#failureCount === 0) {
             log.log("warn", "storeLost", { call, kind: failure.kind, detail: failure.detail });
         }
         const nowMs = clock.monotonicMs();
-        const growingMs = initialStoreBackoffMs * 2 ** this.#failures * (1 + random.next()) / 2;
-        this.#failures++;
-        this.#failedAtMs = nowMs;
-        this.#doubt = "lost";
-        const pauseMs = Math.min(growingMs, Math.max(0, startedAtMs + storeProbePeriodMs - nowMs));
+        const backoffMs = initialStoreBackoffMs * 2 ** this.#failureCount * (1 + random.next()) / 2;
+        this.#failureCount++;
+        this.#lastFailureAtMs = nowMs;
+        this.#outage = "lost";
+        const pauseMs = Math.min(backoffMs, Math.max(0, startedAtMs + storeProbePeriodMs - nowMs));
         log.log("info", "storeCallFailed", {
             call,
             kind: failure.kind,
@@ -111,12 +111,12 @@
         return pauseMs;
     }
 
-    #onHeard(awayMs: number | undefined): void {
-        if (this.#failures > 0) {
-            this.#parts.log.log("info", "storeRegained", { failedCalls: this.#failures, awayMs });
+    #onContact(awayMs: number | undefined): void {
+        if (this.#failureCount > 0) {
+            this.#deps.log.log("info", "storeRegained", { failedCalls: this.#failureCount, awayMs });
         }
-        this.#failures = 0;
-        this.#doubt = "none";
+        this.#failureCount = 0;
+        this.#outage = "none";
         this.#suspectedSinceMs = undefined;
     }
 }
--- a/packages/edge/src/state/watchCheck.ts
+++ b/packages/edge/src/state/watchCheck.ts
@@ -29,18 +29,18 @@
  * whose response was lost, looks the same as a watch of a store without changes.
  */
 export class WatchCheck {
-    readonly #parts: WatchCheckDeps;
+    readonly #deps: WatchCheckDeps;
 
-    constructor(parts: WatchCheckDeps) {
-        this.#parts = parts;
+    constructor(deps: WatchCheckDeps) {
+        this.#deps = deps;
     }
 
     /** @returns why the watch may be dead, as log fields; `undefined` if the check found no fault */
     async run(): Promise<LogFields | undefined> {
-        const { revisionReader, contact, view, clock, metrics } = this.#parts;
+        const { revisionReader, contact, view, clock, metrics } = this.#deps;
         const startedAtMs = clock.monotonicMs();
-        const peeked = await revisionReader.read(watchCheckTimeoutMs);
-        return await peeked.caseOf<Promise<LogFields | undefined> | LogFields | undefined>({
+        const read = await revisionReader.read(watchCheckTimeoutMs);
+        return await read.caseOf<Promise<LogFields | undefined> | LogFields | undefined>({
             Left: ({ kind }) => {
                 metrics.onStoreCall("check", kind);
                 if (view.lastStoreContactMs > startedAtMs) {
@@ -52,14 +52,14 @@
             Right: revision => {
                 metrics.onStoreCall("check", "answered");
                 view.onStoreContact(clock.monotonicMs());
-                return this.#awaitChange(revision, startedAtMs);
+                return this.#awaitRevision(revision, startedAtMs);
             },
         });
     }
 
     /** Waits for the watch to deliver a revision that the check saw: if sent earlier, it is dead unless it does. */
-    async #awaitChange(revision: number, checkedAtMs: number): Promise<LogFields | undefined> {
-        const { state, clock } = this.#parts;
+    async #awaitRevision(revision: number, checkedAtMs: number): Promise<LogFields | undefined> {
+        const { state, clock } = this.#deps;
         const { sentAtMs, afterRevision = revision } = state();
         if (sentAtMs === undefined || sentAtMs > checkedAtMs || revision <= afterRevision) {
             return undefined;
