--- a/packages/edge/src/__tests__/initialSyncGate.test.ts
+++ b/packages/edge/src/__tests__/initialSyncGate.test.ts
@@ -23,10 +23,10 @@
     registerServer(store, await startBackend(t, "a"));
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
-    const answers = [call(edge, "/tables/x"), call(edge, "/tables/y")];
+    const responses = [call(edge, "/tables/x"), call(edge, "/tables/y")];
     await eventually(() => countHeld(edge) === 2, "both requests are held");
     release();
-    assert.deepEqual((await Promise.all(answers)).map(({ status }) => status), [200, 200]);
+    assert.deepEqual((await Promise.all(responses)).map(({ status }) => status), [200, 200]);
 });
 
 // Guards against requests that are held while the store is down.
@@ -35,10 +35,10 @@
     store.down = true;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
-    const answer = call(edge, "/tables/x");
+    const response = call(edge, "/tables/x");
     await eventually(() => countHeld(edge) === 1, "the request is held");
     release();
-    const { status, headers } = await answer;
+    const { status, headers } = await response;
     assert.equal(status, 503);
     assert.ok(Number(headers["retry-after"]) > 0);
 });
@@ -67,8 +67,8 @@
     store.firstPartKeyCount = 1;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
-    const answer = call(edge, "/tables/x");
+    const response = call(edge, "/tables/x");
     await eventually(() => countHeld(edge) === 1, "the request is held");
     release();
-    assert.equal((await answer).status, 200);
+    assert.equal((await response).status, 200);
 });
--- a/packages/edge/src/__tests__/keyChanges.test.ts
+++ b/packages/edge/src/__tests__/keyChanges.test.ts
@@ -18,12 +18,12 @@
 } from "./support/testEdge.js";
 
 /** Longer than a change in the store takes to come into force, in milliseconds. */
-const turnAwayAfterMs = 600;
+const rejectAfterMs = 600;
 
-interface Ended {
+interface SendResult {
     readonly status: number;
     /** Workspace and key that each attempt passed on to a server, in order. */
-    readonly told: readonly { readonly workspace: string | undefined; readonly key: string | undefined; }[];
+    readonly received: readonly { readonly workspace: string | undefined; readonly key: string | undefined; }[];
 }
 
 /** Sends a request with key `k`, which its first server rejects after another configuration came into force. */
@@ -31,7 +31,7 @@
     t: TestContext,
     before: readonly Workspace[] | undefined,
     after: readonly Workspace[],
-): Promise<Ended> {
+): Promise<SendResult> {
     const store = new MemoryStore();
     const write = (version: number, workspaces: readonly Workspace[] | undefined): void => {
         const configuration: FleetConfiguration = createConfiguration(version, [tables, returns]);
@@ -47,7 +47,7 @@
         write(2, after);
         setTimeout(() => {
             req.socket.write("HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\n\r\n");
-        }, turnAwayAfterMs);
+        }, rejectAfterMs);
     };
     write(1, before);
     registerServer(store, await startBackend(t, "i-1", serve));
@@ -70,24 +70,27 @@
     await res.body.dump();
     const inForce = (): boolean => edge.logs.some(({ name, change }) => name === "2" && change === "inForce");
     await eventually(inForce, "the second version is in force");
-    const told = arrived.map(({ headers }) => ({ workspace: headers.get("x-workspace"), key: headers.get("x-key") }));
-    return { status: res.statusCode, told };
+    const received = arrived.map(({ headers }) => ({
+        workspace: headers.get("x-workspace"),
+        key: headers.get("x-key"),
+    }));
+    return { status: res.statusCode, received };
 }
 
 // Guards against a 401, after which a caller doesn't retry, for a key that a new version moves to another workspace
 // while the request waits or is retried. A 401 is only for keys that no workspace has.
 test("a request whose key moves to another workspace while it is retried gets no 401", async t => {
-    const moved = await sendAcross(t, [{ name: "north", keys: ["k"] }], [
+    const result = await sendAcross(t, [{ name: "north", keys: ["k"] }], [
         { name: "north", keys: [] },
         { name: "south", keys: ["k"] },
     ]);
-    assert.notEqual(moved.status, 401);
-    assert.ok(moved.told.slice(1).every(({ workspace }) => workspace === "south"));
+    assert.notEqual(result.status, 401);
+    assert.ok(result.received.slice(1).every(({ workspace }) => workspace === "south"));
 });
 
 // Guards against a retry that passes a caller's key and forged workspace name on to a backend server: the request
 // arrived while the configuration had no workspaces, and is retried after the first version with workspaces.
 test("a request that arrived before workspaces came into force is not retried with its key", async t => {
-    const { told } = await sendAcross(t, undefined, [{ name: "south", keys: ["other"] }]);
-    assert.deepEqual(told.slice(1), []);
+    const { received } = await sendAcross(t, undefined, [{ name: "south", keys: ["other"] }]);
+    assert.deepEqual(received.slice(1), []);
 });
--- a/packages/edge/src/__tests__/largeChange.test.ts
+++ b/packages/edge/src/__tests__/largeChange.test.ts
@@ -30,7 +30,10 @@
     }
 }
 
-function ask(relay: RelayServer, waitMs: number): { readonly status: () => number; readonly body: () => string; } {
+function sendRequest(
+    relay: RelayServer,
+    waitMs: number,
+): { readonly status: () => number; readonly body: () => string; } {
     let status = 0;
     let body = "";
     const res = {
@@ -51,7 +54,7 @@
 test("a large change is not relayed, and waiting peers are sent to the store as soon as it begins to arrive", () => {
     const feed = new LargeFeed();
     const relay = new RelayServer(feed);
-    const waiting = ask(relay, 600);
+    const waiting = sendRequest(relay, 600);
     assert.equal(waiting.status(), 0);
     feed.isReceivingLargeChange = true;
     relay.onFeedChange();
@@ -62,14 +65,14 @@
         changed: [{ key: "a", value: "x".repeat(30_000), modifiedRevision: 2 }],
         deleted: [],
     };
-    const later = ask(relay, 600);
+    const later = sendRequest(relay, 600);
     assert.equal(parseRelayResponse(later.status(), later.body()).swap().unsafeCoerce().kind, "bodyTooLarge");
     feed.changes = {
         revision: 2,
         changed: [{ key: "a", value: "x".repeat(20_000), modifiedRevision: 2 }],
         deleted: [],
     };
-    const small = ask(relay, 600);
+    const small = sendRequest(relay, 600);
     assert.equal(parseRelayResponse(small.status(), small.body()).unsafeCoerce().changed.length, 1);
 });
 
--- a/packages/edge/src/__tests__/linkFaults.test.ts
+++ b/packages/edge/src/__tests__/linkFaults.test.ts
@@ -6,7 +6,7 @@
 
 /** Bounds that the users' platform requires. */
 const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
-const cutMs = 5_000;
+const faultMs = 5_000;
 
 // Guards against a gateway that reaches no backend server but still accepts callers, and refuses all their requests.
 for (const fault of linkFaults) {
@@ -15,7 +15,7 @@
         await fleet.sendFor(500, 10);
         fleet.cut(0, fault);
         fleet.cut(1, fault);
-        await fleet.sendFor(cutMs, 10);
+        await fleet.sendFor(faultMs, 10);
         assert.deepEqual(checkCutGateways(fleet.history, bounds), []);
     });
 }
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -99,8 +99,8 @@
         const serverIds = drains.map(() => this.#startServer());
         await this.#clock.advance(serversSettleMs);
         const startMs = this.#clock.monotonicMs();
-        const cut = this.#cutOff(scenario.areConnected);
-        setTimeout(() => this.#reconnect(cut), partitionMs);
+        const cutGateways = this.#cutOff(scenario.areConnected);
+        setTimeout(() => this.#reconnect(cutGateways), partitionMs);
         this.#startStoreFault(scenario);
         drains.forEach(({ atMs, deletedAfterMs }, i) => {
             const id = serverIds[i] ?? "";
@@ -123,7 +123,7 @@
         }
         return drains.flatMap((drain, i) =>
             this.#fleet.gateways.map(gateway => {
-                const wasCut = cut.has(gateway);
+                const wasCut = cutGateways.has(gateway);
                 const lastMs = lastUsableMs.get(`${gateway.name} ${serverIds[i]}`) ?? -Infinity;
                 const delayMs = lastMs - findReachableMs(scenario, drain, wasCut);
                 const isTooLate = wasCut
@@ -144,8 +144,8 @@
     ): Promise<number> {
         const serverIds = Array.from({ length: drainsPerScenario }, () => this.#startServer());
         await this.#clock.advance(serversSettleMs);
-        const cut = this.#cutOff(areConnected);
-        setTimeout(() => this.#reconnect(cut), partitionMs);
+        const cutGateways = this.#cutOff(areConnected);
+        setTimeout(() => this.#reconnect(cutGateways), partitionMs);
         this.#store.startFault("silent");
         setTimeout(() => {
             for (const id of serverIds) {
@@ -173,23 +173,23 @@
     /** Cuts off a third of the gateways, including one that relays changes to others. */
     #cutOff(areConnected: boolean): ReadonlySet<SimulatedGateway> {
         const { gateways } = this.#fleet;
-        const asked = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
-        const relays = gateways.filter(({ name }) => asked.has(name));
-        const cut = new Set([draw(this.#random, relays.length > 0 ? relays : gateways)]);
-        while (cut.size < Math.round(gateways.length / 3)) {
-            cut.add(draw(this.#random, gateways));
+        const relayNames = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
+        const relays = gateways.filter(({ name }) => relayNames.has(name));
+        const cutGateways = new Set([draw(this.#random, relays.length > 0 ? relays : gateways)]);
+        while (cutGateways.size < Math.round(gateways.length / 3)) {
+            cutGateways.add(draw(this.#random, gateways));
         }
         let partition = 1;
-        for (const gateway of cut) {
+        for (const gateway of cutGateways) {
             gateway.link.cut = true;
             gateway.partition = partition;
             partition += areConnected ? 0 : 1;
         }
-        return cut;
+        return cutGateways;
     }
 
-    #reconnect(cut: ReadonlySet<SimulatedGateway>): void {
-        for (const gateway of cut) {
+    #reconnect(cutGateways: ReadonlySet<SimulatedGateway>): void {
+        for (const gateway of cutGateways) {
             gateway.link.cut = false;
             gateway.partition = 0;
         }
--- a/packages/edge/src/__tests__/relay.test.ts
+++ b/packages/edge/src/__tests__/relay.test.ts
@@ -131,6 +131,6 @@
     // A request with an excessive wait gets its response after the usual maximum.
     const res = await request(`${relay.edge.peersUrl}/store-changes?after=999999&wait=99999999`);
     assert.equal(res.statusCode, 200);
-    const answer = await res.body.json() as { readonly changed: readonly unknown[]; };
-    assert.deepEqual(answer.changed, []);
+    const response = await res.body.json() as { readonly changed: readonly unknown[]; };
+    assert.deepEqual(response.changed, []);
 });
--- a/packages/edge/src/__tests__/relayContact.test.ts
+++ b/packages/edge/src/__tests__/relayContact.test.ts
@@ -38,19 +38,19 @@
 // at once.
 test("a contact query returns the duration of contact with the store without reading the store", async t => {
     const feed = new TestFeed();
-    const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
-    assert.equal(heard.extract(), 1_234);
+    const contact = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
+    assert.equal(contact.extract(), 1_234);
     assert.equal(feed.questions, 0);
 });
 
 test("a contact query fails if the gateway has no contact with the store", async t => {
     const feed = new TestFeed();
     feed.heardForMs = undefined;
-    const heard = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
-    assert.ok(heard.isLeft());
+    const contact = await new HttpRelayClient().fetchStoreContactMs(await serve(t, feed));
+    assert.ok(contact.isLeft());
 });
 
 test("a contact query fails if the gateway is unreachable", async () => {
-    const heard = await new HttpRelayClient().fetchStoreContactMs({ host: "127.0.0.1", port: 1 });
-    assert.ok(heard.isLeft());
+    const contact = await new HttpRelayClient().fetchStoreContactMs({ host: "127.0.0.1", port: 1 });
+    assert.ok(contact.isLeft());
 });
--- a/packages/edge/src/__tests__/rollouts.test.ts
+++ b/packages/edge/src/__tests__/rollouts.test.ts
@@ -28,7 +28,7 @@
 }
 
 /** Starts two gateways, one server of the old version and two of the new one, and callers that send continuously. */
-async function startFleet(t: TestContext, answerOfNew: string): Promise<Fleet> {
+async function startFleet(t: TestContext, newVersionStatus: string): Promise<Fleet> {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
     const calling = new AbortController();
@@ -37,7 +37,7 @@
     const old = await startBackend(t, "old");
     const fresh = await Promise.all(
         ["new-1", "new-2"].map(id =>
-            startBackend(t, id, req => req.socket.write(renderSignedResponse(req, `from ${id}`, answerOfNew)))
+            startBackend(t, id, req => req.socket.write(renderSignedResponse(req, `from ${id}`, newVersionStatus)))
         ),
     );
     registerServer(store, old, { version: "v1", slots: 6 });
--- a/packages/edge/src/__tests__/storeOutages.test.ts
+++ b/packages/edge/src/__tests__/storeOutages.test.ts
@@ -172,11 +172,11 @@
 
     /** @returns a gateway that relays changes to others; `undefined` if there is none */
     #findRelay(): SimulatedGateway | undefined {
-        const asked = this.#fleet.gateways.flatMap(({ logs }) => {
+        const relayNames = this.#fleet.gateways.flatMap(({ logs }) => {
             const chosen = logs.findLast(({ message }) => message === "relayChosen");
             return chosen === undefined ? [] : [chosen["peer"]];
         });
-        return this.#fleet.gateways.find(({ name, isDead }) => !isDead && asked.includes(name));
+        return this.#fleet.gateways.find(({ name, isDead }) => !isDead && relayNames.includes(name));
     }
 
     #findLatest(ackedAtMs: number): Pick<OutageResult, "maxDelayMs" | "gateway"> {
@@ -214,7 +214,7 @@
     test(`after any outage of the store, changes come into force in ${size.gateways} gateways in time`, async t => {
         const clock = VirtualClock.install(t);
         let overallMaxDelayMs = 0;
-        let mostReads = 0;
+        let maxReads = 0;
         let outageCost = 0;
         let totalCost = 0;
         for (let run = 0; run < runs * repetitions; run++) {
@@ -233,7 +233,7 @@
                 assert.ok(reads <= recoveryWindowMs / 1_000 * readsPerSecond, `${where}: ${reads} reads`);
                 assert.ok(writes <= recoveryWindowMs / 1_000 * writesPerSecond, `${where}: ${writes} writes`);
                 overallMaxDelayMs = Math.max(overallMaxDelayMs, maxDelayMs);
-                mostReads = Math.max(mostReads, reads);
+                maxReads = Math.max(maxReads, reads);
                 outageCost += rest.outageCost;
                 totalCost += rest.totalCost;
             }
@@ -242,7 +242,7 @@
         t.diagnostic(
             `latest after ${
                 Math.round(overallMaxDelayMs)
-            } ms; at most ${mostReads} reads in the ${recoveryWindowMs} ms after a recovery`,
+            } ms; at most ${maxReads} reads in the ${recoveryWindowMs} ms after a recovery`,
         );
         t.diagnostic(
             `cost of calls during outages: ${Math.round(outageCost)}, including those after recoveries: ${
--- a/packages/edge/src/__tests__/storeRestored.test.ts
+++ b/packages/edge/src/__tests__/storeRestored.test.ts
@@ -263,10 +263,10 @@
 
     /** @returns a gateway that relays changes to others */
     #findRelay(): SimulatedGateway | undefined {
-        const asked = this.#fleet.gateways.map(({ logs }) =>
+        const relayNames = this.#fleet.gateways.map(({ logs }) =>
             logs.findLast(({ message }) => message === "relayChosen")?.["peer"]
         );
-        return this.#fleet.gateways.find(({ name, isDead }) => !isDead && asked.includes(name));
+        return this.#fleet.gateways.find(({ name, isDead }) => !isDead && relayNames.includes(name));
     }
 }
 
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -105,10 +105,10 @@
         this.#faultCount++;
     }
 
-    /** Ends the fault. @param lapses - whether all leases have expired meanwhile */
-    endFault(lapses: boolean): void {
+    /** Ends the fault. @param expireLeases - whether all leases have expired meanwhile */
+    endFault(expireLeases: boolean): void {
         this.fault = undefined;
-        if (lapses) {
+        if (expireLeases) {
             this.engine.expire(Infinity);
         }
         this.notifyWatches();
@@ -149,15 +149,15 @@
             const kept = this.#backups.filter(copy => atMs - copy.atMs <= maxBackupAgeMs);
             this.#backups = [...kept, { atMs, engine: this.engine.copy() }];
         }
-        for (const look of [...this.#listeners]) {
-            look();
+        for (const listener of [...this.#listeners]) {
+            listener();
         }
     }
 
-    /** Calls `look` on each change. @returns a function that unsubscribes it */
-    onChange(look: () => void): () => void {
-        this.#listeners.add(look);
-        return () => void this.#listeners.delete(look);
+    /** Calls a listener on each change. @returns a function that removes it */
+    onChange(listener: () => void): () => void {
+        this.#listeners.add(listener);
+        return () => void this.#listeners.delete(listener);
     }
 }
 
@@ -277,9 +277,9 @@
         const seen = isQuiet && waitMs > 0 && signal?.aborted !== true
             ? await this.#wait(find, untilMs, slackMs, signal)
             : first;
-        const told = seen.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
-        this.#term.onAnswer(told);
-        return told > watchedTerm ? lost : seen;
+        const answeredTerm = seen.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
+        this.#term.onAnswer(answeredTerm);
+        return answeredTerm > watchedTerm ? lost : seen;
     }
 
     #position(): number {
@@ -305,13 +305,13 @@
         const { faultCount } = store;
         return new Promise(resolve => {
             const end = (result: Either<Failure, WatchEvents>): void => {
-                forget();
-                clearTimeout(answer);
-                clearTimeout(lost);
+                unsubscribe();
+                clearTimeout(answerTimer);
+                clearTimeout(lossTimer);
                 resolve(result);
             };
             const isSilent = (): boolean => this.cut || store.faultCount !== faultCount;
-            const look = (): void => {
+            const checkChanges = (): void => {
                 if (store.fault === "reset" || store.fault === "refusing") {
                     end(this.#fail(store.fault));
                     return;
@@ -321,14 +321,14 @@
                     end(Right(seen));
                 }
             };
-            const forget = store.onChange(look);
+            const unsubscribe = store.onChange(checkChanges);
             const nowMs = store.clock.monotonicMs();
-            const answer = setTimeout(() => {
+            const answerTimer = setTimeout(() => {
                 if (!isSilent()) {
                     end(Right(find(store.clock.monotonicMs())));
                 }
             }, untilMs - nowMs);
-            const lost = setTimeout(() => end(this.#fail("silent")), untilMs - nowMs + (slackMs ?? callTimeoutMs));
+            const lossTimer = setTimeout(() => end(this.#fail("silent")), untilMs - nowMs + (slackMs ?? callTimeoutMs));
             signal?.addEventListener("abort", () => end(this.#fail("silent")), { once: true });
         });
     }
@@ -351,7 +351,7 @@
                 resolve(result);
             };
             const isSilent = this.cut || fault === "silent";
-            const answerMs = fault === "slow" ? slowLatencyMs : usualLatencyMs;
+            const latencyMs = fault === "slow" ? slowLatencyMs : usualLatencyMs;
             const timer = isSilent
                 ? setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs)
                 : setTimeout(() => {
@@ -365,7 +365,7 @@
                             ? run(store.clock.monotonicMs())
                             : this.#fail(fault),
                     );
-                }, answerMs * (0.5 + store.random.next()));
+                }, latencyMs * (0.5 + store.random.next()));
             signal?.addEventListener("abort", () => settle(this.#fail("silent")), { once: true });
         });
     }
--- a/packages/edge/src/__tests__/support/simulatedGateways.ts
+++ b/packages/edge/src/__tests__/support/simulatedGateways.ts
@@ -157,10 +157,10 @@
         const peer = this.#fleet.gateways[address.port];
         return new Promise(resolve => {
             let close: () => void = () => undefined;
-            const finish = (answer: Either<Failure, T>): void => {
+            const finish = (result: Either<Failure, T>): void => {
                 clearTimeout(timer);
                 close();
-                resolve(answer);
+                resolve(result);
             };
             const timeOut = (): void => finish(Left(createFailure("peerUnreachable", "no answer")));
             const timer = setTimeout(timeOut, timeoutMs);
--- a/packages/edge/src/__tests__/support/simulatedReachFleet.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -199,9 +199,9 @@
         for (const timeoutMs of probeTimeoutsMs) {
             const servers = Array.from({ length: parallelProbes }, () => `server-${this.#draw(this.size.servers)}`);
             const ends = await Promise.all(servers.map(id => this.#contact(gateway, id, false, timeoutMs)));
-            const heard = servers.find((_, i) => ends[i] === "heard");
-            if (heard !== undefined || gateway.reach.stateOf(service) === "lost") {
-                return heard;
+            const reachable = servers.find((_, i) => ends[i] === "heard");
+            if (reachable !== undefined || gateway.reach.stateOf(service) === "lost") {
+                return reachable;
             }
             await sleep(10 + 15 * this.random.next());
         }
@@ -313,7 +313,7 @@
 
     override async fetchReachability(
         { port }: ServerAddress,
-        asked: string,
+        queriedService: string,
     ): Promise<ReachabilityResponse | undefined> {
         const peer = this.#fleet.findGateway(port);
         if (peer === undefined || peer.isDead || !this.#fleet.size.peersAnswer) {
@@ -321,9 +321,9 @@
             return undefined;
         }
         await sleep(latencyMs);
-        const answer = await peer.reach.getReachability(asked);
+        const response = await peer.reach.getReachability(queriedService);
         await sleep(latencyMs);
-        return answer;
+        return response;
     }
 }
 
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -19,7 +19,7 @@
 export interface WorkspaceLimitsDeps {
     /** Name of this gateway in its registration. */
     readonly name: string;
-    /** ID of this process incarnation. */
+    /** ID that is unique to this process incarnation. */
     readonly incarnation: string;
     readonly view: FleetView;
     readonly clock: Clock;
--- a/packages/edge/src/reach/reachabilityMessages.ts
+++ b/packages/edge/src/reach/reachabilityMessages.ts
@@ -7,10 +7,10 @@
 /** Query parameter that names the service. */
 export const reachabilityServiceParam = "service";
 
-/** Status codes of responses to a reach query. */
+/** Status codes of responses to a reachability query. */
 export const reachabilityStatus = Object.freeze({ ok: 200, badRequest: 400 });
 
-/** Response to a reach query. */
+/** Response to a reachability query. */
 export const reachabilityResponse = z.object({
     /** Whether the responder reaches the service. */
     reaches: z.boolean(),
@@ -18,5 +18,5 @@
     named: z.array(z.string().max(256)).max(16),
 });
 
-/** Response to a reach query. */
+/** Response to a reachability query. */
 export type ReachabilityResponse = DeepReadonly<z.output<typeof reachabilityResponse>>;
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -43,7 +43,7 @@
         const startedAtMs = clock.monotonicMs();
         const connection = connections.open(server.address);
         const { healthPath } = rules;
-        const told = await probeServerLoad({
+        const result = await probeServerLoad({
             server,
             connection,
             healthPath,
@@ -51,16 +51,16 @@
             timeoutMs: reachabilityCheckTimeoutMs,
         });
         const nowMs = clock.monotonicMs();
-        metrics.onLoadProbed(told.type === "told" ? "told" : told.reason);
-        if (told.type === "untold") {
+        metrics.onLoadProbed(result.type === "told" ? "told" : result.reason);
+        if (result.type === "untold") {
             connection.destroy();
-            return told.reason === "otherServer" ? "heard" : told.reason;
+            return result.reason === "otherServer" ? "heard" : result.reason;
         }
         connections.release(server.id, connection, { after: "question", nowMs });
-        board.onProbeResponse(service, told.offer, startedAtMs);
+        board.onProbeResponse(service, result.offer, startedAtMs);
         metadataRecorder.record({
             server,
-            metadata: told.metadata,
+            metadata: result.metadata,
             source: { answered: "question", sentAtMs: startedAtMs },
             nowMs,
         });
--- a/packages/edge/src/rollout/rolloutRunner.ts
+++ b/packages/edge/src/rollout/rolloutRunner.ts
@@ -60,9 +60,9 @@
 
     #tick(): void {
         this.#checkTerm();
-        const openCount = this.#participant.countOpen();
+        const openCountBefore = this.#participant.countOpen();
         this.#execute(this.#participant.tick(this.#now()));
-        if (openCount > 0 && this.#participant.countOpen() === 0) {
+        if (openCountBefore > 0 && this.#participant.countOpen() === 0) {
             this.#client.close();
         }
     }
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -220,11 +220,11 @@
                 view.markCurrentAsOf(startedAtMs);
                 this.#afterRevision = revision;
                 this.#mirror.onFullRead(revision, entries);
-                const beliefs = view.onFullRead(items, this.#now(), termOf(revision));
+                const viewChanges = view.onFullRead(items, this.#now(), termOf(revision));
                 if (!isFirst && view.term > before.term) {
                     this.#onStoreRestored(before, revision);
                 }
-                this.#report(beliefs);
+                this.#reportChanges(viewChanges);
                 this.#deps.onRelayFeedChange();
                 initialSyncGate.onStateRead();
                 // While a whole fleet starts, each registration would be a separate change for every gateway.
@@ -252,7 +252,7 @@
     #onOperatorRead(items: readonly StateItem[]): void {
         const { view, initialSyncGate } = this.#deps;
         if (!view.hasSynced) {
-            this.#report(view.onChanges({ items, deletedKeys: [] }, this.#now()));
+            this.#reportChanges(view.onChanges({ items, deletedKeys: [] }, this.#now()));
             initialSyncGate.onStateRead();
         }
     }
@@ -266,9 +266,9 @@
             : { waitMs: 0 };
         const { signal } = this.#turnAbort;
         this.#watchSentAtMs = startedAtMs;
-        let answeredAtMs: number | undefined;
+        let responseStartMs: number | undefined;
         const onArriving = (bytes: number): void => {
-            answeredAtMs ??= this.#now();
+            responseStartMs ??= this.#now();
             this.#onResponseData(bytes);
         };
         const watched = await store.watch({ prefix: codec.prefix, afterRevision, ...wait, onArriving, signal });
@@ -293,7 +293,7 @@
             Right: events => {
                 this.#onStoreAnswered("watch");
                 // A long poll returns the state as of when its response began to arrive.
-                this.#deps.view.markCurrentAsOf(wait.waitMs > 0 ? answeredAtMs ?? this.#now() : startedAtMs);
+                this.#deps.view.markCurrentAsOf(wait.waitMs > 0 ? responseStartMs ?? this.#now() : startedAtMs);
                 this.#applyChanges(events);
                 this.#sources.onCaughtUp();
                 // Avoids a tight loop if the store answers a long poll at once without changes.
@@ -353,27 +353,27 @@
                 });
                 return 0;
             },
-            Right: answer => {
-                if (termOf(answer.revision) < termOf(afterRevision)) {
+            Right: response => {
+                if (termOf(response.revision) < termOf(afterRevision)) {
                     // The peer hasn't noticed the restore of the store yet, so it lacks the changes made since then.
                     log.log("warn", "relayLost", {
                         peer: peer.name,
                         kind: "earlierTerm",
                         afterRevision,
-                        revision: answer.revision,
+                        revision: response.revision,
                     });
                     metrics.onRelayRequest("earlierTerm");
                     this.#sources.onFailure(peer.name, this.#now(), true);
                     return 0;
                 }
                 if (!peer.answeredLast) {
-                    const { revision, ageMs, currentAgeMs } = answer;
+                    const { revision, ageMs, currentAgeMs } = response;
                     log.log("info", "relayChosen", { peer: peer.name, afterRevision, revision, ageMs, currentAgeMs });
                 }
                 metrics.onRelayRequest("answered");
                 this.#sources.onAnswer(peer.name);
-                this.#contact.onRelayResponse(answer);
-                this.#applyChanges(answer);
+                this.#contact.onRelayResponse(response);
+                this.#applyChanges(response);
                 return 0;
             },
         });
@@ -384,7 +384,7 @@
         this.#afterRevision = Math.max(this.#afterRevision ?? 0, events.revision);
         this.#mirror.onChanges(events);
         const items = events.changed.map(entry => codec.decode(entry));
-        this.#report(view.onChanges({ items, deletedKeys: events.deleted }, this.#now()));
+        this.#reportChanges(view.onChanges({ items, deletedKeys: events.deleted }, this.#now()));
         if (hasChanges(events)) {
             this.#deps.onRelayFeedChange();
         }
@@ -419,7 +419,7 @@
     }
 
     #tick(): void {
-        this.#report(this.#deps.view.expire(this.#now()));
+        this.#reportChanges(this.#deps.view.expire(this.#now()));
         // After a suspension of the host, its state is outdated by that time and its connections may be dead, so the
         // current turn is aborted and the source is queried again.
         const pausedMs = this.#pauseDetector.check();
@@ -457,11 +457,11 @@
         return this.#deps.clock.monotonicMs();
     }
 
-    #report(beliefs: readonly FleetChange[]): void {
+    #reportChanges(viewChanges: readonly FleetChange[]): void {
         const { log, view, onViewChange } = this.#deps;
         const sinceStoreMs = Math.round(this.#now() - view.lastStoreContactMs);
         const sinceCurrentMs = this.#roundedCurrentAgeMs();
-        for (const { subject, name, change } of beliefs) {
+        for (const { subject, name, change } of viewChanges) {
             log.log("info", "belief", {
                 subject,
                 name,
@@ -471,10 +471,10 @@
                 sinceCurrentMs,
             });
         }
-        if (beliefs.length > 0) {
+        if (viewChanges.length > 0) {
             onViewChange();
         }
-        if (beliefs.some(({ change }) => change === "lapsed")) {
+        if (viewChanges.some(({ change }) => change === "lapsed")) {
             void this.#outageVerifier.run();
         }
     }
