--- a/packages/edge/src/__tests__/linkFaultFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -111,7 +111,7 @@
 const simulationCount = Number(process.env["CUT_WORLDS"] ?? 120);
 
 // Guards against a gateway that refuses its callers, or hands requests to others needlessly, by a wrong reach state.
-test("callers of cut-off gateways are served for all combinations of gateways, link faults and durations", async t => {
+test("callers of cut-off gateways are served for randomly drawn gateways, link faults and durations", async t => {
     const clock = VirtualClock.install(t);
     const random = createRandomSource(7);
     let wrong = 0;
--- a/packages/edge/src/__tests__/registration.test.ts
+++ b/packages/edge/src/__tests__/registration.test.ts
@@ -10,8 +10,8 @@
     return find() ?? {};
 }
 
-// Guards against the cost of a rolling restart: each new registration completes the watches of all other gateways, each
-// of which makes another call. Keeping the same registration costs none.
+// Guards against the cost of a rolling restart, such as of 15 gateways: each new registration completes the watches of
+// all other gateways, each of which makes another call. Keeping the same registration costs none.
 test("a restarted gateway adopts the registration of its previous incarnation", async t => {
     const store = new MemoryStore();
     store.put("configuration", createConfiguration(1));
--- a/packages/edge/src/__tests__/storeRestored.test.ts
+++ b/packages/edge/src/__tests__/storeRestored.test.ts
@@ -11,7 +11,7 @@
 const inForceWithinMs = 2_000;
 const drainWithinMs = 2_000;
 const evacuatedWithinMs = 5_000;
-/** Time after its recovery from which the store counts as stable and the limit for draining servers applies. */
+/** Time after which a recovered store counts as stable and the limit for draining servers applies, in milliseconds. */
 const stableAfterMs = 3_000;
 const settleMs = 8_000;
 const afterMs = 8_000;
--- a/packages/edge/src/__tests__/support/simulatedReachFleet.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -35,7 +35,7 @@
     readonly peersAnswer: boolean;
 }
 
-/** One gateway whose links to all servers a test can fail: with its real `ReachabilityMonitor` and simulated requests. */
+/** One gateway whose links to all servers a test can fail, with a real `ReachabilityMonitor` and simulated requests. */
 export class SimulatedReachGateway {
     readonly name: string;
     readonly reach: ReachabilityMonitor;
