--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -310,7 +310,7 @@
         assert.equal(
             overDesignLimit,
             0,
-            `${overDesignLimit} of ${count} cases over the limit by design, ${overPlatformLimit} over the platform's: ${where}: ${
+            `${overDesignLimit} of ${count} cases over the design limit, ${overPlatformLimit} over the platform's: ${where}: ${
                 describe(result, scenario)
             }`,
         );
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -257,7 +257,7 @@
         if (plainRevision < this.#store.compactRevision || plainRevision > this.#store.engine.revision) {
             return await this.#call("reads", 1, () => lost);
         }
-        const find = (nowMs: number): WatchEvents => {
+        const findChanges = (nowMs: number): WatchEvents => {
             const { engine, watchSnapshot = engine } = this.#store;
             const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, plainRevision, nowMs);
             const position = toPosition(this.#store.term, revision) ?? 0;
@@ -268,18 +268,18 @@
             };
         };
         const sentAtMs = this.#store.clock.monotonicMs();
-        const first = await this.#call("reads", 1, nowMs => Right(find(nowMs)), { signal, waitMs, slackMs });
+        const first = await this.#call("reads", 1, nowMs => Right(findChanges(nowMs)), { signal, waitMs, slackMs });
         if (termOf(first.map(({ revision }) => revision).orDefault(afterRevision)) > watchedTerm) {
             return lost;
         }
-        const isQuiet = first.map(seen => seen.changed.length + seen.deleted.length === 0).orDefault(false);
+        const isQuiet = first.map(events => events.changed.length + events.deleted.length === 0).orDefault(false);
         const untilMs = sentAtMs + waitMs;
-        const seen = isQuiet && waitMs > 0 && signal?.aborted !== true
-            ? await this.#wait(find, untilMs, slackMs, signal)
+        const events = isQuiet && waitMs > 0 && signal?.aborted !== true
+            ? await this.#wait(findChanges, untilMs, slackMs, signal)
             : first;
-        const answeredTerm = seen.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
+        const answeredTerm = events.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
         this.#term.onAnswer(answeredTerm);
-        return answeredTerm > watchedTerm ? lost : seen;
+        return answeredTerm > watchedTerm ? lost : events;
     }
 
     #position(): number {
@@ -296,7 +296,7 @@
     }
 
     #wait(
-        find: (nowMs: number) => WatchEvents,
+        findChanges: (nowMs: number) => WatchEvents,
         untilMs: number,
         slackMs: number | undefined,
         signal: AbortSignal | undefined,
@@ -304,7 +304,7 @@
         const store = this.#store;
         const { faultCount } = store;
         return new Promise(resolve => {
-            const end = (result: Either<Failure, WatchEvents>): void => {
+            const finish = (result: Either<Failure, WatchEvents>): void => {
                 unsubscribe();
                 clearTimeout(answerTimer);
                 clearTimeout(lossTimer);
@@ -313,23 +313,26 @@
             const isSilent = (): boolean => this.cut || store.faultCount !== faultCount;
             const checkChanges = (): void => {
                 if (store.fault === "reset" || store.fault === "refusing") {
-                    end(this.#fail(store.fault));
+                    finish(this.#fail(store.fault));
                     return;
                 }
-                const seen = find(store.clock.monotonicMs());
-                if (!isSilent() && seen.changed.length + seen.deleted.length > 0) {
-                    end(Right(seen));
+                const events = findChanges(store.clock.monotonicMs());
+                if (!isSilent() && events.changed.length + events.deleted.length > 0) {
+                    finish(Right(events));
                 }
             };
             const unsubscribe = store.onChange(checkChanges);
             const nowMs = store.clock.monotonicMs();
             const answerTimer = setTimeout(() => {
                 if (!isSilent()) {
-                    end(Right(find(store.clock.monotonicMs())));
+                    finish(Right(findChanges(store.clock.monotonicMs())));
                 }
             }, untilMs - nowMs);
-            const lossTimer = setTimeout(() => end(this.#fail("silent")), untilMs - nowMs + (slackMs ?? callTimeoutMs));
-            signal?.addEventListener("abort", () => end(this.#fail("silent")), { once: true });
+            const lossTimer = setTimeout(
+                () => finish(this.#fail("silent")),
+                untilMs - nowMs + (slackMs ?? callTimeoutMs),
+            );
+            signal?.addEventListener("abort", () => finish(this.#fail("silent")), { once: true });
         });
     }
 
--- a/packages/edge/src/__tests__/support/storeLink.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -52,9 +52,9 @@
     }
 
     override async watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>> {
-        const seen = await this.#call(() => this.#store.watch(req), req.signal);
+        const events = await this.#call(() => this.#store.watch(req), req.signal);
         // A watch whose link is cut while it is pending gets no response.
-        return this.cut ? this.#timeOut(req.signal) : seen;
+        return this.cut ? this.#timeOut(req.signal) : events;
     }
 
     #call<T>(run: () => Promise<Either<Failure, T>>, signal?: AbortSignal): Promise<Either<Failure, T>> {
