--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -33,8 +33,8 @@
 const renewalIntervalMs = registrationTtlMs / renewalsPerTtl;
 
 /**
- * Keeps this gateway's registration in the store, under a lease. Gateways divide fleet-wide limits by the number of
- * registrations, so the shares would add up to more than the limit if a gateway ran without one.
+ * Keeps this gateway's registration in the store, under a lease. Gateways divide fleet-wide budgets by the number of
+ * registrations, so the shares would add up to more than the whole if a gateway ran without one.
  *
  * A restarted process adopts the lease of its previous incarnation. Each write of a registration is a change that every
  * gateway fetches with a call of its own: a restart without a write saves a fleet of 15 about 30 calls.
@@ -115,8 +115,8 @@
     #isUpToDate(): boolean {
         const { view, name, registration } = this.#deps;
         const stored = view.registeredGateways().find(gateway => gateway.name === name);
-        const [before, now] = [stored, registration].map(each => each && renderGatewayRegistration(each));
-        return before === now;
+        const [storedText, currentText] = [stored, registration].map(each => each && renderGatewayRegistration(each));
+        return storedText === currentText;
     }
 
     async #register(): Promise<boolean> {
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -319,7 +319,7 @@
     async #watchRelay(peer: Extract<WatchSource, { readonly type: "peer"; }>, afterRevision: number): Promise<number> {
         const { log, metrics } = this.#deps;
         const { signal } = this.#turnAbort;
-        const askedAtMs = this.#now();
+        const requestedAtMs = this.#now();
         const fetched = await this.#deps.relayClient.fetchChanges({
             address: peer.address,
             afterRevision,
@@ -347,9 +347,9 @@
                     peer: peer.name,
                     kind: failure.kind,
                     detail: failure.detail,
-                    tookMs: Math.round(this.#now() - askedAtMs),
+                    tookMs: Math.round(this.#now() - requestedAtMs),
                     sinceStoreMs: Math.round(this.#now() - this.#deps.view.lastStoreContactMs),
-                    sinceCurrentMs: this.#roundedCurrentAgeMs(),
+                    sinceCurrentMs: this.#getRoundedCurrentAgeMs(),
                 });
                 return 0;
             },
@@ -404,7 +404,7 @@
 
     /** Records that the watch may be dead, so that the next one returns at once. */
     #onWatchSuspected(suspicion: LogFields): void {
-        this.#deps.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#roundedCurrentAgeMs() });
+        this.#deps.log.log("warn", "storeSuspected", { ...suspicion, sinceCurrentMs: this.#getRoundedCurrentAgeMs() });
         this.#isStoreConfirmed = false;
         this.#deps.onRelayFeedChange();
     }
@@ -448,7 +448,7 @@
         return this.#contact.onCallFailed(call, failure, startedAtMs);
     }
 
-    #roundedCurrentAgeMs(): number | undefined {
+    #getRoundedCurrentAgeMs(): number | undefined {
         const { currentAgeMs } = this;
         return currentAgeMs === undefined ? undefined : Math.round(currentAgeMs);
     }
@@ -460,7 +460,7 @@
     #reportChanges(viewChanges: readonly FleetChange[]): void {
         const { log, view, onViewChange } = this.#deps;
         const sinceStoreMs = Math.round(this.#now() - view.lastStoreContactMs);
-        const sinceCurrentMs = this.#roundedCurrentAgeMs();
+        const sinceCurrentMs = this.#getRoundedCurrentAgeMs();
         for (const { subject, name, change } of viewChanges) {
             log.log("info", "belief", {
                 subject,
