--- a/packages/edge/src/__tests__/keyChanges.test.ts
+++ b/packages/edge/src/__tests__/keyChanges.test.ts
@@ -17,21 +17,21 @@
     waitUntilReady,
 } from "./support/testEdge.js";
 
-/** Longer than a change of the store takes to be in force. */
-const turnAwayAfterMs = 600;
+/** Longer than a change in the store takes to come into force, in milliseconds. */
+const rejectAfterMs = 600;
 
-interface Ended {
+interface SendResult {
     readonly status: number;
-    /** What the servers were told of the caller, in the order of the sends. */
-    readonly told: readonly { readonly workspace: string | undefined; readonly key: string | undefined; }[];
+    /** Workspace and key that each attempt passed on to a server, in order. */
+    readonly received: readonly { readonly workspace: string | undefined; readonly key: string | undefined; }[];
 }
 
-/** One request with key `k`, turned away by its first server after another version has come into force. */
+/** Sends a request with key `k`, which its first server rejects after another configuration came into force. */
 async function sendAcross(
     t: TestContext,
     before: readonly Workspace[] | undefined,
     after: readonly Workspace[],
-): Promise<Ended> {
+): Promise<SendResult> {
     const store = new MemoryStore();
     const write = (version: number, workspaces: readonly Workspace[] | undefined): void => {
         const configuration: FleetConfiguration = createConfiguration(version, [tables, returns]);
@@ -47,14 +47,17 @@
         write(2, after);
         setTimeout(() => {
             req.socket.write("HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\n\r\n");
-        }, turnAwayAfterMs);
+        }, rejectAfterMs);
     };
     write(1, before);
     registerServer(store, await startBackend(t, "i-1", serve));
     registerServer(store, await startBackend(t, "i-2", serve));
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
-    await eventually(() => edge.logs.some(line => line["subject"] === "gateway"), "the gateway knows of itself");
+    await eventually(
+        () => edge.logs.some(line => line["subject"] === "gateway"),
+        "the gateway sees its own registration",
+    );
     const res = await request(`${edge.url}/tables/1`, {
         headers: {
             "host": "survey.example",
@@ -67,24 +70,27 @@
     await res.body.dump();
     const inForce = (): boolean => edge.logs.some(({ name, change }) => name === "2" && change === "inForce");
     await eventually(inForce, "the second version is in force");
-    const told = arrived.map(({ headers }) => ({ workspace: headers.get("x-workspace"), key: headers.get("x-key") }));
-    return { status: res.statusCode, told };
+    const received = arrived.map(({ headers }) => ({
+        workspace: headers.get("x-workspace"),
+        key: headers.get("x-key"),
+    }));
+    return { status: res.statusCode, received };
 }
 
-// A caller whose key is there gets 401, after which it doesn't try again: its request waits or is to be sent again while
-// a version moves the key to another workspace. 401 is for keys that no workspace holds.
-test("a request whose key is moved to another workspace meanwhile gets no 401", async t => {
-    const moved = await sendAcross(t, [{ name: "north", keys: ["k"] }], [
+// Guards against a 401, after which a caller doesn't retry, for a key that a new version moves to another workspace
+// while the request waits or is retried. A 401 is only for keys that no workspace has.
+test("a request whose key moves to another workspace while it is retried gets no 401", async t => {
+    const result = await sendAcross(t, [{ name: "north", keys: ["k"] }], [
         { name: "north", keys: [] },
         { name: "south", keys: ["k"] },
     ]);
-    assert.notEqual(moved.status, 401);
-    assert.ok(moved.told.slice(1).every(({ workspace }) => workspace === "south"));
+    assert.notEqual(result.status, 401);
+    assert.ok(result.received.slice(1).every(({ workspace }) => workspace === "south"));
 });
 
-// A backend server gets a caller's key and a name that the caller made up: the request arrives while the configuration
-// has no workspaces, and is sent again after the first version that has some is in force.
-test("a request that arrived before workspaces came into force isn't sent again with its key", async t => {
-    const { told } = await sendAcross(t, undefined, [{ name: "south", keys: ["other"] }]);
-    assert.deepEqual(told.slice(1), []);
+// Guards against a retry that passes a caller's key and forged workspace name on to a backend server: the request
+// arrived while the configuration had no workspaces, and is retried after the first version with workspaces.
+test("a request that arrived before workspaces came into force is not retried with its key", async t => {
+    const { received } = await sendAcross(t, undefined, [{ name: "south", keys: ["other"] }]);
+    assert.deepEqual(received.slice(1), []);
 });
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -6,193 +6,196 @@
 import { FaultyStore } from "./support/faultyStore.js";
 import { VirtualClock } from "./support/virtualClock.js";
 
-/** What the users' platform allows from the store's answer to a server that begins to leave. */
-const allowedMs = 2_500;
-/** From the end of its cut until a host is held to it. */
-const inTouchMs = 3_000;
-/** What the design promises, counted from when the last of what keeps a change from a gateway is over. */
-const boundMs = 1_500;
+/** Time limit of the users' platform, from the store's response to a server that starts to drain, in milliseconds. */
+const platformLimitMs = 2_500;
+/** Time from the end of a partition until that limit applies to a gateway again, in milliseconds. */
+const reconnectedMs = 3_000;
+/** Time limit by design, from the end of the last fault that keeps a change from a gateway, in milliseconds. */
+const designLimitMs = 1_500;
 const settleMs = 8_000;
 const serversSettleMs = 3_000;
 const sampleMs = 10;
-const afterMs = 6_000;
-const drainsPerTrouble = 6;
-const longestCutMs = 12_000;
-/** Time in which a living server writes its entry again after the store's return. */
-const rewriteMs = 1_500;
+const settleAfterMs = 6_000;
+const drainsPerScenario = 6;
+const maxPartitionMs = 12_000;
+/** Time in which a running server writes its entry again after the store's recovery, in milliseconds. */
+const rewriteLimitMs = 1_500;
 
-interface Trouble {
-    readonly cutMs: number;
-    /** Whether the hosts that are cut off reach each other. */
-    readonly together: boolean;
-    /** From the start of the cut until the store is troubled, and for how long. */
-    readonly troubledAfterMs: number;
-    readonly troubledMs: number;
-    /** How watches are silent meanwhile: held back until the end, or connections that die. */
-    readonly watches: "heldBack" | "dead";
+interface Scenario {
+    readonly partitionMs: number;
+    /** Whether the gateways that are cut off reach each other. */
+    readonly areConnected: boolean;
+    /** Time from the start of the partition to the store's fault, and the duration of that, in milliseconds. */
+    readonly storeFaultAfterMs: number;
+    readonly storeFaultMs: number;
+    /** Fault of watches: changes are held back until it ends, or the connections are dead. */
+    readonly watchFault: "heldBack" | "dead";
     readonly losesHistory: boolean;
     readonly staleMs: number;
     readonly drains: readonly Drain[];
 }
 
 interface Drain {
-    /** From the start of the cut. */
+    /** Time from the start of the partition, in milliseconds. */
     readonly atMs: number;
-    /** From the start of draining until the server's entry is deleted. */
+    /** Time from the start of draining until the server's entry is deleted, in milliseconds; `undefined` for never. */
     readonly deletedAfterMs: number | undefined;
 }
 
-function drawTrouble(random: RandomSource): Trouble {
-    const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
+function drawScenario(random: RandomSource): Scenario {
+    const partitionMs = 1_000 + random.next() * (maxPartitionMs - 1_000);
     return {
-        cutMs,
-        together: random.next() < 0.5,
-        troubledAfterMs: random.next() * cutMs,
-        troubledMs: 500 + random.next() * 4_000,
-        watches: random.next() < 0.5 ? "heldBack" : "dead",
+        partitionMs,
+        areConnected: random.next() < 0.5,
+        storeFaultAfterMs: random.next() * partitionMs,
+        storeFaultMs: 500 + random.next() * 4_000,
+        watchFault: random.next() < 0.5 ? "heldBack" : "dead",
         losesHistory: random.next() < 0.7,
         staleMs: random.next() < 0.7 ? 3_000 : 0,
-        drains: Array.from({ length: drainsPerTrouble }, () => ({
-            atMs: random.next() * (cutMs + 1_000),
+        drains: Array.from({ length: drainsPerScenario }, () => ({
+            atMs: random.next() * (partitionMs + 1_000),
             deletedAfterMs: random.next() < 0.4 ? undefined : random.next() * 6_000,
         })),
     };
 }
 
-/** One gateway and one server that leaves. */
-interface Seen {
+/** Result for one gateway and one draining server. */
+interface DrainResult {
     readonly gateway: SimulatedGateway;
     readonly wasCut: boolean;
     readonly drain: Drain;
-    /** Until it last would have sent the server a request, from when nothing kept it from knowing better. */
-    readonly lateMs: number;
-    /** Whether it breaks what the platform allows. */
+    /** Time from when nothing kept the change from the gateway until it last considered the server usable. */
+    readonly delayMs: number;
+    /** Whether it violates the platform's limit. */
     readonly isTooLate: boolean;
 }
 
-/** Gateways of which a third is cut off from all others and from the store. */
-class PartitionWorld {
-    readonly #time: VirtualClock;
+/** Simulated fleet, a third of which is cut off from all other gateways and from the store. */
+class PartitionSimulation {
+    readonly #clock: VirtualClock;
     readonly #store: FaultyStore;
     readonly #fleet: SimulatedFleet;
     readonly #random: RandomSource;
-    #started = 0;
+    #serverCount = 0;
 
     constructor(
-        time: VirtualClock,
+        clock: VirtualClock,
         random: RandomSource,
         size: { readonly gateways: number; readonly zones: number; },
     ) {
-        this.#time = time;
+        this.#clock = clock;
         this.#random = random;
-        this.#store = new FaultyStore(time, random);
+        this.#store = new FaultyStore(clock, random);
         this.#store.put("configuration", createConfiguration(1));
-        this.#fleet = new SimulatedFleet(time, this.#store, random, size);
+        this.#fleet = new SimulatedFleet(clock, this.#store, random, size);
         for (const gateway of this.#fleet.gateways) {
             setTimeout(() => gateway.start(), random.next() * 300);
         }
     }
 
-    /** Servers leave while a third of the gateways is cut off and the store is troubled. */
-    async drain(trouble: Trouble): Promise<readonly Seen[]> {
-        const { drains, cutMs, troubledAfterMs, troubledMs } = trouble;
-        const ids = drains.map(() => this.#startServer());
-        await this.#time.advance(serversSettleMs);
-        const startMs = this.#time.monotonicMs();
-        const cut = this.#cutOff(trouble.together);
-        setTimeout(() => this.#reconnect(cut), cutMs);
-        this.#troubleStore(trouble);
+    /** Drains servers while a third of the gateways is cut off and the store has a fault. */
+    async simulateDrains(scenario: Scenario): Promise<readonly DrainResult[]> {
+        const { drains, partitionMs, storeFaultAfterMs, storeFaultMs } = scenario;
+        const serverIds = drains.map(() => this.#startServer());
+        await this.#clock.advance(serversSettleMs);
+        const startMs = this.#clock.monotonicMs();
+        const cutGateways = this.#cutOff(scenario.areConnected);
+        setTimeout(() => this.#reconnect(cutGateways), partitionMs);
+        this.#startStoreFault(scenario);
         drains.forEach(({ atMs, deletedAfterMs }, i) => {
-            const id = ids[i] ?? "";
+            const id = serverIds[i] ?? "";
             setTimeout(() => this.#put(id, "draining"), atMs);
             if (deletedAfterMs !== undefined) {
                 setTimeout(() => this.#store.delete(`servers/${id}`), atMs + deletedAfterMs);
             }
         });
         const lastUsableMs = new Map<string, number>();
-        const untilMs = startMs + Math.max(cutMs, troubledAfterMs + troubledMs) + afterMs;
-        while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.advance(sampleMs);
+        const untilMs = startMs + Math.max(partitionMs, storeFaultAfterMs + storeFaultMs) + settleAfterMs;
+        while (this.#clock.monotonicMs() < untilMs) {
+            await this.#clock.advance(sampleMs);
             for (const { name, view } of this.#fleet.gateways) {
-                for (const id of ids) {
-                    if (view.isUsable(id, this.#time.monotonicMs())) {
-                        lastUsableMs.set(`${name} ${id}`, this.#time.monotonicMs() - startMs);
+                for (const id of serverIds) {
+                    if (view.isUsable(id, this.#clock.monotonicMs())) {
+                        lastUsableMs.set(`${name} ${id}`, this.#clock.monotonicMs() - startMs);
                     }
                 }
             }
         }
         return drains.flatMap((drain, i) =>
             this.#fleet.gateways.map(gateway => {
-                const wasCut = cut.has(gateway);
-                const lastMs = lastUsableMs.get(`${gateway.name} ${ids[i]}`) ?? -Infinity;
-                const lateMs = lastMs - findKnowableMs(trouble, drain, wasCut);
-                const isTooLate = wasCut && lastMs > Math.max(drain.atMs + allowedMs, cutMs + inTouchMs);
-                return { gateway, wasCut, drain, lateMs, isTooLate };
+                const wasCut = cutGateways.has(gateway);
+                const lastMs = lastUsableMs.get(`${gateway.name} ${serverIds[i]}`) ?? -Infinity;
+                const delayMs = lastMs - findReachableMs(scenario, drain, wasCut);
+                const isTooLate = wasCut
+                    && lastMs > Math.max(drain.atMs + platformLimitMs, partitionMs + reconnectedMs);
+                return { gateway, wasCut, drain, delayMs, isTooLate };
             })
         );
     }
 
     /**
-     * The store is away, all servers' entries lapse, and the servers, which live, write theirs again, while a third of the gateways is
-     * cut off.
+     * Simulates an outage of the store in which the entries of all servers expire and are written again, as the servers
+     * still run, while a third of the gateways is cut off.
      *
-     * @returns how often a gateway gave up a server that lives
+     * @returns the number of samples in which a gateway considered a running server unusable
      */
-    async lapse({ awayMs, cutMs, together }: { awayMs: number; cutMs: number; together: boolean; }): Promise<number> {
-        const ids = Array.from({ length: drainsPerTrouble }, () => this.#startServer());
-        await this.#time.advance(serversSettleMs);
-        const cut = this.#cutOff(together);
-        setTimeout(() => this.#reconnect(cut), cutMs);
+    async simulateOutage(
+        { outageMs, partitionMs, areConnected }: { outageMs: number; partitionMs: number; areConnected: boolean; },
+    ): Promise<number> {
+        const serverIds = Array.from({ length: drainsPerScenario }, () => this.#startServer());
+        await this.#clock.advance(serversSettleMs);
+        const cutGateways = this.#cutOff(areConnected);
+        setTimeout(() => this.#reconnect(cutGateways), partitionMs);
         this.#store.startFault("silent");
         setTimeout(() => {
-            for (const id of ids) {
+            for (const id of serverIds) {
                 this.#store.delete(`servers/${id}`);
-                setTimeout(() => this.#put(id, "ready"), this.#random.next() * rewriteMs);
+                setTimeout(() => this.#put(id, "ready"), this.#random.next() * rewriteLimitMs);
             }
             this.#store.endFault(false);
-        }, awayMs);
-        let givenUp = 0;
-        const untilMs = this.#time.monotonicMs() + Math.max(awayMs, cutMs) + afterMs;
-        while (this.#time.monotonicMs() < untilMs) {
-            await this.#time.advance(sampleMs);
+        }, outageMs);
+        let unusableCount = 0;
+        const untilMs = this.#clock.monotonicMs() + Math.max(outageMs, partitionMs) + settleAfterMs;
+        while (this.#clock.monotonicMs() < untilMs) {
+            await this.#clock.advance(sampleMs);
             for (const { view } of this.#fleet.gateways) {
-                givenUp += ids.filter(id => !view.isUsable(id, this.#time.monotonicMs())).length;
+                unusableCount += serverIds.filter(id => !view.isUsable(id, this.#clock.monotonicMs())).length;
             }
         }
-        return givenUp;
+        return unusableCount;
     }
 
     stop(): void {
         this.#fleet.stop();
-        this.#time.clear();
+        this.#clock.clear();
     }
 
-    /** Cuts off a third of the gateways, one that others ask among them. */
-    #cutOff(together: boolean): ReadonlySet<SimulatedGateway> {
+    /** Cuts off a third of the gateways, including one that relays changes to others. */
+    #cutOff(areConnected: boolean): ReadonlySet<SimulatedGateway> {
         const { gateways } = this.#fleet;
-        const asked = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
-        const relays = gateways.filter(({ name }) => asked.has(name));
-        const cut = new Set([draw(this.#random, relays.length > 0 ? relays : gateways)]);
-        while (cut.size < Math.round(gateways.length / 3)) {
-            cut.add(draw(this.#random, gateways));
+        const relayNames = new Set(gateways.map(({ logs }) => logs.findLast(isRelayChosen)?.["peer"]));
+        const relays = gateways.filter(({ name }) => relayNames.has(name));
+        const cutGateways = new Set([draw(this.#random, relays.length > 0 ? relays : gateways)]);
+        while (cutGateways.size < Math.round(gateways.length / 3)) {
+            cutGateways.add(draw(this.#random, gateways));
         }
         let partition = 1;
-        for (const gateway of cut) {
+        for (const gateway of cutGateways) {
             gateway.link.cut = true;
             gateway.partition = partition;
-            partition += together ? 0 : 1;
+            partition += areConnected ? 0 : 1;
         }
-        return cut;
+        return cutGateways;
     }
 
-    #reconnect(cut: ReadonlySet<SimulatedGateway>): void {
-        for (const gateway of cut) {
+    #reconnect(cutGateways: ReadonlySet<SimulatedGateway>): void {
+        for (const gateway of cutGateways) {
             gateway.link.cut = false;
             gateway.partition = 0;
         }
     }
 
-    #troubleStore({ troubledAfterMs, troubledMs, watches, losesHistory, staleMs }: Trouble): void {
+    #startStoreFault({ storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs }: Scenario): void {
         const store = this.#store;
         const loseHistory = (): void => {
             store.compactRevision = losesHistory ? store.engine.revision : store.compactRevision;
@@ -200,23 +203,23 @@
         setTimeout(() => {
             store.stalenessMs = staleMs;
             loseHistory();
-            if (watches === "dead") {
+            if (watchFault === "dead") {
                 store.silenceWatches();
             }
             else {
                 store.watchSnapshot = store.engine.freeze();
             }
-        }, troubledAfterMs);
+        }, storeFaultAfterMs);
         setTimeout(() => {
             store.stalenessMs = 0;
             store.watchSnapshot = undefined;
             loseHistory();
             store.notifyWatches();
-        }, troubledAfterMs + troubledMs);
+        }, storeFaultAfterMs + storeFaultMs);
     }
 
     #startServer(): string {
-        const id = `server-${this.#started++}`;
+        const id = `server-${this.#serverCount++}`;
         this.#put(id, "ready");
         return id;
     }
@@ -235,13 +238,17 @@
     }
 }
 
-/** @returns from when nothing keeps a gateway from knowing that a server leaves: no cut, and no store that tells nobody */
-function findKnowableMs({ cutMs, troubledAfterMs, troubledMs }: Trouble, { atMs }: Drain, wasCut: boolean): number {
-    const inTouchAtMs = wasCut ? Math.max(atMs, cutMs) : atMs;
-    const troubleEndMs = troubledAfterMs + troubledMs;
-    // A watch that dies silently a moment before the change is as mute as one that dies after it.
-    const isMute = inTouchAtMs >= troubledAfterMs - boundMs && inTouchAtMs < troubleEndMs;
-    return isMute ? troubleEndMs : inTouchAtMs;
+/** @returns when neither the partition nor the store's fault keeps a gateway from learning that a server drains */
+function findReachableMs(
+    { partitionMs, storeFaultAfterMs, storeFaultMs }: Scenario,
+    { atMs }: Drain,
+    wasCut: boolean,
+): number {
+    const connectedAtMs = wasCut ? Math.max(atMs, partitionMs) : atMs;
+    const storeFaultEndMs = storeFaultAfterMs + storeFaultMs;
+    // A watch that died unnoticed shortly before the change delivers it no more than one that dies after it.
+    const isHidden = connectedAtMs >= storeFaultAfterMs - designLimitMs && connectedAtMs < storeFaultEndMs;
+    return isHidden ? storeFaultEndMs : connectedAtMs;
 }
 
 function isRelayChosen({ message }: Readonly<Record<string, unknown>>): boolean {
@@ -252,76 +259,86 @@
     return values[Math.floor(random.next() * values.length)] as T;
 }
 
-function describe({ gateway, wasCut, drain, lateMs }: Seen, trouble: Trouble): string {
+function describe({ gateway, wasCut, drain, delayMs }: DrainResult, scenario: Scenario): string {
     const lines = gateway.logs.slice(-12).map(line => JSON.stringify(line));
-    const { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs } = trouble;
-    const rest = { cutMs, together, troubledAfterMs, troubledMs, watches, losesHistory, staleMs };
+    const { partitionMs, areConnected, storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs } = scenario;
+    const rest = { partitionMs, areConnected, storeFaultAfterMs, storeFaultMs, watchFault, losesHistory, staleMs };
     return [
-        `${gateway.name}, ${wasCut ? "cut off" : "in touch"}, late by ${Math.round(lateMs)} ms`,
+        `${gateway.name}, ${wasCut ? "cut off" : "connected"}, late by ${Math.round(delayMs)} ms`,
         JSON.stringify({ ...rest, ...drain }),
         ...lines,
     ].join("\n");
 }
 
 const sizes = [
-    { gateways: 13, zones: 3, lives: 20, troubles: 4 },
-    { gateways: 131, zones: 4, lives: 2, troubles: 3 },
+    { gateways: 13, zones: 3, runs: 20, scenarioCount: 4 },
+    { gateways: 131, zones: 4, runs: 2, scenarioCount: 3 },
 ];
-/** Lives are played this many times more often by hand. */
-const more = Number(process.env["OUTAGES"] ?? 1);
+/** Factor for the number of simulations, to run more of them by hand. */
+const repetitions = Number(process.env["OUTAGES"] ?? 1);
 
-// Guards against a host that goes on sending to a server which left while the host was cut off: it took its own cut for an outage of the
-// store, and the missing entry for one that lapsed in it.
-for (const { lives, troubles, ...size } of sizes) {
-    test(`after a cut, ${size.gateways} gateways know in time which servers leave, also those that are gone by then`, async t => {
-        const time = VirtualClock.install(t);
-        let latest: { readonly seen: Seen; readonly trouble: Trouble; readonly where: string; } | undefined;
+// Guards against a gateway that keeps sending to a server which left while the gateway was cut off: it mistook the
+// partition for an outage of the store, and the missing entry for one that expired in the outage.
+for (const { runs, scenarioCount, ...size } of sizes) {
+    test(`after a partition, ${size.gateways} gateways learn in time which servers drain or have left`, async t => {
+        const clock = VirtualClock.install(t);
+        let latest: { readonly result: DrainResult; readonly scenario: Scenario; readonly where: string; } | undefined;
         let count = 0;
-        let overBound = 0;
-        let tooLate = 0;
-        for (let life = 0; life < lives * more; life++) {
-            const seed = size.gateways * 10_000 + life;
+        let overDesignLimit = 0;
+        let overPlatformLimit = 0;
+        for (let run = 0; run < runs * repetitions; run++) {
+            const seed = size.gateways * 10_000 + run;
             const random = createRandomSource(seed);
-            const world = new PartitionWorld(time, createRandomSource(seed + 1), size);
-            await time.advance(settleMs);
-            for (let i = 0; i < troubles; i++) {
-                const trouble = drawTrouble(random);
-                for (const seen of await world.drain(trouble)) {
+            const simulation = new PartitionSimulation(clock, createRandomSource(seed + 1), size);
+            await clock.advance(settleMs);
+            for (let i = 0; i < scenarioCount; i++) {
+                const scenario = drawScenario(random);
+                for (const result of await simulation.simulateDrains(scenario)) {
                     count++;
-                    overBound += seen.lateMs > boundMs ? 1 : 0;
-                    tooLate += seen.isTooLate && seen.lateMs > boundMs ? 1 : 0;
-                    if (latest === undefined || seen.lateMs > latest.seen.lateMs) {
-                        latest = { seen, trouble, where: `life ${life}, trouble ${i}` };
+                    overDesignLimit += result.delayMs > designLimitMs ? 1 : 0;
+                    overPlatformLimit += result.isTooLate && result.delayMs > designLimitMs ? 1 : 0;
+                    if (latest === undefined || result.delayMs > latest.result.delayMs) {
+                        latest = { result, scenario, where: `simulation ${run}, fault ${i}` };
                     }
                 }
             }
-            world.stop();
+            simulation.stop();
         }
         assert.ok(latest);
-        const { seen, trouble, where } = latest;
-        t.diagnostic(`latest ${Math.round(seen.lateMs)} ms, of ${count} cases`);
+        const { result, scenario, where } = latest;
+        t.diagnostic(`latest ${Math.round(result.delayMs)} ms, of ${count} cases`);
         assert.equal(
-            overBound,
+            overDesignLimit,
             0,
-            `${overBound} of ${count} cases, ${tooLate} too late: ${where}: ${describe(seen, trouble)}`,
+            `${overDesignLimit} of ${count} cases over the design limit, ${overPlatformLimit} over the platform's: ${where}: ${
+                describe(result, scenario)
+            }`,
         );
     });
 }
 
-// Guards against servers that live and are given up after a real outage, because a gateway that was cut off as well, or that found the
-// store early, says that nothing was away.
-test("after an outage of the store, servers whose entries lapsed are believed by gateways that were cut off, too", async t => {
-    const time = VirtualClock.install(t);
-    for (let life = 0; life < 20 * more; life++) {
-        const random = createRandomSource(life);
-        const world = new PartitionWorld(time, createRandomSource(life), { gateways: 13, zones: 3 });
-        await time.advance(settleMs);
+// Guards against running servers that are dropped after a real outage of the store, because a gateway that was cut off
+// as well, or that reached the store early, reports that there was no outage.
+test("after an outage of the store, gateways that were cut off also keep servers whose entries expired", async t => {
+    const clock = VirtualClock.install(t);
+    for (let run = 0; run < 20 * repetitions; run++) {
+        const random = createRandomSource(run);
+        const simulation = new PartitionSimulation(clock, createRandomSource(run), { gateways: 13, zones: 3 });
+        await clock.advance(settleMs);
         for (let i = 0; i < 2; i++) {
-            const awayMs = 3_000 + random.next() * 6_000;
-            const cutMs = 1_000 + random.next() * (longestCutMs - 1_000);
-            const givenUp = await world.lapse({ awayMs, cutMs, together: random.next() < 0.5 });
-            assert.equal(givenUp, 0, `life ${life}, outage ${i}: ${JSON.stringify({ awayMs, cutMs })}`);
+            const outageMs = 3_000 + random.next() * 6_000;
+            const partitionMs = 1_000 + random.next() * (maxPartitionMs - 1_000);
+            const unusableCount = await simulation.simulateOutage({
+                outageMs,
+                partitionMs,
+                areConnected: random.next() < 0.5,
+            });
+            assert.equal(
+                unusableCount,
+                0,
+                `simulation ${run}, outage ${i}: ${JSON.stringify({ outageMs, partitionMs })}`,
+            );
         }
-        world.stop();
+        simulation.stop();
     }
 });
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -14,50 +14,50 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type VirtualClock } from "./virtualClock.js";
 
-/** How the store is away. */
+/** Fault of the store. */
 export type StoreFault = "silent" | "reset" | "busy" | "refusing" | "slow";
 
-/** Whole time of a call besides a watch's wait, as the platform's client has it, in milliseconds. */
+/** Timeout of a call, on top of a watch's wait, in milliseconds; the same as that of the platform's client. */
 const callTimeoutMs = 800;
-const usualAnswerMs = 4;
-const slowAnswerMs = 240;
-/** Age of the oldest copy that the store can come back from, in milliseconds. */
-const oldestCopyMs = 40_000;
+const usualLatencyMs = 4;
+const slowLatencyMs = 240;
+/** Age of the oldest backup that the store can be restored from, in milliseconds. */
+const maxBackupAgeMs = 40_000;
 
-/** What all gateways' calls together were. */
+/** Calls of all gateways in total. */
 export interface CallCounts {
-    /** As the store charges them: a renewal and a reading that may be stale cost a tenth. */
+    /** Cost as the store charges it: lease renewals and reads that may be stale cost a tenth of other calls. */
     cost: number;
     writes: number;
     reads: number;
 }
 
-/** A store that several gateways share, on virtual time, with the ways in which it may be away. */
+/** Store on virtual time that several gateways share, with faults that the test starts and ends. */
 export class FaultyStore {
     #engine = new KeyValueEngine();
-    /** How often the store came back from an older copy; told with each answer. */
+    /** Incremented with each restore from a backup; sent with each response. */
     term = 1;
     readonly clock: VirtualClock;
     readonly random: RandomSource;
     fault: StoreFault | undefined;
-    /** Watches of before find that their history is gone. */
+    /** Watches from an earlier revision fail because their history is compacted. */
     compactRevision = 0;
-    /** What readings that may be stale tell; `undefined` while they are current. */
+    /** Fixed revision that reads which may be stale return; `undefined` for none. */
     pinnedReadRevision: number | undefined;
-    /** How old readings that may be stale are, in milliseconds. */
+    /** Age of the state that reads which may be stale return, in milliseconds. */
     stalenessMs = 0;
-    /** What watches see in place of the present state: it is held back from them. */
+    /** State that watches see in place of the current one, to hold changes back from them. */
     watchSnapshot: KeyValueEngine | undefined;
     readonly calls: CallCounts = { cost: 0, writes: 0, reads: 0 };
-    readonly #waiting = new Set<() => void>();
-    /** The store as it was after each change of the last while, oldest first. */
-    #copies: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
-    #absences = 0;
-    /** Since when the store has had each of its latest revisions. */
+    readonly #listeners = new Set<() => void>();
+    /** Backups of the state after each recent change, oldest first. */
+    #backups: readonly { readonly atMs: number; readonly engine: KeyValueEngine; }[] = [];
+    #faultCount = 0;
+    /** Start of each recent revision, oldest first. */
     #revisions: readonly { readonly atMs: number; readonly revision: number; }[] = [];
 
-    constructor(time: VirtualClock, random: RandomSource) {
-        this.clock = time;
+    constructor(clock: VirtualClock, random: RandomSource) {
+        this.clock = clock;
         this.random = random;
     }
 
@@ -65,51 +65,56 @@
         return this.#engine;
     }
 
-    /** The store goes on from what it was so long ago; what was written since is gone. @returns the keys that were written or deleted since */
+    /**
+     * Restores the store from a backup, which loses all later writes.
+     *
+     * @param ageMs - age of the backup in milliseconds
+     * @returns the keys whose values differ from before the restore
+     */
     restoreBackup(ageMs: number): readonly string[] {
         const lost = this.#engine;
         const fromMs = this.clock.monotonicMs() - ageMs;
-        const copy = this.#copies.findLast(({ atMs }) => atMs <= fromMs) ?? this.#copies[0];
+        const copy = this.#backups.findLast(({ atMs }) => atMs <= fromMs) ?? this.#backups[0];
         if (copy === undefined) {
             return [];
         }
         this.#engine = copy.engine.copy();
-        this.#copies = this.#copies.filter(({ atMs }) => atMs <= copy.atMs);
+        this.#backups = this.#backups.filter(({ atMs }) => atMs <= copy.atMs);
         this.term++;
         this.notifyWatches();
         const nowMs = this.clock.monotonicMs();
         const keys = new Set([...lost.list("", nowMs), ...copy.engine.list("", nowMs)].map(({ key }) => key));
-        // Revisions of two terms say nothing of each other.
+        // Revisions of different terms can't be compared, so values are.
         return [...keys].filter(key => lost.get(key, nowMs)?.value !== copy.engine.get(key, nowMs)?.value);
     }
 
-    /** Counts the spans in which the store was away: what waited in one of them is answered no more. */
+    /** Number of faults so far; watches that were pending during one of them get no response. */
     get faultCount(): number {
-        return this.#absences;
+        return this.#faultCount;
     }
 
-    /** The store is away from now on. Watches that wait are cut, or go silent. */
+    /** Starts a fault. Pending watches fail or get no response. */
     startFault(how: StoreFault): void {
         this.fault = how;
-        this.#absences++;
+        this.#faultCount++;
         this.notifyWatches();
     }
 
-    /** Open connections go silent for good, and new ones work. */
+    /** Makes all open connections dead for good, while new ones work. */
     silenceWatches(): void {
-        this.#absences++;
+        this.#faultCount++;
     }
 
-    /** The store is back; with `lapses`, all that was under lease is gone. */
-    endFault(lapses: boolean): void {
+    /** Ends the fault. @param expireLeases - whether all leases have expired meanwhile */
+    endFault(expireLeases: boolean): void {
         this.fault = undefined;
-        if (lapses) {
+        if (expireLeases) {
             this.engine.expire(Infinity);
         }
         this.notifyWatches();
     }
 
-    /** Writes as an operator or a server does. */
+    /** Writes as an operator or a backend server does. */
     put(key: string, value: unknown): void {
         const current = this.engine.get(key, this.clock.monotonicMs());
         this.engine.compareAndSwap(
@@ -119,7 +124,7 @@
         this.notifyWatches();
     }
 
-    /** Deletes a key as its holder does. */
+    /** Deletes a key as its owner does. */
     delete(key: string): void {
         const current = this.engine.get(key, this.clock.monotonicMs());
         const expectedRevision = current?.modifiedRevision ?? 0;
@@ -127,7 +132,7 @@
         this.notifyWatches();
     }
 
-    /** The revision that a reading tells which may be stale. */
+    /** The revision that a read which may be stale returns. */
     get staleReadRevision(): number {
         const untilMs = this.clock.monotonicMs() - this.stalenessMs;
         const past = this.stalenessMs > 0
@@ -141,24 +146,24 @@
         if (this.#revisions.at(-1)?.revision !== revision) {
             const atMs = this.clock.monotonicMs();
             this.#revisions = [...this.#revisions.slice(-200), { atMs, revision }];
-            const kept = this.#copies.filter(copy => atMs - copy.atMs <= oldestCopyMs);
-            this.#copies = [...kept, { atMs, engine: this.engine.copy() }];
+            const kept = this.#backups.filter(copy => atMs - copy.atMs <= maxBackupAgeMs);
+            this.#backups = [...kept, { atMs, engine: this.engine.copy() }];
         }
-        for (const look of [...this.#waiting]) {
-            look();
+        for (const listener of [...this.#listeners]) {
+            listener();
         }
     }
 
-    /** Calls `look` on each change until it is forgotten. @returns forgets it */
-    onChange(look: () => void): () => void {
-        this.#waiting.add(look);
-        return () => void this.#waiting.delete(look);
+    /** Calls a listener on each change. @returns a function that removes it */
+    onChange(listener: () => void): () => void {
+        this.#listeners.add(listener);
+        return () => void this.#listeners.delete(listener);
     }
 }
 
-/** One gateway's way to a troubled store. */
+/** One gateway's link to a {@link FaultyStore}. */
 export class FaultyStoreLink extends KeyValueStore {
-    /** Nothing passes on this way. */
+    /** Whether the link is cut, so that calls get no response. */
     cut = false;
     readonly #store: FaultyStore;
     readonly #term = new StoreTerm();
@@ -175,7 +180,7 @@
     override get(key: string): Promise<Either<Failure, KeyValue | undefined>> {
         return this.#call("reads", 1, nowMs => {
             const found = this.#store.engine.get(key, nowMs);
-            return Right(found && this.#place(found));
+            return Right(found && this.#addTerm(found));
         });
     }
 
@@ -184,7 +189,7 @@
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
         return this.#call("reads", 1, nowMs => {
             const entries = this.#store.engine.list(prefix, nowMs);
-            return Right({ entries: entries.map(each => this.#place(each)), revision: this.#position() });
+            return Right({ entries: entries.map(each => this.#addTerm(each)), revision: this.#position() });
         });
     }
 
@@ -213,7 +218,7 @@
             }
             return outcome.swapped
                 ? Right({ swapped: true, revision: this.#position() })
-                : Right({ swapped: false, current: outcome.current && this.#place(outcome.current) });
+                : Right({ swapped: false, current: outcome.current && this.#addTerm(outcome.current) });
         });
     }
 
@@ -248,41 +253,41 @@
         if (watchedTerm < this.term) {
             return lost;
         }
-        const numberAfter = revisionOf(afterRevision);
-        if (numberAfter < this.#store.compactRevision || numberAfter > this.#store.engine.revision) {
+        const plainRevision = revisionOf(afterRevision);
+        if (plainRevision < this.#store.compactRevision || plainRevision > this.#store.engine.revision) {
             return await this.#call("reads", 1, () => lost);
         }
-        const find = (nowMs: number): WatchEvents => {
+        const findChanges = (nowMs: number): WatchEvents => {
             const { engine, watchSnapshot = engine } = this.#store;
-            const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, numberAfter, nowMs);
+            const { changed, deleted, revision } = watchSnapshot.changesSince(prefix, plainRevision, nowMs);
             const position = toPosition(this.#store.term, revision) ?? 0;
             return {
-                changed: changed.map(each => this.#place(each)),
+                changed: changed.map(each => this.#addTerm(each)),
                 deleted,
                 revision: Math.max(afterRevision, position),
             };
         };
         const sentAtMs = this.#store.clock.monotonicMs();
-        const first = await this.#call("reads", 1, nowMs => Right(find(nowMs)), { signal, waitMs, slackMs });
+        const first = await this.#call("reads", 1, nowMs => Right(findChanges(nowMs)), { signal, waitMs, slackMs });
         if (termOf(first.map(({ revision }) => revision).orDefault(afterRevision)) > watchedTerm) {
             return lost;
         }
-        const isQuiet = first.map(seen => seen.changed.length + seen.deleted.length === 0).orDefault(false);
+        const isQuiet = first.map(events => events.changed.length + events.deleted.length === 0).orDefault(false);
         const untilMs = sentAtMs + waitMs;
-        const seen = isQuiet && waitMs > 0 && signal?.aborted !== true
-            ? await this.#wait(find, untilMs, slackMs, signal)
+        const events = isQuiet && waitMs > 0 && signal?.aborted !== true
+            ? await this.#wait(findChanges, untilMs, slackMs, signal)
             : first;
-        const told = seen.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
-        this.#term.onAnswer(told);
-        return told > watchedTerm ? lost : seen;
+        const answeredTerm = events.map(({ revision }) => termOf(revision)).orDefault(watchedTerm);
+        this.#term.onAnswer(answeredTerm);
+        return answeredTerm > watchedTerm ? lost : events;
     }
 
     #position(): number {
         return toPosition(this.#store.term, this.#store.engine.revision) ?? 0;
     }
 
-    /** An entry as the platform's client tells it. */
-    #place({ modifiedRevision, leaseId, ...entry }: KeyValue): KeyValue {
+    /** Adds the term to an entry's revision and lease ID, as the platform's client does. */
+    #addTerm({ modifiedRevision, leaseId, ...entry }: KeyValue): KeyValue {
         return {
             ...entry,
             modifiedRevision: toPosition(this.#store.term, modifiedRevision) ?? 0,
@@ -291,7 +296,7 @@
     }
 
     #wait(
-        find: (nowMs: number) => WatchEvents,
+        findChanges: (nowMs: number) => WatchEvents,
         untilMs: number,
         slackMs: number | undefined,
         signal: AbortSignal | undefined,
@@ -299,36 +304,39 @@
         const store = this.#store;
         const { faultCount } = store;
         return new Promise(resolve => {
-            const end = (result: Either<Failure, WatchEvents>): void => {
-                forget();
-                clearTimeout(answer);
-                clearTimeout(lost);
+            const finish = (result: Either<Failure, WatchEvents>): void => {
+                unsubscribe();
+                clearTimeout(answerTimer);
+                clearTimeout(lossTimer);
                 resolve(result);
             };
             const isSilent = (): boolean => this.cut || store.faultCount !== faultCount;
-            const look = (): void => {
+            const checkChanges = (): void => {
                 if (store.fault === "reset" || store.fault === "refusing") {
-                    end(this.#fail(store.fault));
+                    finish(this.#fail(store.fault));
                     return;
                 }
-                const seen = find(store.clock.monotonicMs());
-                if (!isSilent() && seen.changed.length + seen.deleted.length > 0) {
-                    end(Right(seen));
+                const events = findChanges(store.clock.monotonicMs());
+                if (!isSilent() && events.changed.length + events.deleted.length > 0) {
+                    finish(Right(events));
                 }
             };
-            const forget = store.onChange(look);
+            const unsubscribe = store.onChange(checkChanges);
             const nowMs = store.clock.monotonicMs();
-            const answer = setTimeout(() => {
+            const answerTimer = setTimeout(() => {
                 if (!isSilent()) {
-                    end(Right(find(store.clock.monotonicMs())));
+                    finish(Right(findChanges(store.clock.monotonicMs())));
                 }
             }, untilMs - nowMs);
-            const lost = setTimeout(() => end(this.#fail("silent")), untilMs - nowMs + (slackMs ?? callTimeoutMs));
-            signal?.addEventListener("abort", () => end(this.#fail("silent")), { once: true });
+            const lossTimer = setTimeout(
+                () => finish(this.#fail("silent")),
+                untilMs - nowMs + (slackMs ?? callTimeoutMs),
+            );
+            signal?.addEventListener("abort", () => finish(this.#fail("silent")), { once: true });
         });
     }
 
-    /** A call goes on its way, is answered or isn't, and the answer comes back. */
+    /** Simulates a call and its response, with the store's fault at its start and the state of the link. */
     #call<T>(
         kind: "reads" | "writes",
         price: number,
@@ -346,7 +354,7 @@
                 resolve(result);
             };
             const isSilent = this.cut || fault === "silent";
-            const answerMs = fault === "slow" ? slowAnswerMs : usualAnswerMs;
+            const latencyMs = fault === "slow" ? slowLatencyMs : usualLatencyMs;
             const timer = isSilent
                 ? setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs)
                 : setTimeout(() => {
@@ -360,7 +368,7 @@
                             ? run(store.clock.monotonicMs())
                             : this.#fail(fault),
                     );
-                }, answerMs * (0.5 + store.random.next()));
+                }, latencyMs * (0.5 + store.random.next()));
             signal?.addEventListener("abort", () => settle(this.#fail("silent")), { once: true });
         });
     }
--- a/packages/edge/src/__tests__/support/storeLink.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -11,11 +11,11 @@
 import { type Either, Left } from "purify-ts";
 import { type MemoryStore } from "./memoryStore.js";
 
-/** One gateway's way to a store that several share. */
+/** One gateway's link to a store that several gateways share. */
 export class StoreLink extends KeyValueStore {
-    /** Nothing passes, and no call is answered. */
+    /** Whether calls get no response. */
     cut = false;
-    /** Calls are refused at once. */
+    /** Whether calls are refused at once. */
     refused = false;
     calls = 0;
     readonly #store: MemoryStore;
@@ -52,26 +52,26 @@
     }
 
     override async watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>> {
-        const seen = await this.#call(() => this.#store.watch(req), req.signal);
-        // Cut while it waited, a watch hears nothing of what came.
-        return this.cut ? this.#silence(req.signal) : seen;
+        const events = await this.#call(() => this.#store.watch(req), req.signal);
+        // A watch whose link is cut while it is pending gets no response.
+        return this.cut ? this.#timeOut(req.signal) : events;
     }
 
     #call<T>(run: () => Promise<Either<Failure, T>>, signal?: AbortSignal): Promise<Either<Failure, T>> {
         this.calls++;
         if (this.cut) {
-            return this.#silence(signal);
+            return this.#timeOut(signal);
         }
         return this.refused ? Promise.resolve(Left(createFailure("storeUnavailable", "refused"))) : run();
     }
 
-    #silence<T>(signal: AbortSignal | undefined): Promise<Either<Failure, T>> {
-        const givenUp = Left(createFailure("storeOutcomeUnknown", "no answer"));
+    #timeOut<T>(signal: AbortSignal | undefined): Promise<Either<Failure, T>> {
+        const timedOut = Left(createFailure("storeOutcomeUnknown", "no answer"));
         return new Promise(resolve => {
-            const timer = setTimeout(() => resolve(givenUp), 800);
+            const timer = setTimeout(() => resolve(timedOut), 800);
             signal?.addEventListener("abort", () => {
                 clearTimeout(timer);
-                resolve(givenUp);
+                resolve(timedOut);
             }, { once: true });
         });
     }
--- a/packages/edge/src/limits/workspaceLimits.ts
+++ b/packages/edge/src/limits/workspaceLimits.ts
@@ -15,11 +15,11 @@
 import { HostPauseDetector } from "../state/hostPauseDetector.js";
 import { type DatagramSocket } from "./datagramSocket.js";
 
-/** What the limits of workspaces are kept with. */
+/** Dependencies of {@link WorkspaceLimits}. */
 export interface WorkspaceLimitsDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
-    /** Unique to this life of the process. */
+    /** ID that is unique to this process incarnation. */
     readonly incarnation: string;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -30,31 +30,31 @@
     readonly tolerance: LimitTolerance;
 }
 
-/** Addresses of gateways that were heard before their registrations were, at most. */
-const mostUnregistered = 1_024;
+/** Maximum number of addresses kept of gateways that sent a datagram before their registration was known. */
+const maxUnregisteredAddresses = 1_024;
 
-/** Shortest time between two ticks, in milliseconds: a due time that was missed must not be asked for in a tight loop. */
-const shortestTickMs = 2;
+/** Minimum delay of the next tick, in milliseconds: avoids a tight loop after a missed deadline. */
+const minTickDelayMs = 2;
 
-/** Keeps the limits of workspaces with the other gateways: the decisions of `RateLimiter` with its sockets and timers. */
+/** Enforces the rate limits of workspaces together with other gateways: runs `RateLimiter` on a socket and timers. */
 export class WorkspaceLimits {
-    readonly #parts: WorkspaceLimitsDeps;
+    readonly #deps: WorkspaceLimitsDeps;
     readonly #limiter: RateLimiter;
-    readonly #pauses: HostPauseDetector;
-    readonly #waiting = new Map<number, (decision: Decision) => void>();
+    readonly #pauseDetector: HostPauseDetector;
+    readonly #pendingDecisions = new Map<number, (decision: Decision) => void>();
     readonly #addresses = new Map<string, ListenAddress>();
-    readonly #unregistered = new Map<string, ListenAddress>();
-    #names: readonly string[] = [];
+    readonly #unregisteredAddresses = new Map<string, ListenAddress>();
+    #gatewayNames: readonly string[] = [];
     #isOpen = false;
     #isActive = false;
     #isStopped = false;
     #timer: NodeJS.Timeout | undefined;
-    #dueAtMs = Infinity;
+    #nextTickAtMs = Infinity;
 
-    constructor(parts: WorkspaceLimitsDeps) {
-        const { name, incarnation, random, clock, tolerance } = parts;
-        this.#parts = parts;
-        this.#pauses = new HostPauseDetector(clock);
+    constructor(deps: WorkspaceLimitsDeps) {
+        const { name, incarnation, random, clock, tolerance } = deps;
+        this.#deps = deps;
+        this.#pauseDetector = new HostPauseDetector(clock);
         this.#limiter = new RateLimiter({
             name,
             incarnation,
@@ -64,14 +64,14 @@
         });
     }
 
-    /** What the fleet's state says has changed: the gateways, or whether there are limits. */
+    /** Applies a change of the fleet view: of the registered gateways, or whether any workspace has a limit. */
     onViewChange(): void {
-        const { view, clock } = this.#parts;
+        const { view, clock } = this.#deps;
         const workspaces = view.configurationInForce?.configuration.workspaces ?? [];
         const active = workspaces.some(({ limit }) => limit !== undefined);
         if (active && !this.#isOpen) {
             this.#isOpen = true;
-            this.#parts.metrics.observeLimits(() => this.#limiter.snapshot(this.#parts.clock.monotonicMs()));
+            this.#deps.metrics.observeLimits(() => this.#limiter.snapshot(this.#deps.clock.monotonicMs()));
             void this.#open();
         }
         if (!this.#isOpen) {
@@ -81,142 +81,142 @@
         this.#updateRoster(nowMs);
         if (active !== this.#isActive) {
             this.#isActive = active;
-            this.#carryOut(this.#limiter.setActive(active, nowMs));
+            this.#execute(this.#limiter.setActive(active, nowMs));
         }
     }
 
     /**
-     * Asks for one request of a workspace.
+     * Requests a token for one request of a workspace.
      *
      * @param req - the workspace and its limit
-     * @param signal - aborted when nobody waits for the decision any more
-     * @returns the decision; `undefined` where nobody waits any more
+     * @param signal - aborted when the decision is no longer needed
+     * @returns the decision; `undefined` after an abort
      */
     admit(req: TokenRequest, signal: AbortSignal): Promise<Decision | undefined> {
-        const { clock } = this.#parts;
+        const { clock } = this.#deps;
         this.#updateRoster(clock.monotonicMs());
         const { requestId, commands } = this.#limiter.request(req, clock.monotonicMs(), clock.epochMs());
         const decided = new Promise<Decision | undefined>(resolve => {
             const onAbort = (): void => {
-                this.#waiting.delete(requestId);
+                this.#pendingDecisions.delete(requestId);
                 this.#limiter.cancel(requestId);
                 resolve(undefined);
             };
-            this.#waiting.set(requestId, decision => {
+            this.#pendingDecisions.set(requestId, decision => {
                 signal.removeEventListener("abort", onAbort);
                 resolve(decision);
             });
             signal.addEventListener("abort", onAbort, { once: true });
         });
-        this.#carryOut(commands);
+        this.#execute(commands);
         return decided;
     }
 
-    /** The request that a token was granted for never ran. */
+    /** Returns a token whose request never ran. */
     giveBack(token: Token): void {
         this.#limiter.giveBack(token);
     }
 
-    /** This process is about to end: whoever asks it goes to another gateway. */
+    /** Releases this gateway's shares before the process exits, so that peers request their tokens elsewhere. */
     beginDrain(): void {
         if (this.#isOpen) {
-            this.#carryOut(this.#limiter.stop(this.#parts.clock.monotonicMs()));
+            this.#execute(this.#limiter.stop(this.#deps.clock.monotonicMs()));
         }
     }
 
     stop(): void {
         this.#isStopped = true;
         clearTimeout(this.#timer);
-        this.#parts.socket.close();
+        this.#deps.socket.close();
     }
 
     async #open(): Promise<void> {
-        const { socket, log } = this.#parts;
+        const { socket, log } = this.#deps;
         try {
             await socket.open((text, from) => this.#onDatagram(text, from));
         }
         catch (err) {
-            log.log("error", "unexpected", { error: `no datagrams of other hosts can be received: ${String(err)}` });
+            log.log("error", "unexpected", { error: `cannot receive datagrams from other hosts: ${String(err)}` });
         }
     }
 
     #updateRoster(nowMs: number): void {
-        const { view } = this.#parts;
+        const { view } = this.#deps;
         const { names } = view.gatewayMembers(nowMs);
-        if (names === this.#names) {
+        if (names === this.#gatewayNames) {
             return;
         }
-        this.#names = names;
+        this.#gatewayNames = names;
         this.#addresses.clear();
         for (const { name, peerAddress } of view.registeredGateways()) {
             this.#addresses.set(name, { address: peerAddress.host, port: peerAddress.port });
-            this.#unregistered.delete(name);
+            this.#unregisteredAddresses.delete(name);
         }
-        this.#carryOut(this.#limiter.onRoster(names, nowMs));
+        this.#execute(this.#limiter.onRoster(names, nowMs));
     }
 
     #onDatagram(text: string, from: ListenAddress): void {
-        const { clock } = this.#parts;
+        const { clock } = this.#deps;
         const json = parseJson(text);
         const sender = senderOf(json);
         if (sender === undefined) {
             return;
         }
-        if (!this.#addresses.has(sender) && this.#unregistered.size < mostUnregistered) {
-            this.#unregistered.set(sender, from);
+        if (!this.#addresses.has(sender) && this.#unregisteredAddresses.size < maxUnregisteredAddresses) {
+            this.#unregisteredAddresses.set(sender, from);
         }
         this.#checkPause();
-        this.#carryOut(this.#limiter.onMessage(sender, json, clock.monotonicMs(), clock.epochMs()));
+        this.#execute(this.#limiter.onMessage(sender, json, clock.monotonicMs(), clock.epochMs()));
     }
 
     #tick(): void {
-        const { clock } = this.#parts;
-        this.#dueAtMs = Infinity;
+        const { clock } = this.#deps;
+        this.#nextTickAtMs = Infinity;
         this.#checkPause();
         this.#updateRoster(clock.monotonicMs());
-        this.#carryOut(this.#limiter.tick(clock.monotonicMs(), clock.epochMs()));
+        this.#execute(this.#limiter.tick(clock.monotonicMs(), clock.epochMs()));
     }
 
-    /** What a host that stood still believes of others' shares is as old as the time that it missed. */
+    /** Checks for a suspension of the host, by which the limiter's view of other gateways' shares is outdated. */
     #checkPause(): void {
-        if (this.#pauses.check() !== undefined) {
-            this.#carryOut(this.#limiter.onSuspended(this.#parts.clock.monotonicMs()));
+        if (this.#pauseDetector.check() !== undefined) {
+            this.#execute(this.#limiter.onSuspended(this.#deps.clock.monotonicMs()));
         }
     }
 
-    #carryOut(commands: readonly Command[]): void {
+    #execute(commands: readonly Command[]): void {
         for (const command of commands) {
             if (command.type === "send") {
                 this.#send(command.to, command.message);
                 continue;
             }
-            const decide = this.#waiting.get(command.requestId);
-            this.#waiting.delete(command.requestId);
-            decide?.(command.decision);
+            const resolveDecision = this.#pendingDecisions.get(command.requestId);
+            this.#pendingDecisions.delete(command.requestId);
+            resolveDecision?.(command.decision);
         }
         for (const { type, ...change } of this.#limiter.drainChanges()) {
-            this.#parts.log.log("info", type, change);
+            this.#deps.log.log("info", type, change);
         }
         this.#schedule();
     }
 
     #send(to: string, message: LimitMessage): void {
-        const address = this.#addresses.get(to) ?? this.#unregistered.get(to);
+        const address = this.#addresses.get(to) ?? this.#unregisteredAddresses.get(to);
         if (address !== undefined) {
-            this.#parts.socket.send(JSON.stringify(message), address);
+            this.#deps.socket.send(JSON.stringify(message), address);
         }
     }
 
-    /** A timer that is due early enough already is left as it is. */
+    /** Schedules the next tick, unless the current timer fires early enough. */
     #schedule(): void {
-        const nowMs = this.#parts.clock.monotonicMs();
-        const inMs = this.#limiter.nextTickMs(nowMs);
-        if (this.#isStopped || inMs === undefined || nowMs + inMs >= this.#dueAtMs) {
+        const nowMs = this.#deps.clock.monotonicMs();
+        const delayMs = this.#limiter.nextTickMs(nowMs);
+        if (this.#isStopped || delayMs === undefined || nowMs + delayMs >= this.#nextTickAtMs) {
             return;
         }
         clearTimeout(this.#timer);
-        this.#dueAtMs = nowMs + inMs;
-        this.#timer = setTimeout(() => this.#tick(), Math.max(inMs, shortestTickMs));
+        this.#nextTickAtMs = nowMs + delayMs;
+        this.#timer = setTimeout(() => this.#tick(), Math.max(delayMs, minTickDelayMs));
     }
 }
 
--- a/packages/edge/src/reach/reachabilityServer.ts
+++ b/packages/edge/src/reach/reachabilityServer.ts
@@ -1,14 +1,14 @@
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type ReachabilityResponse, reachabilityServiceParam, reachabilityStatus } from "./reachabilityMessages.js";
 
-/** Knows whether this gateway reaches a service. */
+/** Provides whether this gateway reaches a service. */
 export abstract class ReachabilityProvider {
     abstract getReachability(service: string): Promise<ReachabilityResponse>;
 }
 
-/** Answers another gateway's question whether this one reaches a service. */
+/** Serves another gateway's query whether this one reaches a service. */
 export async function handleReachabilityRequest(
-    feed: ReachabilityProvider,
+    provider: ReachabilityProvider,
     req: IncomingMessage,
     res: ServerResponse,
 ): Promise<void> {
@@ -17,7 +17,7 @@
         send(res, reachabilityStatus.badRequest, "");
         return;
     }
-    send(res, reachabilityStatus.ok, JSON.stringify(await feed.getReachability(service)));
+    send(res, reachabilityStatus.ok, JSON.stringify(await provider.getReachability(service)));
 }
 
 function send(res: ServerResponse, status: number, body: string): void {
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -9,12 +9,12 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { type EdgeMetadataCodec } from "../metadataCodec.js";
 
-/** Finds out whether one backend server is reached over a new connection. */
+/** Checks whether one backend server is reachable over a new connection. */
 export abstract class ServerProbe {
     abstract probe(service: string, server: RegisteredServer): Promise<ServerContactResult>;
 }
 
-/** What a load probe works with. */
+/** Dependencies of {@link LoadProbe}. */
 export interface LoadProbeDeps {
     readonly view: FleetView;
     readonly board: PlacementState;
@@ -25,17 +25,17 @@
     readonly metrics: EdgeMetrics;
 }
 
-/** Asks the server for its load, which is learnt like any other. */
+/** Requests the server's load, and records the response like that of any other load request. */
 export class LoadProbe extends ServerProbe {
-    readonly #parts: LoadProbeDeps;
+    readonly #deps: LoadProbeDeps;
 
-    constructor(parts: LoadProbeDeps) {
+    constructor(deps: LoadProbeDeps) {
         super();
-        this.#parts = parts;
+        this.#deps = deps;
     }
 
     override async probe(service: string, server: RegisteredServer): Promise<ServerContactResult> {
-        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#parts;
+        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#deps;
         const rules = view.configurationInForce?.services.get(service);
         if (rules === undefined) {
             return "lost";
@@ -43,7 +43,7 @@
         const startedAtMs = clock.monotonicMs();
         const connection = connections.open(server.address);
         const { healthPath } = rules;
-        const told = await probeServerLoad({
+        const result = await probeServerLoad({
             server,
             connection,
             healthPath,
@@ -51,16 +51,16 @@
             timeoutMs: reachabilityCheckTimeoutMs,
         });
         const nowMs = clock.monotonicMs();
-        metrics.onLoadProbed(told.type === "told" ? "told" : told.reason);
-        if (told.type === "untold") {
+        metrics.onLoadProbed(result.type === "told" ? "told" : result.reason);
+        if (result.type === "untold") {
             connection.destroy();
-            return told.reason === "otherServer" ? "heard" : told.reason;
+            return result.reason === "otherServer" ? "heard" : result.reason;
         }
         connections.release(server.id, connection, { after: "question", nowMs });
-        board.onProbeResponse(service, told.offer, startedAtMs);
+        board.onProbeResponse(service, result.offer, startedAtMs);
         metadataRecorder.record({
             server,
-            metadata: told.metadata,
+            metadata: result.metadata,
             source: { answered: "question", sentAtMs: startedAtMs },
             nowMs,
         });
--- a/packages/edge/src/rollout/evidenceServer.ts
+++ b/packages/edge/src/rollout/evidenceServer.ts
@@ -4,20 +4,20 @@
 import { maxRolloutReportBytes } from "../constants.js";
 import { type EvidenceResponse, evidenceReport, evidenceStatus } from "./rolloutMessages.js";
 
-/** Takes reports as a roll-out's coordinator. */
+/** Receives reports while this gateway coordinates a rollout. */
 export abstract class EvidenceCollector {
-    /** @returns the answer, or `undefined` where this gateway can't coordinate now */
+    /** @returns the response, or `undefined` if this gateway can't coordinate now */
     abstract onReport(report: EvidenceReport): EvidenceResponse | undefined;
 }
 
 /**
- * Takes one report of another gateway.
+ * Handles one report from another gateway.
  *
- * @param inbox - what it goes to
- * @param req - its request
- * @param res - where the answer goes
+ * @param collector - receives the report
+ * @param req - request with the report as its body
+ * @param res - response to the request
  */
-export function handleEvidenceReport(inbox: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
+export function handleEvidenceReport(collector: EvidenceCollector, req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     req.on("data", (chunk: Buffer) => {
@@ -36,13 +36,13 @@
             send(res, evidenceStatus.badRequest, undefined);
             return;
         }
-        const answer = inbox.onReport(parsed.data);
-        send(res, answer === undefined ? evidenceStatus.unavailable : evidenceStatus.ok, answer);
+        const response = collector.onReport(parsed.data);
+        send(res, response === undefined ? evidenceStatus.unavailable : evidenceStatus.ok, response);
     });
 }
 
-function send(res: ServerResponse, status: number, answer: EvidenceResponse | undefined): void {
-    const body = answer === undefined ? "" : JSON.stringify(answer);
+function send(res: ServerResponse, status: number, response: EvidenceResponse | undefined): void {
+    const body = response === undefined ? "" : JSON.stringify(response);
     res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(body) });
     res.end(body);
 }
--- a/packages/edge/src/state/hostPauseDetector.ts
+++ b/packages/edge/src/state/hostPauseDetector.ts
@@ -2,27 +2,27 @@
 import { hostPauseThresholdMs } from "../constants.js";
 
 /**
- * Notices that this host stood still: its steady clock stood still with it, and its time of day went on. Setting the time
- * of day looks the same, and costs whoever asks no more than one call too many.
+ * Detects that this host was suspended: its monotonic clock stopped while the wall clock went on. A change of the wall
+ * clock looks the same, which costs the caller of {@link HostPauseDetector.check} no more than one unneeded refresh.
  */
 export class HostPauseDetector {
     readonly #clock: Clock;
-    #skewMs: number;
+    #clockOffsetMs: number;
 
     constructor(clock: Clock) {
         this.#clock = clock;
-        this.#skewMs = this.#readSkew();
+        this.#clockOffsetMs = this.#readClockOffset();
     }
 
-    /** @returns for how long it stood still since this was asked last, in milliseconds; `undefined` where it didn't */
+    /** @returns how long the host was suspended since the last check, in milliseconds; `undefined` if it wasn't */
     check(): number | undefined {
-        const skewMs = this.#readSkew();
-        const stoodMs = skewMs - this.#skewMs;
-        this.#skewMs = skewMs;
-        return Math.abs(stoodMs) > hostPauseThresholdMs ? stoodMs : undefined;
+        const offsetMs = this.#readClockOffset();
+        const pausedMs = offsetMs - this.#clockOffsetMs;
+        this.#clockOffsetMs = offsetMs;
+        return Math.abs(pausedMs) > hostPauseThresholdMs ? pausedMs : undefined;
     }
 
-    #readSkew(): number {
+    #readClockOffset(): number {
         return this.#clock.epochMs() - this.#clock.monotonicMs();
     }
 }
--- a/packages/edge/src/state/initialSyncGate.ts
+++ b/packages/edge/src/state/initialSyncGate.ts
@@ -1,63 +1,66 @@
 import { type Clock, sleep } from "@galenaglade/http-parts";
 import { admitDuringStartup, type StartupAdmission } from "@galenaglade/placement";
 
-/** Holds what arrives before the store has been read for the first time. */
+/** Holds requests that arrive at startup until the fleet's state has been read from the store for the first time. */
 export class InitialSyncGate {
     readonly #clock: Clock;
     readonly #onFirstRead: () => void;
     readonly #startedAtMs: number;
-    readonly #ended: Promise<void>;
-    #end: () => void = () => undefined;
+    readonly #readFinished: Promise<void>;
+    #finishRead: () => void = () => undefined;
     #state: "underWay" | "read" | "failed" = "underWay";
-    #held = 0;
+    #heldCount = 0;
 
     /**
-     * @param clock - the process's clock
-     * @param onFirstRead - called once, when the fleet is known
+     * @param clock - clock of the process
+     * @param onFirstRead - called once, after the first successful read
      */
     constructor(clock: Clock, onFirstRead: () => void = () => undefined) {
         this.#clock = clock;
         this.#onFirstRead = onFirstRead;
         this.#startedAtMs = clock.monotonicMs();
-        this.#ended = new Promise(resolve => {
-            this.#end = resolve;
+        this.#readFinished = new Promise(resolve => {
+            this.#finishRead = resolve;
         });
     }
 
-    /** The store has been read. */
+    /** Releases held requests after a successful read of the store. */
     onStateRead(): void {
         if (this.#state !== "read") {
             this.#onFirstRead();
         }
         this.#state = "read";
-        this.#end();
+        this.#finishRead();
     }
 
-    /** The store refused the reading, or didn't answer. */
+    /** Releases held requests after the first read failed; they are then refused instead of waiting for the store. */
     onReadFailed(): void {
         if (this.#state === "underWay") {
             this.#state = "failed";
-            this.#end();
+            this.#finishRead();
         }
     }
 
     /**
-     * @param patienceMs - how long the caller waits; `undefined` where it doesn't say
-     * @returns whether a request is worth holding until the store has been read
+     * @param patienceMs - the caller's timeout in milliseconds; `undefined` if it sent none
+     * @returns whether to hold a request until the store has been read, and for how long
      */
     admit(patienceMs: number | undefined): StartupAdmission {
         return admitDuringStartup({
             readFailed: this.#state !== "underWay",
-            held: this.#held,
+            held: this.#heldCount,
             sinceStartMs: this.#clock.monotonicMs() - this.#startedAtMs,
             patienceMs,
         });
     }
 
-    /** @returns once the reading has ended, or the time is over */
+    /**
+     * @param forMs - maximum wait in milliseconds
+     * @returns once the first read has succeeded or failed, or the time is over
+     */
     async wait(forMs: number): Promise<void> {
-        this.#held++;
-        await Promise.race([this.#ended, sleep(forMs)]);
-        this.#held--;
+        this.#heldCount++;
+        await Promise.race([this.#readFinished, sleep(forMs)]);
+        this.#heldCount--;
     }
 }
--- a/packages/edge/src/state/outageVerifier.ts
+++ b/packages/edge/src/state/outageVerifier.ts
@@ -4,9 +4,9 @@
 import { outageQueryDelayMs, outageQueryPeers } from "../constants.js";
 import { type RelayClient } from "./relayClient.js";
 
-/** What an inquiry works with. */
+/** Dependencies of {@link OutageVerifier}. */
 export interface OutageVerifierDeps {
-    /** Of this gateway, as in its registration. */
+    /** Name of this gateway in its registration. */
     readonly name: string;
     readonly view: FleetView;
     readonly clock: Clock;
@@ -15,51 +15,51 @@
 }
 
 /**
- * Finds out whether the store was away or only this gateway was cut off from it. Both look the same from here, and after an outage
- * servers are believed whose entries are missing. After a cut, the missing entries are those of servers that left: they would be
- * given requests for as long.
+ * Asks other gateways whether the store was down or only this gateway was partitioned from it; locally, the two look
+ * the same. After an outage of the store, servers stay in use although their entries have lapsed. After a partition,
+ * the missing entries belong to servers that left, and keeping those in use would send them requests.
  */
 export class OutageVerifier {
-    readonly #parts: OutageVerifierDeps;
-    #isUnderWay = false;
+    readonly #deps: OutageVerifierDeps;
+    #isRunning = false;
 
-    constructor(parts: OutageVerifierDeps) {
-        this.#parts = parts;
+    constructor(deps: OutageVerifierDeps) {
+        this.#deps = deps;
     }
 
-    /** Asks other gateways while any server is believed whose entry is missing, until one of them has vouched for the store. */
+    /** Queries peers until one reports its contact with the store, or no server with a lapsed entry is left in use. */
     async run(): Promise<void> {
-        if (this.#isUnderWay) {
+        if (this.#isRunning) {
             return;
         }
-        this.#isUnderWay = true;
-        while (this.#parts.view.hasLapsedServers(this.#parts.clock.monotonicMs()) && !await this.#ask()) {
+        this.#isRunning = true;
+        while (this.#deps.view.hasLapsedServers(this.#deps.clock.monotonicMs()) && !await this.#queryPeers()) {
             await sleep(outageQueryDelayMs);
         }
-        this.#isUnderWay = false;
+        this.#isRunning = false;
     }
 
-    /** @returns whether any gateway has said for how long it has heard the store */
-    async #ask(): Promise<boolean> {
-        const { name, view, clock, relayClient } = this.#parts;
+    /** @returns whether any gateway reported how long it has been in contact with the store */
+    async #queryPeers(): Promise<boolean> {
+        const { name, view, clock, relayClient } = this.#deps;
         const others = view.registeredGateways().filter(gateway => gateway.name !== name);
-        const answers = await Promise.all(
-            this.#draw(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
-                const heard = await relayClient.fetchStoreContactMs(address);
-                heard.ifRight(forMs => view.onPeerStoreContact(forMs, clock.monotonicMs()));
-                return heard.isRight();
+        const results = await Promise.all(
+            this.#pickSample(others, outageQueryPeers).map(async ({ peerAddress: address }) => {
+                const contact = await relayClient.fetchStoreContactMs(address);
+                contact.ifRight(contactMs => view.onPeerStoreContact(contactMs, clock.monotonicMs()));
+                return contact.isRight();
             }),
         );
-        return answers.includes(true);
+        return results.includes(true);
     }
 
-    /** Draws anew for each inquiry, so that no gateway is asked by the whole fleet. */
-    #draw<T>(values: readonly T[], count: number): readonly T[] {
-        const left = [...values];
-        const drawn: T[] = [];
-        while (drawn.length < count && left.length > 0) {
-            drawn.push(...left.splice(Math.floor(this.#parts.random.next() * left.length), 1));
+    /** Picks a new random sample for each round, so that the fleet's queries don't all go to the same gateways. */
+    #pickSample<T>(candidates: readonly T[], count: number): readonly T[] {
+        const remaining = [...candidates];
+        const sample: T[] = [];
+        while (sample.length < count && remaining.length > 0) {
+            sample.push(...remaining.splice(Math.floor(this.#deps.random.next() * remaining.length), 1));
         }
-        return drawn;
+        return sample;
     }
 }
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -16,10 +16,10 @@
 import { type EdgeMetrics } from "../telemetry/edgeMetrics.js";
 import { InterruptibleSleep } from "./interruptibleSleep.js";
 
-/** What a registration works with. */
+/** Dependencies of {@link Registration}. */
 export interface RegistrationDeps {
     readonly name: string;
-    /** What the registration says of this gateway; `undefined` where it relays no changes. */
+    /** Content of the registration; `undefined` if this gateway relays no changes. */
     readonly registration: GatewayRegistration | undefined;
     readonly store: KeyValueStore;
     readonly codec: StateCodec;
@@ -30,74 +30,73 @@
     readonly metrics: EdgeMetrics;
 }
 
-const renewalMs = registrationTtlMs / renewalsPerTtl;
+const renewalIntervalMs = registrationTtlMs / renewalsPerTtl;
 
 /**
- * Keeps this gateway's registration in the store, under a lease. The others deal out shares by the number of
- * registrations, so a gateway that works without one would make the parts add up to more than the whole.
+ * Keeps this gateway's registration in the store, under a lease. Gateways divide fleet-wide budgets by the number of
+ * registrations, so the shares would add up to more than the whole if a gateway ran without one.
  *
- * A process that was restarted goes on with the lease of its life before. Each write of a registration is a change for every
- * gateway of the fleet, and each of them makes a call to hear it: a restart that writes nothing costs a fleet of 15 about
- * 30 calls less.
+ * A restarted process adopts the lease of its previous incarnation. Each write of a registration is a change that every
+ * gateway fetches with a call of its own: a restart without a write saves a fleet of 15 about 30 calls.
  */
 export class Registration {
-    readonly #parts: RegistrationDeps;
+    readonly #deps: RegistrationDeps;
     #stopped = false;
     #leaseId: string | undefined;
     #lostLeaseId: string | undefined;
-    readonly #pause = new InterruptibleSleep();
-    /** The store's term in which the registration was made. */
+    readonly #renewalSleep = new InterruptibleSleep();
+    /** Term of the store in which the registration was written. */
     #term = 0;
 
-    constructor(parts: RegistrationDeps) {
-        this.#parts = parts;
+    constructor(deps: RegistrationDeps) {
+        this.#deps = deps;
     }
 
     start(): void {
         void this.#run();
     }
 
-    /** Renews no more. The registration stays for the next life of this host, or falls with its lease. */
+    /** Stops renewing the lease. The next incarnation on this host adopts the registration, or it expires. */
     stop(): void {
         this.#stopped = true;
     }
 
-    /** What is believed of the fleet has changed. */
+    /** Registers again if the store was restored from a backup since the last registration. */
     onViewChange(): void {
-        if (this.#leaseId !== undefined && this.#parts.view.term !== this.#term) {
-            // The store came back from an older copy: what was written since is gone, and the lease may be another one's.
+        if (this.#leaseId !== undefined && this.#deps.view.term !== this.#term) {
+            // Writes after the backup are lost, and the ID of the lease may now belong to another holder.
             this.#leaseId = undefined;
-            this.#pause.interrupt();
+            this.#renewalSleep.interrupt();
         }
     }
 
     async #run(): Promise<void> {
-        while (!this.#stopped && !this.#parts.view.hasSynced) {
+        while (!this.#stopped && !this.#deps.view.hasSynced) {
             await sleep(expiryCheckPeriodMs);
         }
         let failures = 0;
         while (!this.#stopped) {
-            const { term } = this.#parts.view;
+            const { term } = this.#deps.view;
             const registered = await this.#adopt() || await this.#register();
             if (!registered) {
-                const limitMs = Math.min(maxRegistrationBackoffMs, maxStoreBackoffMs * 2 ** failures);
+                const maxBackoffMs = Math.min(maxRegistrationBackoffMs, maxStoreBackoffMs * 2 ** failures);
                 failures++;
-                await sleep(limitMs * (1 + this.#parts.random.next()) / 2);
+                await sleep(maxBackoffMs * (1 + this.#deps.random.next()) / 2);
                 continue;
             }
             failures = 0;
             this.#term = term;
-            await this.#keep();
-            if (this.#parts.view.term !== this.#term) {
-                // A whole fleet writes its registrations again at once otherwise.
-                await sleep(rewriteSpreadMs * this.#parts.random.next());
+            await this.#keepRenewing();
+            if (this.#deps.view.term !== this.#term) {
+                // Keeps the gateways of a fleet from all writing their registrations again at once.
+                await sleep(rewriteSpreadMs * this.#deps.random.next());
             }
         }
     }
 
-    /** Goes on with the registration that this host's life before left, where its lease still holds. */
+    /** Adopts the registration of the previous incarnation if it is up to date and its lease can be renewed. */
     async #adopt(): Promise<boolean> {
-        const { store, view, name, log } = this.#parts;
+        const { store, view, name, log } = this.#deps;
         const leaseId = view.registrationLease(name);
         if (leaseId === undefined || leaseId === this.#lostLeaseId || !this.#isUpToDate()) {
             return false;
@@ -112,16 +111,16 @@
         return true;
     }
 
-    /** Whether the registration in the store says what this life would write: its ports may be others than before. */
+    /** Whether the stored registration equals the one to be written: the ports may have changed with the restart. */
     #isUpToDate(): boolean {
-        const { view, name, registration } = this.#parts;
-        const found = view.registeredGateways().find(gateway => gateway.name === name);
-        const [before, now] = [found, registration].map(each => each && renderGatewayRegistration(each));
-        return before === now;
+        const { view, name, registration } = this.#deps;
+        const stored = view.registeredGateways().find(gateway => gateway.name === name);
+        const [storedText, currentText] = [stored, registration].map(each => each && renderGatewayRegistration(each));
+        return storedText === currentText;
     }
 
     async #register(): Promise<boolean> {
-        const { store, codec, name, registration, log, metrics } = this.#parts;
+        const { store, codec, name, registration, log, metrics } = this.#deps;
         const lease = await store.grantLease(registrationTtlMs);
         if (lease.isLeft()) {
             this.#onFailure("grantLease", lease.extract());
@@ -131,7 +130,7 @@
         const key = codec.registrationKey(name);
         const value = registration === undefined ? name : renderGatewayRegistration(registration);
         let expectedRevision = 0;
-        // A second round takes the place of the registration that this host's life before left behind.
+        // The second round overwrites a registration that the previous incarnation left behind.
         for (let round = 0; round < 2; round++) {
             const swap = await store.compareAndSwap({ key, expectedRevision, value, leaseId: id });
             if (swap.isLeft()) {
@@ -150,16 +149,16 @@
         return false;
     }
 
-    /** Renews until the registration is gone. */
-    async #keep(): Promise<void> {
-        const { store, view, name, clock } = this.#parts;
+    /** Renews the lease until the registration is lost. */
+    async #keepRenewing(): Promise<void> {
+        const { store, view, name, clock } = this.#deps;
         const registeredAtMs = clock.monotonicMs();
         while (!this.#stopped) {
             const leaseId = this.#leaseId;
             if (leaseId === undefined) {
                 return;
             }
-            await this.#pause.sleep(renewalMs);
+            await this.#renewalSleep.sleep(renewalIntervalMs);
             if (this.#leaseId !== leaseId) {
                 return;
             }
@@ -168,8 +167,8 @@
             if (failure !== undefined) {
                 this.#onFailure("renewLease", failure);
             }
-            // The store may take a registration away without a word to its holder; the watch shows that it is gone.
-            const lost = view.lastStoreContactMs - registeredAtMs > renewalMs && !view.isRegistered(name);
+            // The store may drop a registration without failing a renewal; the watch then shows that it is gone.
+            const lost = view.lastStoreContactMs - registeredAtMs > renewalIntervalMs && !view.isRegistered(name);
             if (failure?.kind === "notFound" || lost) {
                 this.#lostLeaseId = leaseId;
                 this.#leaseId = undefined;
@@ -178,7 +177,7 @@
     }
 
     #onFailure(call: string, failure: Failure): void {
-        const { log, metrics } = this.#parts;
+        const { log, metrics } = this.#deps;
         metrics.onStoreCall(call, failure.kind);
         log.log("warn", "registrationFailed", { call, kind: failure.kind, detail: failure.detail });
     }
