--- a/packages/edge/src/__tests__/fleetState.test.ts
+++ b/packages/edge/src/__tests__/fleetState.test.ts
@@ -15,7 +15,7 @@
 
 test("before the configuration is read, requests are refused at once and the readiness check fails", async t => {
     const store = new MemoryStore();
-    store.down = true;
+    store.isDown = true;
     const edge = await startEdge(t, store);
     const got = await call(edge, "/tables/x");
     assert.equal(got.status, 503);
@@ -24,7 +24,7 @@
     await readiness.body.dump();
     assert.equal(readiness.statusCode, 503);
 
-    store.down = false;
+    store.isDown = false;
     store.put("configuration", createConfiguration(1));
     registerServer(store, await startBackend(t, "a"));
     await waitUntilReady(edge);
@@ -83,11 +83,11 @@
     registerServer(store, await startBackend(t, "a"));
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
-    store.down = true;
+    store.isDown = true;
     registerServer(store, await startBackend(t, "b"));
     await eventually(() => edge.logs.some(line => line["message"] === "storeLost"), "the loss is logged");
     assert.equal((await call(edge, "/tables/x")).status, 200);
-    store.down = false;
+    store.isDown = false;
     await eventually(() => edge.logs.some(line => line["message"] === "storeRegained"), "the return is logged");
 });
 
@@ -131,9 +131,9 @@
     const edge = await startEdge(t, store);
     await waitUntilReady(edge);
     assert.equal((await call(edge, "/new/x")).status, 404);
-    store.down = true;
+    store.isDown = true;
     await eventually(async () => (await call(edge, "/new/x")).status === 503, "the unknown route gets a 503");
     assert.ok(Number((await call(edge, "/new/x")).headers["retry-after"]) > 0);
-    store.down = false;
+    store.isDown = false;
     await eventually(async () => (await call(edge, "/new/x")).status === 404, "the unknown route gets a 404 again");
 });
--- a/packages/edge/src/__tests__/initialSyncGate.test.ts
+++ b/packages/edge/src/__tests__/initialSyncGate.test.ts
@@ -32,7 +32,7 @@
 // Guards against requests that are held while the store is down.
 test("held requests are refused as soon as the first read fails", async t => {
     const store = new MemoryStore();
-    store.down = true;
+    store.isDown = true;
     const release = store.holdCalls();
     const edge = await startEdge(t, store);
     const response = call(edge, "/tables/x");
--- a/packages/edge/src/__tests__/linkFaultFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -90,7 +90,7 @@
         }
         for (const gateway of flapIntervalMs === undefined ? fleet.gateways : []) {
             const isCut = gateways.includes(gateway) && nowMs < endMs;
-            const state = gateway.reach.stateOf("tables");
+            const state = gateway.reachability.stateOf("tables");
             const mustDetectFault = isCut && hasHealthyGateway && nowMs > startMs + detectionLimitMs;
             const mustDetectRecovery = !isCut && (!gateways.includes(gateway) || nowMs > endMs + recoveryLimitMs);
             samples++;
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -181,7 +181,7 @@
         }
         let partition = 1;
         for (const gateway of cutGateways) {
-            gateway.link.cut = true;
+            gateway.link.isCut = true;
             gateway.partition = partition;
             partition += areConnected ? 0 : 1;
         }
@@ -190,7 +190,7 @@
 
     #reconnect(cutGateways: ReadonlySet<SimulatedGateway>): void {
         for (const gateway of cutGateways) {
-            gateway.link.cut = false;
+            gateway.link.isCut = false;
             gateway.partition = 0;
         }
     }
--- a/packages/edge/src/__tests__/loadInquiry.test.ts
+++ b/packages/edge/src/__tests__/placementProber.test.ts
@@ -45,10 +45,10 @@
     });
     const metrics = new EdgeMetrics(createMetrics("test"));
     const log = new EdgeLog(createJsonLogger({ process: "test", level: "error", write: () => undefined }), () => 0);
-    const metadataRecorder = new ResponseMetadataRecorder({ board, connections, log, metrics });
+    const metadataRecorder = new ResponseMetadataRecorder({ placementState: board, connections, log, metrics });
     return {
         prober: new PlacementProber({
-            board,
+            placementState: board,
             metadataRecorder,
             connections,
             reachability: { onContact: () => undefined },
@@ -104,7 +104,7 @@
     const server = createServer("a", port);
     const connections = new ServerConnectionPool();
     t.after(() => connections.close());
-    const probe = { server, healthPath: "/health", vocabulary: metadataCodec, timeoutMs: 150 };
+    const probe = { server, healthPath: "/health", metadataCodec: metadataCodec, timeoutMs: 150 };
     const connection = connections.open(server.address);
     assert.equal((await probeServerLoad({ ...probe, connection })).type, "told", "the connection is open now");
     const response = probeServerLoad({ ...probe, connection });
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -120,9 +120,9 @@
     const fleet = await startCrashingFleet(t, 3);
     const [cutOff, ...others] = fleet.edges;
     assert.ok(cutOff);
-    at(fleet.links, 0).cut = true;
+    at(fleet.links, 0).isCut = true;
     await whenQuarantined({ ...fleet, edges: others }, others);
-    at(fleet.links, 0).cut = false;
+    at(fleet.links, 0).isCut = false;
     const backAtMs = performance.now();
     await eventually(
         () => cutOff.logs.some(line => line["state"] === "quarantined"),
@@ -137,7 +137,7 @@
 // Without the store a gateway gets no reports of others. Its own crashes must suffice, and be published afterwards.
 test("a gateway quarantines by its own crashes while the store is down, and reports them afterwards", async t => {
     const fleet = await startCrashingFleet(t, 2);
-    fleet.store.down = true;
+    fleet.store.isDown = true;
     const [first, second] = fleet.edges;
     assert.ok(first && second);
     for (let i = 0; i < 4; i++) {
@@ -145,7 +145,7 @@
         await sleep(200);
     }
     assert.equal((await fleet.servers.send(first, crashPath)).status, 503);
-    fleet.store.down = false;
+    fleet.store.isDown = false;
     await eventually(
         () => second.logs.some(line => line["state"] === "quarantined"),
         "the other gateway quarantines the request",
--- a/packages/edge/src/__tests__/reachabilityMonitor.test.ts
+++ b/packages/edge/src/__tests__/reachabilityMonitor.test.ts
@@ -21,9 +21,9 @@
             startedAtMs,
         } as const;
         await clock.advance(1);
-        gateway.reach.onContact(refused);
-        gateway.reach.onContact({ ...refused, serverId: "server-1", isNewConnection: false, end: "heard" });
-        assert.equal(gateway.reach.stateOf("tables"), "reached");
+        gateway.reachability.onContact(refused);
+        gateway.reachability.onContact({ ...refused, serverId: "server-1", isNewConnection: false, end: "heard" });
+        assert.equal(gateway.reachability.stateOf("tables"), "reached");
         await clock.advance(100);
     }
     fleet.stop();
--- a/packages/edge/src/__tests__/relay.test.ts
+++ b/packages/edge/src/__tests__/relay.test.ts
@@ -81,11 +81,11 @@
     const [what, harm] of [
         ["ends", async ({ edge }: Member) => edge.stop()],
         ["is cut off from the store", ({ link }: Member) => {
-            link.cut = true;
+            link.isCut = true;
             return Promise.resolve();
         }],
         ["is refused by the store", ({ link }: Member) => {
-            link.refused = true;
+            link.isRefusing = true;
             return Promise.resolve();
         }],
     ] as const
@@ -103,12 +103,12 @@
     const { store, relay, followers } = await startFleet(t, 3);
     const members = [relay, ...followers];
     for (const { link } of members) {
-        link.cut = true;
+        link.isCut = true;
     }
     store.put("configuration", createConfiguration(7));
     await eventually(() => members.every(member => hasLogged(member, "storeLost")), "all detect the loss of the store");
     for (const { link } of members) {
-        link.cut = false;
+        link.isCut = false;
     }
     await applyVersion(store, members, 8);
 });
--- a/packages/edge/src/__tests__/requestPath.test.ts
+++ b/packages/edge/src/__tests__/requestPath.test.ts
@@ -268,7 +268,7 @@
     // The requests wait for up to 1.8 s, far longer than any of these probes takes on a busy machine.
     store.put("configuration", createConfiguration(1, [{ ...tables, objectiveMs: 6_000, timeoutMs: 10_000 }]));
     registerServer(store, a);
-    const edge = await startEdge(t, store, { asksPerSecond: 1 });
+    const edge = await startEdge(t, store, { probesPerSecond: 1 });
     await waitUntilReady(edge);
     const pending: ReturnType<typeof call>[] = [];
     for (let i = 0; i < 20; i++) {
--- a/packages/edge/src/__tests__/rollouts.test.ts
+++ b/packages/edge/src/__tests__/rollouts.test.ts
@@ -42,8 +42,8 @@
     );
     registerServer(store, old, { version: "v1", slots: 6 });
     const edges = [
-        await startEdge(t, store, { name: "edge-1", exposureShare: 0.5, asksPerSecond: 2_000 }),
-        await startEdge(t, store, { name: "edge-2", exposureShare: 0.5, asksPerSecond: 2_000 }),
+        await startEdge(t, store, { name: "edge-1", exposureShare: 0.5, probesPerSecond: 2_000 }),
+        await startEdge(t, store, { name: "edge-2", exposureShare: 0.5, probesPerSecond: 2_000 }),
     ];
     for (const edge of edges) {
         await waitUntilReady(edge);
--- a/packages/edge/src/__tests__/stopping.test.ts
+++ b/packages/edge/src/__tests__/stopping.test.ts
@@ -81,7 +81,7 @@
 test("a store that doesn't respond doesn't delay a planned stop", async t => {
     const edge = await startSlowPath(t, 10);
     await eventually(() => edge.logs.some(line => line["message"] === "registered"), "the gateway is registered");
-    edge.store.hangs = true;
+    edge.store.isHanging = true;
     const startedAtMs = performance.now();
     await edge.stop();
     assert.ok(performance.now() - startedAtMs < 3_000);
--- a/packages/edge/src/__tests__/storeOutages.test.ts
+++ b/packages/edge/src/__tests__/storeOutages.test.ts
@@ -112,7 +112,7 @@
             relay?.powerOff();
         }
         if (relay !== undefined) {
-            relay.link.cut = outage.relayFault === "cutOff";
+            relay.link.isCut = outage.relayFault === "cutOff";
         }
         const recoveredAtMs = this.#clock.monotonicMs();
         const { reads, writes } = store.calls;
@@ -127,7 +127,7 @@
         const totalCost = store.calls.cost - costBefore;
         const result = { ...this.#findLatest(ackedAtMs), ...recoveryCalls, totalCost, wrongDenials };
         if (relay !== undefined) {
-            relay.link.cut = false;
+            relay.link.isCut = false;
         }
         return result;
     }
@@ -163,7 +163,7 @@
             this.#store.startFault(fault);
         }
         if (relayFault === "returns" && relay !== undefined) {
-            relay.link.cut = true;
+            relay.link.isCut = true;
         }
         const { cost } = this.#store.calls;
         await this.#clock.advance(durationMs);
@@ -183,7 +183,7 @@
         let latest: Pick<OutageResult, "maxDelayMs" | "gateway"> = { maxDelayMs: 0, gateway: undefined };
         for (const gateway of this.#fleet.gateways) {
             const maxDelayMs = (gateway.inForceAtMs.get(this.#version) ?? Infinity) - ackedAtMs;
-            if (!gateway.isDead && !gateway.link.cut && maxDelayMs > latest.maxDelayMs) {
+            if (!gateway.isDead && !gateway.link.isCut && maxDelayMs > latest.maxDelayMs) {
                 latest = { maxDelayMs, gateway };
             }
         }
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -164,7 +164,7 @@
 /** One gateway's link to a {@link FaultyStore}. */
 export class FaultyStoreLink extends KeyValueStore {
     /** Whether the link is cut, so that calls get no response. */
-    cut = false;
+    isCut = false;
     readonly #store: FaultyStore;
     readonly #term = new StoreTerm();
 
@@ -310,7 +310,7 @@
                 clearTimeout(lossTimer);
                 resolve(result);
             };
-            const isSilent = (): boolean => this.cut || store.faultCount !== faultCount;
+            const isSilent = (): boolean => this.isCut || store.faultCount !== faultCount;
             const checkChanges = (): void => {
                 if (store.fault === "reset" || store.fault === "refusing") {
                     finish(this.#fail(store.fault));
@@ -353,12 +353,12 @@
                 clearTimeout(timer);
                 resolve(result);
             };
-            const isSilent = this.cut || fault === "silent";
+            const isSilent = this.isCut || fault === "silent";
             const latencyMs = fault === "slow" ? slowLatencyMs : usualLatencyMs;
             const timer = isSilent
                 ? setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs)
                 : setTimeout(() => {
-                    if (this.cut) {
+                    if (this.isCut) {
                         setTimeout(() => settle(this.#fail("silent")), slackMs + waitMs);
                         return;
                     }
--- a/packages/edge/src/__tests__/support/memoryStore.ts
+++ b/packages/edge/src/__tests__/support/memoryStore.ts
@@ -14,9 +14,9 @@
 /** In-memory store with a watch that waits for changes, and faults that the test turns on and off. */
 export class MemoryStore extends KeyValueStore {
     /** Whether every call fails. */
-    down = false;
+    isDown = false;
     /** Whether calls get no response. */
-    hangs = false;
+    isHanging = false;
     /** Whether the next watch fails because its history is compacted; reset by that watch. */
     historyLost = false;
     calls = 0;
@@ -122,10 +122,10 @@
 
     async #call<T>(run: () => T): Promise<Either<Failure, T>> {
         this.calls++;
-        if (this.hangs) {
+        if (this.isHanging) {
             return new Promise(() => undefined);
         }
         await this.#held;
-        return await Promise.resolve(this.down ? Left(createFailure("storeUnavailable", "down")) : Right(run()));
+        return await Promise.resolve(this.isDown ? Left(createFailure("storeUnavailable", "down")) : Right(run()));
     }
 }
--- a/packages/edge/src/__tests__/support/simulatedReachFleet.ts
+++ b/packages/edge/src/__tests__/support/simulatedReachFleet.ts
@@ -38,7 +38,7 @@
 /** One gateway whose links to all servers a test can fail, with a real `ReachabilityMonitor` and simulated requests. */
 export class SimulatedReachGateway {
     readonly name: string;
-    readonly reach: ReachabilityMonitor;
+    readonly reachability: ReachabilityMonitor;
     readonly view = new FleetView();
     fault: LinkFault | undefined;
     isDead = false;
@@ -47,7 +47,7 @@
         this.name = `gateway-${index}`;
         const { clock, random } = fleet;
         const write = (): void => undefined;
-        this.reach = new ReachabilityMonitor({
+        this.reachability = new ReachabilityMonitor({
             name: this.name,
             availabilityZone,
             view: this.view,
@@ -108,8 +108,8 @@
 
     stop(): void {
         this.#isOver = true;
-        for (const { reach } of this.gateways) {
-            reach.stop();
+        for (const { reachability } of this.gateways) {
+            reachability.stop();
         }
     }
 
@@ -158,13 +158,13 @@
 
     /** Handles a request as a gateway does: hands it over if the links have failed, otherwise looks for a server. */
     async #serve(gateway: SimulatedReachGateway, needsNew: boolean): Promise<boolean> {
-        const { reach } = gateway;
+        const { reachability } = gateway;
         const tried = new Set<string>();
         const untilMs = this.clock.monotonicMs() + patienceMs;
         for (let sends = 0; sends < maxSends && this.clock.monotonicMs() < untilMs; sends++) {
-            if (await reach.whenSettled(service) !== "reached") {
-                const target = reach.stateOf(service) === "lost" && tried.size < maxHandovers
-                    ? reach.chooseHandoverTarget(service, tried)
+            if (await reachability.whenSettled(service) !== "reached") {
+                const target = reachability.stateOf(service) === "lost" && tried.size < maxHandovers
+                    ? reachability.chooseHandoverTarget(service, tried)
                     : undefined;
                 if (target !== undefined) {
                     tried.add(target.name);
@@ -173,16 +173,16 @@
                     }
                     continue;
                 }
-                if (reach.stateOf(service) === "lost" && tried.size < maxHandovers) {
-                    reach.onHandoverTargetsExhausted(service);
+                if (reachability.stateOf(service) === "lost" && tried.size < maxHandovers) {
+                    reachability.onHandoverTargetsExhausted(service);
                 }
-                if (!reach.tryAcquireLocalAttempt(service)) {
+                if (!reachability.tryAcquireLocalAttempt(service)) {
                     return false;
                 }
             }
             const server = await this.#search(gateway);
             if (server === undefined) {
-                if (await reach.whenSettled(service) !== "lost") {
+                if (await reachability.whenSettled(service) !== "lost") {
                     return false;
                 }
                 continue;
@@ -200,7 +200,7 @@
             const servers = Array.from({ length: parallelProbes }, () => `server-${this.#draw(this.size.servers)}`);
             const ends = await Promise.all(servers.map(id => this.#contact(gateway, id, false, timeoutMs)));
             const reachable = servers.find((_, i) => ends[i] === "heard");
-            if (reachable !== undefined || gateway.reach.stateOf(service) === "lost") {
+            if (reachable !== undefined || gateway.reachability.stateOf(service) === "lost") {
                 return reachable;
             }
             await sleep(10 + 15 * this.random.next());
@@ -216,13 +216,13 @@
     ): Promise<ServerContactResult> {
         const startedAtMs = this.clock.monotonicMs();
         const end = await this.exchange(gateway, server, isNew, timeoutMs);
-        gateway.reach.onContact({ service, serverId: server, isNewConnection: isNew, end, startedAtMs });
+        gateway.reachability.onContact({ service, serverId: server, isNewConnection: isNew, end, startedAtMs });
         return end;
     }
 
     async #handOver(gateway: SimulatedReachGateway, name: string, port: number): Promise<boolean> {
         const target = this.findGateway(port);
-        const { handoverTargets } = gateway.reach;
+        const { handoverTargets } = gateway.reachability;
         if (target === undefined || target.isDead) {
             await sleep(connectTimeoutMs);
             handoverTargets.onUnresponsive(name, this.clock.monotonicMs());
@@ -230,12 +230,12 @@
         }
         const end = handoverTargets.trackRequest(name);
         await sleep(latencyMs);
-        const reaches = target.reach.stateOf(service) === "reached" && await this.#serveHere(target);
+        const reaches = target.reachability.stateOf(service) === "reached" && await this.#serveHere(target);
         await sleep(latencyMs);
         end();
         const nowMs = this.clock.monotonicMs();
         handoverTargets.onReachability(service, name, reaches, nowMs);
-        handoverTargets.onSuggested(service, target.reach.handoverTargets.suggest(service, nowMs), nowMs);
+        handoverTargets.onSuggested(service, target.reachability.handoverTargets.suggest(service, nowMs), nowMs);
         this.handoverCount += reaches ? 1 : 0;
         return reaches;
     }
@@ -321,7 +321,7 @@
             return undefined;
         }
         await sleep(latencyMs);
-        const response = await peer.reach.getReachability(queriedService);
+        const response = await peer.reachability.getReachability(queriedService);
         await sleep(latencyMs);
         return response;
     }
--- a/packages/edge/src/__tests__/support/storeLink.ts
+++ b/packages/edge/src/__tests__/support/storeLink.ts
@@ -14,9 +14,9 @@
 /** One gateway's link to a store that several gateways share. */
 export class StoreLink extends KeyValueStore {
     /** Whether calls get no response. */
-    cut = false;
+    isCut = false;
     /** Whether calls are refused at once. */
-    refused = false;
+    isRefusing = false;
     calls = 0;
     readonly #store: MemoryStore;
 
@@ -54,15 +54,15 @@
     override async watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>> {
         const events = await this.#call(() => this.#store.watch(req), req.signal);
         // A watch whose link is cut while it is pending gets no response.
-        return this.cut ? this.#timeOut(req.signal) : events;
+        return this.isCut ? this.#timeOut(req.signal) : events;
     }
 
     #call<T>(run: () => Promise<Either<Failure, T>>, signal?: AbortSignal): Promise<Either<Failure, T>> {
         this.calls++;
-        if (this.cut) {
+        if (this.isCut) {
             return this.#timeOut(signal);
         }
-        return this.refused ? Promise.resolve(Left(createFailure("storeUnavailable", "refused"))) : run();
+        return this.isRefusing ? Promise.resolve(Left(createFailure("storeUnavailable", "refused"))) : run();
     }
 
     #timeOut<T>(signal: AbortSignal | undefined): Promise<Either<Failure, T>> {
--- a/packages/edge/src/__tests__/support/testEdge.ts
+++ b/packages/edge/src/__tests__/support/testEdge.ts
@@ -134,11 +134,11 @@
     options: {
         readonly graceSeconds?: number;
         readonly name?: string;
-        readonly asksPerSecond?: number;
+        readonly probesPerSecond?: number;
         readonly peersPort?: number;
         readonly exposureShare?: number;
         readonly firstTrialSeconds?: number;
-        readonly links?: ServerConnector;
+        readonly connector?: ServerConnector;
     } = {},
 ): Promise<TestEdge<Store>> {
     const [callers, readiness, free = 0, metrics] = await findFreePorts(4);
@@ -154,7 +154,7 @@
         },
         store: { address: "127.0.0.1:1" },
         stopping: { graceSeconds: options.graceSeconds ?? 3 },
-        asking: { perServerAndSecond: options.asksPerSecond ?? 30 },
+        asking: { perServerAndSecond: options.probesPerSecond ?? 30 },
         repeats: { ratio: 0.2, slack: 100, windowSeconds: 0.01 },
         quarantine: { firstTrialSeconds: options.firstTrialSeconds ?? 120 },
         rollouts: options.exposureShare === undefined ? {} : { exposureShare: options.exposureShare },
@@ -172,7 +172,7 @@
         }),
         metrics: createMetrics("test"),
         seed: 1,
-        ...(options.links === undefined ? {} : { connector: options.links }),
+        ...(options.connector === undefined ? {} : { connector: options.connector }),
     });
     await edge.start();
     let stopped: Promise<void> | undefined;
@@ -226,7 +226,10 @@
     for (let i = 0; i < count; i++) {
         const connector = connectors[i];
         edges.push(
-            await startEdge(t, store, { name: `edge-${i}`, ...(connector === undefined ? {} : { links: connector }) }),
+            await startEdge(t, store, {
+                name: `edge-${i}`,
+                ...(connector === undefined ? {} : { connector: connector }),
+            }),
         );
     }
     await Promise.all(edges.map(waitUntilReady));
--- a/packages/edge/src/backends/probeServerLoad.ts
+++ b/packages/edge/src/backends/probeServerLoad.ts
@@ -15,14 +15,14 @@
     readonly server: RegisteredServer;
     readonly connection: ServerConnection;
     readonly healthPath: string;
-    readonly vocabulary: EdgeMetadataCodec;
+    readonly metadataCodec: EdgeMetadataCodec;
     readonly timeoutMs: number;
 }
 
 /** The load that a server reported. */
 export interface LoadProbeSuccess {
     readonly type: "told";
-    readonly offer: ServerStatus;
+    readonly status: ServerStatus;
     readonly metadata: ResponseMetadata;
 }
 
@@ -95,8 +95,8 @@
     }
 
     #readReport(status: number, headers: RawHeaders): LoadProbeSuccess | LoadProbeFailure {
-        const { server, vocabulary } = this.#options;
-        const metadata = vocabulary.readResponse(status, headers);
+        const { server, metadataCodec } = this.#options;
+        const metadata = metadataCodec.readResponse(status, headers);
         if (metadata.serverId !== server.id) {
             return { type: "untold", reason: "otherServer" };
         }
@@ -108,7 +108,7 @@
             healthy: status === okStatus,
             coldRemainingMs: metadata.coldRemainingMs,
         };
-        return { type: "told", offer, metadata: metadata };
+        return { type: "told", status: offer, metadata: metadata };
     }
 
     #settle(result: LoadProbeSuccess | LoadProbeFailure): void {
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -25,8 +25,8 @@
 /** Dependencies of an {@link EdgeHandler}. */
 export interface EdgeHandlerDeps extends ExchangeDeps {
     readonly callerConnections: CallerConnections;
-    readonly firstReading: InitialSyncGate;
-    readonly startGate: StartupGate;
+    readonly initialSyncGate: InitialSyncGate;
+    readonly startupGate: StartupGate;
     /** Time of the monotonic clock by which a planned stop has to end all requests; `undefined` before a stop. */
     readonly stopDeadlineMs: () => number | undefined;
 }
@@ -68,12 +68,12 @@
 
     /** Holds a request until the first read of the store has finished. Its deadline isn't extended. */
     async #holdUntilSynced(req: IncomingMessage, res: ServerResponse, arrivedAtMs: number): Promise<void> {
-        const { log, firstReading, metadataCodec } = this.#deps;
+        const { log, initialSyncGate, metadataCodec } = this.#deps;
         const { requestId, patienceMs } = metadataCodec.readRequest(req.rawHeaders);
-        const decision = firstReading.admit(patienceMs);
+        const decision = initialSyncGate.admit(patienceMs);
         if (decision.type === "hold") {
             log.log("info", "heldAtStart", { requestId, patienceMs, forAtMostMs: Math.round(decision.forMs) });
-            await firstReading.wait(decision.forMs);
+            await initialSyncGate.wait(decision.forMs);
         }
         if (!res.destroyed) {
             this.#accept(req, res, arrivedAtMs);
@@ -180,9 +180,9 @@
         req: IncomingMessage,
         res: ServerResponse,
     ): Promise<void> {
-        const { callerConnections, timeline, startGate } = this.#deps;
-        const permit = startGate.isActive
-            ? await startGate.acquire(this.#createStartupRequest(request, req), signal)
+        const { callerConnections, timeline, startupGate } = this.#deps;
+        const permit = startupGate.isActive
+            ? await startupGate.acquire(this.#createStartupRequest(request, req), signal)
             : undefined;
         let sink: CallerSink | undefined;
         const exchange = new Exchange(this.#deps, request, body, signal, head => {
@@ -213,7 +213,7 @@
             objectiveMs: route.objectiveMs,
             patienceMs: this.#deps.metadataCodec.readRequest(req.rawHeaders).patienceMs,
             route: route.name,
-            typicalLatencyMs: this.#deps.board.typicalLatency.of(rules.name, route.objectiveMs),
+            typicalLatencyMs: this.#deps.placementState.typicalLatency.of(rules.name, route.objectiveMs),
         };
     }
 
@@ -353,8 +353,8 @@
     res.setHeader(handoverHeader, renderHandoverHeader(outcome));
 }
 
-function workspaceName({ admission }: EdgeRequest): string | undefined {
-    return admission.type === "known" ? admission.workspace.name : undefined;
+function workspaceName({ callerIdentity }: EdgeRequest): string | undefined {
+    return callerIdentity.type === "known" ? callerIdentity.workspace.name : undefined;
 }
 
 function resolveBodyBytes(req: IncomingMessage): number | undefined {
--- a/packages/edge/src/edge.ts
+++ b/packages/edge/src/edge.ts
@@ -111,14 +111,14 @@
         probesPerServerAndSecond: settings.asking.perServerAndSecond,
         startedAtMs: clock.monotonicMs(),
     });
-    const metadataRecorder = new ResponseMetadataRecorder({ board, connections, log, metrics });
+    const metadataRecorder = new ResponseMetadataRecorder({ placementState: board, connections, log, metrics });
     const reachability = new ReachabilityMonitor({
         name,
         availabilityZone,
         view,
         probe: new LoadProbe({
             view,
-            board,
+            placementState: board,
             metadataRecorder,
             connections,
             metadataCodec,
@@ -142,7 +142,7 @@
     const placer = new Placer({
         view,
         availabilityZone,
-        board,
+        placementState: board,
         metadataRecorder,
         connections,
         reachability,
@@ -181,12 +181,12 @@
         clock,
         random,
         placer,
-        board,
+        placementState: board,
         metadataRecorder,
         connections,
         peerConnections,
         configVersionWatermark: new ConfigVersionWatermark(),
-        checks: new ServerLivenessChecker(connector),
+        livenessChecker: new ServerLivenessChecker(connector),
         reachability,
         crashReports,
         limits,
@@ -197,8 +197,8 @@
         metrics,
         timeline,
         callerConnections,
-        firstReading: initialSyncGate,
-        startGate: new StartupGate(clock),
+        initialSyncGate: initialSyncGate,
+        startupGate: new StartupGate(clock),
         stopDeadlineMs: () => stopDeadlineMs,
     });
     const callerServer = createCallerServer({
--- a/packages/edge/src/handover/exchangeHandover.ts
+++ b/packages/edge/src/handover/exchangeHandover.ts
@@ -98,7 +98,7 @@
             idempotent: route.idempotent,
             requestId,
             metadataReader: metadataCodec,
-            heldBytes: maxBufferedResponseBytes,
+            maxBufferedBytes: maxBufferedResponseBytes,
             mayWrite,
             openSink,
         });
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -23,7 +23,7 @@
     readonly idempotent: boolean;
     readonly requestId: string | undefined;
     readonly metadataReader: ResponseMetadataReader;
-    readonly heldBytes: number;
+    readonly maxBufferedBytes: number;
     /** Called in the event loop turn that writes the first byte; `false` cancels the send. */
     readonly mayWrite: () => boolean;
     readonly openSink: (head: ResponseHead) => ResponseSink | undefined;
@@ -52,7 +52,7 @@
  */
 export function handOver(input: HandoverInput): Handover {
     const reader = new HandoverReader(input);
-    const { connection, metadata, method, headers, body, idempotent, requestId, heldBytes, mayWrite } = input;
+    const { connection, metadata, method, headers, body, idempotent, requestId, maxBufferedBytes, mayWrite } = input;
     const send = sendRequest({
         connection,
         isFirstRequest: true,
@@ -67,7 +67,7 @@
         idempotent,
         requestId,
         metadataReader: reader,
-        maxBufferedBytes: heldBytes,
+        maxBufferedBytes,
         mayWrite,
         openSink: head => reader.outcome?.type === "answered" ? input.openSink(stripHandoverHeader(head)) : undefined,
     });
--- a/packages/edge/src/reach/reachabilityMonitor.ts
+++ b/packages/edge/src/reach/reachabilityMonitor.ts
@@ -165,7 +165,7 @@
         }
         const { log, metrics, view, onLinksLost, onLinksRestored } = this.#deps;
         log.log(change.to === "reached" ? "info" : "warn", "serverReach", { service, ...describeChange(change) });
-        metrics.onReachChanged(service, change.to);
+        metrics.onReachabilityChanged(service, change.to);
         if (change.from === "doubted") {
             this.#notifySettled(service);
         }
--- a/packages/edge/src/reach/serverProbe.ts
+++ b/packages/edge/src/reach/serverProbe.ts
@@ -17,7 +17,7 @@
 /** Dependencies of {@link LoadProbe}. */
 export interface LoadProbeDeps {
     readonly view: FleetView;
-    readonly board: PlacementState;
+    readonly placementState: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
     readonly metadataCodec: EdgeMetadataCodec;
@@ -35,7 +35,7 @@
     }
 
     override async probe(service: string, server: RegisteredServer): Promise<ServerContactResult> {
-        const { view, board, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#deps;
+        const { view, placementState, metadataRecorder, connections, metadataCodec, clock, metrics } = this.#deps;
         const rules = view.configurationInForce?.services.get(service);
         if (rules === undefined) {
             return "lost";
@@ -47,7 +47,7 @@
             server,
             connection,
             healthPath,
-            vocabulary: metadataCodec,
+            metadataCodec: metadataCodec,
             timeoutMs: reachabilityCheckTimeoutMs,
         });
         const nowMs = clock.monotonicMs();
@@ -57,7 +57,7 @@
             return result.reason === "otherServer" ? "heard" : result.reason;
         }
         connections.release(server.id, connection, { after: "question", nowMs });
-        board.onProbeResponse(service, result.offer, startedAtMs);
+        placementState.onProbeResponse(service, result.status, startedAtMs);
         metadataRecorder.record({
             server,
             metadata: result.metadata,
--- a/packages/edge/src/requests/edgeRequest.ts
+++ b/packages/edge/src/requests/edgeRequest.ts
@@ -28,7 +28,7 @@
     readonly requestId: string | undefined;
     readonly route: Route;
     /** Identity of the caller. Holds a secret and is never logged. */
-    readonly admission: CallerIdentity;
+    readonly callerIdentity: CallerIdentity;
     /** 0 is the most urgent. The workspace's priority takes precedence over the route's. */
     readonly priority: number;
     readonly rules: ServiceRules;
@@ -70,9 +70,9 @@
         return Left(createFailure("noSuchService", "no route for this authority and path"));
     }
     const { requestId, patienceMs, callerKey } = metadataCodec.readRequest(head.headers);
-    const admission = authenticate(callerKey, inForce.workspaces, route.open ?? false);
-    if (typeof admission === "string") {
-        return Left(createFailure("unauthenticated", rejectionDetails[admission]));
+    const callerIdentity = authenticate(callerKey, inForce.workspaces, route.open ?? false);
+    if (typeof callerIdentity === "string") {
+        return Left(createFailure("unauthenticated", rejectionDetails[callerIdentity]));
     }
     if (countHeaderBytes(head.headers) > limits.maximumHeaderBytes) {
         return Left(createFailure("headersTooLarge", `at most ${limits.maximumHeaderBytes} bytes are taken`));
@@ -92,8 +92,8 @@
         route: head.handover === undefined
             ? route
             : { ...route, maximumRuns: Math.min(route.maximumRuns, head.handover.runs) },
-        admission,
-        priority: (admission.type === "known" ? admission.workspace.priority : undefined) ?? route.priority,
+        callerIdentity: callerIdentity,
+        priority: (callerIdentity.type === "known" ? callerIdentity.workspace.priority : undefined) ?? route.priority,
         rules,
         version,
         maximumBodyBytes: limits.maximumBodyBytes,
@@ -119,8 +119,10 @@
 }
 
 /** @returns the caller's identity as it is forwarded to backend servers */
-export function resolveIdentity(admission: CallerIdentity): ForwardIdentity {
-    return admission.type === "known" ? { type: "workspace", name: admission.workspace.name } : admission;
+export function resolveIdentity(callerIdentity: CallerIdentity): ForwardIdentity {
+    return callerIdentity.type === "known"
+        ? { type: "workspace", name: callerIdentity.workspace.name }
+        : callerIdentity;
 }
 
 const rejectionDetails: Readonly<Record<RejectionReason, string>> = {
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -82,7 +82,7 @@
     ) {
         this.#deps = deps;
         this.#request = request;
-        this.#localReplies = new LocalReplies(request, deps.board.typicalLatency, deps.random);
+        this.#localReplies = new LocalReplies(request, deps.placementState.typicalLatency, deps.random);
         this.#body = body;
         this.#signal = signal;
         this.#workspaceGuard = new WorkspaceGuard(deps, request, signal);
@@ -121,7 +121,7 @@
 
     /** @returns the result for the caller; never rejects */
     async run(): Promise<ExchangeResult> {
-        const { repeatBudget, board } = this.#deps;
+        const { repeatBudget, placementState } = this.#deps;
         const { rules, priority, handedOverBy } = this.#request;
         if (handedOverBy === undefined) {
             repeatBudget.onRequest(rules.name, this.#nowMs());
@@ -138,7 +138,7 @@
                 );
             }
             // Counted only after admission: rejected requests need no capacity, so none is reserved for their priority.
-            board.onRequest(rules.name, priority, this.#nowMs());
+            placementState.onRequest(rules.name, priority, this.#nowMs());
             const target = await this.#findTarget("first");
             if (typeof target === "string") {
                 return this.#finish(
@@ -191,7 +191,7 @@
         }
         const mayRetry = this.#isRetryAllowed();
         if (response !== undefined && end.type === "answered") {
-            this.#respondingServerId = underWay.to === "server" ? underWay.place.server.id : undefined;
+            this.#respondingServerId = underWay.to === "server" ? underWay.placement.server.id : undefined;
             if (!isServerError(end) && !response.endedByClose) {
                 return { type: "answered", response };
             }
@@ -374,7 +374,7 @@
     }
 
     #sendToServer(place: Placement, purpose: SendPurpose): void {
-        const { metadataCodec, connections, clock, view, board, rollouts, timeline } = this.#deps;
+        const { metadataCodec, connections, clock, view, placementState, rollouts, timeline } = this.#deps;
         const { method, url, headers, route, requestId, cutoffMs } = this.#request;
         const { server } = place;
         timeline.record("firstSend");
@@ -392,7 +392,7 @@
             headers: metadataCodec.createForwardHeaders(headers, {
                 serverId: server.id,
                 remainingMs: Math.max(1, Math.floor(cutoffMs - clock.monotonicMs())),
-                identity: resolveIdentity(this.#request.admission),
+                identity: resolveIdentity(this.#request.callerIdentity),
             }),
             body: this.#body.open(),
             idempotent: route.idempotent,
@@ -401,13 +401,13 @@
             maxBufferedBytes: maxBufferedResponseBytes,
             mayWrite: () =>
                 this.#mayWrite() && view.isUsable(server.id, clock.monotonicMs())
-                && board.exclusionOf(server, clock.monotonicMs()) === undefined,
+                && placementState.exclusionOf(server, clock.monotonicMs()) === undefined,
             openSink: head => this.#startStream(head, server.id),
         });
         const underWay: ServerSend = {
             to: "server",
             send,
-            place,
+            placement: place,
             purpose,
             isNewConnection,
             ledgerVersion: this.#quarantineGuard.ledgerVersion(),
@@ -421,7 +421,7 @@
 
     #onSendEnded(underWay: ServerSend, connection: ServerConnection, result: SendResult): void {
         const { connections, clock } = this.#deps;
-        const { place, purpose, isNewConnection, ledgerVersion } = underWay;
+        const { placement, purpose, isNewConnection, ledgerVersion } = underWay;
         this.#inFlight.delete(underWay);
         this.#sendEnds.push(result.end);
         if (result.end.type === "unknown") {
@@ -429,10 +429,10 @@
             connection.destroy();
         }
         else {
-            connections.release(place.server.id, connection, { after: "request", nowMs: clock.monotonicMs() });
+            connections.release(placement.server.id, connection, { after: "request", nowMs: clock.monotonicMs() });
         }
         this.#sendResultHandler.onSendEnded({
-            place,
+            placement: placement,
             purpose,
             isNewConnection,
             ledgerVersion,
--- a/packages/edge/src/requests/exchangeDeps.ts
+++ b/packages/edge/src/requests/exchangeDeps.ts
@@ -30,13 +30,13 @@
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly placer: Placer;
-    readonly board: PlacementState;
+    readonly placementState: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
     /** Connections to other gateways, by gateway name. */
     readonly peerConnections: ServerConnectionPool;
     readonly configVersionWatermark: ConfigVersionWatermark;
-    readonly checks: ServerLivenessChecker;
+    readonly livenessChecker: ServerLivenessChecker;
     readonly reachability: ReachabilityMonitor;
     readonly crashReports: CrashReportSync;
     readonly limits: WorkspaceLimits;
--- a/packages/edge/src/requests/pendingSend.ts
+++ b/packages/edge/src/requests/pendingSend.ts
@@ -8,7 +8,7 @@
 export interface ServerSend {
     readonly to: "server";
     readonly send: Send;
-    readonly place: Placement;
+    readonly placement: Placement;
     readonly purpose: SendPurpose;
     /** Whether the server had never responded on the connection before. */
     readonly isNewConnection: boolean;
@@ -35,5 +35,5 @@
 
 /** @returns the id of the server, or the name of the gateway, that a send goes to */
 export function receiverName(underWay: PendingSend): string {
-    return underWay.to === "server" ? underWay.place.server.id : underWay.gateway.name;
+    return underWay.to === "server" ? underWay.placement.server.id : underWay.gateway.name;
 }
--- a/packages/edge/src/requests/placementProber.ts
+++ b/packages/edge/src/requests/placementProber.ts
@@ -12,7 +12,7 @@
 
 /** Dependencies of a {@link PlacementProber}. */
 export interface PlacementProberDeps {
-    readonly board: PlacementState;
+    readonly placementState: PlacementState;
     readonly metadataRecorder: ResponseMetadataRecorder;
     readonly connections: ServerConnectionPool;
     readonly reachability: Pick<ReachabilityMonitor, "onContact">;
@@ -78,7 +78,7 @@
         timeoutMs: number,
         ends: ProbeEndCounts,
     ): Promise<ServerStatus | undefined> {
-        const { board, metadataRecorder, connections, reachability, metadataCodec, clock, metrics, timeline } =
+        const { placementState, metadataRecorder, connections, reachability, metadataCodec, clock, metrics, timeline } =
             this.#deps;
         timeline.record("firstProbe");
         const probedAtMs = clock.monotonicMs();
@@ -88,7 +88,7 @@
             server,
             connection,
             healthPath: rules.healthPath,
-            vocabulary: metadataCodec,
+            metadataCodec: metadataCodec,
             timeoutMs,
         });
         const end = result.type === "told" ? "told" : result.reason;
@@ -108,10 +108,10 @@
         }
         timeline.record("firstProbeAnswered");
         connections.release(server.id, connection, { after: "question", nowMs: clock.monotonicMs() });
-        board.onProbeResponse(rules.name, result.offer, probedAtMs);
+        placementState.onProbeResponse(rules.name, result.status, probedAtMs);
         const source = { answered: "question", sentAtMs: probedAtMs } as const;
         metadataRecorder.record({ server, metadata: result.metadata, source, nowMs: clock.monotonicMs() });
-        return result.offer;
+        return result.status;
     }
 
     /**
@@ -124,7 +124,7 @@
             return;
         }
         for (const { id } of unresponsive) {
-            this.#deps.board.onProbeUnanswered(service, id, this.#deps.clock.monotonicMs());
+            this.#deps.placementState.onProbeUnanswered(service, id, this.#deps.clock.monotonicMs());
         }
     }
 }
--- a/packages/edge/src/requests/placer.ts
+++ b/packages/edge/src/requests/placer.ts
@@ -20,7 +20,7 @@
     /** Availability zone of this gateway. */
     readonly availabilityZone: string;
     readonly clock: Clock;
-    readonly board: PlacementState;
+    readonly placementState: PlacementState;
 }
 
 /** Search for a server for one request. */
@@ -70,7 +70,7 @@
 
     /** @returns the picked server, or why there is none */
     async place(input: PlaceInput): Promise<Placement | PlacementFailure> {
-        const search = new ServerSearch(this.#deps.board, input);
+        const search = new ServerSearch(this.#deps.placementState, input);
         while (!input.signal.aborted) {
             if (this.#deps.reachability.stateOf(input.rules.name) === "lost" && input.mayHandOver) {
                 return "noOffer";
@@ -109,12 +109,12 @@
     }
 
     #takeSnapshot(service: string, candidates: readonly RegisteredServer[] | undefined): FleetSnapshot {
-        const { view, clock, board } = this.#deps;
+        const { view, clock, placementState } = this.#deps;
         const nowMs = clock.monotonicMs();
         const members = view.gatewayMembers(nowMs);
         const servers = candidates?.filter(({ id }) => view.isUsable(id, nowMs)) ?? view.usableServers(service, nowMs);
         return {
-            ...splitExcluded(servers, server => board.exclusionOf(server, nowMs)),
+            ...splitExcluded(servers, server => placementState.exclusionOf(server, nowMs)),
             gateways: members.names,
             zoneGateways: members.byZone.get(this.#deps.availabilityZone) ?? [],
             gatewaysByZone: members.byZone,
--- a/packages/edge/src/requests/responseMetadataRecorder.ts
+++ b/packages/edge/src/requests/responseMetadataRecorder.ts
@@ -7,7 +7,7 @@
 
 /** Dependencies of a {@link ResponseMetadataRecorder}. */
 export interface ResponseMetadataRecorderDeps {
-    readonly board: PlacementState;
+    readonly placementState: PlacementState;
     readonly connections: ServerConnectionPool;
     readonly log: EdgeLog;
     readonly metrics: EdgeMetrics;
@@ -47,7 +47,7 @@
 
     #recordLimit(response: ServerResponseMetadata): void {
         const { server, metadata: { limit, signed }, source, nowMs } = response;
-        const { board, log, metrics } = this.#deps;
+        const { placementState, log, metrics } = this.#deps;
         if (limit.type === "malformed") {
             metrics.onServerLimit(server.service, "malformed");
             log.log("warn", "serverLimit", { ...createLogFields(response), change: "malformed", text: limit.text });
@@ -57,7 +57,7 @@
         if (limit.type === "none" && source.answered === "request" && !signed) {
             return;
         }
-        const change = board.onLimit(server, limit, source, nowMs);
+        const change = placementState.onLimit(server, limit, source, nowMs);
         if (change !== undefined) {
             const { type, ...details } = change;
             metrics.onServerLimit(server.service, type);
@@ -67,7 +67,7 @@
 
     #recordBackoff(response: ServerResponseMetadata): void {
         const { server, metadata: { backoff }, nowMs } = response;
-        const { board, log, metrics } = this.#deps;
+        const { placementState, log, metrics } = this.#deps;
         if (backoff.type === "none") {
             return;
         }
@@ -76,7 +76,7 @@
             log.log("warn", "serverRest", { ...createLogFields(response), change: "malformed", text: backoff.text });
             return;
         }
-        const untilMs = board.onBackoff(server, backoff.forMs, nowMs);
+        const untilMs = placementState.onBackoff(server, backoff.forMs, nowMs);
         log.log("info", "serverRest", {
             ...createLogFields(response),
             change: untilMs === undefined ? "none" : "resting",
@@ -86,13 +86,13 @@
 
     #recordLeaving(response: ServerResponseMetadata): void {
         const { server, metadata } = response;
-        const { board, connections, log, metrics } = this.#deps;
+        const { placementState, connections, log, metrics } = this.#deps;
         if (!metadata.leaving) {
             return;
         }
         metrics.onServerNotice(server.service, "leaving");
         connections.closeIdle(server.id);
-        if (board.onLeaving(server)) {
+        if (placementState.onLeaving(server)) {
             log.log("info", "serverLeaving", createLogFields(response));
         }
     }
--- a/packages/edge/src/requests/sendResultHandler.ts
+++ b/packages/edge/src/requests/sendResultHandler.ts
@@ -13,7 +13,7 @@
 
 /** Result of a send to a backend server. */
 export interface ServerSendResult {
-    readonly place: Placement;
+    readonly placement: Placement;
     readonly purpose: SendPurpose;
     /** Whether the server had never responded on the connection before. */
     readonly isNewConnection: boolean;
@@ -49,12 +49,13 @@
     }
 
     onSendEnded(sendResult: ServerSendResult): void {
-        const { board, clock, metrics, reachability, rollouts } = this.#deps;
-        const { place: { server, score }, purpose, isNewConnection, ledgerVersion, result, superseded } = sendResult;
+        const { placementState, clock, metrics, reachability, rollouts } = this.#deps;
+        const { placement: { server, score }, purpose, isNewConnection, ledgerVersion, result, superseded } =
+            sendResult;
         const { end, response, tookMs } = result;
         const { rules: { name: service }, route } = this.#request;
         const nowMs = clock.monotonicMs();
-        const typicalMs = board.typicalLatency.of(service, route.objectiveMs);
+        const typicalMs = placementState.typicalLatency.of(service, route.objectiveMs);
         const sample = { end, tookMs, typicalMs, factor: score.latencyFactor, beaten: superseded };
         // A failure while this host's links are down is no evidence about the server's version.
         const isEvidence = purpose === "first"
@@ -70,18 +71,18 @@
             this.#livenessChecks.push(this.#checkLostServer(sendResult));
         }
         if (countsAsServerFailure(end)) {
-            board.onFailure(service, server.id, nowMs);
+            placementState.onFailure(service, server.id, nowMs);
         }
         else if (end.type === "answered") {
-            board.suspects.onSuccess(server.id);
+            placementState.suspects.onSuccess(server.id);
             if (!rollouts.isOnTrial(server)) {
-                board.typicalLatency.onResponse(service, tookMs, score.latencyFactor);
+                placementState.typicalLatency.onResponse(service, tookMs, score.latencyFactor);
             }
         }
         this.#recordMetadata(server, result, nowMs);
         const load = response?.metadata.load;
         if (load !== undefined) {
-            board.onLoadReport(service, server, load, nowMs);
+            placementState.onLoadReport(service, server, load, nowMs);
         }
     }
 
@@ -106,8 +107,8 @@
      * then this host's links may have failed, and a crash that never happened would be reported to the whole fleet.
      */
     async #checkLiveness(server: RegisteredServer): Promise<ServerLiveness> {
-        const { checks, clock, random, view } = this.#deps;
-        const state = await checks.check(server);
+        const { livenessChecker, clock, random, view } = this.#deps;
+        const state = await livenessChecker.check(server);
         if (state !== "ended") {
             return state;
         }
@@ -119,12 +120,14 @@
         if (comparisonServers.length < minComparisonServers) {
             return state;
         }
-        const states = await Promise.all(comparisonServers.map(other => checks.check(other)));
+        const states = await Promise.all(comparisonServers.map(other => livenessChecker.check(other)));
         return states.includes("listening") ? "ended" : "unknown";
     }
 
     /** Finds out whether the server crashed or only the connection was lost, and reports a crash. */
-    async #checkLostServer({ place: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult): Promise<void> {
+    async #checkLostServer(
+        { placement: { server }, ledgerVersion, result: { tookMs } }: ServerSendResult,
+    ): Promise<void> {
         const { clock, log, metrics } = this.#deps;
         const { requestId, rules, route, callerAddress } = this.#request;
         const lostAtMs = clock.monotonicMs();
--- a/packages/edge/src/requests/workspaceGuard.ts
+++ b/packages/edge/src/requests/workspaceGuard.ts
@@ -24,7 +24,7 @@
 
     /** Change of the caller's key since the request arrived that forbids sending it; `undefined` if there is none. */
     get keyChange(): KeyChange | undefined {
-        return findKeyChange(this.#request.admission, this.#deps.view.configurationInForce?.workspaces);
+        return findKeyChange(this.#request.callerIdentity, this.#deps.view.configurationInForce?.workspaces);
     }
 
     isKeyChanged(): boolean {
@@ -38,13 +38,13 @@
 
     /** @returns `undefined` if the request is admitted, the rejection if not, "abandoned" if the request was aborted */
     async admit(): Promise<Exclude<Decision, { readonly type: "admitted"; }> | "abandoned" | undefined> {
-        const { admission, version, requestId } = this.#request;
-        const limit = admission.type === "known" ? admission.workspace.limit : undefined;
-        if (admission.type !== "known" || limit === undefined) {
+        const { callerIdentity, version, requestId } = this.#request;
+        const limit = callerIdentity.type === "known" ? callerIdentity.workspace.limit : undefined;
+        if (callerIdentity.type !== "known" || limit === undefined) {
             return undefined;
         }
         const { limits, log, metrics } = this.#deps;
-        const workspace = admission.workspace.name;
+        const workspace = callerIdentity.workspace.name;
         const decisionTimeoutMs = Math.min(maxHoldMs, this.#request.route.objectiveMs * maxHoldShare);
         const decision = await limits.admit(
             { workspace, ...limit, configVersion: version, decisionTimeoutMs },
--- a/packages/edge/src/telemetry/edgeMetrics.ts
+++ b/packages/edge/src/telemetry/edgeMetrics.ts
@@ -143,7 +143,7 @@
         this.#loadProbes.add(1, { end });
     }
 
-    onReachChanged(service: string, state: string): void {
+    onReachabilityChanged(service: string, state: string): void {
         this.#reachability.add(1, { service, state });
     }
 
--- a/packages/quarantine/src/__tests__/crashSimulation.test.ts
+++ b/packages/quarantine/src/__tests__/crashSimulation.test.ts
@@ -13,7 +13,7 @@
 
 function runSimulations(trouble: ServerTrouble, deadlyPerSecond: number): readonly CrashSimulationResult[] {
     return fleetSizes.flatMap(gateways =>
-        seeds.map(seed => new CrashSimulation({ seed, gateways, trouble, deadlyPerSecond }).run())
+        seeds.map(seed => new CrashSimulation({ seed, gateways, trouble, crashingPerSecond: deadlyPerSecond }).run())
     );
 }
 
@@ -21,7 +21,7 @@
 for (const trouble of ["zoneEnds", "release", "crashes"] as const) {
     test(`hardly any request is quarantined when servers fail for other reasons: ${trouble}`, () => {
         const results = runSimulations(trouble, 0);
-        const rejected = results.reduce((sum, { wronglyRefused }) => sum + wronglyRefused, 0);
+        const rejected = results.reduce((sum, { wronglyRejected }) => sum + wronglyRejected, 0);
         const harmless = results.reduce((sum, result) => sum + result.harmless, 0);
         assert.ok(rejected / harmless <= maxRejectedShare, `${rejected} of ${harmless} harmless requests rejected`);
         assert.ok(results.every(({ leftQuarantined }) => leftQuarantined === 0));
@@ -33,7 +33,7 @@
         for (const trouble of ["none", "release", "crashes"] as const) {
             const results = runSimulations(trouble, deadlyPerSecond);
             assert.deepEqual(results.filter(({ lateArrivals }) => lateArrivals > 3), []);
-            const rejected = results.reduce((sum, { wronglyRefused }) => sum + wronglyRefused, 0);
+            const rejected = results.reduce((sum, { wronglyRejected }) => sum + wronglyRejected, 0);
             const harmless = results.reduce((sum, result) => sum + result.harmless, 0);
             const maxShare = deadlyPerSecond > 5 ? maxRejectedShareWithManyCrashes : maxRejectedShare;
             assert.ok(
--- a/packages/quarantine/src/__tests__/support/crashSimulation.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -11,14 +11,14 @@
     readonly gateways: number;
     readonly trouble: ServerTrouble;
     /** Rate of crashing requests, from the start of the run. */
-    readonly deadlyPerSecond: number;
+    readonly crashingPerSecond: number;
 }
 
 /** Counts of a run. */
 export interface CrashSimulationResult {
     /** Harmless requests, and those of them that the quarantine rejected. */
     readonly harmless: number;
-    readonly wronglyRefused: number;
+    readonly wronglyRejected: number;
     /**
      * Servers that crashed under the crashing request, and sends of it after all gateways must have had the reports.
      */
@@ -76,14 +76,14 @@
 
     run(): CrashSimulationResult {
         this.#repeat(harmlessPerSecond, () => this.#sendHarmless());
-        this.#repeat(this.#input.deadlyPerSecond, () => this.#send(crashingContent, this.#pickGateway(), 0));
+        this.#repeat(this.#input.crashingPerSecond, () => this.#send(crashingContent, this.#pickGateway(), 0));
         this.#queue.schedule(faultAtMs, () => this.#injectFaults());
         this.#queue.runUntil(runMs, 10_000_000);
         const [ledger] = this.#ledgers;
         const isCrashingQuarantined = ledger !== undefined && this.#stateOf(ledger, crashingContent) === "quarantined";
         return {
             harmless: this.#harmless,
-            wronglyRefused: this.#wronglyRejected,
+            wronglyRejected: this.#wronglyRejected,
             crashed: this.#crashTimesMs.length,
             lateArrivals: this.#lateArrivals,
             leftQuarantined: (ledger?.quarantinedCount ?? 0) - (isCrashingQuarantined ? 1 : 0),
--- a/packages/rateLimit/src/__tests__/limitNormalLoad.test.ts
+++ b/packages/rateLimit/src/__tests__/limitNormalLoad.test.ts
@@ -50,7 +50,7 @@
 // Guards against a fleet that, after most hosts were killed, grants no tokens for longer than its processes take to
 // start.
 test("with most hosts down for two seconds, under 1 % of a usual load is refused if requests can wait", () => {
-    const simulation = createFleet({ hosts: 60, perSecond: 100, seed: 2, holdMs: 1_000 });
+    const simulation = createFleet({ hosts: 60, perSecond: 100, seed: 2, decisionTimeoutMs: 1_000 });
     const random = createRandomSource(3);
     const offered = offerPoissonLoad(simulation, { perSecond: 100 / 1.6, fromMs: 5_000, untilMs: 25_000, retries: 2 });
     simulation.queue.schedule(10_000, () => {
--- a/packages/rateLimit/src/__tests__/support/loads.ts
+++ b/packages/rateLimit/src/__tests__/support/loads.ts
@@ -7,7 +7,7 @@
     readonly perSecond: number;
     readonly burst?: number;
     readonly seed: number;
-    readonly holdMs?: number;
+    readonly decisionTimeoutMs?: number;
     readonly create?: ((name: string) => Limiter) | undefined;
 }
 
@@ -22,11 +22,11 @@
 
 /** @returns a fleet whose hosts start within half a second */
 export function createFleet(
-    { hosts, perSecond, burst = perSecond, seed, holdMs, create }: FleetOptions,
+    { hosts, perSecond, burst = perSecond, seed, decisionTimeoutMs, create }: FleetOptions,
 ): LimitSimulation {
     const simulation = new LimitSimulation(hosts, createRandomSource(seed + 1), create);
     for (const host of simulation.hosts) {
-        host.rule = { workspace: `workspace ${seed}`, perSecond, burst, configVersion: 1, decisionTimeoutMs: holdMs };
+        host.rule = { workspace: `workspace ${seed}`, perSecond, burst, configVersion: 1, decisionTimeoutMs };
         simulation.queue.schedule(simulation.random.next() * 500, () => simulation.start(host, 300));
     }
     return simulation;
