--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -2,7 +2,7 @@
     type Configuration,
     type ConfigurationInput,
     resolveConfiguration,
-    type RevisedConfiguration,
+    type ConfigurationRevision,
 } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type Acceptance, ChangeCoordinator, type ChangeRequest } from "@galenaglade/membership";
@@ -27,35 +27,35 @@
 
 export const resolved: Configuration = resolveConfiguration(declared).unsafeCoerce();
 
-const firstRevision: RevisedConfiguration = { revision: 1, changeId: "first", configuration: resolved };
+const firstRevision: ConfigurationRevision = { revision: 1, changeId: "first", configuration: resolved };
 
 const gateway = { name: "entry-1", incarnation: "1", availabilityZone: "a", peerAddress: "10.0.0.9:7400" };
 
 /** Orders changes as the store does, in memory; what a test may switch or hold is public. */
 export class FakeCoordinator extends ChangeCoordinator {
     /** Every change that took effect, oldest first. */
-    readonly history: RevisedConfiguration[];
+    readonly history: ConfigurationRevision[];
     inForce = true;
     /** Names of gateways that an operator vouched for. */
     readonly forgotten: string[] = [];
     /** Called when a change takes effect. */
-    onStored: (stored: RevisedConfiguration) => void = () => undefined;
+    onStored: (stored: ConfigurationRevision) => void = () => undefined;
     /** Changes whose write takes effect and whose answer is lost, from the next one on. */
     answersToLose = 0;
     /** Awaited before each step, so that a test decides what happens in which order. */
     turn: (step: string) => Promise<void> = () => Promise.resolve();
 
-    constructor(history: readonly RevisedConfiguration[] = [firstRevision]) {
+    constructor(history: readonly ConfigurationRevision[] = [firstRevision]) {
         super();
         this.history = [...history];
     }
 
-    get present(): RevisedConfiguration {
+    get present(): ConfigurationRevision {
         const empty = { timeZone: "UTC", callerKindHeader: "x", availabilityZones: [], services: [] };
         return this.history.at(-1) ?? { revision: 0, changeId: "", configuration: empty };
     }
 
-    override async read(): Promise<Either<Failure, RevisedConfiguration>> {
+    override async read(): Promise<Either<Failure, ConfigurationRevision>> {
         await this.turn("read");
         return Right(this.present);
     }
@@ -96,7 +96,7 @@
         return Promise.resolve(Right(undefined));
     }
 
-    #accept({ revision, changeId }: RevisedConfiguration): Acceptance {
+    #accept({ revision, changeId }: ConfigurationRevision): Acceptance {
         const state = this.inForce ? "inForce" : "behind";
         const held = this.inForce ? revision : revision - 1;
         return { revision, changeId, inForce: this.inForce, gateways: [{ gateway, state, revision: held }] };
--- a/packages/admin/src/adminProcess.ts
+++ b/packages/admin/src/adminProcess.ts
@@ -1,6 +1,6 @@
 import { resolveFleetTimings, storeKeys } from "@galenaglade/membership";
 import { createChangeCoordinator, createFleetObserver } from "@galenaglade/peers";
-import { HttpHostList, HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpHostList, HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { type Program, type ResolvedAdminSettings } from "@galenaglade/settings";
 import { createLogger } from "@galenaglade/telemetry";
 import { AdminServer } from "./adminServer.js";
@@ -17,7 +17,7 @@
  */
 export function createAdminProcess(settings: ResolvedAdminSettings): Program {
     const logger = createLogger({ process: "admin", level: settings.logging.level });
-    const connection = new PlatformConnection({
+    const connection = new PlatformClient({
         addresses: [settings.platform.address],
         client: "admin",
         timeoutMs: settings.platform.callTimeoutMs,
--- a/packages/admin/src/operatorCalls.ts
+++ b/packages/admin/src/operatorCalls.ts
@@ -3,7 +3,7 @@
     type ConfigurationInput,
     keepZoneStates,
     resolveConfiguration,
-    type RevisedConfiguration,
+    type ConfigurationRevision,
     setZoneState,
     type ZoneState,
 } from "@galenaglade/configuration";
@@ -165,7 +165,7 @@
      *
      * @returns the configuration; revision 0 where none was ever written
      */
-    async getConfiguration(): Answer<RevisedConfiguration> {
+    async getConfiguration(): Answer<ConfigurationRevision> {
         const present = await this.#options.coordinator.read();
         return present.mapLeft(toCallFailure);
     }
@@ -300,7 +300,7 @@
 
 function resolveOver(
     declared: ConfigurationInput,
-    present: RevisedConfiguration,
+    present: ConfigurationRevision,
 ): Either<CallFailure, Configuration> {
     const resolved = resolveConfiguration(keepZoneStates(declared, present.configuration))
         .mapLeft(createInvalidConfiguration);
--- a/packages/admission/src/__tests__/admission.test.ts
+++ b/packages/admission/src/__tests__/admission.test.ts
@@ -7,21 +7,21 @@
     // instead of after its patience, and can go elsewhere.
     const queue = new WaitQueue();
     for (let id = 1; id <= 3; id++) {
-        assert.equal(queue.offer({ id, deadlineMs: 1_000 }, 0, 5).type, "waits");
+        assert.equal(queue.enqueue({ id, deadlineMs: 1_000 }, 0, 5).type, "waits");
     }
-    queue.onTurn(0);
-    queue.onTurn(10);
-    const verdict = queue.offer({ id: 4, deadlineMs: 35 }, 10, 5);
+    queue.onSlotFreed(0);
+    queue.onSlotFreed(10);
+    const verdict = queue.enqueue({ id: 4, deadlineMs: 35 }, 10, 5);
     assert.deepEqual(verdict, { type: "refuse", retryAfterMs: 40 });
-    assert.equal(queue.offer({ id: 5, deadlineMs: 100 }, 10, 5).type, "waits");
+    assert.equal(queue.enqueue({ id: 5, deadlineMs: 100 }, 10, 5).type, "waits");
 });
 
 test("whoever's patience ended in the queue is passed over", () => {
     const queue = new WaitQueue();
-    queue.offer({ id: 1, deadlineMs: 20 }, 0, 5);
-    queue.offer({ id: 2, deadlineMs: 200 }, 0, 5);
-    assert.equal(queue.next(50)?.id, 2);
-    assert.equal(queue.next(50), undefined);
+    queue.enqueue({ id: 1, deadlineMs: 20 }, 0, 5);
+    queue.enqueue({ id: 2, deadlineMs: 200 }, 0, 5);
+    assert.equal(queue.dequeue(50)?.id, 2);
+    assert.equal(queue.dequeue(50), undefined);
 });
 
 test("retries stay a share of successes", () => {
@@ -30,14 +30,14 @@
     const budget = new RetryBudget();
     let sent = 0;
     for (let i = 0; i < 1_000; i++) {
-        sent += budget.take() ? 1 : 0;
+        sent += budget.tryTake() ? 1 : 0;
     }
     assert.equal(sent, 20);
     for (let i = 0; i < 101; i++) {
         budget.onSuccess();
     }
     let after = 0;
-    while (budget.take()) {
+    while (budget.tryTake()) {
         after++;
     }
     assert.equal(after, 10);
--- a/packages/admission/src/constants.ts
+++ b/packages/admission/src/constants.ts
@@ -1,8 +1,8 @@
 /** Share of successes that is added to the retry budget. */
-export const retryShare = 0.1;
+export const retriesPerSuccess = 0.1;
 
 /** Retries that may be saved up, so that a short fault after a calm stretch is ridden out. */
-export const maximumSavedRetries = 20;
+export const maxSavedRetries = 20;
 
 /** Most requests that wait for a slot of one service at one gateway. */
-export const maximumQueueLength = 64;
+export const maxQueueLength = 64;
--- a/packages/admission/src/waitQueue.ts
+++ b/packages/admission/src/waitQueue.ts
@@ -1,14 +1,14 @@
-import { maximumQueueLength } from "./constants.js";
+import { maxQueueLength } from "./constants.js";
 
 /** One request that waits for a slot. */
-export interface Waiting {
+export interface QueuedRequest {
     readonly id: number;
     /** When its caller's patience ends, on the monotonic clock. */
     readonly deadlineMs: number;
 }
 
 /** What becomes of a request that finds no slot. */
-export type QueueVerdict =
+export type QueueDecision =
     | { readonly type: "waits"; }
     /** Refuse now: it would not be served within its patience. */
     | { readonly type: "refuse"; readonly retryAfterMs: number; };
@@ -20,7 +20,7 @@
  * is thrown away. So a request whose turn would come too late is refused at once, while its caller can still act.
  */
 export class WaitQueue {
-    readonly #waiting: Waiting[] = [];
+    readonly #waiting: QueuedRequest[] = [];
     /** Moving average of the time between two freed slots; `undefined` until two have been seen. */
     #msPerTurn: number | undefined;
     #lastTurnMs: number | undefined;
@@ -34,10 +34,10 @@
      * @param nowMs - the present time
      * @param serviceTimeMs - how long such a request runs, for the time that it needs after its turn
      */
-    offer(request: Waiting, nowMs: number, serviceTimeMs: number): QueueVerdict {
+    enqueue(request: QueuedRequest, nowMs: number, serviceTimeMs: number): QueueDecision {
         const expectedWaitMs = (this.#waiting.length + 1) * (this.#msPerTurn ?? 0);
         const late = nowMs + expectedWaitMs + serviceTimeMs > request.deadlineMs;
-        if (late || this.#waiting.length >= maximumQueueLength) {
+        if (late || this.#waiting.length >= maxQueueLength) {
             return { type: "refuse", retryAfterMs: Math.max(expectedWaitMs, serviceTimeMs) };
         }
         this.#waiting.push(request);
@@ -45,7 +45,7 @@
     }
 
     /** Notes that a slot came free, which paces the expected wait. */
-    onTurn(nowMs: number): void {
+    onSlotFreed(nowMs: number): void {
         if (this.#lastTurnMs !== undefined && this.#waiting.length > 0) {
             const turnMs = nowMs - this.#lastTurnMs;
             this.#msPerTurn = this.#msPerTurn === undefined
@@ -56,7 +56,7 @@
     }
 
     /** @returns the next request that still has time, without those whose patience has ended */
-    next(nowMs: number): Waiting | undefined {
+    dequeue(nowMs: number): QueuedRequest | undefined {
         for (let first = this.#waiting.shift(); first !== undefined; first = this.#waiting.shift()) {
             if (first.deadlineMs > nowMs) {
                 return first;
@@ -66,7 +66,7 @@
     }
 
     /** Takes a request back to the head, where its turn found no server after all. */
-    putBack(request: Waiting): void {
+    putBack(request: QueuedRequest): void {
         this.#waiting.unshift(request);
     }
 
--- a/packages/atMostOnce/src/__tests__/claimWorld.ts
+++ b/packages/atMostOnce/src/__tests__/claimWorld.ts
@@ -216,7 +216,7 @@
     #handOver(gateway: SimulatedGateway, attempt: Try): void {
         const server = attempt.server ?? "answers";
         const runs = server === "answers" || server === "closesWhileRunning";
-        this.time.after(1 + this.#random.below(5), () => {
+        this.time.after(1 + this.#random.nextInt(5), () => {
             if (runs) {
                 this.#record("server", {
                     type: "serverStarted",
@@ -230,7 +230,7 @@
                     bears: 3,
                 });
             }
-            this.time.after(1 + this.#random.below(50), () => this.#ended(gateway, attempt, server));
+            this.time.after(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
         });
     }
 
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -1,4 +1,4 @@
-import { minimumFleetKeyLength, readTextFile, Secret } from "@galenaglade/settings";
+import { minFleetKeyLength, readTextFile, Secret } from "@galenaglade/settings";
 import { type Either, Left, Right } from "purify-ts";
 import { parseArgs } from "node:util";
 import { type Command } from "./command.js";
@@ -148,10 +148,10 @@
     }
     try {
         const key = readTextFile(file).trim();
-        if (key.length >= minimumFleetKeyLength) {
+        if (key.length >= minFleetKeyLength) {
             return new Secret(key);
         }
-        faults.push(`--key-file ${file}: the key is shorter than ${minimumFleetKeyLength} characters`);
+        faults.push(`--key-file ${file}: the key is shorter than ${minFleetKeyLength} characters`);
     }
     catch (err) {
         faults.push(`--key-file ${file}: ${err instanceof Error ? err.message : String(err)}`);
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -129,7 +129,7 @@
         const backlog = this.#backlog;
         this.#backlog = [];
         while (backlog.length > 0) {
-            backlog.splice(random.below(backlog.length), 1)[0]?.();
+            backlog.splice(random.nextInt(backlog.length), 1)[0]?.();
         }
     }
 }
@@ -207,7 +207,7 @@
 
     #delayMs(): number {
         const isSlow = this.#plan.slow && this.#random.next() < 0.05;
-        return 1 + this.#random.below(isSlow ? 1_200 : 20);
+        return 1 + this.#random.nextInt(isSlow ? 1_200 : 20);
     }
 
     #isLost(): boolean {
@@ -252,7 +252,7 @@
     }
 
     #every(gateway: SimulatedGateway, periodMs: number, work: () => void): void {
-        this.#time.after(periodMs / 2 + this.#random.below(periodMs), () => {
+        this.#time.after(periodMs / 2 + this.#random.nextInt(periodMs), () => {
             if (gateway.isDead) {
                 return;
             }
@@ -269,14 +269,14 @@
         const roster = this.#roster;
         for (const gateway of this.#gateways) {
             this.#time.after(
-                this.#random.below(2_000),
+                this.#random.nextInt(2_000),
                 () => gateway.run(() => gateway.gate.onRoster(roster, this.#time.nowMs)),
             );
         }
     }
 
     #turnOneCold(): void {
-        const server = this.#servers[this.#random.below(this.#servers.length)];
+        const server = this.#servers[this.#random.nextInt(this.#servers.length)];
         if (server !== undefined && !server.cold) {
             server.turnCold();
             this.#record(server.serverId, { type: "serverTurnedCold", server: server.serverId });
@@ -285,7 +285,7 @@
 
     /** Its answers say so at once; the host list tells each gateway some seconds later, or never. */
     #leaveOne(): void {
-        const server = this.#servers[this.#random.below(this.#servers.length)];
+        const server = this.#servers[this.#random.nextInt(this.#servers.length)];
         if (server === undefined || server.leaving) {
             return;
         }
@@ -293,7 +293,7 @@
         this.#record(server.serverId, { type: "serverLeaving", server: server.serverId });
         for (const gateway of this.#gateways) {
             if (!this.#isLost()) {
-                this.#time.after(3_000 + this.#random.below(20_000), () =>
+                this.#time.after(3_000 + this.#random.nextInt(20_000), () =>
                     gateway.run(() => {
                         gateway.gate.onHostListed(server.serverId, "leaving", this.#time.nowMs);
                     }));
@@ -302,14 +302,14 @@
     }
 
     #pauseOne(): void {
-        const gateway = this.#gateways[this.#random.below(this.#gateways.length)];
+        const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
         gateway?.pause();
-        this.#time.after(500 + this.#random.below(15_000), () => gateway?.resume(this.#random));
+        this.#time.after(500 + this.#random.nextInt(15_000), () => gateway?.resume(this.#random));
     }
 
     #cutOne(): void {
-        const gateway = this.#gateways[this.#random.below(this.#gateways.length)];
-        const untilMs = this.#time.nowMs + 500 + this.#random.below(20_000);
+        const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
+        const untilMs = this.#time.nowMs + 500 + this.#random.nextInt(20_000);
         if (gateway !== undefined && this.#random.next() < 0.7) {
             gateway.cutFromStoreUntilMs = untilMs;
         }
@@ -323,7 +323,7 @@
             return;
         }
         const living = this.#gateways.filter(gateway => !gateway.isDead);
-        const gateway = living[this.#random.below(living.length)];
+        const gateway = living[this.#random.nextInt(living.length)];
         if (gateway !== undefined) {
             gateway.isDead = true;
             this.#addGateway();
@@ -390,8 +390,8 @@
     #arrive(gateway: SimulatedGateway): void {
         const nowMs = this.#time.nowMs;
         this.asked++;
-        const deadlineMs = nowMs + 100 + this.#random.below(this.#plan.patienceMs - 100);
-        const first = this.#random.below(this.#servers.length);
+        const deadlineMs = nowMs + 100 + this.#random.nextInt(this.#plan.patienceMs - 100);
+        const first = this.#random.nextInt(this.#servers.length);
         for (let i = 0; i < this.#servers.length; i++) {
             const server = this.#servers[(first + i) % this.#servers.length];
             if (server !== undefined && gateway.gate.maySend(server.serverId, nowMs, deadlineMs) === "yes") {
@@ -412,7 +412,7 @@
                 mayStillRun: true,
             }));
         if (!this.#isLost()) {
-            this.#time.after(1 + this.#random.below(20), () => this.#serve(gateway, server, request, deadlineMs));
+            this.#time.after(1 + this.#random.nextInt(20), () => this.#serve(gateway, server, request, deadlineMs));
         }
     }
 
@@ -447,8 +447,8 @@
             bears: server.bears,
         });
         const isStuck = this.#random.next() < this.#plan.longShare;
-        const serviceMs = isStuck ? Number.POSITIVE_INFINITY : (server.cold ? 20 : 5) + this.#random.below(80);
-        const latestMs = deadlineMs + this.#random.below(500) - this.#time.nowMs;
+        const serviceMs = isStuck ? Number.POSITIVE_INFINITY : (server.cold ? 20 : 5) + this.#random.nextInt(80);
+        const latestMs = deadlineMs + this.#random.nextInt(500) - this.#time.nowMs;
         this.#time.after(Math.min(serviceMs, latestMs), () => {
             server.inFlight--;
             if (serviceMs > latestMs) {
@@ -465,7 +465,7 @@
             };
             if (!this.#isLost()) {
                 const end: AttemptEnd = { outcome: "good", signs, mayStillRun: false };
-                this.#time.after(1 + this.#random.below(20), () => this.#end(gateway, server, request, end));
+                this.#time.after(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
             }
         });
     }
--- a/packages/configuration/src/checkYaml.ts
+++ b/packages/configuration/src/checkYaml.ts
@@ -1,6 +1,6 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type Document, isMap, isNode, isScalar, isSeq, LineCounter, type Pair, parseDocument } from "yaml";
-import { type DocumentFault, formatPath, type ResolveDocument } from "./documentFaults.js";
+import { type DocumentFault, formatPath, type DocumentResolver } from "./documentFaults.js";
 
 /** One fault with where it stands in the file. */
 export interface LocatedFault extends DocumentFault {
@@ -17,7 +17,7 @@
  * @param resolve - checks what was parsed
  * @returns all faults at once in the order of their lines, or what the document resolves to
  */
-export function checkYaml<T>(text: string, resolve: ResolveDocument<T>): Either<readonly LocatedFault[], T> {
+export function checkYaml<T>(text: string, resolve: DocumentResolver<T>): Either<readonly LocatedFault[], T> {
     const lines = new LineCounter();
     const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
     const faults: LocatedFault[] = [];
@@ -38,7 +38,10 @@
     });
 }
 
-function resolveParsed<T>(document: Document.Parsed, resolve: ResolveDocument<T>): Either<readonly DocumentFault[], T> {
+function resolveParsed<T>(
+    document: Document.Parsed,
+    resolve: DocumentResolver<T>,
+): Either<readonly DocumentFault[], T> {
     let value: unknown;
     try {
         value = document.toJS({ maxAliasCount: 100 });
--- a/packages/configuration/src/documentFaults.ts
+++ b/packages/configuration/src/documentFaults.ts
@@ -1,6 +1,6 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type z } from "zod";
-import { acceptedKeys } from "./schemaTree.js";
+import { acceptedKeys } from "./schemaOptions.js";
 
 /** One fault in a document, found by its path. */
 export interface DocumentFault {
@@ -10,16 +10,16 @@
 }
 
 /** Checks a parsed document; all faults at once, or what it resolves to. */
-export type ResolveDocument<T> = (document: unknown) => Either<readonly DocumentFault[], T>;
+export type DocumentResolver<T> = (document: unknown) => Either<readonly DocumentFault[], T>;
 
 /**
- * Makes a {@link ResolveDocument} from a zod schema. A wrong value's message says what is accepted, an unknown key's
+ * Makes a {@link DocumentResolver} from a zod schema. A wrong value's message says what is accepted, an unknown key's
  * which keys are.
  *
  * @param schema - what the document must be
  * @returns the check
  */
-export function resolveBySchema<S extends z.ZodType>(schema: S): ResolveDocument<z.output<S>> {
+export function createSchemaResolver<S extends z.ZodType>(schema: S): DocumentResolver<z.output<S>> {
     return document => {
         const parsed = schema.safeParse(document, { reportInput: true });
         if (parsed.success) {
--- a/packages/configuration/src/references.ts
+++ b/packages/configuration/src/findReferenceFaults.ts
@@ -1,7 +1,7 @@
 /** What a schema can't say of a configuration: names are unique, and every name that is referred to exists. */
 import * as z from "zod";
 import { type DocumentFault } from "./documentFaults.js";
-import { defaultCallerKind } from "./patience.js";
+import { defaultCallerKind } from "./resolvePatience.js";
 
 /**
  * The parts of a document that refer to each other. A part that has the wrong shape is taken as left out, so that an
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,6 +1,6 @@
 /** What operators declare: services, availability zones, backend servers, and patience. */
 export { checkYaml, formatFaults, type LocatedFault } from "./checkYaml.js";
-export { type DocumentFault, formatPath, resolveBySchema, type ResolveDocument } from "./documentFaults.js";
+export { type DocumentFault, formatPath, createSchemaResolver, type DocumentResolver } from "./documentFaults.js";
 export {
     type AvailabilityZone,
     type BackendServer,
@@ -9,12 +9,12 @@
     configurationSchema,
     type DeepReadonly,
     type PatienceRule,
-    type RevisedConfiguration,
+    type ConfigurationRevision,
     type Service,
     type Weekday,
     weekdays,
 } from "./model.js";
-export { defaultCallerKind, resolvePatience } from "./patience.js";
-export { resolveConfiguration } from "./resolve.js";
-export { acceptedKeys, formatOptions, listOptions, type SchemaOption } from "./schemaTree.js";
+export { resolveConfiguration } from "./resolveConfiguration.js";
+export { defaultCallerKind, resolvePatience } from "./resolvePatience.js";
+export { acceptedKeys, formatOptions, listOptions, type SchemaOption } from "./schemaOptions.js";
 export { findUnservedServices, keepZoneStates, setZoneState, type ZoneState } from "./zoneState.js";
--- a/packages/configuration/src/model.ts
+++ b/packages/configuration/src/model.ts
@@ -100,7 +100,7 @@
 export type Weekday = typeof weekdays[number];
 
 /** A configuration as the store orders it. Revisions rise by one with each accepted change and never fall. */
-export interface RevisedConfiguration {
+export interface ConfigurationRevision {
     /** Rises by one with each change; 0 is the empty configuration that nobody has written. */
     readonly revision: number;
     /** Names the operator's call that made it, so that a repeated call is recognised. */
--- a/packages/configuration/src/resolve.ts
+++ b/packages/configuration/src/resolveConfiguration.ts
@@ -1,9 +1,9 @@
 import { type Either, Left, Right } from "purify-ts";
-import { type DocumentFault, resolveBySchema } from "./documentFaults.js";
+import { type DocumentFault, createSchemaResolver } from "./documentFaults.js";
 import { type Configuration, configurationSchema } from "./model.js";
-import { findReferenceFaults } from "./references.js";
+import { findReferenceFaults } from "./findReferenceFaults.js";
 
-const resolveShape = resolveBySchema(configurationSchema);
+const resolveShape = createSchemaResolver(configurationSchema);
 
 /**
  * Checks a parsed document and fills in every default.
--- a/packages/edge/src/__tests__/support/testCodecs.ts
+++ b/packages/edge/src/__tests__/support/testCodecs.ts
@@ -10,7 +10,7 @@
 } from "@galenaglade/fleet-state";
 import { type ParsedBackoff, type ParsedLimit } from "@galenaglade/placement";
 import { type CallerKey } from "@galenaglade/workspaces";
-import { findHeader, findHeaders, keepEndToEnd, type RawHeaders } from "@galenaglade/http-parts";
+import { findHeader, findHeaders, filterEndToEndHeaders, type RawHeaders } from "@galenaglade/http-parts";
 import { type KeyValue } from "@galenaglade/platform";
 import {
     type ResponseMetadata,
@@ -37,7 +37,7 @@
         const { identity } = metadata;
         const isDropped = (name: string): boolean =>
             name === "x-patience-ms" || (identity.type !== "unchecked" && ["x-key", "x-workspace"].includes(name));
-        const kept = keepEndToEnd(headers, isDropped);
+        const kept = filterEndToEndHeaders(headers, isDropped);
         if (identity.type === "workspace") {
             kept.push("x-workspace", identity.name);
         }
--- a/packages/edge/src/callers/edgeHandler.ts
+++ b/packages/edge/src/callers/edgeHandler.ts
@@ -155,9 +155,9 @@
         });
         try {
             const limits = {
-                bodyBytes: request.bodyBytes,
-                maximumBytes: request.maximumBodyBytes,
-                heldBytes: maxBufferedBodyBytes,
+                contentLength: request.bodyBytes,
+                maxBytes: request.maximumBodyBytes,
+                maxBufferedBytes: maxBufferedBodyBytes,
             };
             const body = await readRequestBody(limits, req, abort.signal);
             if (body.isLeft()) {
--- a/packages/edge/src/callers/responseWriter.ts
+++ b/packages/edge/src/callers/responseWriter.ts
@@ -1,4 +1,4 @@
-import { cutCaller, keepEndToEnd } from "@galenaglade/http-parts";
+import { resetCallerConnection, filterEndToEndHeaders } from "@galenaglade/http-parts";
 import { type ServerResponse } from "node:http";
 import { type ResponseHead, ResponseSink, type BufferedResponse } from "../backends/sendRequest.js";
 import { handoverHeader } from "../handover/handoverMessages.js";
@@ -17,7 +17,7 @@
 export function writeResponse(res: ServerResponse, method: string, response: BufferedResponse, close: boolean): void {
     const { status, headers, body } = response;
     const hasBody = method !== "HEAD" && status !== noContentStatus && status !== notModifiedStatus;
-    const kept = keepEndToEnd(
+    const kept = filterEndToEndHeaders(
         headers,
         name => name === handoverHeader || (hasBody && name === "content-length"),
     );
@@ -42,7 +42,7 @@
     constructor(res: ServerResponse, head: ResponseHead, close: boolean) {
         super();
         this.#res = res;
-        const kept = keepEndToEnd(head.headers, name => name === handoverHeader);
+        const kept = filterEndToEndHeaders(head.headers, name => name === handoverHeader);
         if (close) {
             kept.push("connection", "close");
         }
@@ -69,6 +69,6 @@
             this.#res.end();
             return;
         }
-        cutCaller(this.#res);
+        resetCallerConnection(this.#res);
     }
 }
--- a/packages/edge/src/handover/handoverSend.ts
+++ b/packages/edge/src/handover/handoverSend.ts
@@ -1,5 +1,5 @@
 import { type Failure, createFailure } from "@galenaglade/errors";
-import { findHeader, keepEndToEnd, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
+import { findHeader, filterEndToEndHeaders, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
 import { type ResponseHead, type ResponseSink, sendRequest, type SendResult } from "../backends/sendRequest.js";
 import { type ServerConnection } from "../backends/serverConnection.js";
 import { type ResponseMetadata, ResponseMetadataReader } from "../metadataCodec.js";
@@ -59,7 +59,7 @@
         method,
         path: handoverPath,
         headers: [
-            ...keepEndToEnd(headers, name => name === handoverHeader),
+            ...filterEndToEndHeaders(headers, name => name === handoverHeader),
             handoverHeader,
             renderHandoverHeader(metadata),
         ],
@@ -122,5 +122,5 @@
 }
 
 function stripHandoverHeader(head: ResponseHead): ResponseHead {
-    return { ...head, headers: keepEndToEnd(head.headers, name => name === handoverHeader) };
+    return { ...head, headers: filterEndToEndHeaders(head.headers, name => name === handoverHeader) };
 }
--- a/packages/edge/src/requests/contentId.ts
+++ b/packages/edge/src/requests/contentId.ts
@@ -30,8 +30,8 @@
  * @param headId - id of the request's head, from {@link createHeadId}
  * @param body - body of the request
  */
-export function createContentId(headId: string, { start, bytes }: RequestBody): string {
-    return bytes === 0 ? headId : `${headId}.${digest(`${bytes}${separator}`, start)}`;
+export function createContentId(headId: string, { prefix, byteLength }: RequestBody): string {
+    return byteLength === 0 ? headId : `${headId}.${digest(`${byteLength}${separator}`, prefix)}`;
 }
 
 function digest(text: string, bytes?: Buffer): string {
--- a/packages/edge/src/requests/exchange.ts
+++ b/packages/edge/src/requests/exchange.ts
@@ -161,7 +161,7 @@
 
     /** Waits for the sends in flight, with retries and a hedge, until one has a response or all have failed. */
     async #awaitResult(): Promise<ExchangeResult> {
-        const hedgeAtMs = this.#request.route.idempotent && this.#body.repeatable ? this.#hedgeAtMs() : undefined;
+        const hedgeAtMs = this.#request.route.idempotent && this.#body.isReplayable ? this.#hedgeAtMs() : undefined;
         let hedged = hedgeAtMs === undefined;
         while (this.#unprocessed.size > 0) {
             const next = await this.#awaitNext(hedged ? undefined : hedgeAtMs);
@@ -463,7 +463,7 @@
     #isRetryAllowed(): boolean {
         return isRetryAllowed({
             idempotent: this.#request.route.idempotent,
-            isBodyReplayable: this.#body.repeatable,
+            isBodyReplayable: this.#body.isReplayable,
             maximumRuns: this.#request.route.maximumRuns - this.#handover.extraRuns,
             ends: this.#sendEnds,
             inFlight: this.#inFlight.size,
--- a/packages/edge/src/settings.ts
+++ b/packages/edge/src/settings.ts
@@ -1,4 +1,4 @@
-import { checkYaml, type DeepReadonly, type LocatedFault, resolveBySchema } from "@galenaglade/configuration";
+import { checkYaml, type DeepReadonly, type LocatedFault, createSchemaResolver } from "@galenaglade/configuration";
 import { type Either } from "purify-ts";
 import * as z from "zod";
 
@@ -74,5 +74,5 @@
  * @returns all faults, each with its line, or the frozen settings
  */
 export function resolveEdgeSettings(text: string): Either<readonly LocatedFault[], ResolvedEdgeSettings> {
-    return checkYaml(text, resolveBySchema(edgeSettingsSchema)).map(settings => Object.freeze(settings));
+    return checkYaml(text, createSchemaResolver(edgeSettingsSchema)).map(settings => Object.freeze(settings));
 }
--- a/packages/edge/src/state/stateSync.ts
+++ b/packages/edge/src/state/stateSync.ts
@@ -271,7 +271,13 @@
             responseStartMs ??= this.#now();
             this.#onResponseData(bytes);
         };
-        const watched = await store.watch({ prefix: codec.prefix, afterRevision, ...wait, onArriving, signal });
+        const watched = await store.watch({
+            prefix: codec.prefix,
+            afterRevision,
+            ...wait,
+            onProgress: onArriving,
+            signal,
+        });
         this.#watchSentAtMs = undefined;
         this.#hasLargeChange = false;
         if (signal.aborted) {
--- a/packages/endToEnd/src/fleetRun.ts
+++ b/packages/endToEnd/src/fleetRun.ts
@@ -6,7 +6,7 @@
 } from "@galenaglade/configuration";
 import { type HistoryLine } from "@galenaglade/history";
 import { type Roster, storeKeys } from "@galenaglade/membership";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import {
     Caller,
     callerPlanSchema,
@@ -217,7 +217,7 @@
      * should; tests of a running fleet begin once all are counted.
      */
     async #waitForRoster(gateways: number): Promise<void> {
-        const connection = new PlatformConnection({ addresses: [this.fleet.platformUrl], client: "observer" });
+        const connection = new PlatformClient({ addresses: [this.fleet.platformUrl], client: "observer" });
         const store = new HttpKeyValueStore(connection);
         const untilMs = performance.now() + rosterWithinMs;
         try {
--- a/packages/errors/src/__tests__/failure.test.ts
+++ b/packages/errors/src/__tests__/failure.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { answers, createFailure, errorKinds, resolveFailure } from "../index.js";
+import { errorResponses, createFailure, errorKinds, resolveFailure } from "../index.js";
 
 test("every kind has an answer with an error status", () => {
     for (const kind of errorKinds) {
-        assert.ok(answers[kind].status >= 400 && answers[kind].status < 600, kind);
+        assert.ok(errorResponses[kind].status >= 400 && errorResponses[kind].status < 600, kind);
     }
 });
 
--- a/packages/errors/src/errorKinds.ts
+++ b/packages/errors/src/errorKinds.ts
@@ -45,7 +45,7 @@
 export type ErrorKind = typeof errorKinds[number];
 
 /** What a kind is answered with, unless the failure itself carries something more exact. */
-export interface Answer {
+export interface ErrorResponse {
     /** HTTP status code. */
     readonly status: number;
     /** What can be said of the request having run. */
@@ -56,13 +56,13 @@
     readonly title: string;
 }
 
-const row = (status: number, didRun: DidRun, title: string, retryAfterSeconds?: number): Answer =>
+const row = (status: number, didRun: DidRun, title: string, retryAfterSeconds?: number): ErrorResponse =>
     Object.freeze(
         retryAfterSeconds === undefined ? { status, didRun, title } : { status, didRun, title, retryAfterSeconds },
     );
 
 /** The table from kind to answer. */
-export const answers: Readonly<Record<ErrorKind, Answer>> = Object.freeze({
+export const errorResponses: Readonly<Record<ErrorKind, ErrorResponse>> = Object.freeze({
     badRequest: row(400, "no", "The request is malformed"),
     headersTooLarge: row(431, "no", "The request's headers are too large"),
     bodyTooLarge: row(413, "no", "The request's body is too large"),
--- a/packages/errors/src/failure.ts
+++ b/packages/errors/src/failure.ts
@@ -1,4 +1,4 @@
-import { answers, type DidRun, type ErrorKind } from "./errorKinds.js";
+import { errorResponses, type DidRun, type ErrorKind } from "./errorKinds.js";
 
 /** A failure as the libraries pass it, in the left side of an `Either`. */
 export interface Failure {
@@ -44,7 +44,7 @@
  * @returns what to answer
  */
 export function resolveFailure(failure: Failure): ResolvedFailure {
-    const answer = answers[failure.kind];
+    const answer = errorResponses[failure.kind];
     return Object.freeze({
         kind: failure.kind,
         detail: failure.detail,
--- a/packages/gateway/src/__tests__/attempt.test.ts
+++ b/packages/gateway/src/__tests__/attempt.test.ts
@@ -40,10 +40,10 @@
 }
 
 class NoBody extends RequestBody {
-    override readonly repeatable = true;
-    override readonly held = Buffer.alloc(0);
-    override readonly start = Buffer.alloc(0);
-    override readonly bytes = 0;
+    override readonly isReplayable = true;
+    override readonly buffered = Buffer.alloc(0);
+    override readonly prefix = Buffer.alloc(0);
+    override readonly byteLength = 0;
 
     override open(): undefined {
         return undefined;
--- a/packages/gateway/src/__tests__/badInput.test.ts
+++ b/packages/gateway/src/__tests__/badInput.test.ts
@@ -4,10 +4,10 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import { type CallerLimits, createCallerServer } from "@galenaglade/http-parts";
+import { type CallerServerOptions, createCallerServer } from "@galenaglade/http-parts";
 import { sendRaw } from "@galenaglade/stand-ins";
 
-const limits: CallerLimits = {
+const limits: CallerServerOptions = {
     maximumConnections: 20,
     maximumHeaderBytes: 4_096,
     requestTimeoutMs: 300,
@@ -22,7 +22,7 @@
 }
 
 /** The callers' port alone, with a handler that answers what it understands. */
-async function openDoor(t: TestContext, more: Partial<CallerLimits> = {}): Promise<Door> {
+async function openDoor(t: TestContext, more: Partial<CallerServerOptions> = {}): Promise<Door> {
     let handled = 0;
     const server = createCallerServer({ ...limits, ...more }, (req, res) => {
         handled++;
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -1,5 +1,5 @@
 import { checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer, type HistoryLine } from "@galenaglade/history";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import {
     backendHeaders,
@@ -65,7 +65,7 @@
     }
     const urls: string[] = [];
     for (let i = 0; i < 3; i++) {
-        const connection = new PlatformConnection({
+        const connection = new PlatformClient({
             addresses: [platform.url],
             client: `gateway-${i}`,
             timeoutMs: 200,
@@ -146,18 +146,18 @@
 /** A caller that tries on, through any gateway and sometimes through two at once, until it has its answer. */
 async function runOperation(world: World, random: RandomSource, name: string): Promise<void> {
     const key = random.next() < 0.7 ? `key-${name}` : undefined;
-    const workMs = random.below(40);
+    const workMs = random.nextInt(40);
     for (let attempt = 0; attempt < triesEach; attempt++) {
         const sent = random.next() < 0.2 ? 2 : 1;
         const tries = Array.from({ length: sent }, (_, i) => {
-            const url = world.urls[random.below(world.urls.length)] ?? "";
+            const url = world.urls[random.nextInt(world.urls.length)] ?? "";
             return sendTry(world, url, { requestId: `${name}-${attempt}-${i}`, key, workMs });
         });
         const outcomes = await Promise.all(tries);
         if (outcomes.some(outcome => outcome.type === "whole")) {
             return;
         }
-        await setTimeout(random.below(faultMs));
+        await setTimeout(random.nextInt(faultMs));
     }
 }
 
@@ -165,12 +165,12 @@
     const over = new AbortController();
     void until.finally(() => over.abort());
     while (!over.signal.aborted) {
-        const faulty = random.below(world.backends.length);
+        const faulty = random.nextInt(world.backends.length);
         for (const backend of world.backends) {
             backend.setFaults({});
         }
-        world.backends[faulty]?.setFaults(backendFaults[random.below(backendFaults.length)] ?? {});
-        world.platform.setFaults(platformFaults[random.below(platformFaults.length)] ?? {});
+        world.backends[faulty]?.setFaults(backendFaults[random.nextInt(backendFaults.length)] ?? {});
+        world.platform.setFaults(platformFaults[random.nextInt(platformFaults.length)] ?? {});
         await setTimeout(faultMs);
     }
 }
@@ -185,7 +185,7 @@
         // A busy machine gets less of each operation done before its tries are over, so more of them are begun there.
         for (let i = 0; i < operations || (!hasRunEnough(world) && i < mostOperations); i++) {
             running.push(runOperation(world, random, `op-${i}`));
-            await setTimeout(random.below(40));
+            await setTimeout(random.nextInt(40));
         }
         await Promise.all(running);
     })();
--- a/packages/gateway/src/__tests__/serverObservations.test.ts
+++ b/packages/gateway/src/__tests__/serverObservations.test.ts
@@ -1,5 +1,5 @@
 import { type Configuration, resolveConfiguration } from "@galenaglade/configuration";
-import { ServerBoard } from "@galenaglade/routing";
+import { ServerLoadTracker } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { describeServers } from "../operations/serverObservations.js";
@@ -19,7 +19,7 @@
 }).unsafeCoerce();
 
 test("every declared server is described, with the age of its own word", () => {
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     board.onSent("tables/two");
     board.onReport("tables/two", { inFlight: 4 }, 1_000);
     const sources = {
--- a/packages/gateway/src/__tests__/testGateway.ts
+++ b/packages/gateway/src/__tests__/testGateway.ts
@@ -1,4 +1,4 @@
-import { type ConfigurationInput, resolveConfiguration, type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationInput, resolveConfiguration, type ConfigurationRevision } from "@galenaglade/configuration";
 import { type KeyValueStore } from "@galenaglade/platform";
 import { createRoutingPolicy } from "@galenaglade/routing";
 import { createLogger, createMetrics, createTracing } from "@galenaglade/telemetry";
@@ -14,10 +14,10 @@
 /** A configuration source that the test sets. */
 export class FixedSource implements ConfigurationSource {
     fresh = true;
-    #revised: RevisedConfiguration | undefined;
-    #callback: ((revised: RevisedConfiguration) => void) | undefined;
+    #revised: ConfigurationRevision | undefined;
+    #callback: ((revised: ConfigurationRevision) => void) | undefined;
 
-    current(): RevisedConfiguration | undefined {
+    current(): ConfigurationRevision | undefined {
         return this.#revised;
     }
 
@@ -25,7 +25,7 @@
         return this.fresh;
     }
 
-    onConfiguration(callback: (revised: RevisedConfiguration) => void): void {
+    onConfiguration(callback: (revised: ConfigurationRevision) => void): void {
         this.#callback = callback;
     }
 
@@ -98,7 +98,7 @@
         seed: 1,
         logger,
         metrics,
-        tracing: createTracing({ process: "gateway-test", sampledShare: 0, logger }),
+        tracing: createTracing({ process: "gateway-test", samplingRatio: 0, logger }),
         ...(gate === undefined ? {} : { gate }),
         ...(store === undefined ? {} : { claims: new RequestClaims({ store, holder: "test/1", clock: systemClock }) }),
     });
--- a/packages/gateway/src/coldStart/coldStartShell.ts
+++ b/packages/gateway/src/coldStart/coldStartShell.ts
@@ -6,7 +6,7 @@
     type GatewayRoster,
     type ServerGate as PermitGate,
 } from "@galenaglade/cold-start";
-import { type Configuration, type RevisedConfiguration, type Service } from "@galenaglade/configuration";
+import { type Configuration, type ConfigurationRevision, type Service } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
 import { type KeyValueStore } from "@galenaglade/platform";
 import { createServerId } from "@galenaglade/routing";
@@ -73,7 +73,7 @@
     }
 
     /** Takes the servers of a newer configuration. */
-    override onConfiguration(revised: RevisedConfiguration): void {
+    override onConfiguration(revised: ConfigurationRevision): void {
         this.#gate.onServers(resolveGatedServers(revised.configuration), this.#now());
     }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,14 +1,14 @@
 import {
-    type CallerLimits,
+    type CallerServerOptions,
     type Clock,
     createCallerServer,
     listen,
     type ListenAddress,
-    settleWithin,
+    waitAtMost,
     sleep,
     systemClock,
 } from "@galenaglade/http-parts";
-import { createRandomSource, type RoutingPolicy, ServerBoard } from "@galenaglade/routing";
+import { createRandomSource, type RoutingPolicy, ServerLoadTracker } from "@galenaglade/routing";
 import { type Logger, type Metrics, type Tracing } from "@galenaglade/telemetry";
 import { BackendConnections } from "./backends/backendConnections.js";
 import { CallerHandler } from "./callers/callerHandler.js";
@@ -25,7 +25,7 @@
 /** What a gateway is told and given. */
 export interface GatewayParts {
     readonly availabilityZone: string;
-    readonly callers: ListenAddress & Omit<CallerLimits, "keepAliveMs">;
+    readonly callers: ListenAddress & Omit<CallerServerOptions, "keepAliveMs">;
     readonly operations: ListenAddress;
     readonly stopping: {
         /** Time that the platform's balancer needs to notice that this host is not ready. */
@@ -42,7 +42,7 @@
     readonly tracing: Tracing;
     readonly clock?: Clock;
     readonly gate?: ServerGate;
-    readonly board?: ServerBoard;
+    readonly board?: ServerLoadTracker;
     /** Claims of idempotency keys; without them, requests that carry one are refused. */
     readonly claims?: RequestClaims;
 }
@@ -63,7 +63,7 @@
  */
 export function createGateway(parts: GatewayParts): Gateway {
     const clock = parts.clock ?? systemClock;
-    const board = parts.board ?? new ServerBoard();
+    const board = parts.board ?? new ServerLoadTracker();
     const connections = new BackendConnections();
     const telemetry = new RequestTelemetry(parts.tracing, parts.metrics);
     const gate = parts.gate ?? new OpenGate();
@@ -130,13 +130,13 @@
         const idle = handler.stop();
         callers.close();
         callers.closeIdleConnections();
-        await settleWithin(idle, parts.stopping.drainMs);
+        await waitAtMost(idle, parts.stopping.drainMs);
         callers.closeAllConnections();
-        await settleWithin(connections.close(), parts.stopping.drainMs);
+        await waitAtMost(connections.close(), parts.stopping.drainMs);
         // The permits go with the lease, and nothing may be sent under them after it: so the last request comes first.
-        await settleWithin(gate.stop(), parts.stopping.drainMs);
+        await waitAtMost(gate.stop(), parts.stopping.drainMs);
         if (parts.claims !== undefined) {
-            await settleWithin(parts.claims.whenIdle(), parts.stopping.drainMs);
+            await waitAtMost(parts.claims.whenIdle(), parts.stopping.drainMs);
             parts.claims.stop();
         }
         operations.close();
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -2,8 +2,8 @@
 import { FailureError } from "@galenaglade/errors";
 import { resolveFleetTimings } from "@galenaglade/membership";
 import { createFleetMember, type FleetMembership } from "@galenaglade/peers";
-import { HttpHostList, HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
-import { createRoutingPolicy, ServerBoard, type ServerId } from "@galenaglade/routing";
+import { HttpHostList, HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
+import { createRoutingPolicy, ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 import { type Program, type ResolvedGatewaySettings } from "@galenaglade/settings";
 import { createLogger, createMetrics, createTracing } from "@galenaglade/telemetry";
 import { randomInt, randomUUID } from "node:crypto";
@@ -28,8 +28,8 @@
 ): Program {
     const logger = createLogger({ process: settings.name, level: settings.logging.level });
     const metrics = createMetrics("galenaglade-gateway");
-    const tracing = createTracing({ process: settings.name, sampledShare, logger });
-    const connection = new PlatformConnection({
+    const tracing = createTracing({ process: settings.name, samplingRatio: sampledShare, logger });
+    const connection = new PlatformClient({
         addresses: [settings.platform.address],
         client: settings.name,
         timeoutMs: settings.platform.callTimeoutMs,
@@ -48,7 +48,7 @@
         fleetKey: settings.fleetKey.reveal(),
         timings: resolveFleetTimings(settings.freshness.maximumAgeMs),
     });
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     const stopSharing = shareLoads(fleet, board);
     const gate = settings.coldStart.enforced
         ? new ColdStartShell({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
@@ -98,7 +98,7 @@
 }
 
 /** Tells peers what this gateway has in flight, and takes their word on what they have. */
-function shareLoads(fleet: FleetMembership, board: ServerBoard): () => void {
+function shareLoads(fleet: FleetMembership, board: ServerLoadTracker): () => void {
     fleet.onLoads((loads, from) => {
         for (const load of loads) {
             board.onPeerLoad(from.name, load, performance.now());
--- a/packages/gateway/src/operations/serverObservations.ts
+++ b/packages/gateway/src/operations/serverObservations.ts
@@ -1,11 +1,11 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ServerObservation } from "@galenaglade/peers";
-import { createServerId, type ServerBoard, type ServerId } from "@galenaglade/routing";
+import { createServerId, type ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 
 /** What a gateway's word on its backend servers is made from. */
 export interface ObservationSources {
-    readonly configuration: RevisedConfiguration | undefined;
-    readonly board: ServerBoard;
+    readonly configuration: ConfigurationRevision | undefined;
+    readonly board: ServerLoadTracker;
     /** The state that the gateway holds a server to be in; `undefined` where it doesn't know. */
     readonly stateOf: (serverId: ServerId) => ServerObservation["state"];
 }
--- a/packages/gateway/src/requests/attempt.ts
+++ b/packages/gateway/src/requests/attempt.ts
@@ -12,7 +12,7 @@
 } from "@galenaglade/at-most-once";
 import { type AnswerSigns, noSigns, resolveAnswerSigns } from "@galenaglade/cold-start";
 import { createFailure, type DidRun, type Failure, FailureError } from "@galenaglade/errors";
-import { cutCaller, findHeader, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
+import { resetCallerConnection, findHeader, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
 import { type ServerId } from "@galenaglade/routing";
 import { type ServerResponse } from "node:http";
 import { type Dispatcher } from "undici";
@@ -240,7 +240,7 @@
         else if (res.headersSent) {
             // Half an answer that ends like a whole one reads as a shorter table, or a smaller catalog. Resetting the
             // connection is the one way left to say that it is not whole.
-            cutCaller(res);
+            resetCallerConnection(res);
         }
         this.#resolve({
             outcome,
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -1,6 +1,6 @@
 import { type AttemptOutcome, type AwaitedHead, combineDidRun, StallJudge } from "@galenaglade/at-most-once";
 import { createFailure, type Failure, resolveFailure } from "@galenaglade/errors";
-import { type ServerBoard, type ServerId } from "@galenaglade/routing";
+import { type ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 import { type Span, SpanKind, trace } from "@opentelemetry/api";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type Either, Left, Right } from "purify-ts";
@@ -37,7 +37,7 @@
 export interface ForwarderParts {
     readonly clock: Clock;
     readonly scheduler: Scheduler;
-    readonly board: ServerBoard;
+    readonly board: ServerLoadTracker;
     readonly connections: BackendConnections;
     readonly telemetry: RequestTelemetry;
     /** Whether this gateway's configuration is fresh enough for new work. */
@@ -69,9 +69,9 @@
     async forward(exchange: Exchange): Promise<Failure | undefined> {
         const { request, req, signal } = exchange;
         const limits = {
-            bodyBytes: request.bodyBytes,
-            maximumBytes: request.route.service.maximumBodyBytes,
-            heldBytes: heldBodyBytes,
+            contentLength: request.bodyBytes,
+            maxBytes: request.route.service.maximumBodyBytes,
+            maxBufferedBytes: heldBodyBytes,
         };
         const read = await readRequestBody(limits, req, signal);
         if (read.isLeft()) {
@@ -136,7 +136,7 @@
             outcomes.push(result.outcome);
             isRetryPaid = result.stalled;
             last = result.failure;
-            if (last === undefined || !result.outcome.mayRetry || !body.repeatable) {
+            if (last === undefined || !result.outcome.mayRetry || !body.isReplayable) {
                 return { failure: last, outcomes, status: result.status };
             }
             // A connection that went silent says nothing against its backend server.
@@ -176,7 +176,7 @@
             sentAtMs: clock.monotonicMs(),
         };
         // A connection that was opened for this request hasn't had the time to be lost track of.
-        const mayStall = request.idempotent && body.repeatable && !own;
+        const mayStall = request.idempotent && body.isReplayable && !own;
         const result = await runAttempt({
             request,
             serverId,
--- a/packages/gateway/src/requests/headers.ts
+++ b/packages/gateway/src/requests/headers.ts
@@ -1,4 +1,4 @@
-import { keepEndToEnd, type RawHeaders } from "@galenaglade/http-parts";
+import { filterEndToEndHeaders, type RawHeaders } from "@galenaglade/http-parts";
 import { didRunHeader } from "@galenaglade/at-most-once";
 import { backendHeaderPrefix, deadlineHeader } from "../constants.js";
 
@@ -13,7 +13,7 @@
  * @returns names and values in turn
  */
 export function resolveForwardHeaders(raw: RawHeaders, added: Readonly<Record<string, string>>): string[] {
-    const kept = keepEndToEnd(raw, name => setByGateway.has(name) || name.startsWith(backendHeaderPrefix));
+    const kept = filterEndToEndHeaders(raw, name => setByGateway.has(name) || name.startsWith(backendHeaderPrefix));
     for (const [name, value] of Object.entries(added)) {
         kept.push(name, value);
     }
@@ -27,5 +27,5 @@
  * @returns names and values in turn
  */
 export function resolveAnswerHeaders(raw: RawHeaders): string[] {
-    return keepEndToEnd(raw, name => name.startsWith(backendHeaderPrefix) || name === didRunHeader);
+    return filterEndToEndHeaders(raw, name => name.startsWith(backendHeaderPrefix) || name === didRunHeader);
 }
--- a/packages/gateway/src/requests/requestClaims.ts
+++ b/packages/gateway/src/requests/requestClaims.ts
@@ -161,8 +161,8 @@
 
 /** A body that is streamed is not known when the claim is made; its declared length stands for it. */
 function createFingerprint(request: CallerRequest, body: RequestBody): string {
-    const content = body.held === undefined
+    const content = body.buffered === undefined
         ? String(request.bodyBytes)
-        : createHash("sha256").update(body.held).digest("hex");
+        : createHash("sha256").update(body.buffered).digest("hex");
     return digest(request.method, request.url, content);
 }
--- a/packages/gateway/src/requests/scheduler.ts
+++ b/packages/gateway/src/requests/scheduler.ts
@@ -4,7 +4,7 @@
     type Candidate,
     type RandomSource,
     type RoutingPolicy,
-    type ServerBoard,
+    type ServerLoadTracker,
     type ServerId,
 } from "@galenaglade/routing";
 import { type Either, Left, Right } from "purify-ts";
@@ -32,7 +32,7 @@
 /** What the scheduler works with. */
 export interface SchedulerParts {
     readonly clock: Clock;
-    readonly board: ServerBoard;
+    readonly board: ServerLoadTracker;
     readonly policy: RoutingPolicy;
     readonly random: RandomSource;
     readonly gate: ServerGate;
@@ -74,7 +74,11 @@
                 return Promise.resolve(grant);
             }
         }
-        const verdict = state.queue.offer({ id: request.id, deadlineMs: request.deadlineMs }, now, state.serviceTimeMs);
+        const verdict = state.queue.enqueue(
+            { id: request.id, deadlineMs: request.deadlineMs },
+            now,
+            state.serviceTimeMs,
+        );
         if (verdict.type === "refuse") {
             const retryAfterSeconds = Math.max(1, Math.ceil(verdict.retryAfterMs / 1_000));
             return Promise.resolve(
@@ -95,7 +99,7 @@
             state.retryBudget.onSuccess();
             state.serviceTimeMs += serviceTimeWeight * (now - grant.grantedAtMs - state.serviceTimeMs);
         }
-        state.queue.onTurn(now);
+        state.queue.onSlotFreed(now);
         this.#drain(state);
     }
 
@@ -106,7 +110,7 @@
 
     /** @returns whether the service's retry budget allows one more try; it is paid for when it does */
     takeRetry(request: CallerRequest): boolean {
-        return this.#stateOf(request.route.service.name).retryBudget.take();
+        return this.#stateOf(request.route.service.name).retryBudget.tryTake();
     }
 
     /** Routes anew whatever waits: the configuration, the freshness or a backend server's state has changed. */
@@ -141,7 +145,7 @@
 
     #drain(state: ServiceState): void {
         const now = this.#parts.clock.monotonicMs();
-        for (let next = state.queue.next(now); next !== undefined; next = state.queue.next(now)) {
+        for (let next = state.queue.dequeue(now); next !== undefined; next = state.queue.dequeue(now)) {
             const waiting = state.waiting.get(next.id);
             if (waiting === undefined) {
                 continue;
@@ -213,7 +217,7 @@
                 continue;
             }
             const local = server.availabilityZone === availabilityZone;
-            candidates.push(board.candidate(serverId, server, local, policy.usesPeerLoads, nowMs));
+            candidates.push(board.createCandidate(serverId, server, local, policy.usesPeerLoads, nowMs));
         }
         return candidates;
     }
--- a/packages/gateway/src/requests/serverGate.ts
+++ b/packages/gateway/src/requests/serverGate.ts
@@ -1,5 +1,5 @@
 import { type AttemptEnd } from "@galenaglade/cold-start";
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type Grant } from "./grant.js";
 import { type Target } from "./serviceTable.js";
 
@@ -23,7 +23,7 @@
     /** Told how a granted request ended. */
     abstract onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void;
     /** Takes the backend servers of a newer configuration. */
-    abstract onConfiguration(revised: RevisedConfiguration): void;
+    abstract onConfiguration(revised: ConfigurationRevision): void;
     /** @param reconsider - to be called when requests that wait may find a backend server that has opened */
     abstract start(reconsider: () => void): void;
     abstract stop(): Promise<void>;
--- a/packages/gateway/src/requests/serviceTable.ts
+++ b/packages/gateway/src/requests/serviceTable.ts
@@ -1,7 +1,7 @@
 import {
     type BackendServer,
     type Configuration,
-    type RevisedConfiguration,
+    type ConfigurationRevision,
     type Service,
 } from "@galenaglade/configuration";
 import { createServerId, type ServerId } from "@galenaglade/routing";
@@ -42,7 +42,7 @@
  * @param revised - the configuration
  * @returns the table, which never changes
  */
-export function createServiceTable(revised: RevisedConfiguration): ServiceTable {
+export function createServiceTable(revised: ConfigurationRevision): ServiceTable {
     const routes = revised.configuration.services.map(service => createRoute(revised, service));
     const routers = new Map<string, findMyWay.Instance<findMyWay.HTTPVersion.V1>>();
     for (const route of routes) {
@@ -64,7 +64,7 @@
     };
 }
 
-function createRoute(revised: RevisedConfiguration, service: Service): ServiceRoute {
+function createRoute(revised: ConfigurationRevision, service: Service): ServiceRoute {
     const zonesIn = new Set<string>();
     for (const zone of revised.configuration.availabilityZones) {
         if (zone.state === "in") {
--- a/packages/httpParts/src/callerServer.ts
+++ b/packages/httpParts/src/createCallerServer.ts
@@ -1,10 +1,10 @@
 import { createFailure, type ErrorKind, type Failure } from "@galenaglade/errors";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { type Socket } from "node:net";
-import { renderRawFailure, writeFailure } from "./failureAnswer.js";
+import { renderRawFailure, writeFailure } from "./failureResponse.js";
 
 /** Limits on what callers may take up. */
-export interface CallerLimits {
+export interface CallerServerOptions {
     readonly maximumConnections: number;
     readonly maximumHeaderBytes: number;
     /** Time to send a whole request, body included. */
@@ -27,7 +27,7 @@
  * @returns a server that doesn't listen yet
  */
 export function createCallerServer(
-    limits: CallerLimits,
+    limits: CallerServerOptions,
     handle: (req: IncomingMessage, res: ServerResponse) => void,
 ): Server {
     const answers = new WeakMap<Socket, ServerResponse>();
--- a/packages/httpParts/src/failureAnswer.ts
+++ b/packages/httpParts/src/failureResponse.ts
@@ -1,7 +1,7 @@
 import { type Failure, type ResolvedFailure, resolveFailure } from "@galenaglade/errors";
 import { type ServerResponse } from "node:http";
 import { didRunHeader } from "@galenaglade/at-most-once";
-import { cutCaller } from "./cutCaller.js";
+import { resetCallerConnection } from "./resetCallerConnection.js";
 
 const contentType = "application/problem+json";
 
@@ -37,7 +37,7 @@
  */
 export function writeFailure(res: ServerResponse, failure: Failure, traceId: string | undefined, close: boolean): void {
     if (res.headersSent) {
-        cutCaller(res);
+        resetCallerConnection(res);
         return;
     }
     const resolved = resolveFailure(failure);
--- a/packages/httpParts/src/headers.ts
+++ b/packages/httpParts/src/headers.ts
@@ -35,7 +35,7 @@
  * @param isDropped - asked for each other header by its lower-case name
  * @returns names in lower case and values, in turn
  */
-export function keepEndToEnd(raw: RawHeaders, isDropped: (name: string) => boolean): string[] {
+export function filterEndToEndHeaders(raw: RawHeaders, isDropped: (name: string) => boolean): string[] {
     const declared = declaredHopByHop(raw);
     const kept: string[] = [];
     for (let i = 0; i + 1 < raw.length; i += 2) {
--- a/packages/httpParts/src/silenceLimit.ts
+++ b/packages/httpParts/src/inactivityTimeout.ts
@@ -2,7 +2,7 @@
  * Gives a call up when nothing arrives for too long: first until the answer begins, then from one part of it to the next. A limit for the
  * whole call would give up large answers again and again while they arrive.
  */
-export class SilenceLimit {
+export class InactivityTimeout {
     readonly #controller = new AbortController();
     #timer: NodeJS.Timeout;
 
@@ -17,13 +17,13 @@
     }
 
     /** A part has arrived. @param ms - until the next one must, in milliseconds */
-    onPart(ms: number): void {
+    onActivity(ms: number): void {
         clearTimeout(this.#timer);
         this.#timer = setTimeout(() => this.#controller.abort(new Error("nothing more arrived in time")), ms);
     }
 
     /** The call has ended. */
-    end(): void {
+    clear(): void {
         clearTimeout(this.#timer);
     }
 }
--- a/packages/httpParts/src/requestBody.ts
+++ b/packages/httpParts/src/requestBody.ts
@@ -4,28 +4,28 @@
 import { type Either, Left, Right } from "purify-ts";
 
 /** How much of a streamed body is read before anything is sent. */
-export const bodyStartBytes = 16_384;
+export const bodyPrefixBytes = 16_384;
 
 /** How much of a body is taken, and how much of it is held. */
 export interface BodyLimits {
     /** Declared length in bytes; `undefined` where the body is sent in chunks. */
-    readonly bodyBytes: number | undefined;
+    readonly contentLength: number | undefined;
     /** A longer body is refused. */
-    readonly maximumBytes: number;
+    readonly maxBytes: number;
     /** A body declared longer than this is streamed. */
-    readonly heldBytes: number;
+    readonly maxBufferedBytes: number;
 }
 
 /** A request's body, as attempts send it. */
 export abstract class RequestBody {
     /** Whether it can be sent once more. */
-    abstract readonly repeatable: boolean;
+    abstract readonly isReplayable: boolean;
     /** The bytes, where all of them are held. */
-    abstract readonly held: Buffer | undefined;
-    /** The first bytes, known before anything is sent: all of a held body, {@link bodyStartBytes} of a streamed one. */
-    abstract readonly start: Buffer;
+    abstract readonly buffered: Buffer | undefined;
+    /** The first bytes, known before anything is sent: all of a held body, {@link bodyPrefixBytes} of a streamed one. */
+    abstract readonly prefix: Buffer;
     /** Length of the whole body. */
-    abstract readonly bytes: number;
+    abstract readonly byteLength: number;
     /** @returns what to give to one attempt */
     abstract open(): Buffer | Readable | undefined;
 }
@@ -34,36 +34,36 @@
 const lateBodyDetail = "the body did not come in time";
 
 class HeldBody extends RequestBody {
-    override readonly repeatable = true;
-    override readonly held: Buffer;
-    override readonly start: Buffer;
-    override readonly bytes: number;
+    override readonly isReplayable = true;
+    override readonly buffered: Buffer;
+    override readonly prefix: Buffer;
+    override readonly byteLength: number;
 
     constructor(held: Buffer) {
         super();
-        this.held = held;
-        this.start = held;
-        this.bytes = held.length;
+        this.buffered = held;
+        this.prefix = held;
+        this.byteLength = held.length;
     }
 
     override open(): Buffer | undefined {
-        return this.held.length === 0 ? undefined : this.held;
+        return this.buffered.length === 0 ? undefined : this.buffered;
     }
 }
 
 class StreamedBody extends RequestBody {
-    override readonly repeatable = false;
-    override readonly held = undefined;
-    override readonly start: Buffer;
-    override readonly bytes: number;
+    override readonly isReplayable = false;
+    override readonly buffered = undefined;
+    override readonly prefix: Buffer;
+    override readonly byteLength: number;
     readonly #req: IncomingMessage;
 
     /** @param start - taken from `req` already, and put back */
     constructor(req: IncomingMessage, start: Buffer, bytes: number) {
         super();
         this.#req = req;
-        this.start = start;
-        this.bytes = bytes;
+        this.prefix = start;
+        this.byteLength = bytes;
     }
 
     /** A failed attempt destroys its body. What it gets is not the caller's own stream, whose connection would go too. */
@@ -89,15 +89,15 @@
     req: IncomingMessage,
     signal: AbortSignal,
 ): Promise<Either<Failure, RequestBody>> {
-    const { bodyBytes, maximumBytes, heldBytes } = limits;
-    if (bodyBytes === 0) {
+    const { contentLength, maxBytes, maxBufferedBytes } = limits;
+    if (contentLength === 0) {
         return Right(new HeldBody(Buffer.alloc(0)));
     }
-    if (bodyBytes !== undefined && bodyBytes > heldBytes) {
-        const start = await peekBody(req, Math.min(bodyStartBytes, bodyBytes), signal);
-        return start.map(bytes => new StreamedBody(req, bytes, bodyBytes));
+    if (contentLength !== undefined && contentLength > maxBufferedBytes) {
+        const start = await peekBody(req, Math.min(bodyPrefixBytes, contentLength), signal);
+        return start.map(bytes => new StreamedBody(req, bytes, contentLength));
     }
-    const limit = Math.min(heldBytes, maximumBytes);
+    const limit = Math.min(maxBufferedBytes, maxBytes);
     return (await holdBody(req, limit, signal)).map(held => new HeldBody(held));
 }
 
--- a/packages/httpParts/src/cutCaller.ts
+++ b/packages/httpParts/src/resetCallerConnection.ts
@@ -6,7 +6,7 @@
  *
  * @param res - the answer that can't be finished
  */
-export function cutCaller(res: ServerResponse): void {
+export function resetCallerConnection(res: ServerResponse): void {
     const { socket } = res;
     if (socket === null || socket.destroyed) {
         res.destroy();
--- a/packages/httpParts/src/waiting.ts
+++ b/packages/httpParts/src/timers.ts
@@ -6,7 +6,7 @@
 }
 
 /** Waits for `done`, at most `ms`, and leaves no timer behind. */
-export async function settleWithin(done: Promise<void>, ms: number): Promise<void> {
+export async function waitAtMost(done: Promise<void>, ms: number): Promise<void> {
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<void>(resolve => {
         timer = setTimeout(resolve, ms);
--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import {
     defaultFleetTimings,
     FleetMember,
@@ -25,7 +25,7 @@
     };
 }
 
-export function revised(revision: number): RevisedConfiguration {
+export function revised(revision: number): ConfigurationRevision {
     return {
         revision,
         changeId: `change-${revision}`,
--- a/packages/membership/src/changeCoordinator.ts
+++ b/packages/membership/src/changeCoordinator.ts
@@ -1,4 +1,4 @@
-import { type Configuration, type RevisedConfiguration } from "@galenaglade/configuration";
+import { type Configuration, type ConfigurationRevision } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
 import { type Either } from "purify-ts";
 import { type GatewayIdentity } from "./messages.js";
@@ -33,7 +33,7 @@
 /** Orders operators' changes through the store and finds out when they are in force. */
 export abstract class ChangeCoordinator {
     /** Reads the present configuration; revision 0 where none was ever written. */
-    abstract read(): Promise<Either<Failure, RevisedConfiguration>>;
+    abstract read(): Promise<Either<Failure, ConfigurationRevision>>;
     /** Writes a change, then waits, at most `waitMs`, until it is in force. */
     abstract apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, Acceptance>>;
     /** Says how far the present configuration has come. */
--- a/packages/membership/src/configurationHead.ts
+++ b/packages/membership/src/configurationHead.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type Either, Left, Right } from "purify-ts";
 import { type ChangeRequest } from "./changeCoordinator.js";
@@ -11,7 +11,7 @@
 }
 
 /** What the store holds under the head's key. */
-export interface ConfigurationHead extends RevisedConfiguration {
+export interface ConfigurationHead extends ConfigurationRevision {
     /**
      * The newest changes, oldest first, written in one with the configuration. A compare-and-swap whose answer was
      * lost is recognised here, also when other changes came after it; without the list its operator would be told of a
--- a/packages/membership/src/fleetEvents.ts
+++ b/packages/membership/src/fleetEvents.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ServerLoad, type ServerSignal } from "@galenaglade/routing";
 import { type ConfigurationOffer, type Heartbeat, type Roster } from "./messages.js";
 import { type FleetSurvey, type RosterSwap } from "./rosterKeeper.js";
@@ -13,7 +13,7 @@
     | {
         readonly type: "storeRead";
         readonly startedAtMs: number;
-        readonly head: RevisedConfiguration | undefined;
+        readonly head: ConfigurationRevision | undefined;
         readonly roster: Roster | undefined;
         /** `undefined` where the registrations couldn't be had. */
         readonly survey: FleetSurvey | undefined;
@@ -47,4 +47,4 @@
     | { readonly type: "fetch"; readonly address: string; }
     | { readonly type: "swapRoster"; readonly swap: RosterSwap; }
     /** New work follows this configuration from now on. */
-    | { readonly type: "apply"; readonly configuration: RevisedConfiguration; };
+    | { readonly type: "apply"; readonly configuration: ConfigurationRevision; };
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type FleetTimings, heartbeatBytes, heartbeatEntryBytes } from "./constants.js";
 import { Contacts } from "./contacts.js";
 import { type FleetCommand, type FleetEvent } from "./fleetEvents.js";
@@ -78,7 +78,7 @@
         this.#keeper = new RosterKeeper(options.self.name, options.timings);
     }
 
-    get configuration(): RevisedConfiguration | undefined {
+    get configuration(): ConfigurationRevision | undefined {
         return this.#holding.configuration;
     }
 
--- a/packages/membership/src/holding.ts
+++ b/packages/membership/src/holding.ts
@@ -1,19 +1,19 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ConfigurationOffer, type Roster } from "./messages.js";
 
 /** What an offer changed. */
 export interface Taken {
     /** Set where a newer configuration was taken. */
-    readonly configuration: RevisedConfiguration | undefined;
+    readonly configuration: ConfigurationRevision | undefined;
     readonly rosterChanged: boolean;
 }
 
 /** The configuration and roster that a gateway holds; neither ever goes back. */
 export class Holding {
-    #configuration: RevisedConfiguration | undefined;
+    #configuration: ConfigurationRevision | undefined;
     #roster: Roster | undefined;
 
-    get configuration(): RevisedConfiguration | undefined {
+    get configuration(): ConfigurationRevision | undefined {
         return this.#configuration;
     }
 
@@ -37,7 +37,7 @@
      * @returns what changed
      */
     take(offer: ConfigurationOffer): Taken {
-        let configuration: RevisedConfiguration | undefined;
+        let configuration: ConfigurationRevision | undefined;
         if (offer.offered !== undefined && offer.offered.revision > this.revision) {
             configuration = offer.offered;
             this.#configuration = configuration;
--- a/packages/membership/src/messages.ts
+++ b/packages/membership/src/messages.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ServerLoad, type ServerSignal } from "@galenaglade/routing";
 
 /** A gateway as its peers and the admin process know it. */
@@ -45,7 +45,7 @@
 /** What a process holds, offered to another. */
 export interface ConfigurationOffer {
     /** `undefined` where no configuration was ever written. */
-    readonly offered: RevisedConfiguration | undefined;
+    readonly offered: ConfigurationRevision | undefined;
     readonly roster: Roster | undefined;
 }
 
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -255,7 +255,7 @@
         const sim = await startFleet(seed);
         sim.storeDelayMs = 700;
         sim.network.maximumDelayMs = 450;
-        await sim.run(5_000 + sim.random.below(1_000));
+        await sim.run(5_000 + sim.random.nextInt(1_000));
         sim.gateways.get("gw5")?.process.pause();
         await sim.run(1_500);
         sim.heal({ paused: true });
@@ -280,7 +280,7 @@
         await sim.run(5_000);
         split(sim, ["gw5"], [...all, "op1"]);
         sim.slowStoreFor.set("gw5", 1_500);
-        await sim.run(5_000 + sim.random.below(2_000));
+        await sim.run(5_000 + sim.random.nextInt(2_000));
         const acceptance = sim.changeNow(sim.startOperator("op1"), "zone-out");
         await untilWritten(sim, "zone-out");
         sim.cutFromStore.add("gw5");
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -55,7 +55,7 @@
     /** Besides what the steps bring, one operator makes a change every now and then, so that faults meet changes. */
     changeRegularly(): void {
         const operator = this.sim.startOperator("regular");
-        for (let atMs = 2_000; atMs < faultyMs; atMs += 2_000 + this.sim.random.below(2_000)) {
+        for (let atMs = 2_000; atMs < faultyMs; atMs += 2_000 + this.sim.random.nextInt(2_000)) {
             this.sim.time.after(atMs, () => void this.sim.change(operator, `change-${this.#changes++}`));
         }
     }
--- a/packages/peers/src/__tests__/fleetObserver.test.ts
+++ b/packages/peers/src/__tests__/fleetObserver.test.ts
@@ -1,5 +1,5 @@
 import { defaultFleetTimings, storeKeys } from "@galenaglade/membership";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { createServerId } from "@galenaglade/routing";
 import { PlatformServer } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
@@ -28,7 +28,7 @@
 async function startFleet(t: TestContext): Promise<Fleet> {
     const platform = await PlatformServer.start();
     t.after(() => platform.stop());
-    const connection = new PlatformConnection({ addresses: [platform.url], client: "test" });
+    const connection = new PlatformClient({ addresses: [platform.url], client: "test" });
     t.after(() => connection.close());
     const store = new HttpKeyValueStore(connection);
     const timings = { ...defaultFleetTimings, callTimeoutMs: 3_000 };
--- a/packages/peers/src/__tests__/fleetOverTcp.test.ts
+++ b/packages/peers/src/__tests__/fleetOverTcp.test.ts
@@ -1,5 +1,5 @@
 import { resolveConfiguration } from "@galenaglade/configuration";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { PlatformServer } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
@@ -21,7 +21,7 @@
 });
 
 function connectStore(client: string): HttpKeyValueStore {
-    const connection = new PlatformConnection({ addresses: [platform.url], client });
+    const connection = new PlatformClient({ addresses: [platform.url], client });
     stops.unshift(() => connection.close());
     return new HttpKeyValueStore(connection);
 }
--- a/packages/peers/src/__tests__/operatorsWord.test.ts
+++ b/packages/peers/src/__tests__/operatorsWord.test.ts
@@ -1,5 +1,5 @@
 import { storeKeys } from "@galenaglade/membership";
-import { type CompareAndSwap, HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { type CompareAndSwap, HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { PlatformServer } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -140,7 +140,7 @@
 test("a registration that an operator's word overtakes takes it back", async t => {
     const platform = await PlatformServer.start();
     t.after(() => platform.stop());
-    const connection = new PlatformConnection({ addresses: [platform.url], client: "gw1" });
+    const connection = new PlatformClient({ addresses: [platform.url], client: "gw1" });
     t.after(() => connection.close());
     const store = new OvertakenStore(connection);
     const self = { name: "gw1", incarnation: "1", availabilityZone: "a", peerAddress: "127.0.0.1:1" };
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -80,7 +80,7 @@
     #deliver(from: SimulatedProcess, to: SimulatedProcess, turn: () => void): void {
         const lost = this.#cut.has(`${from.name}>${to.name}`) || this.#random.next() < this.#lossShare;
         if (!lost) {
-            this.#time.after(1 + this.#random.below(this.#maximumDelayMs), () => to.run(turn));
+            this.#time.after(1 + this.#random.nextInt(this.#maximumDelayMs), () => to.run(turn));
         }
     }
 }
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -272,7 +272,7 @@
             clock.after(workIntervalMs, attempt);
         };
         const clock = process.createClock();
-        clock.after(this.random.below(workIntervalMs), attempt);
+        clock.after(this.random.nextInt(workIntervalMs), attempt);
     }
 
     #createStore(process: SimulatedProcess): SimulatedStore {
@@ -297,11 +297,11 @@
             return { type: "requestLost", timeoutMs: storeTimeoutMs };
         }
         const delayMs = this.slowStoreFor.get(client) ?? this.storeDelayMs;
-        const outMs = 1 + this.random.below(delayMs);
+        const outMs = 1 + this.random.nextInt(delayMs);
         if (this.random.next() < this.lostAnswers) {
             return { type: "answerLost", outMs, timeoutMs: Math.max(storeTimeoutMs, outMs) };
         }
-        return { type: "answered", outMs, backMs: 1 + this.random.below(delayMs) };
+        return { type: "answered", outMs, backMs: 1 + this.random.nextInt(delayMs) };
     }
 
     #shownHosts(): readonly HostEntry[] {
--- a/packages/peers/src/changeCoordinatorShell.ts
+++ b/packages/peers/src/changeCoordinatorShell.ts
@@ -1,4 +1,4 @@
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import {
     type Acceptance,
@@ -59,7 +59,7 @@
             ?? createPeerCaller({ fleetKey: options.fleetKey, callTimeoutMs: this.#timings.callTimeoutMs });
     }
 
-    override async read(): Promise<Either<Failure, RevisedConfiguration>> {
+    override async read(): Promise<Either<Failure, ConfigurationRevision>> {
         const read = await this.#limited(readHead(this.#store));
         return read.map(({ head }) => head ?? emptyConfiguration);
     }
@@ -319,7 +319,7 @@
     /** To be tried again; `failure` is absent where another change came first. */
     | { readonly type: "open"; readonly mayBeWritten: boolean; readonly failure: Failure | undefined; };
 
-const emptyConfiguration: RevisedConfiguration = Object.freeze({
+const emptyConfiguration: ConfigurationRevision = Object.freeze({
     revision: 0,
     changeId: "",
     configuration: {
--- a/packages/peers/src/fleetMemberShell.ts
+++ b/packages/peers/src/fleetMemberShell.ts
@@ -1,5 +1,5 @@
 import { type ColdStartWord } from "@galenaglade/cold-start";
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import {
     defaultFleetTimings,
@@ -40,7 +40,7 @@
     readonly #clock: Clock;
     readonly #listener: PeerListener;
     readonly #caller: PeerCaller;
-    readonly #onConfiguration: ((configuration: RevisedConfiguration) => void)[] = [];
+    readonly #onConfiguration: ((configuration: ConfigurationRevision) => void)[] = [];
     readonly #onSignals: OnSignals[] = [];
     readonly #onLoads: OnLoads[] = [];
     #observe: ObserveServers = () => [];
@@ -82,7 +82,7 @@
         });
     }
 
-    current(): RevisedConfiguration | undefined {
+    current(): ConfigurationRevision | undefined {
         return this.#member?.configuration;
     }
 
@@ -90,7 +90,7 @@
         return this.#member?.mayTakeNewWork(this.#clock.nowMs()) ?? false;
     }
 
-    onConfiguration(callback: (configuration: RevisedConfiguration) => void): void {
+    onConfiguration(callback: (configuration: ConfigurationRevision) => void): void {
         this.#onConfiguration.push(callback);
     }
 
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -1,5 +1,5 @@
 import { type ColdStartWord } from "@galenaglade/cold-start";
-import { type RevisedConfiguration } from "@galenaglade/configuration";
+import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
 import { type FleetStatus, type FleetTimings, type GatewayIdentity, type Roster } from "@galenaglade/membership";
 import { type HostList, type KeyValueStore } from "@galenaglade/platform";
@@ -40,11 +40,11 @@
     /** Opens the peer port and begins to read the store; fails with `internal` where the port can't be opened. */
     start(): Promise<Either<Failure, void>>;
     /** @returns the configuration that new work follows; `undefined` until one is known */
-    current(): RevisedConfiguration | undefined;
+    current(): ConfigurationRevision | undefined;
     /** To be asked in the same turn as work is sent; `false` means to refuse it with `notFresh`. */
     mayTakeNewWork(): boolean;
     /** Calls back with each newer configuration, before anybody is told that it is held. */
-    onConfiguration(callback: (configuration: RevisedConfiguration) => void): void;
+    onConfiguration(callback: (configuration: ConfigurationRevision) => void): void;
     /** Passes signals on to every peer at once. */
     publishSignals(signals: readonly ServerSignal[]): void;
     /** Replaces the loads that heartbeats carry as the budget allows. */
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -1,5 +1,5 @@
 import { type ColdStartWord } from "@galenaglade/cold-start";
-import { configurationSchema, type RevisedConfiguration } from "@galenaglade/configuration";
+import { configurationSchema, type ConfigurationRevision } from "@galenaglade/configuration";
 import {
     type ConfigurationOffer,
     type GatewayIdentity,
@@ -39,7 +39,7 @@
     previous: identities.optional(),
 });
 
-const revisedConfiguration: z.ZodType<RevisedConfiguration> = z.object({
+const revisedConfiguration: z.ZodType<ConfigurationRevision> = z.object({
     revision: z.number().int().min(1),
     changeId: name,
     configuration: configurationSchema,
--- a/packages/placement/src/__tests__/budgets.test.ts
+++ b/packages/placement/src/__tests__/budgets.test.ts
@@ -40,7 +40,7 @@
             const repeats: number[] = [];
             for (let nowMs = 0; nowMs < 40_000; nowMs += 10) {
                 const i = Math.floor(random.next() ** 2 * gateways);
-                if (random.below(400) === 0) {
+                if (random.nextInt(400) === 0) {
                     budgets[i] = new RepeatBudget(allowance, nowMs);
                 }
                 const budget = budgets[i];
--- a/packages/placement/src/__tests__/choosePlacement.test.ts
+++ b/packages/placement/src/__tests__/choosePlacement.test.ts
@@ -159,7 +159,7 @@
             sent++;
         }
         for (const arrivedAtMs of waiting.splice(0)) {
-            const sampled = Array.from({ length: 4 }, () => random.below(count));
+            const sampled = Array.from({ length: 4 }, () => random.nextInt(count));
             const chosen = chooseServer(servers, sampled, nowMs - arrivedAtMs);
             if (chosen === undefined) {
                 waiting.push(arrivedAtMs);
--- a/packages/platform/src/httpHostList.ts
+++ b/packages/platform/src/httpHostList.ts
@@ -1,15 +1,15 @@
 import { type Failure } from "@galenaglade/errors";
 import { type Either } from "purify-ts";
 import { type HostEntry, HostList } from "./hostList.js";
-import { type PlatformConnection } from "./platformConnection.js";
+import { type PlatformClient } from "./platformClient.js";
 import { operations } from "./protocol.js";
 
 /** The platform's host list over HTTP. */
 export class HttpHostList extends HostList {
-    readonly #connection: PlatformConnection;
+    readonly #connection: PlatformClient;
 
     /** @param connection - stays the maker's to close */
-    constructor(connection: PlatformConnection) {
+    constructor(connection: PlatformClient) {
         super();
         this.#connection = connection;
     }
--- a/packages/platform/src/httpKeyValueStore.ts
+++ b/packages/platform/src/httpKeyValueStore.ts
@@ -9,15 +9,15 @@
     type WatchEvents,
     type WatchRequest,
 } from "./keyValueStore.js";
-import { type PlatformConnection } from "./platformConnection.js";
+import { type PlatformClient } from "./platformClient.js";
 import { operations } from "./protocol.js";
 
 /** The key-value service over HTTP. */
 export class HttpKeyValueStore extends KeyValueStore {
-    readonly #connection: PlatformConnection;
+    readonly #connection: PlatformClient;
 
     /** @param connection - stays the maker's to close */
-    constructor(connection: PlatformConnection) {
+    constructor(connection: PlatformClient) {
         super();
         this.#connection = connection;
     }
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -11,5 +11,5 @@
     type WatchEvents,
     type WatchRequest,
 } from "./keyValueStore.js";
-export { PlatformConnection, type PlatformConnectionOptions } from "./platformConnection.js";
+export { PlatformClient, type PlatformClientOptions } from "./platformClient.js";
 export { clientHeader, hostListSchema, type Operation, operations } from "./protocol.js";
--- a/packages/platform/src/keyValueStore.ts
+++ b/packages/platform/src/keyValueStore.ts
@@ -57,7 +57,7 @@
     /** Time beyond the wait in which the answer must come, in milliseconds; left out, that of any call. */
     readonly slackMs?: number | undefined;
     /** Called as the answer arrives, with the bytes of it that have, where the store tells. */
-    readonly onArriving?: ((bytes: number) => void) | undefined;
+    readonly onProgress?: ((bytes: number) => void) | undefined;
     readonly signal?: AbortSignal | undefined;
 }
 
--- a/packages/platform/src/platformConnection.ts
+++ b/packages/platform/src/platformClient.ts
@@ -4,7 +4,7 @@
 import { clientHeader, type Operation } from "./protocol.js";
 
 /** Where the platform's service is, and how long it may take. */
-export interface PlatformConnectionOptions {
+export interface PlatformClientOptions {
     /** Such as `http://10.0.0.1:7000`, without a path; the first one to which a connection opens is used. */
     readonly addresses: readonly string[];
     /** Who calls, for the service's own accounts. */
@@ -19,12 +19,12 @@
 const defaultConnectTimeoutMs = 500;
 
 /** One caller's connections to the platform's service. */
-export class PlatformConnection {
-    readonly #options: PlatformConnectionOptions;
+export class PlatformClient {
+    readonly #options: PlatformClientOptions;
     readonly #agent: Agent;
     #current = 0;
 
-    constructor(options: PlatformConnectionOptions) {
+    constructor(options: PlatformClientOptions) {
         this.#options = options;
         // No pipelining: a call given up on destroys its connection, which may have gone silent for good, and with
         // pipelining the calls behind it would be lost with it. The next call opens a new one.
@@ -95,7 +95,7 @@
             await res.body.dump();
             return Left(resolveRefusal(res.statusCode, operation));
         }
-        const answer = operation.answer.safeParse(await res.body.json());
+        const answer = operation.response.safeParse(await res.body.json());
         if (!answer.success) {
             return Left(createFailure(resolveLoss(operation), `${operation.path}: the answer is malformed`));
         }
--- a/packages/platform/src/protocol.ts
+++ b/packages/platform/src/protocol.ts
@@ -30,16 +30,16 @@
     /** Whether a lost answer leaves open if it took effect. */
     readonly writes: boolean;
     readonly request: z.ZodType<Req>;
-    readonly answer: z.ZodType<Res>;
+    readonly response: z.ZodType<Res>;
 }
 
 function createOperation<Req, Res>(
     path: string,
     writes: boolean,
     request: z.ZodType<Req>,
-    answer: z.ZodType<Res>,
+    response: z.ZodType<Res>,
 ): Operation<Req, Res> {
-    return Object.freeze({ path, writes, request, answer });
+    return Object.freeze({ path, writes, request, response: response });
 }
 
 /** Every operation of the platform's service. */
--- a/packages/quarantine/src/__tests__/support/crashSimulation.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -103,7 +103,7 @@
     #sendHarmless(): void {
         this.#harmless++;
         const isPopular = this.#random.next() < popularShare;
-        const content = isPopular ? `popular-${this.#random.below(popularContents)}` : `rare-${this.#harmless}`;
+        const content = isPopular ? `popular-${this.#random.nextInt(popularContents)}` : `rare-${this.#harmless}`;
         this.#send(content, this.#pickGateway(), 0);
     }
 
@@ -115,7 +115,7 @@
             return;
         }
         const up = this.#servers.filter(({ isUp }) => isUp);
-        const server = up[this.#random.below(up.length)];
+        const server = up[this.#random.nextInt(up.length)];
         if (server === undefined || runs >= maxRuns || (runs > 0 && strikes >= 2)) {
             return;
         }
@@ -242,7 +242,7 @@
     }
 
     #pickGateway(): CrashLedger {
-        const ledger = this.#ledgers[this.#random.below(this.#ledgers.length)];
+        const ledger = this.#ledgers[this.#random.nextInt(this.#ledgers.length)];
         if (ledger === undefined) {
             throw new Error("a simulation needs at least one gateway");
         }
--- a/packages/rateLimit/src/__tests__/support/limitSimulation.ts
+++ b/packages/rateLimit/src/__tests__/support/limitSimulation.ts
@@ -136,7 +136,7 @@
     /** Sends a caller's request to a random running host; if refused, retries on a random one after the retry delay. */
     sendCallerRequest(retries: number): void {
         const hosts = this.hosts.filter(({ limiter, inbox }) => limiter !== undefined && inbox === undefined);
-        const host = hosts[this.random.below(hosts.length)];
+        const host = hosts[this.random.nextInt(hosts.length)];
         if (host?.rule === undefined || host.limiter === undefined) {
             return;
         }
--- a/packages/rateLimit/src/__tests__/support/randomScenario.ts
+++ b/packages/rateLimit/src/__tests__/support/randomScenario.ts
@@ -40,7 +40,7 @@
         ];
         this.log.push(`${hosts} hosts, ${JSON.stringify(first)}, loss ${this.simulation.packetLossRate}`);
         this.#startAll(first);
-        for (let i = 0; i < 1 + random.below(6); i++) {
+        for (let i = 0; i < 1 + random.nextInt(6); i++) {
             this.#scheduleAt(2_000 + random.next() * 9_000, () => this.#injectFault());
         }
         this.#scheduleLoad(first);
@@ -58,7 +58,7 @@
     }
 
     #pick<T>(from: readonly T[]): T {
-        return from[this.#random.below(from.length)] as T;
+        return from[this.#random.nextInt(from.length)] as T;
     }
 
     #scheduleAt(atMs: number, run: () => void): void {
@@ -72,7 +72,7 @@
             : 0.5 * 800 ** this.#random.next();
         const burst = perSecond * this.#pick([1, 1, 0, 0, 3]);
         return {
-            workspace: previous?.workspace ?? `workspace ${this.#random.below(1_000)}`,
+            workspace: previous?.workspace ?? `workspace ${this.#random.nextInt(1_000)}`,
             perSecond,
             burst,
             configVersion,
@@ -95,7 +95,7 @@
         const { hosts } = this.simulation;
         const pauseMs = this.#pick([0, 2_000, 6_000]);
         for (let atMs = this.#pick([1_000, 5_000, 9_000]); atMs < endMs;) {
-            const targets = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.below(hosts.length));
+            const targets = this.#random.next() < 0.7 ? hosts : hosts.slice(this.#random.nextInt(hosts.length));
             const floodMs = Math.min(endMs - atMs, 500 + this.#random.next() * 6_000);
             const count = Math.ceil(burst + perSecond * this.#pick([1.5, 4.5]) * floodMs / 1_000 + 5);
             for (let i = 0; i < count; i++) {
@@ -164,7 +164,7 @@
 
     #partition(forMs: number): void {
         const kind = this.#pick(["both", "oneWay", "bridge", "each"]);
-        const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.below(3)]));
+        const sideOf = new Map(this.simulation.hosts.map(({ name }) => [name, this.#random.nextInt(3)]));
         this.#logEvent(`partition ${kind} for ${forMs.toFixed(0)} ms`);
         const cuts: Record<string, (from: number, to: number) => boolean> = {
             both: (from, to) => (from === 0) !== (to === 0),
--- a/packages/replay/src/rollout/rolloutWorld.ts
+++ b/packages/replay/src/rollout/rolloutWorld.ts
@@ -275,7 +275,7 @@
         const expected = this.#scenario.requestsPerSecond * stepMs / 1_000;
         const count = Math.floor(expected) + (this.#random.next() < expected % 1 ? 1 : 0);
         for (let i = 0; i < count; i++) {
-            const gateway = this.#gateways[this.#random.below(this.#gateways.length)];
+            const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
             if (gateway !== undefined && gateway.downUntilMs <= this.#nowMs) {
                 this.#send(gateway);
             }
@@ -291,7 +291,7 @@
             rollouts.onTrial(service);
         }
         const usable = view.usableServers(service, this.#nowMs);
-        const server = trial ?? usable[this.#random.below(Math.max(1, usable.length))];
+        const server = trial ?? usable[this.#random.nextInt(Math.max(1, usable.length))];
         if (server === undefined) {
             return;
         }
--- a/packages/replay/src/scenarioFile.ts
+++ b/packages/replay/src/scenarioFile.ts
@@ -3,7 +3,7 @@
     type DeepReadonly,
     type DocumentFault,
     type LocatedFault,
-    resolveBySchema,
+    createSchemaResolver,
 } from "@galenaglade/configuration";
 import { type PlacementPolicy } from "@galenaglade/placement";
 import { type Either, Left, Right } from "purify-ts";
@@ -137,8 +137,8 @@
 type ScenarioDocument = DeepReadonly<z.output<typeof scenarioSchema>>;
 type EventDocument = ScenarioDocument["events"][number];
 
-const resolveShape = resolveBySchema(scenarioSchema);
-const resolvePolicy = resolveBySchema(policySchema);
+const resolveShape = createSchemaResolver(scenarioSchema);
+const resolvePolicy = createSchemaResolver(policySchema);
 
 /**
  * Checks a scenario and fills in every default.
--- a/packages/replay/src/world/crowdMood.ts
+++ b/packages/replay/src/world/crowdMood.ts
@@ -78,7 +78,7 @@
     }
 
     drawZone(random: RandomSource): string {
-        const own = this.#zones[random.below(this.#zones.length)] ?? "";
+        const own = this.#zones[random.nextInt(this.#zones.length)] ?? "";
         for (const { share, from, zone } of this.moves) {
             if (from === own && random.next() < share) {
                 return zone;
--- a/packages/replay/src/world/fleetReplay.ts
+++ b/packages/replay/src/world/fleetReplay.ts
@@ -89,7 +89,7 @@
             registered,
             shape,
             this.events,
-            createRandomSource(this.#random.below(2 ** 31)),
+            createRandomSource(this.#random.nextInt(2 ** 31)),
         );
         server.coldUntilMs = coldUntilMs;
         this.directory.add(server);
@@ -125,7 +125,7 @@
                 name,
                 zone,
                 cores,
-                seed: this.#random.below(2 ** 31),
+                seed: this.#random.nextInt(2 ** 31),
                 events: this.events,
                 directory: this.directory,
                 scenario: this.scenario,
@@ -180,7 +180,7 @@
         const up = this.gateways.filter(gateway => gateway.isUp);
         const near = up.filter(gateway => gateway.zone === zone);
         const choice = near.length > 0 ? near : up;
-        return choice[this.#random.below(choice.length)];
+        return choice[this.#random.nextInt(choice.length)];
     }
 
     #onAttemptEnd(caller: SimulatedCaller, end: AttemptEnd): void {
--- a/packages/replay/src/world/serverFinder.ts
+++ b/packages/replay/src/world/serverFinder.ts
@@ -18,7 +18,7 @@
     }
 
     override step({ usable }: FleetSnapshot): SearchStep {
-        const server = usable[this.#random.below(usable.length)];
+        const server = usable[this.#random.nextInt(usable.length)];
         return server === undefined
             ? { type: "refuse", reason: "noServer" }
             : { type: "send", server, score: createPlainScore(server), reason: "any", ageMs: 0 };
--- a/packages/rollout/src/__tests__/rolloutComponents.test.ts
+++ b/packages/rollout/src/__tests__/rolloutComponents.test.ts
@@ -24,7 +24,7 @@
             const allowances = Array.from({ length: gateways }, () => new TrialAllowance(0.1, random));
             let trials = 0;
             for (let sent = 1; sent <= requests; sent++) {
-                const allowance = allowances[random.below(gateways)];
+                const allowance = allowances[random.nextInt(gateways)];
                 allowance?.onSend();
                 if (allowance?.hasCredit === true) {
                     allowance.onTrial();
--- a/packages/routing/src/__tests__/serverBoard.test.ts
+++ b/packages/routing/src/__tests__/serverLoadTracker.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type BackendServer } from "@galenaglade/configuration";
-import { type Candidate, ServerBoard } from "../index.js";
+import { type Candidate, ServerLoadTracker } from "../index.js";
 
 const server: BackendServer = {
     name: "a",
@@ -12,14 +12,14 @@
     connections: 200,
 };
 
-function look(board: ServerBoard, nowMs: number, usesPeerLoads = false): Candidate {
-    return board.candidate("tables/a", server, true, usesPeerLoads, nowMs);
+function look(board: ServerLoadTracker, nowMs: number, usesPeerLoads = false): Candidate {
+    return board.createCandidate("tables/a", server, true, usesPeerLoads, nowMs);
 }
 
 test("a server's own word counts others only, and is left out once old or used up", () => {
     // A server said once that it is idle, and then nothing more. If that word stayed, every gateway would send it
     // everything; so it goes after a few requests, or after a fraction of a second.
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     board.onSent("tables/a");
     board.onReport("tables/a", { inFlight: 3 }, 1_000);
     assert.equal(look(board, 1_000).othersInFlight, 2);
@@ -33,7 +33,7 @@
 });
 
 test("peers' counts add up, each as long as it is fresh", () => {
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     const load = { serverId: "tables/a", ownInFlight: 2, reportedInFlight: undefined } as const;
     board.onPeerLoad("gateway-1", { ...load, ageMs: 0 }, 100);
     board.onPeerLoad("gateway-2", { ...load, ageMs: 200 }, 100);
@@ -42,7 +42,7 @@
 });
 
 test("own requests in flight are counted exactly, and a vanished server is forgotten only when idle", () => {
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     board.onSent("tables/a");
     board.onSent("tables/a");
     board.onEnded("tables/a", 10, 4);
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -1,4 +1,4 @@
-import { defaultTurnoverMs, distantZoneCost, hotQuantile, sampleSize } from "./constants.js";
+import { defaultReportDecayMs, otherZoneCost, hotQuantile, hotColdSampleSize } from "./constants.js";
 import { type RandomSource } from "./randomSource.js";
 import { type Candidate, RoutingPolicy } from "./routingPolicy.js";
 import { type ServerId } from "./serverSignal.js";
@@ -18,7 +18,7 @@
     const indexes = Array.from({ length: count }, (_, i) => i);
     const taken = Math.min(size, count);
     for (let i = 0; i < taken; i++) {
-        const j = i + random.below(count - i);
+        const j = i + random.nextInt(count - i);
         const swapped = indexes[i] ?? i;
         indexes[i] = indexes[j] ?? j;
         indexes[j] = swapped;
@@ -53,7 +53,7 @@
     override readonly name = "random";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        return random.below(candidates.length);
+        return random.nextInt(candidates.length);
     }
 }
 
@@ -103,7 +103,7 @@
     override readonly name: string = "hotCold";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        const drawn = sample(candidates.length, sampleSize, random);
+        const drawn = sample(candidates.length, hotColdSampleSize, random);
         const threshold = hotThreshold(candidates);
         const cool = drawn.filter(index => {
             const candidate = candidates[index];
@@ -165,7 +165,7 @@
         const all = sample(candidates.length, candidates.length, random);
         return lowest(candidates, all, candidate => {
             const expected = candidate.ownInFlight + expectOthers(candidate, averageOthers);
-            return expected / candidate.server.slots + (candidate.local ? 0 : distantZoneCost);
+            return expected / candidate.server.slots + (candidate.local ? 0 : otherZoneCost);
         });
     }
 }
@@ -187,7 +187,7 @@
     if (lastReported === undefined) {
         return averageOthers;
     }
-    const belief = Math.exp(-lastReported.ageMs / (latencyMs ?? defaultTurnoverMs));
+    const belief = Math.exp(-lastReported.ageMs / (latencyMs ?? defaultReportDecayMs));
     return belief * lastReported.othersInFlight + (1 - belief) * averageOthers;
 }
 
--- a/packages/routing/src/randomSource.ts
+++ b/packages/routing/src/randomSource.ts
@@ -9,7 +9,7 @@
      * @param limit - one more than the largest result
      * @returns a whole number of at least 0 and less than `limit`
      */
-    below(limit: number): number {
+    nextInt(limit: number): number {
         return Math.floor(this.next() * limit);
     }
 }
--- a/packages/routing/src/serverBoard.ts
+++ b/packages/routing/src/serverLoadTracker.ts
@@ -1,5 +1,5 @@
 import { type BackendServer } from "@galenaglade/configuration";
-import { latencyWeight, maximumLatencyAgeMs, maximumSignalAgeMs, maximumSignalUses } from "./constants.js";
+import { latencyWeight, maxLatencyAgeMs, maxReportAgeMs, maxSendsPerReport } from "./constants.js";
 import { type Candidate } from "./routingPolicy.js";
 import { type ServerId, type ServerLoad } from "./serverSignal.js";
 
@@ -20,7 +20,7 @@
 }
 
 /** A backend server's own word on its load, as an answer or a probe brought it. */
-export interface LoadReport {
+export interface InFlightReport {
     /** Requests in flight from everybody, the answered one included. */
     readonly inFlight: number;
 }
@@ -29,7 +29,7 @@
  * Keeps what is known of each backend server's load: own counts exactly, everybody else's from the servers' own
  * words and from peers, each with its age.
  */
-export class ServerBoard {
+export class ServerLoadTracker {
     readonly #entries = new Map<ServerId, ServerEntry>();
 
     /** Counts a request as in flight, from before its first byte is handed over. */
@@ -50,14 +50,14 @@
         const entry = this.#entry(serverId);
         entry.ownInFlight = Math.max(0, entry.ownInFlight - 1);
         if (latencyMs !== undefined) {
-            const fresh = nowMs - entry.latencyAtMs <= maximumLatencyAgeMs ? entry.latencyMs : undefined;
+            const fresh = nowMs - entry.latencyAtMs <= maxLatencyAgeMs ? entry.latencyMs : undefined;
             entry.latencyMs = fresh === undefined ? latencyMs : fresh + latencyWeight * (latencyMs - fresh);
             entry.latencyAtMs = nowMs;
         }
     }
 
     /** Takes a server's own word; `ownInFlight` is still counted with the request that brought it. */
-    onReport(serverId: ServerId, report: LoadReport, nowMs: number): void {
+    onReport(serverId: ServerId, report: InFlightReport, nowMs: number): void {
         const entry = this.#entry(serverId);
         entry.reportedOthers = Math.max(0, report.inFlight - entry.ownInFlight);
         entry.reportedAtMs = nowMs;
@@ -91,7 +91,7 @@
     }
 
     /** Describes one server as a policy sees it. */
-    candidate(
+    createCandidate(
         serverId: ServerId,
         server: BackendServer,
         local: boolean,
@@ -108,7 +108,7 @@
             lastReported: Number.isFinite(entry.reportedAtMs)
                 ? { othersInFlight: entry.reportedOthers, ageMs: nowMs - entry.reportedAtMs }
                 : undefined,
-            latencyMs: nowMs - entry.latencyAtMs <= maximumLatencyAgeMs ? entry.latencyMs : undefined,
+            latencyMs: nowMs - entry.latencyAtMs <= maxLatencyAgeMs ? entry.latencyMs : undefined,
         };
     }
 
@@ -143,14 +143,14 @@
  * second, so that a stale word costs at most a handful of requests.
  */
 function reportedInFlight(entry: ServerEntry, nowMs: number): number | undefined {
-    const usable = nowMs - entry.reportedAtMs <= maximumSignalAgeMs && entry.reportUses < maximumSignalUses;
+    const usable = nowMs - entry.reportedAtMs <= maxReportAgeMs && entry.reportUses < maxSendsPerReport;
     return usable ? entry.reportedOthers : undefined;
 }
 
 function peerInFlight(entry: ServerEntry, nowMs: number): number | undefined {
     let sum: number | undefined;
     for (const count of entry.peers.values()) {
-        if (nowMs - count.atMs <= maximumSignalAgeMs) {
+        if (nowMs - count.atMs <= maxReportAgeMs) {
             sum = (sum ?? 0) + count.inFlight;
         }
     }
--- a/packages/settings/src/__tests__/startup.test.ts
+++ b/packages/settings/src/__tests__/startup.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { after, test } from "node:test";
-import { maximumFileBytes, resolveAdminSettings, resolveStartup } from "../index.js";
+import { maxFileBytes, resolveAdminSettings, resolveStartup } from "../index.js";
 
 const key = "0123456789abcdef0123456789abcdef";
 const directory = mkdtempSync(join(tmpdir(), "settings-"));
@@ -59,7 +59,7 @@
 });
 
 test("refuses a file that is too large to be meant, without reading it", () => {
-    const result = startup("--settings", write("large.yaml", "#".repeat(maximumFileBytes + 1)));
+    const result = startup("--settings", write("large.yaml", "#".repeat(maxFileBytes + 1)));
     assert.ok(result.type === "exit");
     assert.match(result.output, /8388609 bytes/);
 });
--- a/packages/settings/src/adminSettings.ts
+++ b/packages/settings/src/adminSettings.ts
@@ -1,12 +1,12 @@
 import { type LocatedFault } from "@galenaglade/configuration";
 import { type Either } from "purify-ts";
 import * as z from "zod";
-import { type ReadText, readTextFile, type ResolvedOf, resolveSettings } from "./resolveSettings.js";
-import { fleetKey, freshness, ipNumber, logging, milliseconds, platform, port } from "./parts.js";
+import { type ReadText, readTextFile, type ResolvedSettings, resolveSettings } from "./resolveSettings.js";
+import { fleetKey, freshness, ipAddress, logging, milliseconds, platform, port } from "./sharedSchemas.js";
 
 /** The settings of the operators' server as written in YAML. */
 export const adminSettingsSchema = z.strictObject({
-    address: ipNumber.describe("IP number on which operators' calls are taken"),
+    address: ipAddress.describe("IP number on which operators' calls are taken"),
     port: port.describe("port on which operators' calls are taken"),
     platform,
     fleetKey,
@@ -31,7 +31,7 @@
 });
 
 /** The operators' server's settings with every default filled in and the fleet's key read. */
-export type ResolvedAdminSettings = ResolvedOf<typeof adminSettingsSchema>;
+export type ResolvedAdminSettings = ResolvedSettings<typeof adminSettingsSchema>;
 
 /**
  * Checks the operators' server's settings and fills in every default.
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -1,18 +1,18 @@
 import { type LocatedFault } from "@galenaglade/configuration";
 import { type Either } from "purify-ts";
 import * as z from "zod";
-import { type ReadText, readTextFile, type ResolvedOf, resolveSettings } from "./resolveSettings.js";
+import { type ReadText, readTextFile, type ResolvedSettings, resolveSettings } from "./resolveSettings.js";
 import {
     fleetKey,
     freshness,
-    ipNumber,
+    ipAddress,
     logging,
     milliseconds,
-    millisecondsOrNone,
+    millisecondsOrZero,
     name,
     platform,
     port,
-} from "./parts.js";
+} from "./sharedSchemas.js";
 
 const peerAddress = z.string().regex(
     /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/,
@@ -20,7 +20,7 @@
 );
 
 const callers = z.strictObject({
-    address: ipNumber.describe("IP number on which callers' requests are taken"),
+    address: ipAddress.describe("IP number on which callers' requests are taken"),
     port: port.describe("port on which callers' requests are taken"),
     maximumConnections: z.number().int().min(1).max(1_000_000).default(10_000)
         .describe("callers' connections held at once; more are refused"),
@@ -31,7 +31,7 @@
 });
 
 const peers = z.strictObject({
-    address: ipNumber.refine(address => address !== "0.0.0.0" && address !== "::", {
+    address: ipAddress.refine(address => address !== "0.0.0.0" && address !== "::", {
         error: "expected the IP number at which peers reach this host, not a wildcard",
     }).describe("IP number at which the other gateways reach this one"),
     port: port.describe("port for the other gateways"),
@@ -40,12 +40,12 @@
 });
 
 const operations = z.strictObject({
-    address: ipNumber.default("127.0.0.1").describe("IP number for readiness, liveness and metrics"),
+    address: ipAddress.default("127.0.0.1").describe("IP number for readiness, liveness and metrics"),
     port: port.describe("port for readiness, liveness and metrics"),
 });
 
 const stopping = z.strictObject({
-    balancerWaitMs: millisecondsOrNone.default(5_000)
+    balancerWaitMs: millisecondsOrZero.default(5_000)
         .describe("time for the platform's balancer to see that this host is not ready"),
     // A stop ends as soon as nothing is in flight; the limit only keeps a stuck request from holding it for ever, and a
     // shorter default would cut an extract that its caller lets run all night.
@@ -74,7 +74,7 @@
 });
 
 /** A gateway's settings with every default filled in and the fleet's key read. */
-export type ResolvedGatewaySettings = ResolvedOf<typeof gatewaySettingsSchema>;
+export type ResolvedGatewaySettings = ResolvedSettings<typeof gatewaySettingsSchema>;
 
 /**
  * Checks a gateway's settings and fills in every default.
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,8 +1,8 @@
 /** Process settings from YAML: every fault named with its line, all at once, before a port is opened. */
 export { adminSettingsSchema, resolveAdminSettings, type ResolvedAdminSettings } from "./adminSettings.js";
-export { badInputExitCode, maximumFileBytes, minimumFleetKeyLength } from "./constants.js";
+export { badInputExitCode, maxFileBytes, minFleetKeyLength } from "./constants.js";
 export { gatewaySettingsSchema, type ResolvedGatewaySettings, resolveGatewaySettings } from "./gatewaySettings.js";
-export { loadSettings, printSettings, resolveStartup, type ResolveText, type Startup } from "./loadSettings.js";
+export { loadSettings, printSettings, resolveStartup, type SettingsResolver, type Startup } from "./loadSettings.js";
 export { type ReadText, readTextFile } from "./resolveSettings.js";
 export { type Program, runProgram } from "./runProgram.js";
 export { Secret } from "./secret.js";
--- a/packages/settings/src/loadSettings.ts
+++ b/packages/settings/src/loadSettings.ts
@@ -6,7 +6,7 @@
 import { readTextFile } from "./resolveSettings.js";
 
 /** Checks the text of a settings file, such as `resolveGatewaySettings`. */
-export type ResolveText<T> = (text: string) => Either<readonly LocatedFault[], T>;
+export type SettingsResolver<T> = (text: string) => Either<readonly LocatedFault[], T>;
 
 /**
  * Reads and checks a settings file.
@@ -15,7 +15,7 @@
  * @param resolve - the check
  * @returns all faults as lines for a person, or the settings
  */
-export function loadSettings<T>(path: string, resolve: ResolveText<T>): Either<string, T> {
+export function loadSettings<T>(path: string, resolve: SettingsResolver<T>): Either<string, T> {
     let text: string;
     try {
         text = readTextFile(path);
@@ -41,7 +41,7 @@
  * @param resolve - checks the settings
  * @returns the settings, or what to print before leaving and with which exit code
  */
-export function resolveStartup<T>(program: string, args: readonly string[], resolve: ResolveText<T>): Startup<T> {
+export function resolveStartup<T>(program: string, args: readonly string[], resolve: SettingsResolver<T>): Startup<T> {
     const usage = `usage: ${program} --settings FILE [--print-settings] [--help]`;
     let values;
     try {
--- a/packages/settings/src/resolveSettings.ts
+++ b/packages/settings/src/resolveSettings.ts
@@ -4,12 +4,12 @@
     type DeepReadonly,
     type DocumentFault,
     type LocatedFault,
-    resolveBySchema,
+    createSchemaResolver,
 } from "@galenaglade/configuration";
 import { type Either, Left, Right } from "purify-ts";
 import { type z } from "zod";
-import { maximumFileBytes, minimumFleetKeyLength } from "./constants.js";
-import { type fleetKey } from "./parts.js";
+import { maxFileBytes, minFleetKeyLength } from "./constants.js";
+import { type fleetKey } from "./sharedSchemas.js";
 import { Secret } from "./secret.js";
 
 /** Reads a whole text file; throws what the system says. */
@@ -19,12 +19,12 @@
 export type SettingsSchema = z.ZodType<{ readonly fleetKey: z.output<typeof fleetKey>; }>;
 
 /** Settings with every default filled in, read-only, and the fleet's key in place of where it stands. */
-export type ResolvedOf<S extends SettingsSchema> =
+export type ResolvedSettings<S extends SettingsSchema> =
     & DeepReadonly<Omit<z.output<S>, "fleetKey">>
     & { readonly fleetKey: Secret; };
 
 /**
- * Reads a text file of at most {@link maximumFileBytes}.
+ * Reads a text file of at most {@link maxFileBytes}.
  *
  * @param path - path of the file
  * @returns its text
@@ -32,8 +32,8 @@
  */
 export function readTextFile(path: string): string {
     const { size } = statSync(path);
-    if (size > maximumFileBytes) {
-        throw new Error(`${path} holds ${size} bytes; at most ${maximumFileBytes} are read`);
+    if (size > maxFileBytes) {
+        throw new Error(`${path} holds ${size} bytes; at most ${maxFileBytes} are read`);
     }
     return readFileSync(path, "utf8");
 }
@@ -50,14 +50,14 @@
     text: string,
     schema: S,
     readText: ReadText,
-): Either<readonly LocatedFault[], ResolvedOf<S>> {
-    const check = resolveBySchema(schema);
+): Either<readonly LocatedFault[], ResolvedSettings<S>> {
+    const check = createSchemaResolver(schema);
     return checkYaml(
         text,
         document =>
             check(document).chain(settings =>
                 readFleetKey(settings.fleetKey, readText).map(key =>
-                    deepFreeze({ ...settings, fleetKey: key }) as unknown as ResolvedOf<S>
+                    deepFreeze({ ...settings, fleetKey: key }) as unknown as ResolvedSettings<S>
                 )
             ),
     );
@@ -78,8 +78,8 @@
     catch (err) {
         return Left([{ path, message: err instanceof Error ? err.message : String(err) }]);
     }
-    if (key.length < minimumFleetKeyLength) {
-        return Left([{ path, message: `the key in this file is shorter than ${minimumFleetKeyLength} characters` }]);
+    if (key.length < minFleetKeyLength) {
+        return Left([{ path, message: `the key in this file is shorter than ${minFleetKeyLength} characters` }]);
     }
     return Right(new Secret(key));
 }
--- a/packages/settings/src/runProgram.ts
+++ b/packages/settings/src/runProgram.ts
@@ -1,4 +1,4 @@
-import { resolveStartup, type ResolveText } from "./loadSettings.js";
+import { resolveStartup, type SettingsResolver } from "./loadSettings.js";
 
 /** A long-running process, put together but not started. */
 export interface Program {
@@ -24,7 +24,7 @@
  */
 export async function runProgram<T>(
     name: string,
-    resolve: ResolveText<T>,
+    resolve: SettingsResolver<T>,
     create: (settings: T) => Program,
 ): Promise<void> {
     const startup = resolveStartup(name, process.argv.slice(2), resolve);
--- a/packages/settings/src/parts.ts
+++ b/packages/settings/src/sharedSchemas.ts
@@ -1,9 +1,9 @@
 /** Pieces that more than one settings schema is made of. */
 import * as z from "zod";
-import { minimumFleetKeyLength } from "./constants.js";
+import { minFleetKeyLength } from "./constants.js";
 
 /** An IP number to listen on or to be reached at. */
-export const ipNumber = z.union([z.ipv4(), z.ipv6()], { error: "expected an IP number such as 10.0.0.4" });
+export const ipAddress = z.union([z.ipv4(), z.ipv6()], { error: "expected an IP number such as 10.0.0.4" });
 
 /** A port to listen on; 0 lets the system choose one, which only tests want. */
 export const port = z.number().int().min(0).max(65_535);
@@ -12,7 +12,7 @@
 export const milliseconds = z.number().int().min(1).max(86_400_000);
 
 /** A span of time in milliseconds that may be nothing. */
-export const millisecondsOrNone = z.number().int().min(0).max(86_400_000);
+export const millisecondsOrZero = z.number().int().min(0).max(86_400_000);
 
 /** The name of a host or an availability zone. */
 export const name = z.string().regex(
@@ -30,7 +30,7 @@
 /** The key that all processes of the fleet share, inline or in a file. */
 export const fleetKey = z.strictObject({
     file: z.string().min(1).optional().describe("file that holds the key; white space around it is ignored"),
-    value: z.string().min(minimumFleetKeyLength).optional().describe("the key itself"),
+    value: z.string().min(minFleetKeyLength).optional().describe("the key itself"),
 }).refine(
     key => (key.file === undefined) !== (key.value === undefined),
     { error: "expected exactly one of file, value" },
--- a/packages/soak/src/cutPlan.ts
+++ b/packages/soak/src/cutPlan.ts
@@ -41,9 +41,9 @@
         cuts.push({
             atMs,
             forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
-            target: random.below(1_000),
-            others: random.below(mostOthers),
-            link: links[random.below(links.length)] ?? "reset",
+            target: random.nextInt(1_000),
+            others: random.nextInt(mostOthers),
+            link: links[random.nextInt(links.length)] ?? "reset",
             flapMs: flaps ? shortestFlapMs + random.next() * (longestFlapMs - shortestFlapMs) : undefined,
         });
     }
--- a/packages/soak/src/deadlyPlan.ts
+++ b/packages/soak/src/deadlyPlan.ts
@@ -31,7 +31,7 @@
         return undefined;
     }
     const startMs = random.next() * latestStartMs;
-    const count = fewest + random.below(most - fewest + 1);
+    const count = fewest + random.nextInt(most - fewest + 1);
     const atMs = Array.from({ length: count }, () => startMs + random.next() * (faultyMs - startMs));
     return { atMs: atMs.sort((a, b) => a - b), path: `${pathPrefix}${deadlyMark}${seed}` };
 }
--- a/packages/soak/src/limitPlan.ts
+++ b/packages/soak/src/limitPlan.ts
@@ -34,7 +34,7 @@
     return {
         atMs,
         forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
-        target: random.below(1_000),
+        target: random.nextInt(1_000),
         perSecond: Math.round(10 * (0.3 + random.next() * largest)) / 10,
     };
 }
--- a/packages/soak/src/noticePlan.ts
+++ b/packages/soak/src/noticePlan.ts
@@ -47,9 +47,9 @@
     const rest: PlannedRest = {
         atMs,
         forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
-        target: random.below(1_000),
+        target: random.nextInt(1_000),
         restSeconds: Math.round(10 * seconds) / 10,
     };
-    const leaving: PlannedLeaving = { atMs: random.next() * latestMs, target: random.below(1_000) };
+    const leaving: PlannedLeaving = { atMs: random.next() * latestMs, target: random.nextInt(1_000) };
     return { rest: rests ? rest : undefined, leaving: leaves ? leaving : undefined };
 }
--- a/packages/soak/src/plan.ts
+++ b/packages/soak/src/plan.ts
@@ -53,14 +53,14 @@
  */
 export function planFaults(seed: number): readonly Fault[] {
     const random = createRandomSource(seed);
-    const count = fewestFaults + random.below(mostFaults - fewestFaults + 1);
+    const count = fewestFaults + random.nextInt(mostFaults - fewestFaults + 1);
     const faults: Fault[] = [];
     while (faults.length < count) {
         const before = faults.at(-1);
         if (before !== undefined && random.next() < seriesShare) {
             const atMs = Math.min(faultyMs, before.atMs + random.next() * seriesGapMs);
             const forMs = Math.min(before.forMs, faultyMs - atMs);
-            faults.push({ ...before, atMs, forMs, target: before.target + random.below(2) });
+            faults.push({ ...before, atMs, forMs, target: before.target + random.nextInt(2) });
             continue;
         }
         faults.push(drawFault(random));
@@ -77,8 +77,8 @@
         atMs,
         // Everything ends with the time of faults, so that the calm time after it is calm.
         forMs: Math.min(shortestMs + random.next() * (longestMs - shortestMs), faultyMs - atMs),
-        target: random.below(1_000),
-        link: linkFaults[random.below(linkFaults.length)] ?? "reset",
+        target: random.nextInt(1_000),
+        link: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
     };
 }
 
--- a/packages/soak/src/rolloutPlan.ts
+++ b/packages/soak/src/rolloutPlan.ts
@@ -28,7 +28,7 @@
     }
     return {
         atMs: random.next() * latestMs,
-        service: services[random.below(services.length)] ?? "",
+        service: services[random.nextInt(services.length)] ?? "",
         isBad: random.next() < 0.5,
     };
 }
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -244,7 +244,7 @@
 
     #send(hangsUp: boolean): void {
         const caller = this.#pickEdge().caller;
-        const usual = routes[this.#random.below(routes.length)] ?? "read";
+        const usual = routes[this.#random.nextInt(routes.length)] ?? "read";
         const { sign, route = usual, answerBytes = 0 } = this.#callers?.draw(this.#world.workspaces) ?? {};
         if (caller === undefined) {
             return;
@@ -267,7 +267,7 @@
 
     #pickEdge(): SoakEdge {
         const choice = this.#findEdges();
-        const edge = choice[this.#random.below(choice.length)];
+        const edge = choice[this.#random.nextInt(choice.length)];
         if (edge === undefined) {
             throw new Error("a run needs a gateway");
         }
--- a/packages/soak/src/soakServer.ts
+++ b/packages/soak/src/soakServer.ts
@@ -182,7 +182,7 @@
         if (!this.#trouble.spoils || this.#random.next() >= spoilShare) {
             return undefined;
         }
-        return spoilings[this.#random.below(spoilings.length)];
+        return spoilings[this.#random.nextInt(spoilings.length)];
     }
 
     #turnAway(requestId: string, keyPassedOn: boolean, res: ServerResponse): void {
--- a/packages/soak/src/soakWorld.ts
+++ b/packages/soak/src/soakWorld.ts
@@ -391,7 +391,7 @@
     }
 
     #configure(): Promise<void> {
-        this.#version += 1 + this.#random.below(3);
+        this.#version += 1 + this.#random.nextInt(3);
         return this.#writeVersion();
     }
 
--- a/packages/soak/src/workspacePlan.ts
+++ b/packages/soak/src/workspacePlan.ts
@@ -74,23 +74,23 @@
     }
     const keys: SoakKey[] = [];
     const issueKey = (): SoakKey => {
-        const key = { id: `key-${keys.length + 1}`, secret: `${keyMark}${keys.length + 1}-${random.below(2 ** 31)}` };
+        const key = { id: `key-${keys.length + 1}`, secret: `${keyMark}${keys.length + 1}-${random.nextInt(2 ** 31)}` };
         keys.push(key);
         return key;
     };
     const resolveLimit = (limit: number): SoakWorkspace["limit"] =>
         hasLimits ? { perSecond: limit, burst: limit } : undefined;
-    const perSecond = smallestLimit + random.below(limitSpread);
+    const perSecond = smallestLimit + random.nextInt(limitSpread);
     const limitedKey = issueKey();
     const first: readonly SoakWorkspace[] = [
         { name: "atlas", keys: [issueKey(), issueKey()] },
         { name: "birch", keys: [issueKey(), issueKey()], priority: 0 },
         { name: limitedWorkspace, keys: [limitedKey], limit: resolveLimit(perSecond) },
     ];
-    const count = fewestChanges + random.below(mostChanges - fewestChanges + 1);
+    const count = fewestChanges + random.nextInt(mostChanges - fewestChanges + 1);
     const times = Array.from({ length: count }, () => earliestMs + random.next() * (faultyMs - earliestMs));
     times[0] = lastChangeMs;
-    const lowersLimitAt = random.below(count);
+    const lowersLimitAt = random.nextInt(count);
     let workspaces = first;
     const changes = times.sort((a, b) => a - b).map((atMs, i) => {
         workspaces = changeKeys(workspaces, random, issueKey);
@@ -118,7 +118,7 @@
     const [from = 0, to = 0] = random.next() < 0.5 ? [0, 1] : [1, 0];
     const held = workspaces[from]?.keys ?? [];
     const kind = random.next();
-    const chosen = held[random.below(Math.max(1, held.length))];
+    const chosen = held[random.nextInt(Math.max(1, held.length))];
     const replaceKeys = (at: number, keys: readonly SoakKey[]): readonly SoakWorkspace[] =>
         workspaces.map((workspace, i) => i === at ? { ...workspace, keys } : workspace);
     if (chosen === undefined || kind < 0.35) {
--- a/packages/standIns/src/__tests__/platformServer.test.ts
+++ b/packages/standIns/src/__tests__/platformServer.test.ts
@@ -1,5 +1,5 @@
 import { type Failure } from "@galenaglade/errors";
-import { HttpHostList, HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpHostList, HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { type Either } from "purify-ts";
 import assert from "node:assert/strict";
 import { afterEach, test } from "node:test";
@@ -19,9 +19,9 @@
     return platform;
 }
 
-function connect(address: string, more: { client?: string; timeoutMs?: number; } = {}): PlatformConnection {
+function connect(address: string, more: { client?: string; timeoutMs?: number; } = {}): PlatformClient {
     const { client = "gateway-1", timeoutMs } = more;
-    const connection = new PlatformConnection({ addresses: [address], client, timeoutMs });
+    const connection = new PlatformClient({ addresses: [address], client, timeoutMs });
     stops.push(() => connection.close());
     return connection;
 }
@@ -98,7 +98,7 @@
     const gone = await startPlatform();
     const platform = await startPlatform();
     await gone.stop();
-    const connection = new PlatformConnection({ addresses: [gone.url, platform.url], client: "gateway-1" });
+    const connection = new PlatformClient({ addresses: [gone.url, platform.url], client: "gateway-1" });
     stops.push(() => connection.close());
     assert.equal(kindOf(await write(new HttpKeyValueStore(connection), "a", "1")), "no failure");
     assert.equal(platform.engine.revision, 1);
--- a/packages/standIns/src/caller/schedule.ts
+++ b/packages/standIns/src/caller/schedule.ts
@@ -40,7 +40,7 @@
                 requestId,
                 atMs,
                 mix,
-                target: targets[random.below(targets.length)] ?? "",
+                target: targets[random.nextInt(targets.length)] ?? "",
                 workMs: drawWorkMs(mix.work, random),
                 idempotencyKey: mix.keyed ? `key-${requestId}` : undefined,
             };
--- a/packages/standIns/src/fleet/fleetConfigurer.ts
+++ b/packages/standIns/src/fleet/fleetConfigurer.ts
@@ -1,7 +1,7 @@
 import { type Configuration, type ConfigurationInput, resolveConfiguration } from "@galenaglade/configuration";
 import { type Acceptance } from "@galenaglade/membership";
 import { createChangeCoordinator } from "@galenaglade/peers";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { randomUUID } from "node:crypto";
 import { type Fleet } from "./fleet.js";
 
@@ -9,11 +9,11 @@
 
 /** Writes configurations as admin does, for fleets that run without one. */
 export class FleetConfigurer {
-    readonly #connection: PlatformConnection;
+    readonly #connection: PlatformClient;
     readonly #coordinator: ReturnType<typeof createChangeCoordinator>;
 
     constructor(fleet: Fleet) {
-        this.#connection = new PlatformConnection({ addresses: [fleet.platformUrl], client: "operator" });
+        this.#connection = new PlatformClient({ addresses: [fleet.platformUrl], client: "operator" });
         const store = new HttpKeyValueStore(this.#connection);
         this.#coordinator = createChangeCoordinator({ store, fleetKey: fleet.fleetKey });
     }
--- a/packages/telemetry/src/jsonLogger.ts
+++ b/packages/telemetry/src/jsonLogger.ts
@@ -1,5 +1,5 @@
 import { type ConsolaReporter, createConsola, type LogObject } from "consola/core";
-import { consolaLevels, type LogFields, type Logger, type LogLevel, present } from "./logFields.js";
+import { consolaLevels, type LogFields, type Logger, type LogLevel, toLogArguments } from "./logFields.js";
 
 /** How a log of JSON lines is made. */
 export interface JsonLoggerOptions {
@@ -46,9 +46,9 @@
     const reporters = [new JsonReporter(options.process, options.write)];
     const consola = createConsola({ level: consolaLevels[options.level], reporters });
     return {
-        error: (message, fields) => consola.error(message, ...present(fields)),
-        warn: (message, fields) => consola.warn(message, ...present(fields)),
-        info: (message, fields) => consola.info(message, ...present(fields)),
-        debug: (message, fields) => consola.debug(message, ...present(fields)),
+        error: (message, fields) => consola.error(message, ...toLogArguments(fields)),
+        warn: (message, fields) => consola.warn(message, ...toLogArguments(fields)),
+        info: (message, fields) => consola.info(message, ...toLogArguments(fields)),
+        debug: (message, fields) => consola.debug(message, ...toLogArguments(fields)),
     };
 }
--- a/packages/telemetry/src/logFields.ts
+++ b/packages/telemetry/src/logFields.ts
@@ -20,6 +20,6 @@
 }
 
 /** @returns the fields as the rest of an argument list */
-export function present(fields: LogFields | undefined): readonly LogFields[] {
+export function toLogArguments(fields: LogFields | undefined): readonly LogFields[] {
     return fields === undefined ? [] : [fields];
 }
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,6 +1,6 @@
 import { createConsola } from "consola";
 import { createJsonLogger } from "./jsonLogger.js";
-import { consolaLevels, type Logger, type LogLevel, present } from "./logFields.js";
+import { consolaLevels, type Logger, type LogLevel, toLogArguments } from "./logFields.js";
 
 /** How a log is made. */
 export interface LoggerOptions {
@@ -28,9 +28,9 @@
     const level = consolaLevels[options.level];
     const consola = createConsola({ level, stdout: process.stderr, stderr: process.stderr });
     return {
-        error: (message, fields) => consola.error(message, ...present(fields)),
-        warn: (message, fields) => consola.warn(message, ...present(fields)),
-        info: (message, fields) => consola.info(message, ...present(fields)),
-        debug: (message, fields) => consola.debug(message, ...present(fields)),
+        error: (message, fields) => consola.error(message, ...toLogArguments(fields)),
+        warn: (message, fields) => consola.warn(message, ...toLogArguments(fields)),
+        info: (message, fields) => consola.info(message, ...toLogArguments(fields)),
+        debug: (message, fields) => consola.debug(message, ...toLogArguments(fields)),
     };
 }
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -50,7 +50,7 @@
 export interface TracingOptions {
     readonly process: string;
     /** Share of traces begun here that are recorded, 0 to 1; a caller's own decision goes before it. */
-    readonly sampledShare: number;
+    readonly samplingRatio: number;
     readonly logger: Logger;
 }
 
@@ -63,7 +63,7 @@
 export function createTracing(options: TracingOptions): Tracing {
     const provider = new NodeTracerProvider({
         resource: resourceFromAttributes({ "service.name": options.process }),
-        sampler: new ParentBasedSampler({ root: new TraceIdRatioBasedSampler(options.sampledShare) }),
+        sampler: new ParentBasedSampler({ root: new TraceIdRatioBasedSampler(options.samplingRatio) }),
         spanProcessors: [new BatchSpanProcessor(new LogSpanExporter(options.logger))],
     });
     return {
--- a/scripts/capacity/measureTables.ts
+++ b/scripts/capacity/measureTables.ts
@@ -1,5 +1,5 @@
 import { resolveConfiguration } from "@galenaglade/configuration";
-import { createRandomSource, createRoutingPolicy, ServerBoard } from "@galenaglade/routing";
+import { createRandomSource, createRoutingPolicy, ServerLoadTracker } from "@galenaglade/routing";
 import { createServiceTable, type ServiceTable } from "../../packages/gateway/src/requests/serviceTable.js";
 import { generateConfiguration } from "./generateConfiguration.js";
 import { type Measurement } from "./measurement.js";
@@ -58,8 +58,8 @@
     return createServiceTable({ revision: 1, changeId: "", configuration: generateConfiguration(size) });
 }
 
-function createFullBoard(table: ServiceTable): ServerBoard {
-    const board = new ServerBoard();
+function createFullBoard(table: ServiceTable): ServerLoadTracker {
+    const board = new ServerLoadTracker();
     for (const route of table.routes) {
         for (const { serverId } of route.targets) {
             board.onSent(serverId);
@@ -73,11 +73,11 @@
 /** CPU time of one routing decision, candidates included, in milliseconds. */
 function decisionCpuMs(size: number): number {
     const servers = generateConfiguration(size * 2).services.flatMap(service => service.backendServers).slice(0, size);
-    const board = new ServerBoard();
+    const board = new ServerLoadTracker();
     const policy = createRoutingPolicy("freeSlotFirst");
     const random = createRandomSource(1);
     return cpuMsOf(() => {
-        const candidates = servers.map((server, i) => board.candidate(`s/${i}`, server, i % 3 === 0, false, 1));
+        const candidates = servers.map((server, i) => board.createCandidate(`s/${i}`, server, i % 3 === 0, false, 1));
         policy?.choose(candidates, random);
     }, choices);
 }
--- a/scripts/capacity/testFleet.ts
+++ b/scripts/capacity/testFleet.ts
@@ -4,7 +4,7 @@
 import { type Configuration } from "@galenaglade/configuration";
 import { type Acceptance } from "@galenaglade/membership";
 import { createChangeCoordinator, type StoreChangeCoordinator } from "@galenaglade/peers";
-import { HttpKeyValueStore, PlatformConnection } from "@galenaglade/platform";
+import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { PlatformServer, type StartedProcess, startProcess } from "@galenaglade/stand-ins";
 import { stringify } from "yaml";
 
@@ -16,14 +16,14 @@
 export class TestFleet {
     readonly gateways: readonly StartedProcess[];
     readonly platform: PlatformServer;
-    readonly #connection: PlatformConnection;
+    readonly #connection: PlatformClient;
     readonly #coordinator: StoreChangeCoordinator;
     #revision = 0;
 
     private constructor(platform: PlatformServer, gateways: readonly StartedProcess[]) {
         this.platform = platform;
         this.gateways = gateways;
-        this.#connection = new PlatformConnection({ addresses: [platform.url], client: "capacity" });
+        this.#connection = new PlatformClient({ addresses: [platform.url], client: "capacity" });
         this.#coordinator = createChangeCoordinator({ store: new HttpKeyValueStore(this.#connection), fleetKey });
     }
 
