--- a/packages/atMostOnce/src/__tests__/claims.test.ts
+++ b/packages/atMostOnce/src/__tests__/claims.test.ts
@@ -1,4 +1,4 @@
-import { checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer } from "@galenaglade/history";
+import { checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity } from "@galenaglade/history";
 import { createRandomSource } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -12,7 +12,7 @@
 const requestLost: WorldFate = { type: "requestLost", timeoutMs: 100 };
 
 function checkAll(world: ClaimWorld): void {
-    const found = [checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer].flatMap(check => check(world.history));
+    const found = [checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity].flatMap(check => check(world.history));
     assert.deepEqual(found, []);
 }
 
--- a/packages/edge/src/__tests__/linkFaultFleets.test.ts
+++ b/packages/edge/src/__tests__/linkFaultFleets.test.ts
@@ -1,4 +1,4 @@
-import { checkCutGateways, type Violation } from "@galenaglade/history";
+import { checkPartitionedGateways, type Violation } from "@galenaglade/history";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -11,7 +11,7 @@
 import { VirtualClock } from "./support/virtualClock.js";
 
 /** Bounds that the users' platform requires. */
-const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
+const bounds = { settleMs: 3_000, minRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 /** Time limits to detect a link fault, from its start, and that it is over, from its end, in milliseconds. */
 const detectionLimitMs = 3_000;
 const recoveryLimitMs = 8_000;
@@ -102,7 +102,7 @@
     }
     fleet.stop();
     await clock.advance(3_000);
-    const violations = hasHealthyGateway ? checkCutGateways(fleet.history, bounds) : [];
+    const violations = hasHealthyGateway ? checkPartitionedGateways(fleet.history, bounds) : [];
     clock.clear();
     return { violations, wrongSamples: wrong, totalSamples: samples, handedOver: fleet.handoverCount };
 }
--- a/packages/edge/src/__tests__/queryOfDeath.test.ts
+++ b/packages/edge/src/__tests__/queryOfDeath.test.ts
@@ -1,4 +1,4 @@
-import { checkAtMostOnce, checkQueryOfDeath, checkTruthfulDidRun } from "@galenaglade/history";
+import { checkAtMostOnce, checkQueryOfDeath, checkDidRunAccuracy } from "@galenaglade/history";
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -168,7 +168,7 @@
     assert.equal(fleet.servers.crashCount, crashesBefore);
     assert.equal((await fleet.servers.send(at(fleet.edges, 0), "/returns/x", "filed")).status, 200);
     assert.deepEqual(checkAtMostOnce(fleet.servers.history), []);
-    assert.deepEqual(checkTruthfulDidRun(fleet.servers.history), []);
+    assert.deepEqual(checkDidRunAccuracy(fleet.servers.history), []);
 });
 
 // A popular read that was running on servers which crashed for another reason must not stay quarantined.
--- a/packages/edge/src/__tests__/serverLeaving.test.ts
+++ b/packages/edge/src/__tests__/serverLeaving.test.ts
@@ -1,4 +1,4 @@
-import { checkLeavingHeeded } from "@galenaglade/history";
+import { checkLeavingRespected } from "@galenaglade/history";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -14,7 +14,7 @@
     fleet.servers.announceLeaving("a");
     await sendRequestsFor(fleet, 4_000, 15);
     assert.ok(fleet.servers.history.some(({ type }) => type === "leavingPassedOn"));
-    assert.deepEqual(checkLeavingHeeded(fleet.servers.history, drainMs), []);
+    assert.deepEqual(checkLeavingRespected(fleet.servers.history, drainMs), []);
 });
 
 // Guards against forgetting an announced shutdown when the server's entry expires and is written again around a store
@@ -27,7 +27,7 @@
     await sleep(600);
     fleet.servers.rewriteEntry("a");
     await sendRequestsFor(fleet, 2_500, 15);
-    assert.deepEqual(checkLeavingHeeded(fleet.servers.history, drainMs), []);
+    assert.deepEqual(checkLeavingRespected(fleet.servers.history, drainMs), []);
     fleet.servers.restart("a", 2);
     await sleep(600);
     const startedAtMs = performance.now();
--- a/packages/edge/src/__tests__/serverLimit.test.ts
+++ b/packages/edge/src/__tests__/serverLimit.test.ts
@@ -6,7 +6,7 @@
 import { MemoryStore } from "./support/memoryStore.js";
 import { createConfiguration, startEdges, type TestEdge } from "./support/testEdge.js";
 
-const bounds = { factor: 1.5, slack: 5, windowMs: 4_000, settleMs: 3_000, toldMs: 500 };
+const bounds = { factor: 1.5, slack: 5, windowMs: 4_000, settleMs: 3_000, gatewayGraceMs: 500 };
 
 interface LimitedFleet {
     readonly servers: LimitedServers;
--- a/packages/edge/src/__tests__/serverRest.test.ts
+++ b/packages/edge/src/__tests__/serverRest.test.ts
@@ -1,10 +1,10 @@
-import { checkServerRest } from "@galenaglade/history";
+import { checkServerBackoff } from "@galenaglade/history";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { sendRequestsFor, startAnnouncingFleet } from "./support/announcingServers.js";
 
-const backoffBounds = { onTheWayMs: 500, allowed: 2 };
+const backoffBounds = { inFlightGraceMs: 500, maxRequests: 2 };
 
 // Guards against sending the usual load, or more, to a server that requested a back-off: since it executes nothing, it
 // looks idle.
@@ -13,7 +13,7 @@
     await sendRequestsFor(fleet, 500, 15);
     fleet.servers.setBackoff("a", 2);
     await sendRequestsFor(fleet, 5_000, 15);
-    assert.deepEqual(checkServerRest(fleet.servers.history, backoffBounds), []);
+    assert.deepEqual(checkServerBackoff(fleet.servers.history, backoffBounds), []);
 });
 
 // Guards against gateways that exclude a server permanently after its back-off.
--- a/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
+++ b/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer } from "@galenaglade/history";
+import { checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity } from "@galenaglade/history";
 import { FleetRun } from "../index.js";
 
 let run: FleetRun;
@@ -26,7 +26,7 @@
     const told = await Promise.all(slow);
     assert.equal(exit.code, 0);
     assert.deepEqual(told.map(answer => answer?.status), told.map(() => 200));
-    assert.deepEqual(checkWholeAnswer(run.history()), []);
+    assert.deepEqual(checkResponseIntegrity(run.history()), []);
 });
 
 // Payroll offices file returns through a gateway that is killed with all of them in flight. Each office's connection
@@ -46,7 +46,7 @@
 
     const history = run.history();
     assert.deepEqual(checkAtMostOnce(history), []);
-    assert.deepEqual(checkTruthfulDidRun(history), []);
+    assert.deepEqual(checkDidRunAccuracy(history), []);
     assert.ok(firstTold.some(answer => answer === undefined), "the kill cut callers off");
     const ran = history.filter(line => line.type === "serverStarted" && line.idempotencyKey?.startsWith("return-"));
     assert.ok(ran.length > 0, "returns were running when the gateway was killed");
--- a/packages/endToEnd/src/__tests__/zoneOut.test.ts
+++ b/packages/endToEnd/src/__tests__/zoneOut.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { checkWholeAnswer, checkZoneOut, type HistoryLine } from "@galenaglade/history";
+import { checkResponseIntegrity, checkZoneOut, type HistoryLine } from "@galenaglade/history";
 import { FleetRun } from "../index.js";
 
 /** For requests on the wire when the change was accepted. The brief allows a few seconds. */
@@ -41,7 +41,7 @@
 
     const history = run.history();
     assert.deepEqual(checkZoneOut(history, graceMs), []);
-    assert.deepEqual(checkWholeAnswer(history), []);
+    assert.deepEqual(checkResponseIntegrity(history), []);
     assert.ok(countStarts(history.slice(0, outAt), "north") > 0, "the zone served before it was out");
     assert.ok(countStarts(history.slice(outAt), "north") > 0, "the zone serves again");
     const counts = tally.countsOf("tables/default");
@@ -69,7 +69,7 @@
 
     const history = run.history();
     assert.deepEqual(checkZoneOut(history, graceMs), []);
-    assert.deepEqual(checkWholeAnswer(history), []);
+    assert.deepEqual(checkResponseIntegrity(history), []);
     assert.ok(statuses.every(status => status === 200 || status === 503), statuses.join());
     await run.bringZoneIn("south");
 });
@@ -83,5 +83,5 @@
     await run.setPlatformFaults({});
     const counts = tally.countsOf("tables/default");
     assert.equal(counts.whole, counts.sent);
-    assert.deepEqual(checkWholeAnswer(run.history()), []);
+    assert.deepEqual(checkResponseIntegrity(run.history()), []);
 });
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -1,4 +1,4 @@
-import { checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer, type HistoryLine } from "@galenaglade/history";
+import { checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity, type HistoryLine } from "@galenaglade/history";
 import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import {
@@ -194,7 +194,7 @@
     const lines: readonly HistoryLine[] = [world.callers, ...world.histories].flatMap(history => history.lines);
     const history = lines.toSorted((a, b) => a.atMs - b.atMs).map((line, sequence) => ({ ...line, sequence }));
     t.diagnostic(JSON.stringify(countKinds(history)));
-    const found = [checkAtMostOnce, checkTruthfulDidRun, checkWholeAnswer].flatMap(check => check(history));
+    const found = [checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity].flatMap(check => check(history));
     assert.deepEqual(found, [], `seed ${seed}`);
     assert.ok(history.filter(line => line.type === "serverStarted").length > operations / 2, "too little ran");
 });
--- a/packages/history/src/__tests__/cutGatewayChecker.test.ts
+++ b/packages/history/src/__tests__/partitionedGatewayChecker.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { checkCutGateways, type HistoryEvent, type HistoryLine } from "../index.js";
+import { checkPartitionedGateways, type HistoryEvent, type HistoryLine } from "../index.js";
 
-const bounds = { settleMs: 3_000, leastRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
+const bounds = { settleMs: 3_000, minRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 
 /** Requests every 10 ms through a gateway that is cut off at 0 and one that isn't. */
 function record(servedWhileCut: (atMs: number) => boolean, untilMs = 6_000): readonly HistoryLine[] {
@@ -32,14 +32,18 @@
 
 // Guards against a checker that finds nothing whatever happens.
 test("callers of a gateway that is cut off must be served like the others, from some time on", () => {
-    assert.equal(checkCutGateways(record(() => false), bounds).length, 1);
-    assert.deepEqual(checkCutGateways(record(() => true), bounds), []);
-    assert.deepEqual(checkCutGateways(record(atMs => atMs >= 3_000), bounds), []);
-    assert.equal(checkCutGateways(record(atMs => atMs % 20 === 0), bounds).length, 1);
+    assert.equal(checkPartitionedGateways(record(() => false), bounds).length, 1);
+    assert.deepEqual(checkPartitionedGateways(record(() => true), bounds), []);
+    assert.deepEqual(checkPartitionedGateways(record(atMs => atMs >= 3_000), bounds), []);
+    assert.equal(checkPartitionedGateways(record(atMs => atMs % 20 === 0), bounds).length, 1);
     assert.deepEqual(
-        checkCutGateways(record(atMs => atMs % 50 !== 0), bounds),
+        checkPartitionedGateways(record(atMs => atMs % 50 !== 0), bounds),
         [],
         "a fifth fails: served four fifths as often",
     );
-    assert.deepEqual(checkCutGateways(record(() => false, 3_100), bounds), [], "a cut so short fails no more than ten");
+    assert.deepEqual(
+        checkPartitionedGateways(record(() => false, 3_100), bounds),
+        [],
+        "a cut so short fails no more than ten",
+    );
 });
--- a/packages/history/src/__tests__/requestCheckers.test.ts
+++ b/packages/history/src/__tests__/requestCheckers.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import {
     checkAtMostOnce,
-    checkTruthfulDidRun,
-    checkWholeAnswer,
+    checkDidRunAccuracy,
+    checkResponseIntegrity,
     type HistoryEvent,
     type HistoryLine,
 } from "../index.js";
@@ -61,8 +61,8 @@
 
 test("the checkers accept a good history", () => {
     assert.deepEqual(checkAtMostOnce(good), []);
-    assert.deepEqual(checkTruthfulDidRun(good), []);
-    assert.deepEqual(checkWholeAnswer(good), []);
+    assert.deepEqual(checkDidRunAccuracy(good), []);
+    assert.deepEqual(checkResponseIntegrity(good), []);
 });
 
 test("at most once rejects a second start of a request, and of a key under another request", () => {
@@ -80,11 +80,11 @@
 test("truthful did-run rejects a `no` for what started before or after, and a `yes` for what never did", () => {
     const refused = createAnswered("r1", { status: 503, didRun: "no", bodyRequestId: undefined });
     const before = createHistory(createSent("r1"), createStarted("r1"), refused);
-    assert.deepEqual(checkTruthfulDidRun(before).map(violation => violation.lines), [[1, 2]]);
+    assert.deepEqual(checkDidRunAccuracy(before).map(violation => violation.lines), [[1, 2]]);
     const after = createHistory(createSent("r1"), refused, createStarted("r1"));
-    assert.deepEqual(checkTruthfulDidRun(after).map(violation => violation.lines), [[2, 1]]);
+    assert.deepEqual(checkDidRunAccuracy(after).map(violation => violation.lines), [[2, 1]]);
     const never = createHistory(createSent("r1", "k"), createAnswered("r1"));
-    assert.deepEqual(checkTruthfulDidRun(never).map(violation => violation.lines), [[1]]);
+    assert.deepEqual(checkDidRunAccuracy(never).map(violation => violation.lines), [[1]]);
 });
 
 test("whole answer rejects a cut answer, another request's, an empty one and a second one", () => {
@@ -96,8 +96,8 @@
         ]
     ) {
         const bad = createHistory(createSent("r1"), createAnswered("r1", more));
-        assert.deepEqual(checkWholeAnswer(bad).map(violation => violation.lines), [[1]], JSON.stringify(more));
+        assert.deepEqual(checkResponseIntegrity(bad).map(violation => violation.lines), [[1]], JSON.stringify(more));
     }
     const second = createHistory(createSent("r1"), createAnswered("r1"), createAnswered("r1"));
-    assert.deepEqual(checkWholeAnswer(second).map(violation => violation.lines), [[1, 2]]);
+    assert.deepEqual(checkResponseIntegrity(second).map(violation => violation.lines), [[1, 2]]);
 });
--- a/packages/history/src/__tests__/serverCheckers.test.ts
+++ b/packages/history/src/__tests__/serverCheckers.test.ts
@@ -80,7 +80,7 @@
 });
 
 test("server limit: what told gateways send together stays within the limit, and others' requests don't count", () => {
-    const limitBounds = { factor: 1.5, slack: 1, windowMs: 1_000, settleMs: 100, toldMs: 50 };
+    const limitBounds = { factor: 1.5, slack: 1, windowMs: 1_000, settleMs: 100, gatewayGraceMs: 50 };
     const ask = (atMs: number, requestId: string, gateway: string): (readonly [number, HistoryEvent])[] => [
         [atMs, { type: "callerSent", requestId, service: "catalog", idempotent: true, patienceMs: 1, gateway }],
         [atMs, { ...createStarted(1, false), requestId } as HistoryEvent],
--- a/packages/history/src/__tests__/serverNoticeCheckers.test.ts
+++ b/packages/history/src/__tests__/serverResponseMetadataCheckers.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { checkLeavingHeeded, checkServerRest, type HistoryEvent, type HistoryLine } from "../index.js";
+import { checkLeavingRespected, checkServerBackoff, type HistoryEvent, type HistoryLine } from "../index.js";
 
 const server = "a";
-const bounds = { onTheWayMs: 500, allowed: 2 };
+const bounds = { inFlightGraceMs: 500, maxRequests: 2 };
 
 function createHistory(...events: readonly (readonly [number, HistoryEvent])[]): readonly HistoryLine[] {
     return events.map(([atMs, event], sequence) => ({ sequence, atMs, process: "run", ...event }));
@@ -20,7 +20,7 @@
 test("rest: more than two requests of the same gateway within it are found", () => {
     const asked: (readonly [number, HistoryEvent])[] = [[0, createSent("q", "g")], [1, createTurnedAway("q", 3_000)]];
     const two = createHistory(...asked, [600, createTurnedAway("q")], [700, createTurnedAway("q")]);
-    assert.deepEqual(checkServerRest(two, bounds), []);
+    assert.deepEqual(checkServerBackoff(two, bounds), []);
     const three = createHistory(
         ...asked,
         [400, createTurnedAway("q")],
@@ -29,7 +29,7 @@
         [2_900, createTurnedAway("q")],
         [3_100, createTurnedAway("q")],
     );
-    assert.equal(checkServerRest(three, bounds).length, 1);
+    assert.equal(checkServerBackoff(three, bounds).length, 1);
 });
 
 test("rest: another gateway wasn't asked for any", () => {
@@ -39,7 +39,7 @@
         [1, createTurnedAway("q", 3_000)],
         ...[600, 700, 800].map(atMs => [atMs, createTurnedAway("p")] as const),
     );
-    assert.deepEqual(checkServerRest(history, bounds), []);
+    assert.deepEqual(checkServerBackoff(history, bounds), []);
 });
 
 test("leaving: a request that was sent after the grace is found, and one that was sent before it isn't", () => {
@@ -50,7 +50,7 @@
         [2_200, createTurnedAway("early")],
         [2_300, createTurnedAway("late")],
     );
-    const [violation, ...more] = checkLeavingHeeded(history, 2_000);
+    const [violation, ...more] = checkLeavingRespected(history, 2_000);
     assert.equal(more.length, 0);
     assert.deepEqual(violation?.lines, [0, 4]);
 });
--- a/packages/history/src/coldStartChecker.ts
+++ b/packages/history/src/coldStartChecker.ts
@@ -1,5 +1,5 @@
 import { type HistoryLine, type Violation } from "./events.js";
-import { SpreadWindow } from "./spreadWindow.js";
+import { PropagationWindow } from "./propagationWindow.js";
 
 /** What is allowed while a server's turn to cold is not yet known. */
 export interface ColdStartBounds {
@@ -22,18 +22,18 @@
  * @returns what was found against it; empty where the invariant held
  */
 export function checkColdStart(history: readonly HistoryLine[], bounds: ColdStartBounds): readonly Violation[] {
-    const windows = new Map<string, SpreadWindow>();
+    const windows = new Map<string, PropagationWindow>();
     const violations: Violation[] = [];
     for (const line of history) {
         switch (line.type) {
             case "serverTurnedCold":
-                windows.set(line.server, new SpreadWindow(bounds.contactLimitMs));
+                windows.set(line.server, new PropagationWindow(bounds.contactLimitMs));
                 break;
             case "serverTurnedWarm":
                 windows.delete(line.server);
                 break;
             case "coldSignHeard":
-                windows.get(line.server)?.hear(line.gateway, line.atMs);
+                windows.get(line.server)?.onReceived(line.gateway, line.atMs);
                 break;
             case "majorityRound":
                 for (const window of windows.values()) {
@@ -50,7 +50,7 @@
 
 function checkStart(
     line: Extract<HistoryLine, { readonly type: "serverStarted"; }>,
-    window: SpreadWindow | undefined,
+    window: PropagationWindow | undefined,
     bounds: ColdStartBounds,
 ): readonly Violation[] {
     const isInWindow = window !== undefined && line.atMs <= window.endsAtMs;
--- a/packages/history/src/writtenVersions.ts
+++ b/packages/history/src/configurationVersions.ts
@@ -12,7 +12,7 @@
 }
 
 /** One version of the configuration. */
-export interface WrittenVersion {
+export interface ConfigurationVersion {
     readonly revision: number;
     readonly writtenAtMs: number;
     /** Infinite where the store has not acknowledged it. */
@@ -21,8 +21,8 @@
 }
 
 /** The versions of the configuration that a run wrote, and which of them may have been in force when. */
-export class WrittenVersions {
-    readonly #versions: readonly WrittenVersion[];
+export class ConfigurationVersions {
+    readonly #versions: readonly ConfigurationVersion[];
     readonly #bounds: VersionBounds;
 
     /**
@@ -50,7 +50,7 @@
     }
 
     /** @returns every version that was written until then, oldest first */
-    until(atMs: number): readonly WrittenVersion[] {
+    writtenUntil(atMs: number): readonly ConfigurationVersion[] {
         return this.#versions.filter(({ writtenAtMs }) => writtenAtMs <= atMs);
     }
 
@@ -60,8 +60,8 @@
      * @param settledUntilMs - until when all hosts must know what the store says, lest earlier versions count too
      * @returns those in force at any time from `fromMs` to `toMs`, at any host, oldest first
      */
-    inForce(fromMs: number, toMs: number, settledUntilMs = toMs): readonly WrittenVersion[] {
-        const written = this.until(toMs);
+    inForce(fromMs: number, toMs: number, settledUntilMs = toMs): readonly ConfigurationVersion[] {
+        const written = this.writtenUntil(toMs);
         if (!this.#bounds.isSettled(fromMs, settledUntilMs)) {
             return written;
         }
--- a/packages/history/src/truthfulDidRunChecker.ts
+++ b/packages/history/src/didRunAccuracyChecker.ts
@@ -7,7 +7,7 @@
  * @param history - every line of a run
  * @returns what was found against it; empty where the invariant held
  */
-export function checkTruthfulDidRun(history: readonly HistoryLine[]): readonly Violation[] {
+export function checkDidRunAccuracy(history: readonly HistoryLine[]): readonly Violation[] {
     const starts = new Map<string, number>();
     const startedKeys = new Set<string>();
     const keyOf = new Map<string, string>();
--- a/packages/history/src/events.ts
+++ b/packages/history/src/events.ts
@@ -1,5 +1,5 @@
 /** What the recorder adds to every event. */
-export interface Recorded {
+export interface RecordMetadata {
     /** Order in which the one recorder of a run took the events. */
     readonly sequence: number;
     /** Milliseconds on the recorder's clock. */
@@ -145,7 +145,7 @@
     | { readonly type: "gatewayStopped"; readonly gateway: string; readonly exitCode: number; };
 
 /** One line of a history. */
-export type HistoryLine = Recorded & HistoryEvent;
+export type HistoryLine = RecordMetadata & HistoryEvent;
 
 /** What a checker found against its invariant. */
 export interface Violation {
--- a/packages/history/src/index.ts
+++ b/packages/history/src/index.ts
@@ -7,20 +7,30 @@
     checkConfigurationNeverReverts,
     checkConfigurationOrder,
 } from "./configurationChecker.js";
-export { checkCutGateways, type CutGatewayBounds } from "./cutGatewayChecker.js";
+export { type VersionBounds } from "./configurationVersions.js";
+export { checkDidRunAccuracy } from "./didRunAccuracyChecker.js";
 export { checkDrained } from "./drainChecker.js";
-export { type HistoryEvent, type HistoryLine, type Recorded, type Violation, type WrittenWorkspace } from "./events.js";
+export {
+    type HistoryEvent,
+    type HistoryLine,
+    type RecordMetadata,
+    type Violation,
+    type WrittenWorkspace,
+} from "./events.js";
 export { checkOperatorChanges, type OperatorChangeLine, type ZoneStates } from "./operatorChangeChecker.js";
-export { checkProbeBudget, type ProbeBudget } from "./probeBudgetChecker.js";
+export { checkPartitionedGateways, type PartitionedGatewayBounds } from "./partitionedGatewayChecker.js";
+export { checkProbeBudget, type ProbeBudgetBounds } from "./probeBudgetChecker.js";
 export { checkQueryOfDeath, type QueryOfDeathBounds } from "./queryOfDeathChecker.js";
-export { checkRepeatBudget, type RepeatBounds } from "./repeatBudgetChecker.js";
+export { checkRepeatBudget, type RepeatBudgetBounds } from "./repeatBudgetChecker.js";
+export { checkResponseIntegrity } from "./responseIntegrityChecker.js";
 export { checkRollouts, type RolloutBounds } from "./rolloutChecker.js";
 export { checkServerLeaving } from "./serverLeavingChecker.js";
 export { checkServerLimit, type ServerLimitBounds } from "./serverLimitChecker.js";
-export { checkLeavingHeeded, checkServerRest, type ServerRestBounds } from "./serverNoticeCheckers.js";
-export { checkTruthfulDidRun } from "./truthfulDidRunChecker.js";
-export { checkWholeAnswer } from "./wholeAnswerChecker.js";
+export {
+    checkLeavingRespected,
+    checkServerBackoff,
+    type ServerBackoffBounds,
+} from "./serverResponseMetadataCheckers.js";
 export { checkWorkspaceKeys } from "./workspaceKeyChecker.js";
 export { checkWorkspaceLimits, type WorkspaceLimitBounds } from "./workspaceLimitChecker.js";
-export { type VersionBounds } from "./writtenVersions.js";
 export { checkZoneOut } from "./zoneOutChecker.js";
--- a/packages/history/src/cutGatewayChecker.ts
+++ b/packages/history/src/partitionedGatewayChecker.ts
@@ -1,11 +1,11 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /** What callers of gateways that are cut off from all backend servers may lose. */
-export interface CutGatewayBounds {
+export interface PartitionedGatewayBounds {
     /** From the beginning of a cut until it counts, in milliseconds. */
     readonly settleMs: number;
     /** Requests served there, as a part of the share that the other gateways serve in the same time, at least. */
-    readonly leastRelativeShare: number;
+    readonly minRelativeShare: number;
     /** Requests that may fail there in any case: so many, and so large a part of all that are sent in the same time. */
     readonly allowedFailures: number;
     readonly allowedFailureShare: number;
@@ -24,7 +24,10 @@
  * @param bounds - what callers may lose
  * @returns what was found against it; empty where the invariant held
  */
-export function checkCutGateways(history: readonly HistoryLine[], bounds: CutGatewayBounds): readonly Violation[] {
+export function checkPartitionedGateways(
+    history: readonly HistoryLine[],
+    bounds: PartitionedGatewayBounds,
+): readonly Violation[] {
     const served = new Set(
         history.flatMap(line =>
             line.type === "callerAnswered" && line.whole && isSuccess(line.status) ? line.requestId : []
@@ -56,7 +59,7 @@
         }
     }
     const allowed = bounds.allowedFailures + bounds.allowedFailureShare * (cut.sent + others.sent);
-    const isFewer = cut.served * others.sent < bounds.leastRelativeShare * others.served * cut.sent;
+    const isFewer = cut.served * others.sent < bounds.minRelativeShare * others.served * cut.sent;
     if (!isFewer || failed.length <= allowed) {
         return [];
     }
--- a/packages/history/src/probeBudgetChecker.ts
+++ b/packages/history/src/probeBudgetChecker.ts
@@ -1,7 +1,7 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /** What measuring one backend server's load may cost, all gateways together. */
-export interface ProbeBudget {
+export interface ProbeBudgetBounds {
     readonly probesPerSecond: number;
     /** Gateways that may probe at the same time. */
     readonly seats: number;
@@ -16,7 +16,7 @@
  * @param budget - the budget of every server
  * @returns what was found against it; empty where the invariant held
  */
-export function checkProbeBudget(history: readonly HistoryLine[], budget: ProbeBudget): readonly Violation[] {
+export function checkProbeBudget(history: readonly HistoryLine[], budget: ProbeBudgetBounds): readonly Violation[] {
     const windowMs = budget.seats * 1_000 / budget.probesPerSecond;
     const recent = new Map<string, HistoryLine[]>();
     const violations: Violation[] = [];
--- a/packages/history/src/spreadWindow.ts
+++ b/packages/history/src/propagationWindow.ts
@@ -5,7 +5,7 @@
  * gateway that heard the word has since had answers from a majority: from then on every gateway either has heard
  * it from that majority, or is out of contact and sends nothing.
  */
-export class SpreadWindow {
+export class PropagationWindow {
     readonly #contactLimitMs: number;
     readonly #heardAtMs = new Map<string, number>();
     #endsAtMs = Number.POSITIVE_INFINITY;
@@ -21,7 +21,7 @@
         return this.#endsAtMs;
     }
 
-    hear(gateway: string, atMs: number): void {
+    onReceived(gateway: string, atMs: number): void {
         this.#heardAtMs.set(gateway, Math.min(atMs, this.#heardAtMs.get(gateway) ?? atMs));
     }
 
--- a/packages/history/src/repeatBudgetChecker.ts
+++ b/packages/history/src/repeatBudgetChecker.ts
@@ -1,7 +1,7 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /** What the whole fleet may repeat, a service. */
-export interface RepeatBounds {
+export interface RepeatBudgetBounds {
     /** Share of the requests that callers sent. */
     readonly ratio: number;
     /** Besides the share, in any one window. */
@@ -23,7 +23,7 @@
  * @param bounds - what may be repeated
  * @returns what was found against it; empty where the invariant held
  */
-export function checkRepeatBudget(history: readonly HistoryLine[], bounds: RepeatBounds): readonly Violation[] {
+export function checkRepeatBudget(history: readonly HistoryLine[], bounds: RepeatBudgetBounds): readonly Violation[] {
     const serviceOf = new Map<string, string>();
     const arrived = new Set<string>();
     const services = new Map<string, Arrivals>();
--- a/packages/history/src/wholeAnswerChecker.ts
+++ b/packages/history/src/responseIntegrityChecker.ts
@@ -7,7 +7,7 @@
  * @param history - every line of a run
  * @returns what was found against it; empty where the invariant held
  */
-export function checkWholeAnswer(history: readonly HistoryLine[]): readonly Violation[] {
+export function checkResponseIntegrity(history: readonly HistoryLine[]): readonly Violation[] {
     const answered = new Map<string, number>();
     const violations: Violation[] = [];
     for (const line of history) {
--- a/packages/history/src/serverLeavingChecker.ts
+++ b/packages/history/src/serverLeavingChecker.ts
@@ -1,5 +1,5 @@
 import { type HistoryLine, type Violation } from "./events.js";
-import { SpreadWindow } from "./spreadWindow.js";
+import { PropagationWindow } from "./propagationWindow.js";
 
 /**
  * Checks that a server which has begun to leave gets no new work once the word has spread: `contactLimitMs` after a
@@ -10,14 +10,14 @@
  * @returns what was found against it; empty where the invariant held
  */
 export function checkServerLeaving(history: readonly HistoryLine[], contactLimitMs: number): readonly Violation[] {
-    const windows = new Map<string, SpreadWindow>();
+    const windows = new Map<string, PropagationWindow>();
     const violations: Violation[] = [];
     for (const line of history) {
         if (line.type === "serverLeaving") {
-            windows.set(line.server, new SpreadWindow(contactLimitMs));
+            windows.set(line.server, new PropagationWindow(contactLimitMs));
         }
         else if (line.type === "leavingHeard") {
-            windows.get(line.server)?.hear(line.gateway, line.atMs);
+            windows.get(line.server)?.onReceived(line.gateway, line.atMs);
         }
         else if (line.type === "majorityRound") {
             for (const window of windows.values()) {
--- a/packages/history/src/serverLimitChecker.ts
+++ b/packages/history/src/serverLimitChecker.ts
@@ -9,7 +9,7 @@
     /** Time from the first naming on until the limit must be kept, in milliseconds. */
     readonly settleMs: number;
     /** Time from an answer that passed through a gateway on until that gateway counts as told, in milliseconds. */
-    readonly toldMs: number;
+    readonly gatewayGraceMs: number;
 }
 
 interface LimitedServer {
@@ -55,7 +55,7 @@
                 const toldAtMs = server?.toldAtMs.get(gatewayOf.get(line.requestId) ?? "") ?? Infinity;
                 if (
                     server === undefined || line.atMs < server.namedAtMs + bounds.settleMs
-                    || line.atMs < toldAtMs + bounds.toldMs
+                    || line.atMs < toldAtMs + bounds.gatewayGraceMs
                 ) {
                     break;
                 }
--- a/packages/history/src/serverNoticeCheckers.ts
+++ b/packages/history/src/serverResponseMetadataCheckers.ts
@@ -1,11 +1,11 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /** What a server that wants rest may get from a gateway that it has told. */
-export interface ServerRestBounds {
+export interface ServerBackoffBounds {
     /** Time for what is on its way, from the answer on, in milliseconds. */
-    readonly onTheWayMs: number;
+    readonly inFlightGraceMs: number;
     /** Requests from then to the end of the rest. */
-    readonly allowed: number;
+    readonly maxRequests: number;
 }
 
 interface Rest {
@@ -21,7 +21,7 @@
  * @param bounds - what such a server may get all the same
  * @returns what was found against it; empty where the invariant held
  */
-export function checkServerRest(history: readonly HistoryLine[], bounds: ServerRestBounds): readonly Violation[] {
+export function checkServerBackoff(history: readonly HistoryLine[], bounds: ServerBackoffBounds): readonly Violation[] {
     const gatewayOf = new Map<string, string>();
     const rests = new Map<string, Rest[]>();
     const violations: Violation[] = [];
@@ -38,13 +38,13 @@
                 continue;
             }
             rest.arrivals.push(line.sequence);
-            if (rest.arrivals.length > bounds.allowed) {
+            if (rest.arrivals.length > bounds.maxRequests) {
                 const detail = `${key} got ${rest.arrivals.length} requests in a time for which the server wanted none`;
                 violations.push({ invariant: "serverRest", detail, lines: [...rest.arrivals] });
             }
         }
         if (line.type === "serverTurnedAway" && line.restMs !== undefined) {
-            const rest = { fromMs: line.atMs + bounds.onTheWayMs, untilMs: line.atMs + line.restMs, arrivals: [] };
+            const rest = { fromMs: line.atMs + bounds.inFlightGraceMs, untilMs: line.atMs + line.restMs, arrivals: [] };
             rests.set(key, [...rests.get(key) ?? [], rest]);
         }
     }
@@ -58,7 +58,7 @@
  * @param graceMs - from that answer on, until the last request that may be given to it was sent by its caller
  * @returns what was found against it; empty where the invariant held
  */
-export function checkLeavingHeeded(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
+export function checkLeavingRespected(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
     const sent = new Map<string, { readonly gateway: string; readonly atMs: number; }>();
     const heard = new Map<string, HistoryLine>();
     const violations: Violation[] = [];
--- a/packages/history/src/workspaceKeyChecker.ts
+++ b/packages/history/src/workspaceKeyChecker.ts
@@ -1,5 +1,5 @@
 import { type HistoryLine, type Violation, type WrittenWorkspace } from "./events.js";
-import { type VersionBounds, type WrittenVersion, WrittenVersions } from "./writtenVersions.js";
+import { type VersionBounds, type ConfigurationVersion, ConfigurationVersions } from "./configurationVersions.js";
 
 type LineOf<Type extends HistoryLine["type"]> = Extract<HistoryLine, { readonly type: Type; }>;
 type Sent = LineOf<"callerSent">;
@@ -30,7 +30,7 @@
  * @returns what was found against it; empty where the invariants held
  */
 export function checkWorkspaceKeys(history: readonly HistoryLine[], bounds: VersionBounds): readonly Violation[] {
-    const versions = new WrittenVersions(history, bounds);
+    const versions = new ConfigurationVersions(history, bounds);
     const sent = new Map<string, Sent>();
     const violations: Violation[] = [];
     for (const line of history) {
@@ -58,7 +58,7 @@
 function findFault(
     line: HistoryLine,
     request: Sent,
-    versions: WrittenVersions,
+    versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
     switch (line.type) {
         case "serverStarted":
@@ -75,13 +75,13 @@
 function findWrongRefusal(
     { status, atMs }: LineOf<"callerAnswered">,
     request: Sent,
-    versions: WrittenVersions,
+    versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
     const inForce = versions.inForce(request.atMs, atMs);
     if (status === unauthenticatedStatus && inForce.every(version => rule(version, request).type !== "rejected")) {
         return ["keyDenied", "got 401, and is admitted by every version that may be in force"];
     }
-    const hasNoLimit = ({ workspaces }: WrittenVersion): boolean =>
+    const hasNoLimit = ({ workspaces }: ConfigurationVersion): boolean =>
         workspaces !== undefined && findHolder(workspaces, request)?.limit === undefined;
     return status === overLimitStatus && inForce.every(hasNoLimit)
         ? ["limitRefused", "got 429, and its workspace has no limit by any version that may be in force"]
@@ -91,7 +91,7 @@
 function findPassedOn(
     { keyPassedOn, server, atMs }: LineOf<"serverStarted" | "serverTurnedAway">,
     request: Sent,
-    versions: WrittenVersions,
+    versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
     const isChecked = versions.inForce(request.atMs, atMs).every(({ workspaces }) => workspaces !== undefined);
     return keyPassedOn === true && isChecked ? ["keyPassedOn", `reached ${server} with its key`] : undefined;
@@ -100,15 +100,15 @@
 function findWrongRun(
     { workspace, server, atMs }: LineOf<"serverStarted">,
     request: Sent,
-    versions: WrittenVersions,
+    versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
     const told = workspace === undefined ? "no workspace" : `workspace ${workspace}`;
-    const admits = (version: WrittenVersion): boolean => rule(version, request).type !== "rejected";
-    const allows = (version: WrittenVersion): boolean => {
+    const admits = (version: ConfigurationVersion): boolean => rule(version, request).type !== "rejected";
+    const allows = (version: ConfigurationVersion): boolean => {
         const ruling = rule(version, request);
         return ruling.type === "unchecked" || (ruling.type === "admitted" && ruling.name === workspace);
     };
-    const written = versions.until(atMs);
+    const written = versions.writtenUntil(atMs);
     if (!written.some(admits)) {
         return ["unknownKey", `ran on ${server}, and no version ever held its key`];
     }
@@ -125,7 +125,7 @@
     return workspaces.find(({ keyIds }) => keyId !== undefined && keyIds.includes(keyId));
 }
 
-function rule({ workspaces }: WrittenVersion, request: Sent): Ruling {
+function rule({ workspaces }: ConfigurationVersion, request: Sent): Ruling {
     if (workspaces === undefined) {
         return { type: "unchecked" };
     }
--- a/packages/history/src/workspaceLimitChecker.ts
+++ b/packages/history/src/workspaceLimitChecker.ts
@@ -1,5 +1,5 @@
 import { type HistoryLine, type Violation, type WrittenWorkspace } from "./events.js";
-import { type VersionBounds, WrittenVersions } from "./writtenVersions.js";
+import { type VersionBounds, ConfigurationVersions } from "./configurationVersions.js";
 
 /** How far a workspace's requests may exceed its limit. */
 export interface WorkspaceLimitBounds extends VersionBounds {
@@ -33,7 +33,7 @@
     history: readonly HistoryLine[],
     bounds: WorkspaceLimitBounds,
 ): readonly Violation[] {
-    const versions = new WrittenVersions(history, bounds);
+    const versions = new ConfigurationVersions(history, bounds);
     const violations: Violation[] = [];
     for (const [workspace, runs] of findRuns(history)) {
         let worst: { readonly excess: number; readonly violation: Violation; } | undefined;
@@ -97,7 +97,7 @@
 
 function findAllowed(
     name: string,
-    versions: WrittenVersions,
+    versions: ConfigurationVersions,
     fromMs: number,
     { windowMs, overshoot, slack }: WorkspaceLimitBounds,
 ): number {
--- a/packages/placement/src/__tests__/largeFleet.test.ts
+++ b/packages/placement/src/__tests__/largeFleet.test.ts
@@ -17,7 +17,7 @@
 test("312 gateways at normal load: few new connections, and under a third of the late requests without probes", () => {
     const scenario = readScenario("fleet-calm", 20_000);
     const probing = runReplay(scenario);
-    const baseline = runReplay({ ...scenario, blind: true });
+    const baseline = runReplay({ ...scenario, randomPlacement: true });
     assert.ok(probing.connectionsPerCaller < 1, `${probing.connectionsPerCaller} connections per request`);
     assert.ok(
         1 - probing.inTime < (1 - baseline.inTime) / 3,
@@ -31,7 +31,7 @@
 test("312 gateways and a release: cold servers stay within their limit, and fewer requests are late", () => {
     const scenario = readScenario("fleet-release", 10_000);
     const probing = runReplay(scenario);
-    const baseline = runReplay({ ...scenario, blind: true });
+    const baseline = runReplay({ ...scenario, randomPlacement: true });
     assert.ok(probing.mostColdArrivals <= coldLimit, `${probing.mostColdArrivals} requests in one second`);
     assert.ok(
         probing.worstWindows > baseline.worstWindows + 0.15,
--- a/packages/placement/src/__tests__/probeBudget.test.ts
+++ b/packages/placement/src/__tests__/probeBudget.test.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { findMostWithin } from "@galenaglade/replay";
+import { findMaxWithin } from "@galenaglade/replay";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import * as fc from "fast-check";
 import assert from "node:assert/strict";
@@ -77,7 +77,7 @@
             probed.forEach(({ id }) => probedAtMs.get(id)?.push(nowMs));
         }
     }
-    return Math.max(...[...probedAtMs.values()].map(times => findMostWithin(times, windowMs)));
+    return Math.max(...[...probedAtMs.values()].map(times => findMaxWithin(times, windowMs)));
 }
 
 // Guards against servers that are kept busy by probes alone: the shares of all gateways must add up to less than the
--- a/packages/placement/src/__tests__/probingZones.test.ts
+++ b/packages/placement/src/__tests__/probingZones.test.ts
@@ -1,5 +1,5 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
-import { findMostWithin } from "@galenaglade/replay";
+import { findMaxWithin } from "@galenaglade/replay";
 import { createRandomSource } from "@galenaglade/routing";
 import * as fc from "fast-check";
 import assert from "node:assert/strict";
@@ -97,7 +97,7 @@
                     budget.take(input).forEach(({ id }) => probedAtMs.get(id)?.push(nowMs));
                 }
             }
-            const max = Math.max(...[...probedAtMs.values()].map(times => findMostWithin(times, 10_000)));
+            const max = Math.max(...[...probedAtMs.values()].map(times => findMaxWithin(times, 10_000)));
             assert.ok(max <= 600, `${max} probes in ten seconds`);
         }),
         { seed: 2, numRuns: 20 },
--- a/packages/placement/src/__tests__/replayedLoads.test.ts
+++ b/packages/placement/src/__tests__/replayedLoads.test.ts
@@ -28,7 +28,7 @@
     const load = (nowMs: number): number => nowMs >= 5_000 && nowMs < 10_000 ? 200 : 70;
     for (const seed of [5, 6, 7]) {
         const probing = new ReplayFleet({ ...base, seed, load }).run();
-        const baseline = new ReplayFleet({ ...base, seed, load, blind: true }).run();
+        const baseline = new ReplayFleet({ ...base, seed, load, randomPlacement: true }).run();
         for (const [fromMs, toMs, gain] of [[0, 5_000, 0.15], [5_000, 10_000, 0.15], [11_000, 16_000, 0.1]] as const) {
             const share = probing.shareInTime(fromMs, toMs);
             const baselineShare = baseline.shareInTime(fromMs, toMs);
@@ -46,7 +46,7 @@
     const load = (nowMs: number): number => nowMs >= 5_000 && nowMs < 12_000 ? 240 : 100;
     const input = { ...base, load, impatientShare: 0.4 };
     const probing = new ReplayFleet(input).run();
-    const baseline = new ReplayFleet({ ...input, blind: true }).run();
+    const baseline = new ReplayFleet({ ...input, randomPlacement: true }).run();
     const during = probing.shareInTime(5_000, 12_000);
     assert.ok(during > baseline.shareInTime(5_000, 12_000) + 0.15, `${during} in time`);
     const tries = probing.tries / probing.callers.length;
@@ -77,7 +77,7 @@
         assert.ok(max > 0 && max <= coldLimit, `${max} requests in one second`);
         assert.ok(fleet.servers.some(({ coldArrivalsMs }) => coldArrivalsMs.length > 3), "cold servers are used");
     }
-    assert.ok(findBusiestColdSecond(new ReplayFleet({ ...input, blind: true }).run()) > coldLimit);
+    assert.ok(findBusiestColdSecond(new ReplayFleet({ ...input, randomPlacement: true }).run()) > coldLimit);
     const share = mean(fleets.map(fleet => fleet.shareInTime(14_000, 19_000)));
     assert.ok(share > 0.75, `${share} in time once all servers are warm`);
 });
@@ -92,7 +92,7 @@
             load: () => 60,
             onStep: ({ servers }, nowMs) => {
                 for (const server of servers) {
-                    server.rejects = nowMs >= 5_000 && nowMs < 12_000 ? 0.5 : 0;
+                    server.rejectShare = nowMs >= 5_000 && nowMs < 12_000 ? 0.5 : 0;
                 }
             },
         }).run()
@@ -122,7 +122,7 @@
                 each.restart(0.5, 1_000);
             }
             for (const server of each.servers) {
-                server.rejects = nowMs >= 5_000 && nowMs < 15_000 ? 0.3 : 0;
+                server.rejectShare = nowMs >= 5_000 && nowMs < 15_000 ? 0.3 : 0;
             }
         },
     }).run();
--- a/packages/placement/src/__tests__/serverShapes.test.ts
+++ b/packages/placement/src/__tests__/serverShapes.test.ts
@@ -45,7 +45,7 @@
         const input = createInput(testCase);
         const toMs = input.forMs * 0.9;
         const probing = new ReplayFleet(input).run();
-        const baseline = new ReplayFleet({ ...input, blind: true }).run();
+        const baseline = new ReplayFleet({ ...input, randomPlacement: true }).run();
         const probingShare = probing.shareInTime(0, toMs);
         const baselineShare = baseline.shareInTime(0, toMs);
         assert.ok(
--- a/packages/placement/src/__tests__/startupQueue.test.ts
+++ b/packages/placement/src/__tests__/startupQueue.test.ts
@@ -73,7 +73,7 @@
             const arrived = fleet.callers.filter(({ arrivedAtMs }) =>
                 arrivedAtMs >= startedAtMs + fromMs && arrivedAtMs < startedAtMs + fromMs + 2_000
             );
-            return arrived.filter(caller => caller.isInTime).length / arrived.length;
+            return arrived.filter(caller => caller.isWithinObjective).length / arrived.length;
         };
         assert.ok(share(0) > 0.455, `seed ${seed}: ${share(0)} in time in the first two seconds`);
         assert.ok(share(2_000) > 0.9, `seed ${seed}: ${share(2_000)} in time in the next two seconds`);
--- a/packages/placement/src/__tests__/support/replay.ts
+++ b/packages/placement/src/__tests__/support/replay.ts
@@ -1,6 +1,6 @@
 import {
     FleetReplay,
-    noCosts,
+    zeroCosts,
     type Scenario,
     type ServerShape,
     type SimulatedCaller,
@@ -54,7 +54,7 @@
     /** Called before each step, to change the scenario. */
     readonly onStep?: (fleet: ReplayFleet, nowMs: number) => void;
     /** Sends to a random server at once and never rejects, as the baseline against which a gain is measured. */
-    readonly blind?: boolean;
+    readonly randomPlacement?: boolean;
 }
 
 const stepMs = 5;
@@ -66,14 +66,14 @@
     constructor(input: ReplayInput) {
         const { load, resolvePatienceMs, resolvePriority, onStep, impatientShare = 0 } = input;
         this.#fleet = new FleetReplay(createScenario(input), {
-            crowd: {
+            callerBehavior: {
                 rateFactor: load,
                 ...resolvePatienceMs === undefined ? {} : { resolvePatienceMs },
                 ...resolvePriority === undefined ? {} : { resolvePriority },
             },
             onTick: { everyMs: stepMs, run: (_, nowMs) => onStep?.(this, nowMs) },
         });
-        this.#fleet.crowd.mood.impatience.add({ share: impatientShare, tries: impatientTries });
+        this.#fleet.callerGenerator.behavior.impatience.add({ share: impatientShare, tries: impatientTries });
     }
 
     get servers(): readonly SimulatedServer[] {
@@ -112,7 +112,7 @@
     /** @returns the share of the callers that arrived in a period and were served within the objective */
     shareInTime(fromMs: number, toMs: number): number {
         const arrived = this.#arrivedBetween(fromMs, toMs);
-        return arrived.filter(caller => caller.isInTime).length / arrived.length;
+        return arrived.filter(caller => caller.isWithinObjective).length / arrived.length;
     }
 
     /** @returns the share of the callers that arrived in a period and were served at all */
@@ -126,7 +126,7 @@
     }
 }
 
-function createScenario({ seed, gateways, servers, forMs, shape, blind = false }: ReplayInput): Scenario {
+function createScenario({ seed, gateways, servers, forMs, shape, randomPlacement = false }: ReplayInput): Scenario {
     const own = { ...defaultShape, ...shape };
     return {
         name: "load",
@@ -150,13 +150,13 @@
             priority: 0,
             retries: 1,
         }],
-        costs: noCosts,
+        costs: zeroCosts,
         repeats: { ratio: 0.2, slack: 58, windowMs: 10_000 },
         probesPerServerAndSecond: 60,
         unknownGateways: 0,
         events: [],
         policy: {},
-        blind,
+        randomPlacement,
         holdsAtStart: true,
     };
 }
--- a/packages/replay/src/__tests__/simulatedServer.test.ts
+++ b/packages/replay/src/__tests__/simulatedServer.test.ts
@@ -40,7 +40,7 @@
     const done: number[] = [];
     prepare(server);
     for (let i = 0; i < count; i++) {
-        server.arrive({ workMs: 100, onDone: () => done.push(Math.round(events.nowMs)) });
+        server.receive({ workMs: 100, onDone: () => done.push(Math.round(events.nowMs)) });
     }
     events.runUntil(2_000, 10_000);
     return done;
@@ -62,10 +62,10 @@
     server.coldUntilMs = 1_000;
     let doneAtMs = 0;
     const job = { workMs: 100, onDone: () => doneAtMs = events.nowMs };
-    server.arrive(job);
+    server.receive(job);
     events.runUntil(2_000, 10_000);
     assert.equal(doneAtMs, 300);
-    assert.equal(server.findBusiestColdSecond(), 1);
+    assert.equal(server.findMaxColdArrivalsPerSecond(), 1);
 });
 
 test("abandoned work frees its slot for the next one in the queue", () => {
@@ -73,7 +73,7 @@
     const server = createServer(events);
     const done: string[] = [];
     const jobs = ["a", "b", "c", "d"].map(name => ({ workMs: 100, onDone: () => done.push(name) }));
-    jobs.forEach(job => server.arrive(job));
+    jobs.forEach(job => server.receive(job));
     const [first] = jobs;
     assert.ok(first);
     server.abandon(first);
--- a/packages/replay/src/report/fleetRecorder.ts
+++ b/packages/replay/src/report/fleetRecorder.ts
@@ -18,7 +18,7 @@
 }
 
 /** Figures of one kind of request. */
-export interface KindFigures {
+export interface RequestKindStats {
     readonly name: string;
     readonly asked: number;
     readonly inTime: number;
@@ -49,7 +49,7 @@
     /** All of these requests, and those of other gateways. */
     readonly limitedArrivals: number;
     readonly untoldArrivals: number;
-    readonly kinds: readonly KindFigures[];
+    readonly kinds: readonly RequestKindStats[];
     readonly windows: readonly ReplayWindow[];
 }
 
@@ -91,19 +91,19 @@
             scenario: scenario.name,
             seed: scenario.seed,
             callers: settled.length,
-            inTime: shareOf(settled, caller => caller.isInTime),
+            inTime: shareOf(settled, caller => caller.isWithinObjective),
             worstWindows: sum(worst) / Math.max(1, worst.length),
             refused: shareOf(settled, ({ end }) => end === "refused"),
             probesPerCaller: probes / Math.max(1, settled.length),
             connectionsPerCaller: sum(gateways.map(each => each.connectionsOpened)) / Math.max(1, settled.length),
-            mostProbes: Math.max(0, ...servers.map(({ probesAtMs }) => findMostWithin(probesAtMs, probeWindowMs))),
-            mostColdArrivals: Math.max(0, ...servers.map(server => server.findBusiestColdSecond())),
+            mostProbes: Math.max(0, ...servers.map(({ probesAtMs }) => findMaxWithin(probesAtMs, probeWindowMs))),
+            mostColdArrivals: Math.max(0, ...servers.map(server => server.findMaxColdArrivalsPerSecond())),
             mostLimitedArrivals: Math.max(
                 0,
-                ...servers.map(({ limitedArrivalsMs }) => findMostWithin(limitedArrivalsMs, limitWindowMs)),
+                ...servers.map(({ limitedArrivalsMs }) => findMaxWithin(limitedArrivalsMs, limitWindowMs)),
             ),
             limitedArrivals: sum(servers.map(({ limitedArrivalsMs }) => limitedArrivalsMs.length)),
-            untoldArrivals: sum(servers.map(server => server.untoldArrivals)),
+            untoldArrivals: sum(servers.map(server => server.arrivalsFromUninformedGateways)),
             kinds: scenario.requests.map(({ name }) => describeKind(name, settled)),
             windows,
         };
@@ -115,7 +115,7 @@
         for (let fromMs = 0; fromMs < durationMs; fromMs += windowMs) {
             const isInside = (atMs: number): boolean => atMs >= fromMs && atMs < fromMs + windowMs;
             const came = callers.filter(({ arrivedAtMs }) => isInside(arrivedAtMs));
-            const inTime = came.filter(caller => caller.isInTime).length;
+            const inTime = came.filter(caller => caller.isWithinObjective).length;
             const answered = came.filter(({ answeredAtMs }) => answeredAtMs !== undefined).length;
             const refused = came.filter(({ end }) => end === "refused").length;
             const samples = this.#slotSamples.filter(({ atMs }) => isInside(atMs));
@@ -136,7 +136,7 @@
 }
 
 /** @returns the most of some sorted times that lie within one span */
-export function findMostWithin(timesMs: readonly number[], spanMs: number): number {
+export function findMaxWithin(timesMs: readonly number[], spanMs: number): number {
     let most = 0;
     let first = 0;
     for (const [last, atMs] of timesMs.entries()) {
@@ -148,7 +148,7 @@
     return most;
 }
 
-function describeKind(name: string, callers: readonly SimulatedCaller[]): KindFigures {
+function describeKind(name: string, callers: readonly SimulatedCaller[]): RequestKindStats {
     const own = callers.filter(({ kind }) => kind.name === name);
     const times: Histogram = build();
     for (const { answeredAtMs, arrivedAtMs } of own) {
@@ -159,7 +159,7 @@
     return {
         name,
         asked: own.length,
-        inTime: shareOf(own, caller => caller.isInTime),
+        inTime: shareOf(own, caller => caller.isWithinObjective),
         p50: times.getValueAtPercentile(50),
         p99: times.getValueAtPercentile(99),
     };
--- a/packages/replay/src/rollout/rolloutWorld.ts
+++ b/packages/replay/src/rollout/rolloutSimulation.ts
@@ -7,8 +7,8 @@
 } from "@galenaglade/fleet-state";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import { GatewayRollouts, type RolloutCommand, RolloutParticipant } from "@galenaglade/rollout";
-import { gatewayItem } from "./gatewayItem.js";
-import { type WorldResult, type WorldScenario } from "./rolloutScenario.js";
+import { createGatewayItem } from "./createGatewayItem.js";
+import { type RolloutSimulationResult, type RolloutScenario } from "./rolloutScenario.js";
 import { newVersion, oldVersion, service, VersionedServers, workMs } from "./versionedServers.js";
 
 const stepMs = 10;
@@ -34,8 +34,8 @@
 }
 
 /** A fleet of gateways with a store and servers of two versions, on a clock of its own; everything follows from the seed. */
-export class RolloutWorld {
-    readonly #scenario: WorldScenario;
+export class RolloutSimulation {
+    readonly #scenario: RolloutScenario;
     readonly #random: RandomSource;
     readonly #gateways: Gateway[] = [];
     readonly #servers: VersionedServers;
@@ -52,7 +52,7 @@
     #orderedAtMs = Infinity;
     #lastWriter: Gateway | undefined;
 
-    constructor(scenario: WorldScenario) {
+    constructor(scenario: RolloutScenario) {
         this.#scenario = scenario;
         this.#random = createRandomSource(scenario.seed);
         this.#servers = new VersionedServers(scenario, this.#random);
@@ -62,7 +62,7 @@
     }
 
     /** Plays the roll-out to its end and some time on. */
-    play(): WorldResult {
+    run(): RolloutSimulationResult {
         const { allowedMs } = this.#scenario;
         const order: RolloutOrder = { service, version: newVersion, allowedMs };
         this.#at(startMs, () => {
@@ -83,9 +83,9 @@
         return {
             statuses: this.#statuses.map(({ status }) => status),
             sends: this.#sends,
-            exposed: this.#exposed,
-            afterRollBack: this.#afterRollBack,
-            leftBehind: this.#leftBehind,
+            newVersionSends: this.#exposed,
+            sendsAfterRollback: this.#afterRollBack,
+            oldVersionInFlightAtCompletion: this.#leftBehind,
             endedAtMs: last !== undefined && isFinal(last.status) ? last.atMs - startMs : undefined,
         };
     }
@@ -167,7 +167,7 @@
             .filter(({ version }) => isOrdered || version === oldVersion)
             .map(server => ({ type: "server", key: server.id, server }));
         for (let i = 0; i < gateways; i++) {
-            items.push(gatewayItem(`gateway-${i}`));
+            items.push(createGatewayItem(`gateway-${i}`));
         }
         if (isOrdered) {
             items.push({ type: "rolloutOrder", key: "order", order: { service, version: newVersion, allowedMs } });
@@ -285,7 +285,7 @@
     #send(gateway: Gateway): void {
         const { rollouts, view } = gateway;
         const trial = rollouts.trialServerGroups(service, this.#nowMs).flat().find(server =>
-            this.#servers.mayTake(server, this.#sinceOrderMs)
+            this.#servers.hasCapacity(server, this.#sinceOrderMs)
         );
         if (trial !== undefined) {
             rollouts.onTrial(service);
--- a/packages/replay/src/rollout/rolloutTable.ts
+++ b/packages/replay/src/rollout/rolloutTable.ts
@@ -1,11 +1,16 @@
-import { badnesses, rolloutTroubles, type WorldResult, type WorldScenario } from "./rolloutScenario.js";
-import { RolloutWorld } from "./rolloutWorld.js";
+import {
+    versionFaults,
+    injectedFaults,
+    type RolloutSimulationResult,
+    type RolloutScenario,
+} from "./rolloutScenario.js";
+import { RolloutSimulation } from "./rolloutSimulation.js";
 
 /** What a table of roll-outs is made of. */
 export interface RolloutTableInput {
     /** Roll-outs of each kind of version with each trouble. */
     readonly seeds: number;
-    readonly scenario: Omit<WorldScenario, "seed" | "badness" | "trouble">;
+    readonly scenario: Omit<RolloutScenario, "seed" | "badness" | "trouble">;
 }
 
 /**
@@ -19,11 +24,11 @@
         "| version | beside | completed | rolled back | open | most exposed, of the share allowed | median end, s |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ];
-    for (const badness of badnesses) {
-        for (const trouble of rolloutTroubles) {
+    for (const badness of versionFaults) {
+        for (const trouble of injectedFaults) {
             const results = Array.from(
                 { length: seeds },
-                (_, i) => new RolloutWorld({ ...scenario, badness, trouble, seed: i + 1 }).play(),
+                (_, i) => new RolloutSimulation({ ...scenario, badness, trouble, seed: i + 1 }).run(),
             );
             rows.push(renderRow(badness, trouble, results));
         }
@@ -31,11 +36,11 @@
     return rows.join("\n");
 }
 
-function renderRow(badness: string, trouble: string, results: readonly WorldResult[]): string {
+function renderRow(badness: string, trouble: string, results: readonly RolloutSimulationResult[]): string {
     const count = (stage: string): number => results.filter(({ statuses }) => statuses.at(-1)?.stage === stage).length;
     const completed = count("completed");
     const rolledBack = count("rolledBack");
-    const shares = results.map(({ exposed, sends }) => exposed / Math.max(1, sends));
+    const shares = results.map(({ newVersionSends, sends }) => newVersionSends / Math.max(1, sends));
     const ends = results.map(({ endedAtMs }) => endedAtMs ?? Infinity).sort((a, b) => a - b);
     const medianMs = ends[Math.floor(ends.length / 2)] ?? Infinity;
     const exposed = badness === "none" ? "" : Math.max(...shares).toFixed(3);
--- a/packages/replay/src/rollout/versionedServers.ts
+++ b/packages/replay/src/rollout/versionedServers.ts
@@ -1,6 +1,6 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { type RandomSource } from "@galenaglade/routing";
-import { type WorldScenario } from "./rolloutScenario.js";
+import { type RolloutScenario } from "./rolloutScenario.js";
 
 export const service = "tables";
 export const oldVersion = "v1";
@@ -21,11 +21,11 @@
 /** The servers of both versions, with what runs on each. */
 export class VersionedServers {
     readonly all: readonly RegisteredServer[];
-    readonly #scenario: WorldScenario;
+    readonly #scenario: RolloutScenario;
     readonly #random: RandomSource;
     readonly #running = new Map<string, number>();
 
-    constructor(scenario: WorldScenario, random: RandomSource) {
+    constructor(scenario: RolloutScenario, random: RandomSource) {
         this.#scenario = scenario;
         this.#random = random;
         this.all = Array.from({ length: serversPerVersion }, (_, i) => [
@@ -35,7 +35,7 @@
     }
 
     /** A cold server is left alone, and a full one too. */
-    mayTake({ id, version }: RegisteredServer, sinceOrderMs: number): boolean {
+    hasCapacity({ id, version }: RegisteredServer, sinceOrderMs: number): boolean {
         const isCold = version === newVersion && sinceOrderMs < coldMs;
         return !isCold && (this.#running.get(id) ?? 0) < slots;
     }
@@ -58,10 +58,10 @@
     }
 
     #isBad({ version }: RegisteredServer, route: string, running: number, sinceOrderMs: number): boolean {
-        const { badness, badShare, usualBadShare, trouble, allowedMs } = this.#scenario;
+        const { badness, badShare, baselineBadShare, trouble, allowedMs } = this.#scenario;
         const inTrouble = trouble === "sharedFaults" && sinceOrderMs > allowedMs * sharedFromShare
             && sinceOrderMs < allowedMs * sharedToShare;
-        if (this.#random.next() < (inTrouble ? sharedBadShare : usualBadShare)) {
+        if (this.#random.next() < (inTrouble ? sharedBadShare : baselineBadShare)) {
             return true;
         }
         if (version !== newVersion || this.#random.next() >= badShare) {
--- a/packages/replay/src/scenarioFile.ts
+++ b/packages/replay/src/scenarioFile.ts
@@ -204,7 +204,7 @@
         repeats: { ratio: repeats.ratio, slack: repeats.slack, windowMs: repeats.windowSeconds * 1_000 },
         events: events.map(createEvent),
         policy: dropUndefined(policy),
-        blind: false,
+        randomPlacement: false,
     };
 }
 
--- a/packages/replay/src/world/attempt.ts
+++ b/packages/replay/src/world/attempt.ts
@@ -13,14 +13,14 @@
 import { type ServerFinder } from "./serverFinder.js";
 import { type SimulatedCaller } from "./simulatedCaller.js";
 import { type SimulatedGateway } from "./simulatedGateway.js";
-import { askLoad } from "./loadProbe.js";
+import { probeServers } from "./probeServers.js";
 import { ServerSend } from "./serverSend.js";
 
 type Purpose = "first" | "retry" | "hedge";
 type Place = Extract<SearchStep, { readonly type: "send"; }>;
 
 /** How a try ended for its caller. */
-export type AttemptEnd =
+export type AttemptOutcome =
     | { readonly type: "answered"; }
     | { readonly type: "refused"; readonly retryAfterMs: number; }
     /** Nobody can say whether it ran; `mayRepeat` where the caller may try again all the same. */
@@ -40,7 +40,7 @@
 export class Attempt {
     readonly #gateway: SimulatedGateway;
     readonly #caller: SimulatedCaller;
-    readonly #onEnd: (end: AttemptEnd) => void;
+    readonly #onEnd: (end: AttemptOutcome) => void;
     readonly #rules: ServiceRules;
     readonly #arrivedAtMs: number;
     readonly #tried = new Set<string>();
@@ -55,20 +55,20 @@
      * @param caller - whose try it is
      * @param onEnd - called once, unless the caller has left before
      */
-    constructor(gateway: SimulatedGateway, caller: SimulatedCaller, onEnd: (end: AttemptEnd) => void) {
+    constructor(gateway: SimulatedGateway, caller: SimulatedCaller, onEnd: (end: AttemptOutcome) => void) {
         this.#gateway = gateway;
         this.#caller = caller;
         this.#onEnd = onEnd;
         this.#rules = gateway.directory.rulesOf(caller.kind.service);
         this.#arrivedAtMs = gateway.events.nowMs;
-        this.#patienceMs = caller.leavesAtMs - gateway.events.nowMs;
+        this.#patienceMs = caller.givesUpAtMs - gateway.events.nowMs;
     }
 
     start(): void {
         const { events, costs } = this.#gateway;
-        const { kind, leavesAtMs } = this.#caller;
+        const { kind, givesUpAtMs } = this.#caller;
         this.#gateway.attempts.add(this);
-        this.#gateway.schedule(leavesAtMs - events.nowMs, () => this.#onCallerGone());
+        this.#gateway.schedule(givesUpAtMs - events.nowMs, () => this.#onCallerGone());
         this.#gateway.schedule(this.#cutoffMs() - events.nowMs, () => this.#onOutOfTime());
         this.#gateway.execute(costs.requestMs, () =>
             this.#whenRead(() => {
@@ -78,26 +78,26 @@
     }
 
     #whenTurn(): void {
-        const { startTurns, board, events } = this.#gateway;
-        if (startTurns?.isActive(events.nowMs) !== true) {
+        const { startupQueue, placementState, events } = this.#gateway;
+        if (startupQueue?.isActive(events.nowMs) !== true) {
             this.#begin();
             return;
         }
         const { service, objectiveMs, name } = this.#kind;
-        startTurns.enqueue({
+        startupQueue.enqueue({
             arrivedAtMs: this.#arrivedAtMs,
             objectiveMs,
             patienceMs: this.#patienceMs,
             route: name,
-            typicalLatencyMs: board.typicalLatency.of(service, objectiveMs),
+            typicalLatencyMs: placementState.typicalLatency.of(service, objectiveMs),
         }, this);
-        this.#gateway.takeTurns();
+        this.#gateway.dequeueReady();
     }
 
     /** Its turn has come. */
-    onTurn(): void {
+    onDequeued(): void {
         if (this.#isOver) {
-            this.#gateway.onTurnEnded(this);
+            this.#gateway.onAttemptEnded(this);
             return;
         }
         this.#begin();
@@ -111,7 +111,7 @@
     /** Waits for the gateway's first reading of the store, or refuses where that is no use. */
     #whenRead(run: () => void): void {
         const gateway = this.#gateway;
-        if (gateway.unreadMs === 0) {
+        if (gateway.firstReadRemainingMs === 0) {
             run();
             return;
         }
@@ -119,16 +119,16 @@
             readFailed: !gateway.holdsAtStart,
             held: gateway.heldAtStart,
             sinceStartMs: gateway.sinceStartMs,
-            patienceMs: this.#caller.leavesAtMs - this.#nowMs(),
+            patienceMs: this.#caller.givesUpAtMs - this.#nowMs(),
         });
         if (admission.type === "refuse") {
             this.#refuse("unread");
             return;
         }
         gateway.heldAtStart++;
-        gateway.schedule(Math.min(admission.forMs, gateway.unreadMs), () => {
+        gateway.schedule(Math.min(admission.forMs, gateway.firstReadRemainingMs), () => {
             gateway.heldAtStart--;
-            if (gateway.unreadMs === 0) {
+            if (gateway.firstReadRemainingMs === 0) {
                 run();
             }
             else if (!this.#isOver) {
@@ -156,7 +156,7 @@
     }
 
     #cutoffMs(): number {
-        return Math.min(this.#caller.leavesAtMs, this.#arrivedAtMs + this.#kind.timeoutMs);
+        return Math.min(this.#caller.givesUpAtMs, this.#arrivedAtMs + this.#kind.timeoutMs);
     }
 
     #place(purpose: Purpose): void {
@@ -177,7 +177,7 @@
         if (this.#isOver || (purpose === "hedge" && this.#underWay.size === 0)) {
             return;
         }
-        const step = finder.step(this.#gateway.look(this.#kind.service));
+        const step = finder.step(this.#gateway.snapshot(this.#kind.service));
         switch (step.type) {
             case "ask":
                 this.#ask(step.servers, step.round, () => this.#look(finder, purpose));
@@ -197,7 +197,7 @@
 
     #ask(servers: readonly RegisteredServer[], round: number, onKnown: () => void): void {
         const timeoutMs = Math.min(longestProbeTimeoutMs, firstProbeTimeoutMs * 2 ** round);
-        askLoad({ gateway: this.#gateway, service: this.#kind.service, servers, timeoutMs, onKnown });
+        probeServers({ gateway: this.#gateway, service: this.#kind.service, servers, timeoutMs, onResult: onKnown });
     }
 
     #send(place: Place): void {
@@ -211,19 +211,19 @@
             place,
             sentAtMs: this.#nowMs(),
             send: new ServerSend(gateway, server, this.#caller.workMs, {
-                isWanted: () => !this.#isOver,
+                isNeeded: () => !this.#isOver,
                 onArrival: () => gateway.repeatedArrivals += this.#arrivals++ > 0 ? 1 : 0,
                 onEnded: (end, offer) => this.#onSendEnded(underWay, end, offer),
-                onRest: restMs => gateway.board.onBackoff(place.server, restMs, this.#nowMs()),
+                onBackoff: restMs => gateway.placementState.onBackoff(place.server, restMs, this.#nowMs()),
             }),
         };
         this.#underWay.add(underWay);
         underWay.send.start();
-        gateway.onTurnSent(this);
+        gateway.onAttemptSent(this);
     }
 
     #onSendEnded(underWay: SendUnderWay, end: SendEnd, offer: ServerStatus | undefined): void {
-        const { board, connections } = this.#gateway;
+        const { placementState, connections } = this.#gateway;
         const { place, sentAtMs } = underWay;
         const { server } = place;
         const service = this.#kind.service;
@@ -235,17 +235,17 @@
             connections.release(server.id, this.#nowMs());
         }
         if (countsAsServerFailure(end)) {
-            board.onFailure(service, server.id, this.#nowMs());
+            placementState.onFailure(service, server.id, this.#nowMs());
         }
         else if (end.type === "answered") {
-            board.suspects.onSuccess(server.id);
-            board.typicalLatency.onResponse(service, this.#nowMs() - sentAtMs, place.score.latencyFactor);
+            placementState.suspects.onSuccess(server.id);
+            placementState.typicalLatency.onResponse(service, this.#nowMs() - sentAtMs, place.score.latencyFactor);
         }
         if (offer?.load !== undefined) {
-            board.onLoadReport(service, server, offer.load, this.#nowMs());
+            placementState.onLoadReport(service, server, offer.load, this.#nowMs());
         }
         if (offer?.limit !== undefined) {
-            board.onLimit(server, offer.limit, { answered: "request", sentAtMs }, this.#nowMs());
+            placementState.onLimit(server, offer.limit, { answered: "request", sentAtMs }, this.#nowMs());
         }
         if (this.#isOver) {
             return;
@@ -312,15 +312,15 @@
     }
 
     #refuse(cause: RefusalCause): void {
-        const { board, random } = this.#gateway;
-        const typicalMs = board.typicalLatency.of(this.#kind.service, this.#kind.objectiveMs);
+        const { placementState, random } = this.#gateway;
+        const typicalMs = placementState.typicalLatency.of(this.#kind.service, this.#kind.objectiveMs);
         this.#finish({ type: "refused", retryAfterMs: drawRetryAfterSeconds(cause, typicalMs, random) * 1_000 });
     }
 
-    #finish(end: AttemptEnd): void {
+    #finish(end: AttemptOutcome): void {
         this.#isOver = true;
         this.#gateway.attempts.delete(this);
-        this.#gateway.onTurnEnded(this);
+        this.#gateway.onAttemptEnded(this);
         this.#abandonSends();
         this.#onEnd(end);
     }
@@ -348,7 +348,7 @@
     }
 
     #takeRepeat(purpose: "retry" | "hedge"): boolean {
-        const { repeats } = this.#gateway;
-        return repeats.take(this.#kind.service, purpose, this.#gateway.countGateways(), this.#nowMs());
+        const { repeatBudget } = this.#gateway;
+        return repeatBudget.take(this.#kind.service, purpose, this.#gateway.countKnownGateways(), this.#nowMs());
     }
 }
--- a/packages/replay/src/world/crowdMood.ts
+++ b/packages/replay/src/world/callerBehavior.ts
@@ -2,7 +2,7 @@
 import { type RequestKind } from "./scenario.js";
 
 /** What a load may decide for itself in place of what its kinds of request say. */
-export interface CrowdOverrides {
+export interface CallerBehaviorOverrides {
     /** How many times the usual rate comes at a time. */
     readonly rateFactor?: (nowMs: number) => number;
     readonly resolvePatienceMs?: (random: RandomSource, nowMs: number) => number;
@@ -31,15 +31,15 @@
 }
 
 /** How callers behave at a moment. Several troubles may overlap; each ends by itself. */
-export class CrowdMood {
+export class CallerBehavior {
     readonly bursts = new Set<Burst>();
-    readonly leavings = new Set<Leaving>();
+    readonly earlyDepartures = new Set<Leaving>();
     readonly impatience = new Set<Impatience>();
     readonly moves = new Set<Move>();
     readonly #zones: readonly string[];
-    readonly #overrides: CrowdOverrides;
+    readonly #overrides: CallerBehaviorOverrides;
 
-    constructor(zones: readonly string[], overrides: CrowdOverrides) {
+    constructor(zones: readonly string[], overrides: CallerBehaviorOverrides) {
         this.#zones = zones;
         this.#overrides = overrides;
     }
@@ -55,7 +55,7 @@
 
     /** @returns how long the next caller waits */
     drawPatienceMs(kind: RequestKind, random: RandomSource, nowMs: number): number {
-        for (const { share, afterMs } of this.leavings) {
+        for (const { share, afterMs } of this.earlyDepartures) {
             if (random.next() < share) {
                 return afterMs;
             }
--- a/packages/replay/src/world/callerCrowd.ts
+++ b/packages/replay/src/world/callerGenerator.ts
@@ -1,5 +1,5 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { CrowdMood, type CrowdOverrides } from "./crowdMood.js";
+import { CallerBehavior, type CallerBehaviorOverrides } from "./callerBehavior.js";
 import { type EventQueue } from "./eventQueue.js";
 import { type RequestKind, type Scenario } from "./scenario.js";
 import { SimulatedCaller } from "./simulatedCaller.js";
@@ -10,8 +10,8 @@
 const loadSeedMask = 0x5eed;
 
 /** Makes callers as an open load: they come at their rate whatever became of those before them. */
-export class CallerCrowd {
-    readonly mood: CrowdMood;
+export class CallerGenerator {
+    readonly behavior: CallerBehavior;
     readonly #scenario: Scenario;
     readonly #events: EventQueue;
     readonly #onArrival: (caller: SimulatedCaller) => void;
@@ -21,14 +21,14 @@
     constructor(
         scenario: Scenario,
         events: EventQueue,
-        overrides: CrowdOverrides,
+        overrides: CallerBehaviorOverrides,
         onArrival: (caller: SimulatedCaller) => void,
     ) {
         this.#scenario = scenario;
         this.#events = events;
         this.#onArrival = onArrival;
         this.#random = createRandomSource(scenario.seed ^ loadSeedMask);
-        this.mood = new CrowdMood(scenario.zones, overrides);
+        this.behavior = new CallerBehavior(scenario.zones, overrides);
     }
 
     start(): void {
@@ -36,7 +36,7 @@
     }
 
     #plan(kind: RequestKind): void {
-        const perMs = kind.perSecond * this.mood.factorOf(kind, this.#events.nowMs) / 1_000;
+        const perMs = kind.perSecond * this.behavior.factorOf(kind, this.#events.nowMs) / 1_000;
         const gapMs = -Math.log(1 - this.#random.next()) / Math.max(perMs, Number.MIN_VALUE);
         // Arrivals have no memory, so a gap that is too long may be drawn anew with the rate of a later moment.
         if (gapMs > rateCheckMs) {
@@ -52,15 +52,15 @@
     #create(kind: RequestKind): SimulatedCaller {
         const random = this.#random;
         const { nowMs } = this.#events;
-        const impatientTries = this.mood.drawImpatientTries(random);
+        const impatientTries = this.behavior.drawImpatientTries(random);
         return new SimulatedCaller({
-            kind: { ...kind, priority: this.mood.drawPriority(kind, random) },
+            kind: { ...kind, priority: this.behavior.drawPriority(kind, random) },
             workMs: kind.workMs * (1 + kind.workSpread * (2 * random.next() - 1)),
             arrivedAtMs: nowMs,
-            patienceMs: this.mood.drawPatienceMs(kind, random, nowMs),
-            impatient: impatientTries !== undefined,
-            mostTries: 1 + (impatientTries ?? kind.retries),
-            zone: this.mood.drawZone(random),
+            patienceMs: this.behavior.drawPatienceMs(kind, random, nowMs),
+            retriesImmediately: impatientTries !== undefined,
+            maxTries: 1 + (impatientTries ?? kind.retries),
+            zone: this.behavior.drawZone(random),
         });
     }
 }
--- a/packages/replay/src/world/connectionPool.ts
+++ b/packages/replay/src/world/connectionPool.ts
@@ -20,7 +20,7 @@
     }
 
     /** @returns whether a connection had to be opened */
-    take(serverId: string, nowMs: number): boolean {
+    acquire(serverId: string, nowMs: number): boolean {
         const idle = this.#idleSinceMs.get(serverId);
         const last = idle?.pop();
         if (last !== undefined && nowMs - last <= this.#keptMs) {
--- a/packages/replay/src/world/fleetDirectory.ts
+++ b/packages/replay/src/world/fleetDirectory.ts
@@ -21,7 +21,7 @@
     add(server: SimulatedServer): void {
         this.#servers.push(server);
         this.#byId.set(server.id, server);
-        this.onChange();
+        this.invalidateUsableServers();
     }
 
     get(id: string): SimulatedServer | undefined {
@@ -43,11 +43,11 @@
         else {
             this.#zonesOut.delete(zone);
         }
-        this.onChange();
+        this.invalidateUsableServers();
     }
 
     /** A server's registration has changed. */
-    onChange(): void {
+    invalidateUsableServers(): void {
         this.#usable = new Map();
     }
 
--- a/packages/replay/src/world/fleetTroubles.ts
+++ b/packages/replay/src/world/fleetEventScheduler.ts
@@ -10,24 +10,24 @@
 const limitSettleMs = 3_000;
 
 /** Carries out what a scenario says is to happen to the fleet. */
-export class FleetTroubles {
+export class FleetEventScheduler {
     readonly #fleet: FleetReplay;
 
     constructor(fleet: FleetReplay) {
         this.#fleet = fleet;
     }
 
-    plan(): void {
+    scheduleAll(): void {
         for (const event of this.#fleet.scenario.events) {
             this.#after(event.atMs, () => this.#begin(event));
         }
     }
 
     #begin(event: FleetEvent): void {
-        const { mood } = this.#fleet.crowd;
+        const { behavior } = this.#fleet.callerGenerator;
         switch (event.type) {
             case "burst":
-                this.#during(event.forMs, mood.bursts, event);
+                this.#during(event.forMs, behavior.bursts, event);
                 return;
             case "restartGateways":
                 this.#fleet.restartGateways(event.share, event.downMs);
@@ -46,17 +46,17 @@
                 return;
             case "turnAway":
                 this.#forServers(event, server => {
-                    server.rejects = event.rejects;
-                    return () => server.rejects = 0;
+                    server.rejectShare = event.rejects;
+                    return () => server.rejectShare = 0;
                 });
                 return;
             case "restServers":
                 this.#forServers(event, server => {
-                    server.rejects = 1;
-                    server.restMs = event.heeded ? event.restMs : undefined;
+                    server.rejectShare = 1;
+                    server.backoffMs = event.heeded ? event.restMs : undefined;
                     return () => {
-                        server.rejects = 0;
-                        server.restMs = undefined;
+                        server.rejectShare = 0;
+                        server.backoffMs = undefined;
                     };
                 });
                 return;
@@ -69,18 +69,18 @@
             case "limitServers":
                 this.#forServers(event, server => {
                     server.limitPerSecond = event.perSecond;
-                    server.limitSettlesAtMs = this.#fleet.events.nowMs + limitSettleMs;
+                    server.limitEnforcedFromMs = this.#fleet.events.nowMs + limitSettleMs;
                     return () => server.limitPerSecond = undefined;
                 });
                 return;
             case "giveUp":
-                this.#during(event.forMs, mood.leavings, event);
+                this.#during(event.forMs, behavior.earlyDepartures, event);
                 return;
             case "impatience":
-                this.#during(event.forMs, mood.impatience, event);
+                this.#during(event.forMs, behavior.impatience, event);
                 return;
             case "moveCallers":
-                this.#during(event.forMs, mood.moves, event);
+                this.#during(event.forMs, behavior.moves, event);
         }
     }
 
@@ -102,7 +102,7 @@
                     this.#fleet.addServer(group, old.registered.availabilityZone, events.nowMs + coldMs);
                 }
                 old.isRegistered = false;
-                directory.onChange();
+                directory.invalidateUsableServers();
                 this.#after(drainMs, () => old.isDown = true);
             });
         }
--- a/packages/replay/src/world/fleetReplay.ts
+++ b/packages/replay/src/world/fleetReplay.ts
@@ -1,11 +1,11 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { Attempt, type AttemptEnd } from "./attempt.js";
-import { CallerCrowd } from "./callerCrowd.js";
-import { type CrowdOverrides } from "./crowdMood.js";
+import { Attempt, type AttemptOutcome } from "./attempt.js";
+import { CallerGenerator } from "./callerGenerator.js";
+import { type CallerBehaviorOverrides } from "./callerBehavior.js";
 import { EventQueue } from "./eventQueue.js";
 import { FleetDirectory } from "./fleetDirectory.js";
-import { FleetTroubles } from "./fleetTroubles.js";
+import { FleetEventScheduler } from "./fleetEventScheduler.js";
 import { type Scenario, type ServiceGroup } from "./scenario.js";
 import { type SimulatedCaller } from "./simulatedCaller.js";
 import { SimulatedGateway } from "./simulatedGateway.js";
@@ -22,7 +22,7 @@
 /** How a fleet is observed and changed while it is replayed. */
 export interface ReplayHooks {
     /** Called at the start, and then each time `everyMs` has passed. */
-    readonly crowd?: CrowdOverrides;
+    readonly callerBehavior?: CallerBehaviorOverrides;
     readonly onTick?: { readonly everyMs: number; readonly run: (fleet: FleetReplay, nowMs: number) => void; };
 }
 
@@ -33,14 +33,14 @@
     readonly directory: FleetDirectory;
     readonly gateways: readonly SimulatedGateway[];
     readonly callers: SimulatedCaller[] = [];
-    readonly crowd: CallerCrowd;
+    readonly callerGenerator: CallerGenerator;
     /** Tries of all callers. */
     tries = 0;
     /** Refusals of gateways. */
     refusals = 0;
     readonly #hooks: ReplayHooks;
     readonly #random: RandomSource;
-    readonly #troubles: FleetTroubles;
+    readonly #troubles: FleetEventScheduler;
     #serverCount = 0;
 
     constructor(scenario: Scenario, hooks: ReplayHooks = {}) {
@@ -54,8 +54,13 @@
             }
         }
         this.gateways = this.#createGateways();
-        this.crowd = new CallerCrowd(scenario, this.events, hooks.crowd ?? {}, caller => this.#onArrival(caller));
-        this.#troubles = new FleetTroubles(this);
+        this.callerGenerator = new CallerGenerator(
+            scenario,
+            this.events,
+            hooks.callerBehavior ?? {},
+            caller => this.#onArrival(caller),
+        );
+        this.#troubles = new FleetEventScheduler(this);
     }
 
     get servers(): readonly SimulatedServer[] {
@@ -65,8 +70,8 @@
     /** Plays the scenario to its end. */
     run(): this {
         const { durationMs } = this.scenario;
-        this.crowd.start();
-        this.#troubles.plan();
+        this.callerGenerator.start();
+        this.#troubles.scheduleAll();
         this.#tick();
         this.events.runUntil(durationMs, durationMs * mostEventsPerMs);
         return this;
@@ -183,7 +188,7 @@
         return choice[this.#random.nextInt(choice.length)];
     }
 
-    #onAttemptEnd(caller: SimulatedCaller, end: AttemptEnd): void {
+    #onAttemptEnd(caller: SimulatedCaller, end: AttemptOutcome): void {
         const { nowMs } = this.events;
         if (!caller.isWaiting(nowMs)) {
             return;
@@ -195,12 +200,12 @@
         }
         this.refusals += end.type === "refused" ? 1 : 0;
         const mayReturn = end.type === "refused" || caller.kind.idempotent;
-        if (!mayReturn || caller.tries >= caller.mostTries) {
+        if (!mayReturn || caller.tries >= caller.maxTries) {
             caller.end = end.type;
             return;
         }
         const toldMs = end.type === "refused" ? end.retryAfterMs : 0;
-        const waitMs = caller.impatient ? 0 : Math.min(toldMs, (caller.leavesAtMs - nowMs) * mostWaitShare);
+        const waitMs = caller.retriesImmediately ? 0 : Math.min(toldMs, (caller.givesUpAtMs - nowMs) * mostWaitShare);
         this.events.schedule(waitMs, () => this.#try(caller));
     }
 
--- a/packages/replay/src/world/loadProbe.ts
+++ b/packages/replay/src/world/probeServers.ts
@@ -1,22 +1,22 @@
 import { type RegisteredServer } from "@galenaglade/fleet-state";
 import { isGood, scoreServer, type ServerStatus } from "@galenaglade/placement";
-import { takeConnection, wayTo } from "./serverSend.js";
+import { acquireConnection, oneWayLatencyMs } from "./serverSend.js";
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type SimulatedServer } from "./simulatedServer.js";
 
 /** One round of load probes. */
-export interface LoadProbe {
+export interface ProbeRound {
     readonly gateway: SimulatedGateway;
     readonly service: string;
     readonly servers: readonly RegisteredServer[];
     readonly timeoutMs: number;
     /** Called once one of them is good, or all have answered or are late. */
-    readonly onKnown: () => void;
+    readonly onResult: () => void;
 }
 
 /** Probes servers at once, as the edge process does. */
-export function askLoad(probe: LoadProbe): void {
-    const { gateway, service, servers, timeoutMs, onKnown } = probe;
+export function probeServers(probe: ProbeRound): void {
+    const { gateway, service, servers, timeoutMs, onResult } = probe;
     const silent: string[] = [];
     let answered = 0;
     let isKnown = false;
@@ -29,11 +29,11 @@
         }
         const allEnded = answered + silent.length === servers.length;
         if (allEnded && (answered > 0 || silent.length === 1)) {
-            silent.forEach(each => gateway.board.onFailure(service, each, gateway.events.nowMs));
+            silent.forEach(each => gateway.placementState.onFailure(service, each, gateway.events.nowMs));
         }
         if (!isKnown && (allEnded || (offer !== undefined && isGoodOffer(offer)))) {
             isKnown = true;
-            onKnown();
+            onResult();
         }
     };
     for (const { id } of servers) {
@@ -45,7 +45,7 @@
 }
 
 function askOne(
-    { gateway, service }: LoadProbe,
+    { gateway, service }: ProbeRound,
     server: SimulatedServer,
     timeoutMs: number,
     onEnded: (offer: ServerStatus | undefined) => void,
@@ -61,16 +61,16 @@
     };
     gateway.schedule(timeoutMs, () => gateway.execute(0, () => end(undefined)));
     gateway.execute(costs.probeMs, () => {
-        gateway.schedule(takeConnection(gateway, server), () => {
+        gateway.schedule(acquireConnection(gateway, server), () => {
             if (server.isDown) {
                 return;
             }
             const offer = server.probe();
-            gateway.schedule(wayTo(gateway, server), () =>
+            gateway.schedule(oneWayLatencyMs(gateway, server), () =>
                 gateway.execute(costs.probeMs, () => {
                     if (!isOver) {
                         gateway.connections.release(server.id, events.nowMs);
-                        gateway.board.onProbeResponse(service, offer, askedAtMs);
+                        gateway.placementState.onProbeResponse(service, offer, askedAtMs);
                     }
                     end(offer);
                 }));
--- a/packages/replay/src/world/scenario.ts
+++ b/packages/replay/src/world/scenario.ts
@@ -150,13 +150,13 @@
     /** Settings of the placement that differ from their defaults. */
     readonly policy: Partial<PlacementPolicy>;
     /** Sends to any server at once and never refuses, in place of the placement's decisions. */
-    readonly blind: boolean;
+    readonly randomPlacement: boolean;
     /** Whether a starting gateway holds what comes before its first reading of the store; otherwise it refuses. */
     readonly holdsAtStart: boolean;
 }
 
 /** Costs of nothing: decisions alone. */
-export const noCosts: Costs = Object.freeze({
+export const zeroCosts: Costs = Object.freeze({
     requestMs: 0,
     probeMs: 0,
     sendMs: 0,
--- a/packages/replay/src/world/serverSend.ts
+++ b/packages/replay/src/world/serverSend.ts
@@ -1,16 +1,16 @@
 import { type SendEnd, type ServerStatus } from "@galenaglade/placement";
 import { type SimulatedGateway } from "./simulatedGateway.js";
-import { type Arrival, type ServerJob, type SimulatedServer } from "./simulatedServer.js";
+import { type ArrivalResult, type ServerJob, type SimulatedServer } from "./simulatedServer.js";
 
 /** What a send tells whoever made it. */
-export interface SendEvents {
+export interface SendCallbacks {
     /** Whether anybody still waits for it. */
-    readonly isWanted: () => boolean;
+    readonly isNeeded: () => boolean;
     readonly onArrival: () => void;
     /** @param offer - the server's load, where its answer told it */
     readonly onEnded: (end: SendEnd, offer: ServerStatus | undefined) => void;
     /** The server turned the request away and wants rest. */
-    readonly onRest: (restMs: number) => void;
+    readonly onBackoff: (restMs: number) => void;
 }
 
 /** One request on its way from a gateway to a server and back. */
@@ -18,10 +18,10 @@
     readonly #gateway: SimulatedGateway;
     readonly #server: SimulatedServer;
     readonly #workMs: number;
-    readonly #events: SendEvents;
+    readonly #events: SendCallbacks;
     #job: ServerJob | undefined;
 
-    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, events: SendEvents) {
+    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, events: SendCallbacks) {
         this.#gateway = gateway;
         this.#server = server;
         this.#workMs = workMs;
@@ -31,7 +31,7 @@
     start(): void {
         const gateway = this.#gateway;
         gateway.execute(gateway.costs.sendMs, () => {
-            gateway.schedule(takeConnection(gateway, this.#server), () => this.#arrive());
+            gateway.schedule(acquireConnection(gateway, this.#server), () => this.#arrive());
         });
     }
 
@@ -43,7 +43,7 @@
     }
 
     #arrive(): void {
-        if (!this.#events.isWanted()) {
+        if (!this.#events.isNeeded()) {
             return;
         }
         this.#events.onArrival();
@@ -53,27 +53,27 @@
         }
         const job: ServerJob = {
             workMs: this.#workMs,
-            onDone: () => this.#passBack({ type: "answered", status: 200 }, this.#server.describe(true)),
+            onDone: () => this.#passBack({ type: "answered", status: 200 }, this.#server.createStatus(true)),
         };
-        const arrival = this.#server.arrive(job, this.#gateway.name);
+        const arrival = this.#server.receive(job, this.#gateway.name);
         if (arrival === "taken") {
             this.#job = job;
             return;
         }
-        this.#passBack(resolveEnd(arrival), undefined, this.#server.restMs);
+        this.#passBack(resolveEnd(arrival), undefined, this.#server.backoffMs);
     }
 
     #passBack(end: SendEnd, offer: ServerStatus | undefined, restMs?: number): void {
         const gateway = this.#gateway;
         gateway.schedule(
-            wayTo(gateway, this.#server),
+            oneWayLatencyMs(gateway, this.#server),
             () => {
                 if (offer?.limit?.type === "named") {
-                    this.#server.tell(gateway.name);
+                    this.#server.onLimitDelivered(gateway.name);
                 }
                 gateway.execute(gateway.costs.answerMs, () => {
                     if (restMs !== undefined) {
-                        this.#events.onRest(restMs);
+                        this.#events.onBackoff(restMs);
                     }
                     this.#events.onEnded(end, offer);
                 });
@@ -83,17 +83,17 @@
 }
 
 /** @returns time of one way between a gateway and a server, in milliseconds */
-export function wayTo({ zone, costs }: SimulatedGateway, { registered }: SimulatedServer): number {
+export function oneWayLatencyMs({ zone, costs }: SimulatedGateway, { registered }: SimulatedServer): number {
     return registered.availabilityZone === zone ? costs.nearMs : costs.farMs;
 }
 
 /** @returns how long it takes to reach a server, over a kept connection or a new one, in milliseconds */
-export function takeConnection(gateway: SimulatedGateway, server: SimulatedServer): number {
-    const way = wayTo(gateway, server);
-    return gateway.connections.take(server.id, gateway.events.nowMs) ? 3 * way + gateway.costs.connectMs : way;
+export function acquireConnection(gateway: SimulatedGateway, server: SimulatedServer): number {
+    const way = oneWayLatencyMs(gateway, server);
+    return gateway.connections.acquire(server.id, gateway.events.nowMs) ? 3 * way + gateway.costs.connectMs : way;
 }
 
-function resolveEnd(arrival: Exclude<Arrival, "taken">): SendEnd {
+function resolveEnd(arrival: Exclude<ArrivalResult, "taken">): SendEnd {
     return arrival === "reset"
         ? { type: "unknown", reason: "connectionLost" }
         : { type: "notRun", reason: "turnedAway" };
--- a/packages/replay/src/world/simulatedCaller.ts
+++ b/packages/replay/src/world/simulatedCaller.ts
@@ -11,8 +11,8 @@
     /** Leaves this long after it arrived. */
     readonly patienceMs: number;
     /** Whether it comes back at once whatever it is told. */
-    readonly impatient: boolean;
-    readonly mostTries: number;
+    readonly retriesImmediately: boolean;
+    readonly maxTries: number;
     readonly zone: string;
     tries = 0;
     answeredAtMs: number | undefined;
@@ -23,31 +23,31 @@
         readonly workMs: number;
         readonly arrivedAtMs: number;
         readonly patienceMs: number;
-        readonly impatient: boolean;
-        readonly mostTries: number;
+        readonly retriesImmediately: boolean;
+        readonly maxTries: number;
         readonly zone: string;
     }) {
         this.kind = parts.kind;
         this.workMs = parts.workMs;
         this.arrivedAtMs = parts.arrivedAtMs;
         this.patienceMs = parts.patienceMs;
-        this.impatient = parts.impatient;
-        this.mostTries = parts.mostTries;
+        this.retriesImmediately = parts.retriesImmediately;
+        this.maxTries = parts.maxTries;
         this.zone = parts.zone;
     }
 
     /** When it leaves. */
-    get leavesAtMs(): number {
+    get givesUpAtMs(): number {
         return this.arrivedAtMs + this.patienceMs;
     }
 
     /** Whether it had its answer while that was of full use. */
-    get isInTime(): boolean {
+    get isWithinObjective(): boolean {
         return this.answeredAtMs !== undefined && this.answeredAtMs - this.arrivedAtMs <= this.kind.objectiveMs;
     }
 
     /** @returns whether it waits for an answer */
     isWaiting(nowMs: number): boolean {
-        return this.end === undefined && nowMs < this.leavesAtMs;
+        return this.end === undefined && nowMs < this.givesUpAtMs;
     }
 }
--- a/packages/replay/src/world/processor.ts
+++ b/packages/replay/src/world/simulatedEventLoop.ts
@@ -1,7 +1,7 @@
 import { type EventQueue } from "./eventQueue.js";
 
 /** What one event loop can do: one task after the other, on a share of a core. */
-export class Processor {
+export class SimulatedEventLoop {
     readonly #events: EventQueue;
     readonly #cores: number;
     #freeAtMs = 0;
@@ -16,7 +16,7 @@
     }
 
     /** How long a task that comes now waits for its turn. */
-    get delayMs(): number {
+    get queueDelayMs(): number {
         return Math.max(0, this.#freeAtMs - this.#events.nowMs);
     }
 
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -14,7 +14,7 @@
 import { ConnectionPool } from "./connectionPool.js";
 import { type EventQueue } from "./eventQueue.js";
 import { type FleetDirectory } from "./fleetDirectory.js";
-import { Processor } from "./processor.js";
+import { SimulatedEventLoop } from "./simulatedEventLoop.js";
 import { type Costs, type Scenario } from "./scenario.js";
 import { RandomFinder, ServerFinder } from "./serverFinder.js";
 
@@ -23,7 +23,7 @@
 const keptConnections = 4;
 
 /** What a gateway of a replay is made with. */
-export interface GatewayParts {
+export interface SimulatedGatewayDeps {
     readonly name: string;
     readonly zone: string;
     readonly cores: number;
@@ -47,15 +47,15 @@
     readonly zone: string;
     readonly events: EventQueue;
     readonly directory: FleetDirectory;
-    readonly processor: Processor;
+    readonly eventLoop: SimulatedEventLoop;
     readonly policy: PlacementPolicy;
     readonly random: RandomSource;
     readonly attempts = new Set<Attempt>();
-    board: PlacementState;
-    repeats: RepeatBudget;
+    placementState: PlacementState;
+    repeatBudget: RepeatBudget;
     connections: ConnectionPool;
     /** Raised with each start: what an earlier life planned no longer happens. */
-    life = 0;
+    incarnation = 0;
     /** Arrivals at servers beyond the first of each try. */
     repeatedArrivals = 0;
     #upAtMs = -Infinity;
@@ -63,23 +63,23 @@
     /** Requests that wait for the first reading of the store. */
     heldAtStart = 0;
     /** Requests of the first seconds of a life, by turns. */
-    startTurns: StartupQueue<Attempt> | undefined;
+    startupQueue: StartupQueue<Attempt> | undefined;
     #openedBefore = 0;
     #requestsOfLife: number;
-    readonly #parts: GatewayParts;
+    readonly #parts: SimulatedGatewayDeps;
 
-    constructor(parts: GatewayParts) {
+    constructor(parts: SimulatedGatewayDeps) {
         this.#parts = parts;
         this.name = parts.name;
         this.zone = parts.zone;
         this.events = parts.events;
         this.directory = parts.directory;
-        this.processor = new Processor(parts.events, parts.cores);
+        this.eventLoop = new SimulatedEventLoop(parts.events, parts.cores);
         this.policy = resolvePlacementPolicy(parts.scenario.policy);
         this.random = createRandomSource(parts.seed);
         this.#requestsOfLife = parts.scenario.costs.coldCodeRequests;
-        this.board = this.#createBoard(parts.startedAtMs);
-        this.repeats = new RepeatBudget(parts.scenario.repeats, parts.startedAtMs);
+        this.placementState = this.#createBoard(parts.startedAtMs);
+        this.repeatBudget = new RepeatBudget(parts.scenario.repeats, parts.startedAtMs);
         this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** How long it is until the store has been read for the first time. */
-    get unreadMs(): number {
+    get firstReadRemainingMs(): number {
         return Math.max(0, this.#readAtMs - this.events.nowMs);
     }
 
@@ -111,17 +111,17 @@
     }
 
     /** @returns how many gateways it takes to share an allowance with it */
-    countGateways(): number {
+    countKnownGateways(): number {
         return this.#parts.knownGateways().length;
     }
 
     /** Runs a task on the event loop, unless the process has ended meanwhile. */
     execute(costMs: number, run: () => void): void {
-        const { life } = this;
+        const { incarnation } = this;
         const { coldCodeFactor, coldCodeRequests } = this.costs;
         const factor = this.#requestsOfLife < coldCodeRequests ? coldCodeFactor : 1;
-        this.processor.execute(costMs * factor, () => {
-            if (life === this.life) {
+        this.eventLoop.execute(costMs * factor, () => {
+            if (incarnation === this.incarnation) {
                 run();
             }
         });
@@ -129,9 +129,9 @@
 
     /** Plans something for later, unless the process has ended meanwhile. */
     schedule(delayMs: number, run: () => void): void {
-        const { life } = this;
+        const { incarnation } = this;
         this.events.schedule(delayMs, () => {
-            if (life === this.life) {
+            if (incarnation === this.incarnation) {
                 run();
             }
         });
@@ -140,56 +140,56 @@
     /** A caller's request has arrived. */
     onRequest(service: string, priority: number): void {
         this.#requestsOfLife++;
-        this.repeats.onRequest(service, this.events.nowMs);
-        this.board.onRequest(service, priority, this.events.nowMs);
+        this.repeatBudget.onRequest(service, this.events.nowMs);
+        this.placementState.onRequest(service, priority, this.events.nowMs);
     }
 
     /** Power is away for a while; then a new process starts, with nothing of what it knew. */
     restart(downMs: number): void {
         const cut = [...this.attempts];
         this.attempts.clear();
-        this.life++;
+        this.incarnation++;
         this.#openedBefore += this.connections.opened;
-        this.processor.restart();
+        this.eventLoop.restart();
         const { startMs, firstReadMs } = this.costs;
         const startedAtMs = this.events.nowMs + downMs;
         this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#parts.cores);
         this.#readAtMs = this.#upAtMs + firstReadMs;
         this.heldAtStart = 0;
-        this.startTurns = new StartupQueue(startedAtMs);
+        this.startupQueue = new StartupQueue(startedAtMs);
         this.#requestsOfLife = 0;
-        this.board = this.#createBoard(startedAtMs);
-        this.repeats = new RepeatBudget(this.#parts.scenario.repeats, startedAtMs);
+        this.placementState = this.#createBoard(startedAtMs);
+        this.repeatBudget = new RepeatBudget(this.#parts.scenario.repeats, startedAtMs);
         this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
-        this.schedule(downMs + startupQueueMs, () => this.takeTurns());
+        this.schedule(downMs + startupQueueMs, () => this.dequeueReady());
         for (const attempt of cut) {
             attempt.onPowerLost();
         }
     }
 
     /** Begins with the requests whose turn it is. */
-    takeTurns(): void {
-        const { startTurns } = this;
-        for (const { item } of startTurns?.takeReady(this.events.nowMs) ?? []) {
-            item.onTurn();
+    dequeueReady(): void {
+        const { startupQueue } = this;
+        for (const { item } of startupQueue?.takeReady(this.events.nowMs) ?? []) {
+            item.onDequeued();
         }
     }
 
-    onTurnSent(attempt: Attempt): void {
-        this.startTurns?.onSent(attempt);
-        this.takeTurns();
+    onAttemptSent(attempt: Attempt): void {
+        this.startupQueue?.onSent(attempt);
+        this.dequeueReady();
     }
 
-    onTurnEnded(attempt: Attempt): void {
-        this.startTurns?.onEnded(attempt);
-        this.takeTurns();
+    onAttemptEnded(attempt: Attempt): void {
+        this.startupQueue?.onEnded(attempt);
+        this.dequeueReady();
     }
 
     /** @returns what it believes of the servers of a service and of the fleet */
-    look(service: string): FleetSnapshot {
+    snapshot(service: string): FleetSnapshot {
         return {
             usable: this.directory.usable(service).filter(server =>
-                this.board.exclusionOf(server, this.events.nowMs) === undefined
+                this.placementState.exclusionOf(server, this.events.nowMs) === undefined
             ),
             gateways: this.#parts.knownGateways(),
             zoneGateways: this.#parts.knownInZone(),
@@ -200,7 +200,9 @@
     }
 
     createFinder(input: SearchInput): ServerFinder {
-        return this.#parts.scenario.blind ? new RandomFinder(this.random) : new SearchFinder(this.board, input);
+        return this.#parts.scenario.randomPlacement
+            ? new RandomFinder(this.random)
+            : new SearchFinder(this.placementState, input);
     }
 
     #createBoard(startedAtMs: number): PlacementState {
--- a/packages/replay/src/world/simulatedServer.ts
+++ b/packages/replay/src/world/simulatedServer.ts
@@ -29,7 +29,7 @@
 }
 
 /** What a server does with a request that reaches it. */
-export type Arrival = "taken" | "refused" | "reset";
+export type ArrivalResult = "taken" | "refused" | "reset";
 
 interface RunningJob {
     readonly job: ServerJob;
@@ -45,21 +45,21 @@
     readonly id: string;
     readonly registered: RegisteredServer;
     /** Share of the requests that it turns away although it has room. */
-    rejects = 0;
+    rejectShare = 0;
     /** How much longer work takes because of a fault. */
     faultFactor = 1;
     /** Cold until this time. */
     coldUntilMs = -Infinity;
     /** How long a gateway that it turns away is to leave it alone; `undefined` where it doesn't say. */
-    restMs: number | undefined;
+    backoffMs: number | undefined;
     /** Requests a second that it names as its limit in answers to requests; `undefined` for none. */
     limitPerSecond: number | undefined;
     /** When requests of gateways that it had told reached it, from the time on from which they must keep its limit. */
     readonly limitedArrivalsMs: number[] = [];
     /** Requests of other gateways in that time. */
-    untoldArrivals = 0;
+    arrivalsFromUninformedGateways = 0;
     /** Until when its limit need not be kept yet. */
-    limitSettlesAtMs = Infinity;
+    limitEnforcedFromMs = Infinity;
     /** When each gateway first got an answer with the limit. */
     readonly #toldAtMs = new Map<string, number>();
     /** Whether it answers nothing at all. */
@@ -109,14 +109,14 @@
     /** @returns what it says when it is asked for its load */
     probe(): ServerStatus {
         this.probesAtMs.push(this.#events.nowMs);
-        return this.describe(false);
+        return this.createStatus(false);
     }
 
     /**
      * @param namesLimit - whether the answer names its limit, if it has one
      * @returns its load, as it also stands in its answers
      */
-    describe(namesLimit: boolean): ServerStatus {
+    createStatus(namesLimit: boolean): ServerStatus {
         const { slots } = this.#shape;
         return {
             serverId: this.id,
@@ -137,18 +137,18 @@
     }
 
     /** A gateway gets an answer with its limit. */
-    tell(gateway: string): void {
+    onLimitDelivered(gateway: string): void {
         this.#toldAtMs.set(gateway, this.#toldAtMs.get(gateway) ?? this.#events.nowMs);
     }
 
     /** A request reaches the server. @param gateway - from which */
-    arrive(job: ServerJob, gateway = ""): Arrival {
+    receive(job: ServerJob, gateway = ""): ArrivalResult {
         this.arrivals++;
         if (this.#events.nowMs < this.coldUntilMs) {
             this.coldArrivalsMs.push(this.#events.nowMs);
         }
         this.#countLimited(gateway);
-        if (this.#random.next() < this.rejects) {
+        if (this.#random.next() < this.rejectShare) {
             return "refused";
         }
         if (this.#running.size >= this.#shape.slots) {
@@ -178,7 +178,7 @@
     }
 
     /** @returns the most arrivals within one second while it was cold */
-    findBusiestColdSecond(): number {
+    findMaxColdArrivalsPerSecond(): number {
         let most = 0;
         let first = 0;
         for (const [last, atMs] of this.coldArrivalsMs.entries()) {
@@ -192,14 +192,14 @@
 
     #countLimited(gateway: string): void {
         const { nowMs } = this.#events;
-        if (this.limitPerSecond === undefined || nowMs < this.limitSettlesAtMs) {
+        if (this.limitPerSecond === undefined || nowMs < this.limitEnforcedFromMs) {
             return;
         }
         if ((this.#toldAtMs.get(gateway) ?? Infinity) <= nowMs - toldMs) {
             this.limitedArrivalsMs.push(nowMs);
             return;
         }
-        this.untoldArrivals++;
+        this.arrivalsFromUninformedGateways++;
     }
 
     #slowdown(): number {
--- a/packages/rollout/src/__tests__/rolloutWorld.test.ts
+++ b/packages/rollout/src/__tests__/rolloutWorld.test.ts
@@ -2,38 +2,38 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-    type Badness,
-    badnesses,
-    rolloutTroubles,
-    RolloutWorld,
-    type WorldResult,
-    type WorldScenario,
+    type VersionFault,
+    versionFaults,
+    injectedFaults,
+    RolloutSimulation,
+    type RolloutSimulationResult,
+    type RolloutScenario,
 } from "@galenaglade/replay";
 
 const exposureShare = 0.1;
 const exposureSlack = 50;
 
-const usual: WorldScenario = {
+const usual: RolloutScenario = {
     seed: 1,
     gateways: 20,
     requestsPerSecond: 200,
     badness: "none",
     badShare: 0,
-    usualBadShare: 0.01,
+    baselineBadShare: 0.01,
     allowedMs: 16_000,
     trouble: "none",
 };
 
-function play(more: Partial<WorldScenario>): WorldResult {
-    return new RolloutWorld({ ...usual, ...more }).play();
+function play(more: Partial<RolloutScenario>): RolloutSimulationResult {
+    return new RolloutSimulation({ ...usual, ...more }).run();
 }
 
-function lastStage({ statuses }: WorldResult): string | undefined {
+function lastStage({ statuses }: RolloutSimulationResult): string | undefined {
     return statuses.at(-1)?.stage;
 }
 
-function isWithinExposure({ exposed, sends }: WorldResult): boolean {
-    return exposed <= sends * exposureShare + exposureSlack;
+function isWithinExposure({ newVersionSends, sends }: RolloutSimulationResult): boolean {
+    return newVersionSends <= sends * exposureShare + exposureSlack;
 }
 
 // Guards against a sound version that is not completed in time, and against requests in flight on the old version,
@@ -43,19 +43,19 @@
         const result = play({ seed });
         assert.equal(lastStage(result), "completed", `seed ${seed}`);
         assert.ok((result.endedAtMs ?? Infinity) <= usual.allowedMs, `seed ${seed}: ${result.endedAtMs} ms`);
-        assert.equal(result.leftBehind, 0, `seed ${seed}`);
+        assert.equal(result.oldVersionInFlightAtCompletion, 0, `seed ${seed}`);
     }
 });
 
-const kinds: readonly Badness[] = badnesses.filter(badness => badness !== "none");
+const kinds: readonly VersionFault[] = versionFaults.filter(badness => badness !== "none");
 for (const badness of kinds) {
     // Guards against a bad version that gets the requests of all callers, whatever triggers its fault.
     test(`a version with fault "${badness}" is rolled back within the permitted exposure`, () => {
         for (let seed = 1; seed <= 10; seed++) {
             const result = play({ seed, badness, badShare: 0.45 });
             assert.equal(lastStage(result), "rolledBack", `seed ${seed}`);
-            assert.ok(isWithinExposure(result), `seed ${seed}: ${result.exposed} of ${result.sends}`);
-            assert.equal(result.afterRollBack, 0, `seed ${seed}`);
+            assert.ok(isWithinExposure(result), `seed ${seed}: ${result.newVersionSends} of ${result.sends}`);
+            assert.equal(result.sendsAfterRollback, 0, `seed ${seed}`);
         }
     });
 }
@@ -78,16 +78,16 @@
         seed: fc.integer({ min: 1, max: 1_000_000 }),
         gateways: fc.integer({ min: 3, max: 30 }),
         requestsPerSecond: fc.integer({ min: 40, max: 300 }),
-        badness: fc.constantFrom(...badnesses),
+        badness: fc.constantFrom(...versionFaults),
         badShare: fc.double({ min: 0.35, max: 0.8, noNaN: true }),
-        usualBadShare: fc.double({ min: 0, max: 0.05, noNaN: true }),
+        baselineBadShare: fc.double({ min: 0, max: 0.05, noNaN: true }),
         allowedMs: fc.integer({ min: 8_000, max: 20_000 }),
-        trouble: fc.constantFrom(...rolloutTroubles),
+        trouble: fc.constantFrom(...injectedFaults),
     });
     const order = ["trial", "widened", "shifted", "completed", "rolledBack"];
     fc.assert(
         fc.property(scenario, each => {
-            const result = new RolloutWorld(each).play();
+            const result = new RolloutSimulation(each).run();
             const stages = result.statuses.map(({ stage }) => stage);
             const ranks = stages.map(stage => order.indexOf(stage));
             assert.deepEqual(ranks, [...new Set(ranks)].sort((a, b) => a - b), stages.join());
@@ -95,8 +95,8 @@
             assert.ok(finals.length <= 1, stages.join());
             if (each.badness !== "none") {
                 assert.notEqual(finals[0], "completed");
-                assert.ok(isWithinExposure(result), `${result.exposed} of ${result.sends}`);
-                assert.equal(result.afterRollBack, 0);
+                assert.ok(isWithinExposure(result), `${result.newVersionSends} of ${result.sends}`);
+                assert.equal(result.sendsAfterRollback, 0);
             }
         }),
         { numRuns: 60, seed: 20_261_203 },
--- a/packages/soak/src/constants.ts
+++ b/packages/soak/src/constants.ts
@@ -107,7 +107,7 @@
     slack: 5,
     windowMs: 4_000,
     settleMs: settledMs,
-    toldMs: 500,
+    gatewayGraceMs: 500,
 });
 
 /** Whether hosts keep the limits of workspaces; where not, a run has neither limits nor callers that exceed one. */
@@ -117,4 +117,4 @@
 export const workspaceLimitBounds = Object.freeze({ windowMs: 5_000, overshoot: 0.1, slack: 20 });
 
 /** What a server that wants rest may get from a gateway that it has told, and from when on. */
-export const serverRestBounds = Object.freeze({ onTheWayMs: 500, allowed: 2 });
+export const serverRestBounds = Object.freeze({ inFlightGraceMs: 500, maxRequests: 2 });
--- a/scripts/rollouts.ts
+++ b/scripts/rollouts.ts
@@ -12,7 +12,7 @@
     gateways: 40,
     requestsPerSecond: 200,
     badShare: 0.45,
-    usualBadShare: 0.01,
+    baselineBadShare: 0.01,
     allowedMs: 16_000,
 };
 process.stdout.write(`${renderRolloutTable({ seeds, scenario })}\n`);
