--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -2,8 +2,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { checkSoak, type SoakRecord } from "../checks.js";
-import { type CallerEnd } from "../soakCaller.js";
-import { Spans } from "../spans.js";
+import { type RequestOutcome } from "../soakCaller.js";
+import { FaultWindows } from "../faultWindows.js";
 
 const serviceOf = new Map([["s1", "tables"], ["s2", "returns"]]);
 
@@ -30,29 +30,33 @@
     return { type, revision, changeId: "" };
 }
 
-const served: CallerEnd = {
+const served: RequestOutcome = {
     requestId: "last",
     route: "read",
     status: 200,
     sentAtMs: 17_500,
     endedAtMs: 17_600,
     connected: true,
-    brokenOff: false,
-    hungUp: false,
-    gaveUp: false,
+    truncated: false,
+    disconnectedEarly: false,
+    timedOut: false,
     retryAfter: undefined,
 };
 
 function check(
     history: readonly HistoryLine[],
-    more: { readonly harmed?: Spans; readonly ends?: readonly CallerEnd[]; readonly edgeHarmed?: Spans; } = {},
+    more: {
+        readonly harmed?: FaultWindows;
+        readonly ends?: readonly RequestOutcome[];
+        readonly edgeHarmed?: FaultWindows;
+    } = {},
 ): readonly string[] {
-    const ends = [served, ...more.ends ?? []].map(end => ({ end, killed: false }));
+    const ends = [served, ...more.ends ?? []].map(outcome => ({ outcome: outcome, killed: false }));
     return checkSoak(
         {
             history,
-            harmed: more.harmed ?? new Spans(),
-            edges: [{ ends, harmed: more.edgeHarmed ?? new Spans() }],
+            faultWindows: more.harmed ?? new FaultWindows(),
+            edges: [{ outcomes: ends, faultWindows: more.edgeHarmed ?? new FaultWindows() }],
             serviceOf,
             findings: [],
             endedAtMs: 20_000,
@@ -74,7 +78,7 @@
 
 test("a version that is not in force in time is found, unless something was harmed", () => {
     assert.deepEqual(check(changed), ["configurationInForce: late went to tables, as no version from 3 on says"]);
-    const harmed = new Spans();
+    const harmed = new FaultWindows();
     harmed.begin(5_500)(6_000);
     assert.deepEqual(check(changed, { harmed }), []);
 });
@@ -100,7 +104,7 @@
     const end = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 5_000 };
     const held = { ...end, gaveUp: true };
     assert.equal(check([], { ends: [held] }).length, 1);
-    const paused = new Spans();
+    const paused = new FaultWindows();
     paused.begin(2_000)(3_000);
     assert.deepEqual(check([], { ends: [held], edgeHarmed: paused }), []);
     assert.equal(check(record([1_010, "s1", started("r", "s1")]), { ends: [end] }).length, 1);
--- a/packages/soak/src/__tests__/plan.test.ts
+++ b/packages/soak/src/__tests__/faultPlan.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { faultyMs } from "../constants.js";
-import { planFaults } from "../plan.js";
+import { faultPhaseMs } from "../constants.js";
+import { planFaults } from "../faultPlan.js";
 
 test("a seed draws the same troubles each time, another one others", () => {
     assert.deepEqual(planFaults(7), planFaults(7));
@@ -10,9 +10,9 @@
 
 test("every trouble is over when the calm time begins, whatever the seed", () => {
     for (let seed = 0; seed < 500; seed++) {
-        for (const { atMs, forMs } of planFaults(seed)) {
-            assert.ok(atMs >= 0 && atMs <= faultyMs);
-            assert.ok(atMs + forMs <= faultyMs, `seed ${seed}: ${atMs} + ${forMs}`);
+        for (const { atMs, durationMs } of planFaults(seed)) {
+            assert.ok(atMs >= 0 && atMs <= faultPhaseMs);
+            assert.ok(atMs + durationMs <= faultPhaseMs, `seed ${seed}: ${atMs} + ${durationMs}`);
         }
     }
 });
@@ -25,7 +25,9 @@
         for (const [i, { kind, atMs }] of faults.entries()) {
             kinds.add(kind);
             const before = faults[i - 1];
-            overlapping += before !== undefined && before.kind === kind && before.atMs + before.forMs > atMs ? 1 : 0;
+            overlapping += before !== undefined && before.kind === kind && before.atMs + before.durationMs > atMs
+                ? 1
+                : 0;
         }
     }
     assert.equal(kinds.size, 25);
--- /dev/null
+++ b/packages/soak/src/__tests__/partitionPlan.test.ts
@@ -0,0 +1,18 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { faultPhaseMs } from "../constants.js";
+import { planPartitions } from "../partitionPlan.js";
+
+// Guards against plans that never cut a gateway, or cut one beyond the time of faults, so that the calm after it isn't calm.
+test("cuts are drawn for many seeds, in all manners, within the time of faults", () => {
+    const plans = Array.from({ length: 200 }, (_, seed) => planPartitions(seed));
+    const cuts = plans.flat();
+    assert.deepEqual(plans, Array.from({ length: 200 }, (_, seed) => planPartitions(seed)));
+    assert.ok(plans.filter(plan => plan.length > 0).length > 60, "many seeds have cuts");
+    assert.ok(
+        cuts.every(({ atMs, durationMs }) => durationMs > 0 && atMs + durationMs <= faultPhaseMs),
+        "all end in time",
+    );
+    assert.deepEqual(new Set(cuts.map(({ linkFault }) => linkFault)).size, 3);
+    assert.ok(cuts.some(({ flapPeriodMs }) => flapPeriodMs !== undefined), "some flap");
+});
--- a/packages/soak/src/__tests__/inOrder.test.ts
+++ b/packages/soak/src/__tests__/serialExecutor.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { InOrder } from "../inOrder.js";
+import { SerialExecutor } from "../serialExecutor.js";
 
 // Orders to the store that were under way at once overtook each other beside load: an older configuration took the place of a newer
 // one, and a fault that had ended lasted until the run's end.
 test("what is given later starts after what was given before has ended, also where that failed", async () => {
-    const inOrder = new InOrder();
+    const inOrder = new SerialExecutor();
     const seen: string[] = [];
     const work = async (name: string, forMs: number): Promise<string> => {
         await sleep(forMs);
--- a/packages/soak/src/__tests__/workspacePlan.test.ts
+++ b/packages/soak/src/__tests__/workspacePlan.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CallerDraw } from "../callerDraw.js";
-import { readAnswerBytes, renderLargePath } from "../largeAnswers.js";
-import { findKeys } from "../keySearch.js";
-import { keyMark, limitedWorkspace, planWorkspaces } from "../workspacePlan.js";
+import { RequestGenerator } from "../requestGenerator.js";
+import { parseResponseBytes, renderLargeResponsePath } from "../largeResponses.js";
+import { findLeakedKeys } from "../leakedKeys.js";
+import { secretPrefix, limitedWorkspace, planWorkspaces } from "../workspacePlan.js";
 
 const plans = Array.from({ length: 100 }, (_, seed) => planWorkspaces(seed + 1, true)).filter(plan =>
     plan !== undefined
@@ -12,16 +12,16 @@
 test("most seeds have workspaces, whose keys are revoked, added and moved, and one of which is asked for too much", () => {
     assert.ok(plans.length > 55 && plans.length < 85, `${plans.length} of 100`);
     let [revoked, moved] = [0, 0];
-    for (const { first, changes, keys, overload } of plans) {
+    for (const { initial, changes, keys, overload } of plans) {
         const last = changes.at(-1)?.workspaces ?? [];
         for (const key of keys) {
-            const holder = first.find(workspace => workspace.keys.includes(key))?.name;
+            const holder = initial.find(workspace => workspace.keys.includes(key))?.name;
             const holders = last.filter(workspace => workspace.keys.includes(key)).map(({ name }) => name);
             assert.ok(holders.length <= 1, "a key has one holder at most");
             revoked += holder !== undefined && holders.length === 0 ? 1 : 0;
             moved += holder !== undefined && holders.length === 1 && holders[0] !== holder ? 1 : 0;
         }
-        const limit = first.find(({ name }) => name === limitedWorkspace)?.limit?.perSecond ?? 0;
+        const limit = initial.find(({ name }) => name === limitedWorkspace)?.limit?.perSecond ?? 0;
         assert.ok((overload?.perSecond ?? 0) > limit && limit > 0);
     }
     assert.ok(revoked > 30 && moved > 10, `${revoked} revoked, ${moved} moved`);
@@ -31,24 +31,24 @@
 test("callers have keys that are held, unknown or none, and few of them the limited workspace's", () => {
     const [plan] = plans;
     assert.ok(plan !== undefined);
-    const draw = new CallerDraw(plan, 1);
-    const drawn = Array.from({ length: 2_000 }, () => draw.draw(plan.first));
-    const limitedKey = plan.first.find(({ name }) => name === limitedWorkspace)?.keys[0]?.id;
+    const draw = new RequestGenerator(plan, 1);
+    const drawn = Array.from({ length: 2_000 }, () => draw.next(plan.initial));
+    const limitedKey = plan.initial.find(({ name }) => name === limitedWorkspace)?.keys[0]?.id;
     const share = (id: string | undefined): number =>
-        drawn.filter(({ sign }) => sign.key?.id === id).length / drawn.length;
+        drawn.filter(({ credentials }) => credentials.key?.id === id).length / drawn.length;
     assert.ok(share(undefined) > 0.01 && share("unknown") > 0.01 && share(limitedKey) < 0.1);
-    const bytes = drawn.map(({ answerBytes }) => answerBytes);
+    const bytes = drawn.map(({ responseBytes }) => responseBytes);
     assert.ok(Math.max(...bytes) > 400_000 && bytes.every(each => each <= 540_000));
-    assert.deepEqual(new CallerDraw(plan, 1).draw(plan.first), drawn[0]);
+    assert.deepEqual(new RequestGenerator(plan, 1).next(plan.initial), drawn[0]);
 });
 
 test("a large answer is asked for by its path, and other paths ask for none", () => {
-    assert.equal(readAnswerBytes(renderLargePath("r1", 540_000)), 540_000);
-    assert.equal(readAnswerBytes("/tables/read/r1"), 200);
+    assert.equal(parseResponseBytes(renderLargeResponsePath("r1", 540_000)), 540_000);
+    assert.equal(parseResponseBytes("/tables/read/r1"), 200);
 });
 
 test("a key in a log is found, and not repeated in what was found", () => {
-    const found = findKeys("edge-1.log", `{"detail":"no workspace holds ${keyMark}7-99"}`);
-    assert.deepEqual([found.length, found.join("").includes(keyMark)], [1, false]);
-    assert.deepEqual(findKeys("edge-1.log", "no workspace holds the request's key"), []);
+    const found = findLeakedKeys("edge-1.log", `{"detail":"no workspace holds ${secretPrefix}7-99"}`);
+    assert.deepEqual([found.length, found.join("").includes(secretPrefix)], [1, false]);
+    assert.deepEqual(findLeakedKeys("edge-1.log", "no workspace holds the request's key"), []);
 });
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -20,39 +20,39 @@
 } from "@galenaglade/history";
 import {
     applyMs,
-    asksPerServerAndSecond,
-    coldPerSecondLimit,
-    deadlyCrashes,
-    deadlyRetries,
+    maxProbesPerServerAndSecond,
+    maxColdPerSecond,
+    maxQueryOfDeathCrashes,
+    maxQueryOfDeathRetries,
     exposureShare,
     exposureSlack,
-    recoveredMs,
-    recoveredShare,
+    recoveryCheckMs,
+    minRecoveredShare,
     repeatRatio,
     repeatSlack,
     repeatWindowMs,
-    rollbackMs,
+    rollbackGraceMs,
     routeTimeoutMs,
     serverLimitBounds,
-    serverRestBounds,
+    serverBackoffBounds,
     serverSlots,
-    settledMs,
+    convergenceMs,
     workspaceLimitBounds,
     zoneOutMs,
 } from "./constants.js";
 import { checkMovingRoute } from "./movingRouteChecker.js";
-import { type CallerEnd } from "./soakCaller.js";
-import { keepCalmArrivals, type Spans } from "./spans.js";
+import { type RequestOutcome } from "./soakCaller.js";
+import { filterFaultFreeArrivals, type FaultWindows } from "./faultWindows.js";
 
 /** What a run left behind. */
 export interface SoakRecord {
     readonly history: readonly HistoryLine[];
     /** When the store, a gateway or a way between them was harmed. */
-    readonly harmed: Spans;
+    readonly faultWindows: FaultWindows;
     /** What callers got, by gateway. */
     readonly edges: readonly {
-        readonly ends: readonly { readonly end: CallerEnd; readonly killed: boolean; }[];
-        readonly harmed: Spans;
+        readonly outcomes: readonly { readonly outcome: RequestOutcome; readonly killed: boolean; }[];
+        readonly faultWindows: FaultWindows;
     }[];
     /** Service of each backend server. */
     readonly serviceOf: ReadonlyMap<string, string>;
@@ -74,29 +74,46 @@
  * @returns one line for each thing found; empty where all held
  */
 export function checkSoak(record: SoakRecord): readonly string[] {
-    const { history, harmed } = record;
-    const calm = keepCalmArrivals(history, harmed, settledMs);
+    const { history, faultWindows } = record;
+    const calm = filterFaultFreeArrivals(history, faultWindows, convergenceMs);
     const versionBounds: VersionBounds = {
         applyMs,
-        isSettled: (fromMs, toMs) => harmed.isCalm(fromMs - settledMs, toMs),
+        isSettled: (fromMs, toMs) => faultWindows.isFaultFree(fromMs - convergenceMs, toMs),
     };
     const violations: readonly Violation[] = [
         ...checkAtMostOnce(history),
         ...checkDidRunAccuracy(history),
         ...checkResponseIntegrity(history),
         ...checkRepeatBudget(history, { ratio: repeatRatio, slack: repeatSlack, windowMs: repeatWindowMs }),
-        ...checkProbeBudget(history, { probesPerSecond: asksPerServerAndSecond, seats: asksPerServerAndSecond * 10 }),
-        ...checkColdRate(history, coldPerSecondLimit),
+        ...checkProbeBudget(history, {
+            probesPerSecond: maxProbesPerServerAndSecond,
+            seats: maxProbesPerServerAndSecond * 10,
+        }),
+        ...checkColdRate(history, maxColdPerSecond),
         ...checkDrained(calm, applyMs),
         ...checkServerLimit(calm, serverLimitBounds),
-        ...checkServerBackoff(calm, serverRestBounds),
+        ...checkServerBackoff(calm, serverBackoffBounds),
         ...checkLeavingRespected(calm, applyMs),
-        ...checkQueryOfDeath(calm, { crashes: deadlyCrashes, settleMs: settledMs, retries: deadlyRetries }),
+        ...checkQueryOfDeath(calm, {
+            crashes: maxQueryOfDeathCrashes,
+            settleMs: convergenceMs,
+            retries: maxQueryOfDeathRetries,
+        }),
         ...checkZoneOut(calm, zoneOutMs),
-        ...checkRollouts(calm, { serviceOf: record.serviceOf, exposureShare, exposureSlack, rollbackMs }),
+        ...checkRollouts(calm, {
+            serviceOf: record.serviceOf,
+            exposureShare,
+            exposureSlack,
+            rollbackMs: rollbackGraceMs,
+        }),
         ...checkWorkspaceKeys(history, versionBounds),
         ...checkWorkspaceLimits(history, { ...versionBounds, ...workspaceLimitBounds }),
-        ...checkMovingRoute(history, { serviceOf: record.serviceOf, harmed, applyMs, settledMs }),
+        ...checkMovingRoute(history, {
+            serviceOf: record.serviceOf,
+            faultWindows: faultWindows,
+            applyMs,
+            convergenceMs: convergenceMs,
+        }),
     ];
     return [
         ...record.findings,
@@ -107,33 +124,33 @@
 }
 
 /** No request is held past its time, cut off while a server ran it, or denied though it is proper. */
-function checkCallers({ history, edges, harmed: anyHarmed }: SoakRecord): readonly string[] {
+function checkCallers({ history, edges, faultWindows: anyHarmed }: SoakRecord): readonly string[] {
     const started = new Set(history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []));
     const excused = findExcused(history);
     // Whether a key is there is checked by the versions of the configuration.
     const needsKeys = history.some(line => line.type === "configurationWritten" && line.workspaces !== undefined);
     const found: string[] = [];
-    for (const { ends, harmed } of edges) {
-        for (const { end, killed } of ends) {
-            const { requestId, status, hungUp, sentAtMs, endedAtMs } = end;
+    for (const { outcomes, faultWindows: harmed } of edges) {
+        for (const { outcome, killed } of outcomes) {
+            const { requestId, status, disconnectedEarly, sentAtMs, endedAtMs } = outcome;
             const isFair = fairStatuses.has(status ?? 0) || (needsKeys && status === unauthenticatedStatus);
             if (status !== undefined && status >= 300 && status < 500 && !isFair) {
                 found.push(`denied: ${requestId} got ${status} though it is proper`);
             }
-            if (status === refusedStatus && end.retryAfter === undefined) {
+            if (status === refusedStatus && outcome.retryAfter === undefined) {
                 found.push(`refusal: ${requestId} was not told when to come back`);
             }
-            if (status !== undefined || hungUp || killed || !end.connected) {
+            if (status !== undefined || disconnectedEarly || killed || !outcome.connected) {
                 continue;
             }
-            if (end.gaveUp && harmed.isCalm(sentAtMs, endedAtMs)) {
+            if (outcome.timedOut && harmed.isFaultFree(sentAtMs, endedAtMs)) {
                 found.push(`held: ${requestId} got no answer in ${Math.round(endedAtMs - sentAtMs)} ms`);
             }
             // Of a long answer the first bytes have gone to the caller when its server fails, so that nothing is left but to break it off.
-            const isBreakFair = end.route === "large" && end.brokenOff
+            const isBreakFair = outcome.route === "large" && outcome.truncated
                 && (excused.has(requestId) || endedAtMs - sentAtMs >= routeTimeoutMs
-                    || !anyHarmed.isCalm(sentAtMs, endedAtMs));
-            if (!end.gaveUp && started.has(requestId) && !isBreakFair) {
+                    || !anyHarmed.isFaultFree(sentAtMs, endedAtMs));
+            if (!outcome.timedOut && started.has(requestId) && !isBreakFair) {
                 found.push(`lost: ${requestId} ran, and its connection ended without an answer`);
             }
         }
@@ -163,12 +180,12 @@
 
 /** After the last fault and the time to recover, nearly everything that has a key is served. */
 function checkRecovered({ edges, endedAtMs }: SoakRecord): readonly string[] {
-    const late = edges.flatMap(({ ends }) => ends).filter(({ end }) =>
-        end.sentAtMs > endedAtMs - recoveredMs && end.sentAtMs < endedAtMs - recoveredMs / 2
-        && end.status !== unauthenticatedStatus
+    const late = edges.flatMap(({ outcomes }) => outcomes).filter(({ outcome }) =>
+        outcome.sentAtMs > endedAtMs - recoveryCheckMs && outcome.sentAtMs < endedAtMs - recoveryCheckMs / 2
+        && outcome.status !== unauthenticatedStatus
     );
-    const served = late.filter(({ end }) => end.status === okStatus).length;
-    if (late.length > 0 && served / late.length >= recoveredShare) {
+    const served = late.filter(({ outcome }) => outcome.status === okStatus).length;
+    if (late.length > 0 && served / late.length >= minRecoveredShare) {
         return [];
     }
     return [`recovered: ${served} of ${late.length} requests were served after the faults had ended`];
--- a/packages/soak/src/command.ts
+++ b/packages/soak/src/command.ts
@@ -51,7 +51,7 @@
 }
 
 function report({ seed, faults, findings, workspaces, rollout, requests, served, dir }: SoakResult): void {
-    const kinds = faults.map(({ kind, link }) => kind.endsWith("Link") ? `${kind}.${link}` : kind).join(" ");
+    const kinds = faults.map(({ kind, linkFault }) => kind.endsWith("Link") ? `${kind}.${linkFault}` : kind).join(" ");
     process.stdout.write(
         `seed ${seed}: ${findings.length === 0 ? "held" : "FOUND"}, ${served} of ${requests} served; ${kinds}${
             rollout === undefined ? "" : ` rollout.${rollout}`
--- a/packages/soak/src/constants.ts
+++ b/packages/soak/src/constants.ts
@@ -9,24 +9,24 @@
 export const availabilityZones = ["north", "middle", "south"] as const;
 
 /** How many of the availability zones have gateways. */
-export const gatewayZones = 2;
+export const gatewayZoneCount = 2;
 
 export const services = ["tables", "returns"] as const;
 
 /** Time until callers are let in, for the gateways to read the store and register. */
-export const settleMs = 2_500;
+export const startupSettleMs = 2_500;
 
 /** Time in which faults begin. */
-export const faultyMs = 11_000;
+export const faultPhaseMs = 11_000;
 
 /** Calm time at the end: the last fault's end, the time to recover, and the span that is looked at. */
-export const calmMs = 9_000;
+export const recoveryPhaseMs = 9_000;
 
 /** The last part of the calm time, in which nearly everything must be served. */
-export const recoveredMs = 3_000;
+export const recoveryCheckMs = 3_000;
 
 /** Least share served in that part. */
-export const recoveredShare = 0.95;
+export const minRecoveredShare = 0.95;
 
 /** Requests a second from all callers in calm times: a tenth of what the servers bear. */
 export const requestsPerSecond = 50;
@@ -40,13 +40,13 @@
 export const objectiveMs = 600;
 
 /** Time beyond its route's timeout after which a request counts as held: one of half a second, on a machine that is shared. */
-export const heldSlackMs = 1_500;
+export const hangToleranceMs = 1_500;
 
 /** A planned stop must be over after this time. */
-export const graceMs = 6_000;
+export const stopGraceMs = 6_000;
 
 /** Calm time after which every gateway must know what the store says; half a second above what the users give. */
-export const settledMs = 3_500;
+export const convergenceMs = 3_500;
 
 /** Time after the store's word in which a configuration must be in force and a draining server left alone. */
 export const applyMs = 2_500;
@@ -56,10 +56,10 @@
 
 /** Requests a second that a cold server bears, and how long it is cold. */
 export const coldRequestsPerSecond = 4.2;
-export const coldMs = 3_000;
+export const coldDurationMs = 3_000;
 
 /** What a cold server may be given in one second, with the users' tolerance: 1.5 times the rate and 5 more. */
-export const coldPerSecondLimit = coldRequestsPerSecond * 1.5 + 5;
+export const maxColdPerSecond = coldRequestsPerSecond * 1.5 + 5;
 
 /** Repeats that the whole fleet may send: a share of the requests and a fixed part in a window. */
 export const repeatRatio = 0.2;
@@ -67,54 +67,54 @@
 export const repeatWindowMs = 10_000;
 
 /** Usual work of one request on a backend server. */
-export const workMs = 40;
+export const typicalWorkMs = 40;
 
 /** Requests that a backend server runs at the same time, and that wait for it. */
 export const serverSlots = 3;
-export const serverQueue = 6;
+export const maxServerQueue = 6;
 
 /** Leases of the store don't get shorter than this. */
-export const shortestLeaseSeconds = 1;
+export const minLeaseSeconds = 1;
 
 /** Questions for its load that one backend server may be asked a second, from all gateways together. */
-export const asksPerServerAndSecond = 60;
+export const maxProbesPerServerAndSecond = 60;
 
 /** Versions of the servers' software: the one that a run begins with, and the one that is rolled out. */
-export const firstServerVersion = "v1";
-export const nextServerVersion = "v2";
+export const initialServerVersion = "v1";
+export const rolloutServerVersion = "v2";
 
 /** Servers of the next version, and the time in which its roll-out has to end, in milliseconds. */
-export const rolloutServers = 4;
-export const rolloutAllowedMs = 13_000;
+export const rolloutServerCount = 4;
+export const rolloutTimeoutMs = 13_000;
 
 /** Share of a service's requests that a version may get before it is proved: enough to prove one in the time of a run. */
 export const exposureShare = 0.4;
 export const exposureSlack = 20;
 
 /** How long after a roll-back was read in the store a gateway may go on with the version, with the tolerance of a shared machine. */
-export const rollbackMs = 3_500;
+export const rollbackGraceMs = 3_500;
 
 /** How often the operator looks at a roll-out, in milliseconds. */
-export const rolloutPollMs = 100;
+export const rolloutPollPeriodMs = 100;
 
 /** Servers that a request ends before it counts as deadly, and how often servers may get it after all gateways must know. */
-export const deadlyCrashes = 3;
-export const deadlyRetries = 3;
+export const maxQueryOfDeathCrashes = 3;
+export const maxQueryOfDeathRetries = 3;
 
 /** What a server that names a limit may get from the gateways that it has told, with the users' tolerance. */
 export const serverLimitBounds = Object.freeze({
     factor: 1.5,
     slack: 5,
     windowMs: 4_000,
-    settleMs: settledMs,
+    settleMs: convergenceMs,
     gatewayGraceMs: 500,
 });
 
 /** Whether hosts keep the limits of workspaces; where not, a run has neither limits nor callers that exceed one. */
-export const limitsAreKept = true;
+export const enforcesWorkspaceLimits = true;
 
 /** What the requests of a workspace with a limit may add up to, with the users' tolerance. */
 export const workspaceLimitBounds = Object.freeze({ windowMs: 5_000, overshoot: 0.1, slack: 20 });
 
 /** What a server that wants rest may get from a gateway that it has told, and from when on. */
-export const serverRestBounds = Object.freeze({ inFlightGraceMs: 500, maxRequests: 2 });
+export const serverBackoffBounds = Object.freeze({ inFlightGraceMs: 500, maxRequests: 2 });
--- /dev/null
+++ b/packages/soak/src/faultInjection.ts
@@ -0,0 +1,23 @@
+import { type Fault } from "./faults.js";
+import { type SoakBackend } from "./soakBackend.js";
+import { type SoakEdge } from "./soakEdge.js";
+import { type ServerFaults } from "./soakSystem.js";
+import { setTimeout as sleep } from "node:timers/promises";
+
+/** Lets a link fail for a while. */
+export async function injectLinkFault(proxy: SoakEdge["storeProxy"], { linkFault, durationMs }: Fault): Promise<void> {
+    proxy.begin(linkFault);
+    await sleep(durationMs);
+    proxy.end(linkFault);
+}
+
+/** Lets a server be in trouble for a while. */
+export async function injectServerFaults(
+    backend: SoakBackend,
+    trouble: Partial<ServerFaults>,
+    forMs: number,
+): Promise<void> {
+    const end = await backend.injectFaults(trouble);
+    await sleep(forMs);
+    await end();
+}
--- a/packages/soak/src/plan.ts
+++ b/packages/soak/src/faultPlan.ts
@@ -1,5 +1,5 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 import { type Fault, type FaultKind, type LinkFault } from "./faults.js";
 
 /** How often each kind is drawn, and how long it lasts, in milliseconds. */
@@ -58,9 +58,9 @@
     while (faults.length < count) {
         const before = faults.at(-1);
         if (before !== undefined && random.next() < seriesShare) {
-            const atMs = Math.min(faultyMs, before.atMs + random.next() * seriesGapMs);
-            const forMs = Math.min(before.forMs, faultyMs - atMs);
-            faults.push({ ...before, atMs, forMs, target: before.target + random.nextInt(2) });
+            const atMs = Math.min(faultPhaseMs, before.atMs + random.next() * seriesGapMs);
+            const forMs = Math.min(before.durationMs, faultPhaseMs - atMs);
+            faults.push({ ...before, atMs, durationMs: forMs, target: before.target + random.nextInt(2) });
             continue;
         }
         faults.push(drawFault(random));
@@ -71,14 +71,14 @@
 function drawFault(random: RandomSource): Fault {
     const kind = drawKind(random);
     const { shortestMs, longestMs } = kinds[kind];
-    const atMs = random.next() * faultyMs;
+    const atMs = random.next() * faultPhaseMs;
     return {
         kind,
         atMs,
         // Everything ends with the time of faults, so that the calm time after it is calm.
-        forMs: Math.min(shortestMs + random.next() * (longestMs - shortestMs), faultyMs - atMs),
+        durationMs: Math.min(shortestMs + random.next() * (longestMs - shortestMs), faultPhaseMs - atMs),
         target: random.nextInt(1_000),
-        link: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
+        linkFault: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
     };
 }
 
--- a/packages/soak/src/spans.ts
+++ b/packages/soak/src/faultWindows.ts
@@ -1,14 +1,14 @@
 import { type HistoryLine } from "@galenaglade/history";
 
 /** A time in which something was harmed. */
-export interface Span {
+export interface FaultWindow {
     readonly fromMs: number;
     /** Infinite while it lasts. */
     readonly toMs: number;
 }
 
 /** Times in which something that a promise rests on was harmed. */
-export class Spans {
+export class FaultWindows {
     readonly #spans: { readonly fromMs: number; toMs: number; }[] = [];
 
     /** Something is harmed from now on. @returns ends it */
@@ -21,7 +21,7 @@
     }
 
     /** @returns whether nothing was harmed in a time */
-    isCalm(fromMs: number, toMs: number): boolean {
+    isFaultFree(fromMs: number, toMs: number): boolean {
         return this.#spans.every(span => span.toMs < fromMs || span.fromMs > toMs);
     }
 }
@@ -35,18 +35,18 @@
  * @param settledMs - calm time after which every gateway must know
  * @returns the history without those arrivals
  */
-export function keepCalmArrivals(
+export function filterFaultFreeArrivals(
     history: readonly HistoryLine[],
-    harmed: Spans,
+    harmed: FaultWindows,
     settledMs: number,
 ): readonly HistoryLine[] {
     return history.filter(line =>
         (line.type !== "serverStarted" && line.type !== "serverTurnedAway")
-        || harmed.isCalm(line.atMs - settledMs, line.atMs)
+        || harmed.isFaultFree(line.atMs - settledMs, line.atMs)
     );
 }
 
 /** The monotonic clock that all processes of the machine share, in milliseconds. */
-export function machineNow(): number {
+export function monotonicNow(): number {
     return Number(process.hrtime.bigint()) / 1e6;
 }
--- a/packages/soak/src/faults.ts
+++ b/packages/soak/src/faults.ts
@@ -44,8 +44,8 @@
     readonly kind: FaultKind;
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly forMs: number;
+    readonly durationMs: number;
     /** Which gateway, server or zone: taken modulo their number. */
     readonly target: number;
-    readonly link: LinkFault;
+    readonly linkFault: LinkFault;
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,21 +1,21 @@
 /** A randomized soak: real processes on one machine, faults from outside them, and checks of what the product promises. */
-export { type CallerSign } from "./callerDraw.js";
 export { runSoakCommand } from "./command.js";
+export { planFaults } from "./faultPlan.js";
 export { type Fault, type FaultKind, type LinkFault } from "./faults.js";
-export { planFaults } from "./plan.js";
+export { type CallerCredentials } from "./requestGenerator.js";
 export { runSoak, type SoakOptions, type SoakResult } from "./runSoak.js";
-export { type ArrivedRequest, ServerNames, type ServerState } from "./serverNames.js";
+export { type ReceivedRequest, ServerCodec, type ServerState } from "./serverCodec.js";
 export { SoakServer } from "./soakServer.js";
 export {
-    type AnswerMarks,
-    type ServerOrder,
-    type ServerTrouble,
+    type SoakResponseMetadata,
+    type SoakServerOptions,
+    type ServerFaults,
     type SoakProgram,
     SoakSystem,
-    soundServer,
-    soundStore,
-    type StoreOrder,
-    type StoreTrouble,
+    noServerFaults,
+    noStoreFaults,
+    type StoreCommand,
+    type StoreFaults,
     type StoreWrite,
-    rewriteMs,
+    maxRewriteDelayMs,
 } from "./soakSystem.js";
--- a/packages/soak/src/movingRouteChecker.ts
+++ b/packages/soak/src/movingRouteChecker.ts
@@ -1,6 +1,6 @@
 import { type HistoryLine, type Violation } from "@galenaglade/history";
-import { serviceOf as resolveService } from "./soakConfiguration.js";
-import { type Spans } from "./spans.js";
+import { resolveRouteService as resolveService } from "./soakConfiguration.js";
+import { type FaultWindows } from "./faultWindows.js";
 
 /** How long after an answer under one version a gateway may still send under an older one, in milliseconds. */
 const rollbackSlackMs = 250;
@@ -9,11 +9,11 @@
 export interface MovingRouteInput {
     /** Service of each backend server. */
     readonly serviceOf: ReadonlyMap<string, string>;
-    readonly harmed: Spans;
+    readonly faultWindows: FaultWindows;
     /** Time after its acceptance in which a version must be in force. */
     readonly applyMs: number;
     /** Calm time after which every gateway must know what the store says. */
-    readonly settledMs: number;
+    readonly convergenceMs: number;
 }
 
 interface Version {
@@ -135,8 +135,8 @@
 
     /** @returns the oldest version by which a request may be handled, for all that was accepted; 0 where nothing is due */
     #findDue({ sentAtMs }: MovingRequest, ranAtMs: number): number {
-        const { harmed, applyMs, settledMs } = this.#input;
-        if (!harmed.isCalm(sentAtMs - settledMs, ranAtMs)) {
+        const { faultWindows, applyMs, convergenceMs } = this.#input;
+        if (!faultWindows.isFaultFree(sentAtMs - convergenceMs, ranAtMs)) {
             return 0;
         }
         const due = this.#versions.filter(({ acceptedAtMs }) => acceptedAtMs + applyMs < sentAtMs);
--- a/packages/soak/src/cutPlan.ts
+++ b/packages/soak/src/partitionPlan.ts
@@ -1,18 +1,18 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 import { type LinkFault } from "./faults.js";
 
 /** Gateways of a run that reach no backend server for a while. */
-export interface PlannedCut {
+export interface PlannedPartition {
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly forMs: number;
+    readonly durationMs: number;
     /** Which gateway comes first, modulo their number, and how many after it are cut off as well. */
     readonly target: number;
-    readonly others: number;
-    readonly link: LinkFault;
+    readonly additionalGateways: number;
+    readonly linkFault: LinkFault;
     /** How often the links come back and go again meanwhile, in milliseconds; `undefined` where they stay away. */
-    readonly flapMs: number | undefined;
+    readonly flapPeriodMs: number | undefined;
 }
 
 const cutShare = 0.5;
@@ -32,19 +32,19 @@
  * @param seed - of the run
  * @returns the same for the same seed
  */
-export function planCuts(seed: number): readonly PlannedCut[] {
+export function planPartitions(seed: number): readonly PlannedPartition[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const cuts: PlannedCut[] = [];
+    const cuts: PlannedPartition[] = [];
     for (let share = cutShare; random.next() < share; share = againShare) {
-        const atMs = random.next() * (faultyMs - shortestMs);
+        const atMs = random.next() * (faultPhaseMs - shortestMs);
         const flaps = random.next() < flapShare;
         cuts.push({
             atMs,
-            forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
+            durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
             target: random.nextInt(1_000),
-            others: random.nextInt(mostOthers),
-            link: links[random.nextInt(links.length)] ?? "reset",
-            flapMs: flaps ? shortestFlapMs + random.next() * (longestFlapMs - shortestFlapMs) : undefined,
+            additionalGateways: random.nextInt(mostOthers),
+            linkFault: links[random.nextInt(links.length)] ?? "reset",
+            flapPeriodMs: flaps ? shortestFlapMs + random.next() * (longestFlapMs - shortestFlapMs) : undefined,
         });
     }
     return cuts;
--- a/packages/soak/src/deadlyPlan.ts
+++ b/packages/soak/src/queryOfDeathPlan.ts
@@ -1,15 +1,15 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 
 /** Requests of a run that end the servers that run them: the same one again and again, at any gateway. */
-export interface PlannedDeadlyRequests {
+export interface PlannedQueryOfDeath {
     /** When each is sent, since callers were let in, in milliseconds. */
-    readonly atMs: readonly number[];
+    readonly sendTimesMs: readonly number[];
     readonly path: string;
 }
 
 /** A request whose path has this in it ends its server. */
-export const deadlyMark = "deadly-";
+export const queryOfDeathMarker = "deadly-";
 
 const deadlyShare = 0.6;
 const fewest = 6;
@@ -25,13 +25,13 @@
  * @param pathPrefix - of the route that they use
  * @returns the requests, or `undefined` for a run without any
  */
-export function planDeadlyRequests(seed: number, pathPrefix: string): PlannedDeadlyRequests | undefined {
+export function planQueryOfDeath(seed: number, pathPrefix: string): PlannedQueryOfDeath | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
     if (random.next() >= deadlyShare) {
         return undefined;
     }
     const startMs = random.next() * latestStartMs;
     const count = fewest + random.nextInt(most - fewest + 1);
-    const atMs = Array.from({ length: count }, () => startMs + random.next() * (faultyMs - startMs));
-    return { atMs: atMs.sort((a, b) => a - b), path: `${pathPrefix}${deadlyMark}${seed}` };
+    const atMs = Array.from({ length: count }, () => startMs + random.next() * (faultPhaseMs - startMs));
+    return { sendTimesMs: atMs.sort((a, b) => a - b), path: `${pathPrefix}${queryOfDeathMarker}${seed}` };
 }
--- a/packages/soak/src/callerDraw.ts
+++ b/packages/soak/src/requestGenerator.ts
@@ -9,7 +9,7 @@
 } from "./workspacePlan.js";
 
 /** What a caller says of itself. */
-export interface CallerSign {
+export interface CallerCredentials {
     /** `undefined` where it sends none. */
     readonly key: SoakKey | undefined;
     /** A workspace's name that it makes up; `undefined` where it doesn't. */
@@ -17,12 +17,12 @@
 }
 
 /** What a request of a run with workspaces has besides those of other runs. */
-export interface DrawnCaller {
-    readonly sign: CallerSign;
+export interface GeneratedRequest {
+    readonly credentials: CallerCredentials;
     /** Takes the place of the route that was drawn for every run. */
     readonly route: SoakRoute | undefined;
     /** Length of the answer that a request on the large route asks for. */
-    readonly answerBytes: number;
+    readonly responseBytes: number;
 }
 
 const keylessShare = 0.03;
@@ -40,7 +40,7 @@
 const seedFactor = 0x2545_f491;
 
 /** Draws callers' keys and the routes that only runs with workspaces have, apart from everything else in a run. */
-export class CallerDraw {
+export class RequestGenerator {
     readonly #plan: PlannedWorkspaces;
     readonly #random: RandomSource;
 
@@ -50,15 +50,15 @@
     }
 
     /** @param workspaces - of the version that was acknowledged last */
-    draw(workspaces: readonly SoakWorkspace[]): DrawnCaller {
+    next(workspaces: readonly SoakWorkspace[]): GeneratedRequest {
         const random = this.#random;
         const key = this.#drawKey(workspaces, random.next(), random.next());
         const claims = random.next() < claimShare;
         const way = random.next();
         return {
-            sign: { key, claimedWorkspace: claims ? "birch" : undefined },
+            credentials: { key, claimedWorkspace: claims ? "birch" : undefined },
             route: way < openShare ? "open" : way < openShare + largeShare ? "large" : undefined,
-            answerBytes: Math.floor(largestAnswerBytes * random.next() ** answerSkew),
+            responseBytes: Math.floor(largestAnswerBytes * random.next() ** answerSkew),
         };
     }
 
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -4,27 +4,27 @@
 import { mkdirSync, rmSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
-import { CallerDraw } from "./callerDraw.js";
+import { RequestGenerator } from "./requestGenerator.js";
 import { checkSoak } from "./checks.js";
-import { calmMs, limitsAreKept, requestsPerSecond, services, settleMs } from "./constants.js";
-import { planDeadlyRequests, type PlannedDeadlyRequests } from "./deadlyPlan.js";
-import { planDrills } from "./drillPlan.js";
+import { recoveryPhaseMs, enforcesWorkspaceLimits, requestsPerSecond, services, startupSettleMs } from "./constants.js";
+import { planQueryOfDeath, type PlannedQueryOfDeath } from "./queryOfDeathPlan.js";
+import { planStoreRestores } from "./storeRestorePlan.js";
 import { type Fault } from "./faults.js";
-import { renderLargePath } from "./largeAnswers.js";
-import { planCuts } from "./cutPlan.js";
-import { planLimit } from "./limitPlan.js";
-import { planNotices } from "./noticePlan.js";
-import { findKeys, findKeysInFiles, findKeysInMetrics } from "./keySearch.js";
-import { planFaults } from "./plan.js";
+import { renderLargeResponsePath } from "./largeResponses.js";
+import { planPartitions } from "./partitionPlan.js";
+import { planServerLimit } from "./serverLimitPlan.js";
+import { planServerMetadata } from "./serverMetadataPlan.js";
+import { findLeakedKeys, findLeakedKeysInFiles, findLeakedKeysInMetrics } from "./leakedKeys.js";
+import { planFaults } from "./faultPlan.js";
 import { planRollout } from "./rolloutPlan.js";
-import { pathOf, type SoakRoute } from "./soakConfiguration.js";
+import { routePathPrefixes, type SoakRoute } from "./soakConfiguration.js";
 import { type SoakEdge } from "./soakEdge.js";
-import { rollOut } from "./soakRollout.js";
+import { runRollout } from "./soakRollout.js";
 import { type SoakSystem } from "./soakSystem.js";
-import { cutGateways } from "./soakCuts.js";
-import { giveNotices, nameLimit } from "./soakNotices.js";
-import { SoakWorld } from "./soakWorld.js";
-import { machineNow } from "./spans.js";
+import { partitionGateways } from "./soakPartitions.js";
+import { applyServerMetadata, applyServerLimit } from "./soakServerMetadata.js";
+import { SoakFleet } from "./soakFleet.js";
+import { monotonicNow } from "./faultWindows.js";
 import { type PlannedOverload, planWorkspaces } from "./workspacePlan.js";
 
 /** What one run found. */
@@ -70,41 +70,44 @@
     rmSync(dir, { recursive: true, force: true });
     mkdirSync(dir, { recursive: true });
     const result = await play({ ...options, dir });
-    return { ...result, findings: [...result.findings, ...findKeysInFiles(dir)] };
+    return { ...result, findings: [...result.findings, ...findLeakedKeysInFiles(dir)] };
 }
 
 async function play(
     { system, seed, dir, faults = planFaults(seed), cuts = false, drills = false }: SoakOptions,
 ): Promise<SoakResult> {
-    const workspaces = planWorkspaces(seed, limitsAreKept);
-    const world = await SoakWorld.start(system, dir, seed, workspaces?.first);
+    const workspaces = planWorkspaces(seed, enforcesWorkspaceLimits);
+    const world = await SoakFleet.start(system, dir, seed, workspaces?.initial);
     const abort = (): void => world.abort();
     process.once("exit", abort);
     try {
-        await sleep(settleMs);
+        await sleep(startupSettleMs);
         const load = new SoakLoad(
             world,
             createRandomSource(seed + 2),
-            workspaces && new CallerDraw(workspaces, seed),
+            workspaces && new RequestGenerator(workspaces, seed),
         );
         const faultsOver = Promise.all(faults.map(async fault => {
             await sleep(fault.atMs);
-            await world.apply(fault);
+            await world.injectFault(fault);
         }));
         const rollout = planRollout(seed, services);
         const rolloutOver = rollout === undefined
             ? Promise.resolve([])
-            : sleep(rollout.atMs).then(() => rollOut(world, system, rollout));
+            : sleep(rollout.atMs).then(() => runRollout(world, system, rollout));
         // Servers of a version that is rolled out are not replaced: callers that end them would leave none.
-        const deadly = rollout === undefined ? planDeadlyRequests(seed, pathOf.read) : undefined;
+        const deadly = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
         const deadlyOver = load.sendDeadly(deadly);
-        const limit = planLimit(seed);
-        const limitOver = limit === undefined ? Promise.resolve() : nameLimit(world, limit);
+        const limit = planServerLimit(seed);
+        const limitOver = limit === undefined ? Promise.resolve() : applyServerLimit(world, limit);
         // Servers of a version that is rolled out must not leave by themselves either.
-        const { rest, leaving } = planNotices(seed);
-        const noticesOver = giveNotices(world, { rest, leaving: rollout === undefined ? leaving : undefined });
-        const cutsOver = cutGateways(world, cuts ? planCuts(seed) : []);
-        const drillsOver = Promise.all((drills ? planDrills(seed) : []).map(async drill => {
+        const { backoff, leaving } = planServerMetadata(seed);
+        const noticesOver = applyServerMetadata(world, {
+            backoff,
+            leaving: rollout === undefined ? leaving : undefined,
+        });
+        const cutsOver = partitionGateways(world, cuts ? planPartitions(seed) : []);
+        const drillsOver = Promise.all((drills ? planStoreRestores(seed) : []).map(async drill => {
             await sleep(drill.atMs);
             await world.restoreStore(drill);
         }));
@@ -132,19 +135,19 @@
         );
         const findings = checkSoak({
             history,
-            harmed: world.harmed,
+            faultWindows: world.faultWindows,
             edges: world.edges,
-            serviceOf: new Map(world.backends.map(({ place }) => [place.id, place.service])),
+            serviceOf: new Map(world.backends.map(({ info }) => [info.id, info.service])),
             findings: [
                 ...rolloutFindings,
                 ...world.edges.flatMap(edge => edge.findings),
-                ...findKeys("the history", JSON.stringify(history)),
-                ...await findKeysInMetrics(world),
+                ...findLeakedKeys("the history", JSON.stringify(history)),
+                ...await findLeakedKeysInMetrics(world),
             ],
             endedAtMs,
         });
-        const ends = world.edges.flatMap(edge => edge.ends);
-        const served = ends.filter(({ end }) => end.status === 200).length;
+        const ends = world.edges.flatMap(edge => edge.outcomes);
+        const served = ends.filter(({ outcome }) => outcome.status === 200).length;
         return {
             seed,
             faults,
@@ -169,14 +172,14 @@
 
 /** Callers' load on all gateways. */
 class SoakLoad {
-    readonly #world: SoakWorld;
+    readonly #world: SoakFleet;
     readonly #random: RandomSource;
     /** `undefined` in a run without workspaces. */
-    readonly #callers: CallerDraw | undefined;
+    readonly #callers: RequestGenerator | undefined;
     readonly #open = new Set<Promise<void>>();
     #sent = 0;
 
-    constructor(world: SoakWorld, random: RandomSource, callers: CallerDraw | undefined) {
+    constructor(world: SoakFleet, random: RandomSource, callers: RequestGenerator | undefined) {
         this.#world = world;
         this.#random = random;
         this.#callers = callers;
@@ -191,31 +194,31 @@
     async run(faultsOver: Promise<unknown>): Promise<number> {
         let untilMs = Infinity;
         const onOver = (): void => {
-            untilMs = machineNow() + calmMs;
+            untilMs = monotonicNow() + recoveryPhaseMs;
         };
         faultsOver.then(onOver, onOver);
-        while (machineNow() < untilMs) {
-            const { load, hangUpShare } = this.#world.mood;
-            this.#send(this.#random.next() < hangUpShare);
-            await sleep(this.#random.next() * 2_000 / (requestsPerSecond * load));
+        while (monotonicNow() < untilMs) {
+            const { loadFactor, earlyDisconnectShare } = this.#world.callerBehavior;
+            this.#send(this.#random.next() < earlyDisconnectShare);
+            await sleep(this.#random.next() * 2_000 / (requestsPerSecond * loadFactor));
         }
-        const stoppedAtMs = machineNow();
+        const stoppedAtMs = monotonicNow();
         await Promise.all(this.#open);
         return stoppedAtMs;
     }
 
     /** Sends the run's deadly requests, each when it is due. */
-    async sendDeadly(plan: PlannedDeadlyRequests | undefined): Promise<void> {
-        await Promise.all((plan?.atMs ?? []).map(async (atMs, i) => {
+    async sendDeadly(plan: PlannedQueryOfDeath | undefined): Promise<void> {
+        await Promise.all((plan?.sendTimesMs ?? []).map(async (atMs, i) => {
             await sleep(atMs);
             const path = plan?.path;
             const key = this.#world.workspaces.flatMap(({ keys }) => keys)[0];
-            const sign = key && { key, claimedWorkspace: undefined };
+            const credentials = key && { key, claimedWorkspace: undefined };
             const asked = {
                 requestId: `deadly${i}`,
                 route: "read",
-                hangsUp: false,
-                sign,
+                disconnectsEarly: false,
+                credentials: credentials,
                 path,
                 contentId: path,
             } as const;
@@ -228,15 +231,17 @@
         if (plan === undefined) {
             return;
         }
-        const { atMs, forMs, perSecond, key } = plan;
+        const { atMs, durationMs, perSecond, key } = plan;
         await sleep(atMs);
-        const untilMs = machineNow() + forMs;
-        for (let i = 1; machineNow() < untilMs; i++) {
+        const untilMs = monotonicNow() + durationMs;
+        for (let i = 1; monotonicNow() < untilMs; i++) {
             const sign = { key, claimedWorkspace: undefined };
             const edges = this.#findEdges();
             const caller = edges[i % edges.length]?.caller;
             if (caller !== undefined) {
-                this.#track(caller.send({ requestId: `over${i}`, route: "read", hangsUp: false, sign }));
+                this.#track(
+                    caller.send({ requestId: `over${i}`, route: "read", disconnectsEarly: false, credentials: sign }),
+                );
             }
             await sleep(1_000 / perSecond);
         }
@@ -245,13 +250,13 @@
     #send(hangsUp: boolean): void {
         const caller = this.#pickEdge().caller;
         const usual = routes[this.#random.nextInt(routes.length)] ?? "read";
-        const { sign, route = usual, answerBytes = 0 } = this.#callers?.draw(this.#world.workspaces) ?? {};
+        const { credentials, route = usual, responseBytes = 0 } = this.#callers?.next(this.#world.workspaces) ?? {};
         if (caller === undefined) {
             return;
         }
         const requestId = `r${++this.#sent}`;
-        const path = route === "large" ? renderLargePath(requestId, answerBytes) : undefined;
-        this.#track(caller.send({ requestId, route, hangsUp, sign, path }));
+        const path = route === "large" ? renderLargeResponsePath(requestId, responseBytes) : undefined;
+        this.#track(caller.send({ requestId, route, disconnectsEarly: hangsUp, credentials: credentials, path }));
     }
 
     #track(sending: Promise<void>): void {
--- a/packages/soak/src/inOrder.ts
+++ b/packages/soak/src/serialExecutor.ts
@@ -1,5 +1,5 @@
 /** Runs pieces of work one after the other, in the order in which they are given. */
-export class InOrder {
+export class SerialExecutor {
     #last: Promise<unknown> = Promise.resolve();
 
     /** @returns what the work gave, once all that was given before has ended and it has too */
--- a/packages/soak/src/serverNames.ts
+++ b/packages/soak/src/serverCodec.ts
@@ -1,7 +1,7 @@
 import { type IncomingHttpHeaders } from "node:http";
 
 /** What a request says to a backend server. */
-export interface ArrivedRequest {
+export interface ReceivedRequest {
     readonly requestId: string;
     /** The only server that may run it; `undefined` where any may. */
     readonly expectedServer: string | undefined;
@@ -24,18 +24,18 @@
 }
 
 /** The names that a backend server of the system under test uses on the wire. */
-export abstract class ServerNames {
+export abstract class ServerCodec {
     abstract readonly healthPath: string;
-    abstract readRequest(headers: IncomingHttpHeaders): ArrivedRequest;
+    abstract readRequest(headers: IncomingHttpHeaders): ReceivedRequest;
     abstract renderState(state: ServerState): Readonly<Record<string, string>>;
     /** @returns headers of an answer to a request that ran */
-    abstract renderRan(requestId: string, signed: boolean): Readonly<Record<string, string>>;
+    abstract renderDidRun(requestId: string, signed: boolean): Readonly<Record<string, string>>;
     /** @returns headers that name a limit, in requests a second */
     abstract renderLimit(perSecond: number): Readonly<Record<string, string>>;
     /** @returns headers that ask for rest, with an answer that turns a request away */
-    abstract renderRest(seconds: number): Readonly<Record<string, string>>;
+    abstract renderBackoff(seconds: number): Readonly<Record<string, string>>;
     /** @returns headers that say that the server leaves */
     abstract renderLeaving(): Readonly<Record<string, string>>;
     /** @returns headers of an answer to a request that has not run and never will */
-    abstract renderNotRun(requestId: string): Readonly<Record<string, string>>;
+    abstract renderDidNotRun(requestId: string): Readonly<Record<string, string>>;
 }
--- a/packages/soak/src/limitPlan.ts
+++ b/packages/soak/src/serverLimitPlan.ts
@@ -1,11 +1,11 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 
 /** A server of a run that names a limit for a while. */
-export interface PlannedLimit {
+export interface PlannedServerLimit {
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly forMs: number;
+    readonly durationMs: number;
     /** Which server: taken modulo their number. */
     readonly target: number;
     /** Requests a second that it takes from all gateways together. */
@@ -25,7 +25,7 @@
  * @param seed - of the run
  * @returns the limit, or `undefined` for a run without one
  */
-export function planLimit(seed: number): PlannedLimit | undefined {
+export function planServerLimit(seed: number): PlannedServerLimit | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
     if (random.next() >= limitShare) {
         return undefined;
@@ -33,7 +33,7 @@
     const atMs = random.next() * latestMs;
     return {
         atMs,
-        forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
+        durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
         target: random.nextInt(1_000),
         perSecond: Math.round(10 * (0.3 + random.next() * largest)) / 10,
     };
--- a/packages/soak/src/noticePlan.ts
+++ b/packages/soak/src/serverMetadataPlan.ts
@@ -1,14 +1,14 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 
 /** A server of a run that turns gateways away for a while, and asks each for rest. */
-export interface PlannedRest {
+export interface PlannedBackoff {
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly forMs: number;
+    readonly durationMs: number;
     /** Which server: taken modulo their number. */
     readonly target: number;
-    readonly restSeconds: number;
+    readonly backoffSeconds: number;
 }
 
 /** A server of a run that says in its answers that it leaves, to its end, and never to the store. */
@@ -18,8 +18,8 @@
 }
 
 /** What servers of a run say of themselves. */
-export interface PlannedNotices {
-    readonly rest: PlannedRest | undefined;
+export interface PlannedServerMetadata {
+    readonly backoff: PlannedBackoff | undefined;
     readonly leaving: PlannedLeaving | undefined;
 }
 
@@ -38,18 +38,18 @@
  * @param seed - of the run
  * @returns the same for the same seed
  */
-export function planNotices(seed: number): PlannedNotices {
+export function planServerMetadata(seed: number): PlannedServerMetadata {
     const random = createRandomSource(Math.imul(seed, seedFactor));
     const rests = random.next() < restShare;
     const leaves = random.next() < leavingShare;
     const atMs = random.next() * latestMs;
     const seconds = shortestRestSeconds + (longestRestSeconds - shortestRestSeconds) * random.next();
-    const rest: PlannedRest = {
+    const rest: PlannedBackoff = {
         atMs,
-        forMs: shortestMs + random.next() * (faultyMs - shortestMs - atMs),
+        durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
         target: random.nextInt(1_000),
-        restSeconds: Math.round(10 * seconds) / 10,
+        backoffSeconds: Math.round(10 * seconds) / 10,
     };
     const leaving: PlannedLeaving = { atMs: random.next() * latestMs, target: random.nextInt(1_000) };
-    return { rest: rests ? rest : undefined, leaving: leaves ? leaving : undefined };
+    return { backoff: rests ? rest : undefined, leaving: leaves ? leaving : undefined };
 }
--- a/packages/soak/src/soakBackend.ts
+++ b/packages/soak/src/soakBackend.ts
@@ -4,10 +4,10 @@
 import { request } from "undici";
 import { serverSlots } from "./constants.js";
 import { FaultProxy } from "./faultProxy.js";
-import { type ServerTrouble, type SoakSystem, soundServer } from "./soakSystem.js";
+import { type ServerFaults, type SoakSystem, noServerFaults } from "./soakSystem.js";
 
 /** Where a backend server of a run stands. */
-export interface BackendPlace {
+export interface BackendInfo {
     readonly id: string;
     readonly service: string;
     readonly availabilityZone: string;
@@ -17,24 +17,24 @@
 
 /** One start of one backend server, behind the proxy through which all gateways reach it. */
 export class SoakBackend {
-    readonly place: BackendPlace;
+    readonly info: BackendInfo;
     readonly proxy: FaultProxy;
     readonly historyPath: string;
     readonly #process: StartedProcess;
     readonly #startedAtEpochMs = Date.now();
-    readonly #troubles: Partial<ServerTrouble>[] = [];
+    readonly #troubles: Partial<ServerFaults>[] = [];
 
-    private constructor(place: BackendPlace, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
-        this.place = place;
+    private constructor(place: BackendInfo, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
+        this.info = place;
         this.proxy = proxy;
         this.historyPath = historyPath;
         this.#process = process;
     }
 
-    static async start(place: BackendPlace, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
+    static async start(place: BackendInfo, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
         const historyPath = join(dir, `${place.id}.history`);
         const { id, service, availabilityZone } = place;
-        const program = system.resolveServer({ id, service, availabilityZone, historyPath, seed });
+        const program = system.resolveServerProgram({ id, service, availabilityZone, historyPath, seed });
         const process = await startProcess({ name: place.id, ...program });
         const proxy = await FaultProxy.start(Number(new URL(process.url).port));
         // The port of a server that has ended refuses, as without a proxy.
@@ -43,9 +43,9 @@
     }
 
     /** @returns what it writes into the store */
-    register(state: RegisteredServer["state"], coldRemainingMs: number): RegisteredServer {
+    createRegistration(state: RegisteredServer["state"], coldRemainingMs: number): RegisteredServer {
         return {
-            ...this.place,
+            ...this.info,
             address: { host: "127.0.0.1", port: this.proxy.port },
             slots: serverSlots,
             state,
@@ -55,7 +55,7 @@
     }
 
     /** Begins a trouble. @returns ends it */
-    async trouble(trouble: Partial<ServerTrouble>): Promise<() => Promise<void>> {
+    async injectFaults(trouble: Partial<ServerFaults>): Promise<() => Promise<void>> {
         this.#troubles.push(trouble);
         await this.#order(0);
         return async () => {
@@ -64,7 +64,7 @@
         };
     }
 
-    turnCold(forMs: number): Promise<void> {
+    setCold(forMs: number): Promise<void> {
         return this.#order(forMs);
     }
 
@@ -96,8 +96,8 @@
     }
 
     async #order(coldMs: number): Promise<void> {
-        const trouble = this.#troubles.reduce<ServerTrouble>((sum, each) => ({ ...sum, ...each }), soundServer);
-        const order: ServerTrouble = { ...trouble, coldMs };
+        const trouble = this.#troubles.reduce<ServerFaults>((sum, each) => ({ ...sum, ...each }), noServerFaults);
+        const order: ServerFaults = { ...trouble, coldMs };
         if (this.#hasEnded()) {
             return;
         }
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -1,11 +1,11 @@
 import { type HistoryRecorder } from "@galenaglade/stand-ins";
 import { type RandomSource } from "@galenaglade/routing";
 import { Agent } from "undici";
-import { type CallerSign } from "./callerDraw.js";
-import { heldSlackMs, patienceMs, routeTimeoutMs } from "./constants.js";
-import { authority, pathOf, type SoakRoute } from "./soakConfiguration.js";
+import { type CallerCredentials } from "./requestGenerator.js";
+import { hangToleranceMs, patienceMs, routeTimeoutMs } from "./constants.js";
+import { authority, routePathPrefixes, type SoakRoute } from "./soakConfiguration.js";
 import { type SoakSystem } from "./soakSystem.js";
-import { machineNow } from "./spans.js";
+import { monotonicNow } from "./faultWindows.js";
 
 /** Statuses that promise that the request has not run and never will. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
@@ -26,19 +26,19 @@
     /** Whether the caller could connect at all. */
     readonly connected: boolean;
     /** Whether an answer began and didn't come to its end. */
-    readonly brokenOff: boolean;
+    readonly truncated: boolean;
 }
 
 /** How one request ended for its caller. */
-export interface CallerEnd extends Received {
+export interface RequestOutcome extends Received {
     readonly requestId: string;
     readonly route: SoakRoute;
     readonly sentAtMs: number;
     readonly endedAtMs: number;
     /** Whether it left early. */
-    readonly hungUp: boolean;
+    readonly disconnectedEarly: boolean;
     /** Whether it waited in vain. */
-    readonly gaveUp: boolean;
+    readonly timedOut: boolean;
 }
 
 /** What a caller asks. */
@@ -46,9 +46,9 @@
     readonly requestId: string;
     readonly route: SoakRoute;
     /** Whether it leaves early. */
-    readonly hangsUp: boolean;
+    readonly disconnectsEarly: boolean;
     /** `undefined` in runs without workspaces. */
-    readonly sign?: CallerSign | undefined;
+    readonly credentials?: CallerCredentials | undefined;
     /** By itself one that no other request has. */
     readonly path?: string | undefined;
     /** The same for requests that ask the same of a server; `undefined` where no other request does. */
@@ -63,7 +63,7 @@
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
     readonly #kept = new Agent({ connections: 8, connect: { timeout: connectTimeoutMs } });
-    readonly #ends: CallerEnd[] = [];
+    readonly #ends: RequestOutcome[] = [];
 
     constructor(
         gateway: string,
@@ -79,20 +79,20 @@
         this.#random = random;
     }
 
-    get ends(): readonly CallerEnd[] {
+    get outcomes(): readonly RequestOutcome[] {
         return this.#ends;
     }
 
     /** Sends one request and waits for its end, which it never fails. */
     async send(asked: CallerRequest): Promise<void> {
-        const { requestId, route, hangsUp } = asked;
+        const { requestId, route, disconnectsEarly } = asked;
         const fresh = this.#random.next() < freshShare;
         const agent = fresh ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#kept;
         const givesUp = new AbortController();
         // Past its patience and what is allowed beyond it: whoever is silent for so long holds the request.
-        const waitMs = hangsUp ? this.#random.next() * hangUpMs : routeTimeoutMs + heldSlackMs;
+        const waitMs = disconnectsEarly ? this.#random.next() * hangUpMs : routeTimeoutMs + hangToleranceMs;
         const timer = setTimeout(() => givesUp.abort(), waitMs);
-        const sentAtMs = machineNow();
+        const sentAtMs = monotonicNow();
         const got = await this.#request(agent, asked, givesUp.signal);
         clearTimeout(timer);
         this.#ends.push({
@@ -100,9 +100,9 @@
             requestId,
             route,
             sentAtMs,
-            endedAtMs: machineNow(),
-            hungUp: hangsUp,
-            gaveUp: givesUp.signal.aborted && !hangsUp,
+            endedAtMs: monotonicNow(),
+            disconnectedEarly: disconnectsEarly,
+            timedOut: givesUp.signal.aborted && !disconnectsEarly,
         });
         if (fresh) {
             await agent.destroy();
@@ -115,7 +115,7 @@
 
     async #request(
         agent: Agent,
-        { requestId, route, sign, path, contentId }: CallerRequest,
+        { requestId, route, credentials, path, contentId }: CallerRequest,
         signal: AbortSignal,
     ): Promise<Received> {
         const idempotent = route !== "file";
@@ -127,7 +127,7 @@
             contentId,
             gateway: this.#gateway,
             patienceMs,
-            keyId: sign?.key?.id,
+            keyId: credentials?.key?.id,
             open: route === "open",
         });
         let hasBegun = false;
@@ -135,8 +135,8 @@
             const res = await agent.request({
                 origin: this.#url,
                 method: idempotent ? "GET" : "POST",
-                path: path ?? `${pathOf[route]}${requestId}`,
-                headers: { host: authority, ...this.#system.renderRequest(requestId, patienceMs, sign) },
+                path: path ?? `${routePathPrefixes[route]}${requestId}`,
+                headers: { host: authority, ...this.#system.renderRequestHeaders(requestId, patienceMs, credentials) },
                 body: idempotent ? null : `return ${requestId}`,
                 signal,
                 headersTimeout: 0,
@@ -146,12 +146,12 @@
             const body = await res.body.text();
             this.#recordAnswer(requestId, res.statusCode, res.headers, body);
             const retryAfter = readText(res.headers["retry-after"]);
-            return { status: res.statusCode, retryAfter, connected: true, brokenOff: false };
+            return { status: res.statusCode, retryAfter, connected: true, truncated: false };
         }
         catch (err) {
             this.#history.record({ type: signal.aborted ? "callerGaveUp" : "callerCutOff", requestId });
             const connected = !isConnectFailure(err);
-            return { status: undefined, retryAfter: undefined, connected, brokenOff: hasBegun };
+            return { status: undefined, retryAfter: undefined, connected, truncated: hasBegun };
         }
     }
 
@@ -161,10 +161,10 @@
         headers: Readonly<Record<string, string | readonly string[] | undefined>>,
         body: string,
     ): void {
-        const marks = this.#system.readAnswer(headers);
+        const marks = this.#system.parseResponseHeaders(headers);
         const own = status === okStatus ? findRequestId(body) : undefined;
         const server = status === okStatus ? findServer(body) : undefined;
-        if (marks.limited && server !== undefined) {
+        if (marks.hasLimit && server !== undefined) {
             this.#history.record({ type: "limitPassedOn", gateway: this.#gateway, server });
         }
         if (marks.leaving && server !== undefined) {
--- a/packages/soak/src/soakConfiguration.ts
+++ b/packages/soak/src/soakConfiguration.ts
@@ -1,17 +1,17 @@
 import { type FleetConfiguration, type Route } from "@galenaglade/fleet-state";
 import { stringify } from "yaml";
 import {
-    asksPerServerAndSecond,
+    maxProbesPerServerAndSecond,
     coldRequestsPerSecond,
     exposureShare,
-    graceMs,
+    stopGraceMs,
     objectiveMs,
     repeatRatio,
     repeatSlack,
     repeatWindowMs,
     routeTimeoutMs,
     services,
-    shortestLeaseSeconds,
+    minLeaseSeconds,
 } from "./constants.js";
 import { type SoakWorkspace } from "./workspacePlan.js";
 
@@ -21,7 +21,7 @@
 /** The kinds of request that callers send. */
 export type SoakRoute = "read" | "file" | "moving" | "open" | "large";
 
-export const pathOf: Readonly<Record<SoakRoute, string>> = Object.freeze({
+export const routePathPrefixes: Readonly<Record<SoakRoute, string>> = Object.freeze({
     read: "/tables/read/",
     file: "/returns/file/",
     moving: "/moving/",
@@ -30,7 +30,7 @@
 });
 
 /** @returns the service that serves a route under one version; the moving one goes to another with each version */
-export function serviceOf(route: SoakRoute, version: number): string {
+export function resolveRouteService(route: SoakRoute, version: number): string {
     switch (route) {
         case "read":
         case "open":
@@ -88,13 +88,13 @@
     return {
         name,
         authority,
-        pathPrefix: pathOf[name],
+        pathPrefix: routePathPrefixes[name],
         idempotent,
         maximumRuns: 2,
         timeoutMs: routeTimeoutMs,
         objectiveMs,
         priority: 1,
-        destinations: [{ service: serviceOf(name, version), weight: 1 }],
+        destinations: [{ service: resolveRouteService(name, version), weight: 1 }],
     };
 }
 
@@ -124,10 +124,10 @@
             metrics: `127.0.0.1:${ports.metrics}`,
         },
         servers: { connectFrom: serversFrom },
-        store: { address: `127.0.0.1:${storePort}`, shortestLeaseSeconds },
-        stopping: { graceSeconds: graceMs / 1_000 },
+        store: { address: `127.0.0.1:${storePort}`, shortestLeaseSeconds: minLeaseSeconds },
+        stopping: { graceSeconds: stopGraceMs / 1_000 },
         repeats: { ratio: repeatRatio, slack: repeatSlack, windowSeconds: repeatWindowMs / 1_000 },
-        asking: { perServerAndSecond: asksPerServerAndSecond },
+        asking: { perServerAndSecond: maxProbesPerServerAndSecond },
         rollouts: { exposureShare },
     });
 }
--- a/packages/soak/src/soakEdge.ts
+++ b/packages/soak/src/soakEdge.ts
@@ -4,12 +4,12 @@
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import { graceMs } from "./constants.js";
+import { stopGraceMs } from "./constants.js";
 import { FaultProxy } from "./faultProxy.js";
-import { type CallerEnd, SoakCaller } from "./soakCaller.js";
+import { type RequestOutcome, SoakCaller } from "./soakCaller.js";
 import { type EdgePorts, renderEdgeSettings } from "./soakConfiguration.js";
 import { type SoakSystem } from "./soakSystem.js";
-import { machineNow, Spans } from "./spans.js";
+import { monotonicNow, FaultWindows } from "./faultWindows.js";
 
 /** Time beyond the grace time until a process that doesn't stop is killed, and is reported. */
 const killSlackMs = 1_500;
@@ -31,9 +31,9 @@
     readonly name: string;
     readonly storeProxy: FaultProxy;
     /** The address from which it calls backend servers, by which their proxies tell gateways apart. */
-    readonly serversFrom: string;
+    readonly sourceAddress: string;
     /** When it was stopped, paused or killed: what callers got then proves nothing. */
-    readonly harmed = new Spans();
+    readonly faultWindows = new FaultWindows();
     readonly findings: string[] = [];
     readonly #system: SoakSystem;
     readonly #random: RandomSource;
@@ -52,7 +52,7 @@
     }) {
         this.name = name;
         this.storeProxy = more.storeProxy;
-        this.serversFrom = more.serversFrom;
+        this.sourceAddress = more.serversFrom;
         this.#system = system;
         this.#random = random;
         this.#logPath = join(dir, `${name}.log`);
@@ -92,9 +92,9 @@
     }
 
     /** What callers of all lives got. */
-    get ends(): readonly { readonly end: CallerEnd; readonly killed: boolean; }[] {
+    get outcomes(): readonly { readonly outcome: RequestOutcome; readonly killed: boolean; }[] {
         return this.#lives.flatMap(({ caller, ending }) =>
-            caller.ends.map(end => ({ end, killed: ending === "killed" }))
+            caller.outcomes.map(outcome => ({ outcome: outcome, killed: ending === "killed" }))
         );
     }
 
@@ -123,16 +123,16 @@
             return;
         }
         life.ending = "asked";
-        const endHarm = this.harmed.begin(machineNow());
-        const beganAtMs = machineNow();
-        const exit = await life.process.stop(graceMs + killSlackMs);
-        const tookMs = Math.round(machineNow() - beganAtMs);
+        const endHarm = this.faultWindows.begin(monotonicNow());
+        const beganAtMs = monotonicNow();
+        const exit = await life.process.stop(stopGraceMs + killSlackMs);
+        const tookMs = Math.round(monotonicNow() - beganAtMs);
         // Asked again: it may have been killed by another fault meanwhile.
-        if (this.#wasAsked(life) && (exit.code !== 0 || tookMs > graceMs)) {
+        if (this.#wasAsked(life) && (exit.code !== 0 || tookMs > stopGraceMs)) {
             this.findings.push(`${this.name} ended its planned stop with ${JSON.stringify(exit)} after ${tookMs} ms`);
         }
         await this.#liveAgain(life, downMs);
-        endHarm(machineNow());
+        endHarm(monotonicNow());
     }
 
     /** Ends without warning, and the next life after a while. */
@@ -143,26 +143,26 @@
         }
         const isStopping = life.ending === "asked";
         life.ending = "killed";
-        const endHarm = this.harmed.begin(machineNow());
+        const endHarm = this.faultWindows.begin(monotonicNow());
         life.process.kill();
         await life.process.exited;
         if (!isStopping) {
             await this.#liveAgain(life, downMs);
         }
-        endHarm(machineNow());
+        endHarm(monotonicNow());
     }
 
     /** Stands still for a while. */
     async pause(forMs: number): Promise<void> {
         const process = this.#lives.at(-1)?.process;
-        const endHarm = this.harmed.begin(machineNow());
+        const endHarm = this.faultWindows.begin(monotonicNow());
         process?.pause();
         await sleep(forMs);
         process?.resume();
-        endHarm(machineNow());
+        endHarm(monotonicNow());
     }
 
-    hangUp(): void {
+    sendSighup(): void {
         this.#lives.at(-1)?.process.hangUp();
     }
 
@@ -198,7 +198,7 @@
     }
 
     async #live(): Promise<void> {
-        const { script, args, env, nodeFlags } = this.#system.resolveEdge(this.#settingsPath);
+        const { script, args, env, nodeFlags } = this.#system.resolveEdgeProgram(this.#settingsPath);
         const process = await startProcess({
             name: this.name,
             script,
--- a/packages/soak/src/soakWorld.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -4,24 +4,30 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import {
     applyMs,
-    coldMs,
+    coldDurationMs,
     edgeCount,
-    firstServerVersion,
-    gatewayZones,
+    initialServerVersion,
+    gatewayZoneCount,
     serversPerService,
     services,
 } from "./constants.js";
-import { type PlannedDrill } from "./drillPlan.js";
+import { type PlannedStoreRestore } from "./storeRestorePlan.js";
 import { type Fault, type LinkFault } from "./faults.js";
 import { createSoakConfiguration } from "./soakConfiguration.js";
 import { SoakEdge } from "./soakEdge.js";
 import { SoakStore } from "./soakStore.js";
 import { zoneAt } from "./soakZones.js";
-import { type ServerTrouble, type SoakSystem, type StoreTrouble, type StoreWrite, rewriteMs } from "./soakSystem.js";
-import { ActiveCuts } from "./soakCuts.js";
+import {
+    type ServerFaults,
+    type SoakSystem,
+    type StoreFaults,
+    type StoreWrite,
+    maxRewriteDelayMs,
+} from "./soakSystem.js";
+import { ActivePartitions } from "./soakPartitions.js";
 import { SoakBackend } from "./soakBackend.js";
-import { harmLink, harmServer } from "./harm.js";
-import { machineNow, Spans } from "./spans.js";
+import { injectLinkFault, injectServerFaults } from "./faultInjection.js";
+import { monotonicNow, FaultWindows } from "./faultWindows.js";
 import { type SoakWorkspace } from "./workspacePlan.js";
 
 /** A process that is gone without a word keeps its entry for about this long, in milliseconds. */
@@ -37,25 +43,25 @@
 const firstVersion = 2;
 
 /** How callers behave at a moment. */
-export interface CallerMood {
+export interface CallerBehavior {
     /** Times the usual number of requests. */
-    readonly load: number;
+    readonly loadFactor: number;
     /** Share of the callers who leave early. */
-    readonly hangUpShare: number;
+    readonly earlyDisconnectShare: number;
 }
 
 /** All processes of a run, and what is done to them. */
-export class SoakWorld {
+export class SoakFleet {
     readonly history = new MemoryHistory("operator");
     /** When the store, a gateway or a way between them was harmed, or a way to a server. */
-    readonly harmed = new Spans();
+    readonly faultWindows = new FaultWindows();
     readonly backends: SoakBackend[] = [];
     readonly edges: SoakEdge[] = [];
     readonly #system: SoakSystem;
     readonly #dir: string;
     readonly #random: RandomSource;
     readonly #store: SoakStore;
-    readonly #cuts = new ActiveCuts();
+    readonly #cuts = new ActivePartitions();
     readonly #live: SoakBackend[] = [];
     readonly #leaving = new Set<SoakBackend>();
     readonly #zonesOut = new Set<string>();
@@ -65,7 +71,7 @@
     #written: Promise<void> = Promise.resolve();
     #started = 0;
     #closed = false;
-    #mood: CallerMood = { load: 1, hangUpShare: 0 };
+    #mood: CallerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
 
     private constructor(system: SoakSystem, dir: string, random: RandomSource, store: SoakStore) {
         this.#system = system;
@@ -84,8 +90,8 @@
         dir: string,
         seed: number,
         workspaces: readonly SoakWorkspace[] | undefined,
-    ): Promise<SoakWorld> {
-        const world = new SoakWorld(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
+    ): Promise<SoakFleet> {
+        const world = new SoakFleet(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
         world.#workspaces = workspaces;
         try {
             await world.#startAll(seed);
@@ -109,7 +115,7 @@
             this.edges.push(
                 await SoakEdge.start(
                     name,
-                    zoneAt(i % gatewayZones),
+                    zoneAt(i % gatewayZoneCount),
                     this.#system,
                     createRandomSource(seed + 10 + i),
                     this.#dir,
@@ -125,83 +131,83 @@
         return this.#acceptedWorkspaces;
     }
 
-    get mood(): CallerMood {
+    get callerBehavior(): CallerBehavior {
         return this.#mood;
     }
 
     /** Carries out one fault, from its beginning to its end. */
-    async apply(fault: Fault): Promise<void> {
-        const { kind, forMs } = fault;
+    async injectFault(fault: Fault): Promise<void> {
+        const { kind, durationMs } = fault;
         await this.#whenServersLive();
         const edge = pick(this.edges, fault.target);
         const backend = pick(this.#live, fault.target);
         switch (kind) {
             case "edgeTerm":
-                return this.#harm(() => edge.restart(forMs));
+                return this.#harm(() => edge.restart(durationMs));
             case "edgeKill":
-                return this.#harm(() => edge.kill(forMs));
+                return this.#harm(() => edge.kill(durationMs));
             case "edgePause":
-                return this.#harm(() => edge.pause(forMs));
+                return this.#harm(() => edge.pause(durationMs));
             case "edgeHup":
-                edge.hangUp();
+                edge.sendSighup();
                 return;
             case "allEdgesKill":
                 return this.#harm(async () => {
-                    await Promise.all(this.edges.map(each => each.kill(forMs)));
+                    await Promise.all(this.edges.map(each => each.kill(durationMs)));
                 });
             case "storeLink":
-                return this.#harm(() => harmLink(edge.storeProxy, fault));
+                return this.#harm(() => injectLinkFault(edge.storeProxy, fault));
             case "storeRefuse":
-                return this.#harmStore({ refuses: true }, forMs);
+                return this.#harmStore({ refuses: true }, durationMs);
             case "storeHang":
-                return this.#harmStore({ hangs: true }, forMs);
+                return this.#harmStore({ hangs: true }, durationMs);
             case "storeSlow":
-                return this.#harmStore({ slowMs: storeSlowMs }, forMs);
+                return this.#harmStore({ slowMs: storeSlowMs }, durationMs);
             case "storeLoseAnswers":
-                return this.#harmStore({ losesAnswers: true }, forMs);
+                return this.#harmStore({ losesAnswers: true }, durationMs);
             case "storeCompact":
-                return this.#harm(() => this.#store.order({ compact: true }));
+                return this.#harm(() => this.#store.execute({ compact: true }));
             case "storePause":
                 return this.#harm(async () => {
                     this.#store.pause();
-                    await sleep(forMs);
+                    await sleep(durationMs);
                     this.#store.resume();
                 });
             case "serverLink":
-                return this.#harm(() => harmLink(backend.proxy, fault));
+                return this.#harm(() => injectLinkFault(backend.proxy, fault));
             case "serverKill":
-                return this.#replaceKilled(backend, forMs);
+                return this.#replaceKilled(backend, durationMs);
             case "serverPause":
                 return this.#harm(async () => {
                     backend.pause();
-                    await sleep(forMs);
+                    await sleep(durationMs);
                     backend.resume();
                 });
             case "serverSlow":
-                return harmServer(backend, { slowdown }, forMs);
+                return injectServerFaults(backend, { slowdown }, durationMs);
             case "serverFail":
-                return harmServer(backend, { fails: true }, forMs);
+                return injectServerFaults(backend, { fails: true }, durationMs);
             case "serverShed":
-                return harmServer(backend, { sheds: true }, forMs);
+                return injectServerFaults(backend, { sheds: true }, durationMs);
             case "serverSpoil":
-                return harmServer(backend, { spoils: true }, forMs);
+                return injectServerFaults(backend, { spoils: true }, durationMs);
             case "serverCold":
-                return backend.turnCold(coldMs);
+                return backend.setCold(coldDurationMs);
             case "serverDrain":
-                return this.#replaceDrained(backend, forMs);
+                return this.#replaceDrained(backend, durationMs);
             case "configure":
                 return this.#configure();
             case "zoneOut":
-                return this.#takeZoneOut(zoneAt(fault.target), forMs);
+                return this.#takeZoneOut(zoneAt(fault.target), durationMs);
             case "burst":
-                return this.#changeMood({ load: 5 }, forMs);
+                return this.#changeMood({ loadFactor: 5 }, durationMs);
             case "hangUp":
-                return this.#changeMood({ hangUpShare: 0.4 }, forMs);
+                return this.#changeMood({ earlyDisconnectShare: 0.4 }, durationMs);
         }
     }
 
     /** Gateways reach no backend server for a while. */
-    cutOff(edges: readonly SoakEdge[], link: LinkFault, forMs: number): Promise<void> {
+    partition(edges: readonly SoakEdge[], link: LinkFault, forMs: number): Promise<void> {
         return this.#harm(async () => {
             const end = this.#cuts.begin(edges, this.backends, link);
             await sleep(forMs);
@@ -210,26 +216,26 @@
     }
 
     /** The store is away and comes back from an older copy. */
-    restoreStore({ how, awayMs, copyMs }: PlannedDrill): Promise<void> {
+    restoreStore({ outageKind, outageMs, snapshotAgeMs }: PlannedStoreRestore): Promise<void> {
         return this.#harm(async () => {
-            const end = await this.#store.trouble({ [how]: true });
-            await sleep(awayMs);
-            await this.#store.order({ restoreMs: copyMs });
+            const end = await this.#store.injectFaults({ [outageKind]: true });
+            await sleep(outageMs);
+            await this.#store.execute({ restoreMs: snapshotAgeMs });
             await end();
             // What operators and servers wrote is there again only then.
-            await sleep(rewriteMs);
+            await sleep(maxRewriteDelayMs);
         });
     }
 
     /** @returns a server that has not begun to leave, once there is one */
-    async pickLive(target: number): Promise<SoakBackend> {
+    async pickLiveBackend(target: number): Promise<SoakBackend> {
         await this.#whenServersLive();
         return pick(this.#live, target);
     }
 
     /** @returns the servers of a service and version that have not begun to leave */
-    findLive(service: string, version: string): readonly SoakBackend[] {
-        return this.#live.filter(({ place }) => place.service === service && place.version === version);
+    findLiveBackends(service: string, version: string): readonly SoakBackend[] {
+        return this.#live.filter(({ info }) => info.service === service && info.version === version);
     }
 
     /** Faults and deadly requests may have ended all servers at once; their successors come within seconds. */
@@ -240,8 +246,8 @@
     }
 
     /** Writes to the store as the operator does, past all faults. */
-    operate(write: StoreWrite): Promise<void> {
-        return this.#store.order({ puts: [write] });
+    writeAsOperator(write: StoreWrite): Promise<void> {
+        return this.#store.execute({ puts: [write] });
     }
 
     /** @returns how far a service's roll-out is by the store */
@@ -250,7 +256,7 @@
     }
 
     /** Servers end at once, and their entries lapse. */
-    async endServers(backends: readonly SoakBackend[]): Promise<void> {
+    async killBackends(backends: readonly SoakBackend[]): Promise<void> {
         await Promise.all(
             backends.filter(backend => this.#beginLeaving(backend)).map(async backend => {
                 await backend.kill();
@@ -276,14 +282,14 @@
     }
 
     async #harm(run: () => Promise<void>): Promise<void> {
-        const end = this.harmed.begin(machineNow());
+        const end = this.faultWindows.begin(monotonicNow());
         await run();
-        end(machineNow());
+        end(monotonicNow());
     }
 
-    #harmStore(trouble: Partial<StoreTrouble>, forMs: number): Promise<void> {
+    #harmStore(trouble: Partial<StoreFaults>, forMs: number): Promise<void> {
         return this.#harm(async () => {
-            const end = await this.#store.trouble(trouble);
+            const end = await this.#store.injectFaults(trouble);
             await sleep(forMs);
             await end();
         });
@@ -294,17 +300,17 @@
         service: string,
         availabilityZone: string,
         cold: boolean,
-        version = firstServerVersion,
-        trouble: Partial<ServerTrouble> = {},
+        version = initialServerVersion,
+        trouble: Partial<ServerFaults> = {},
     ): Promise<SoakBackend> {
         const number = ++this.#started;
         const place = { id: `server-${number}`, service, availabilityZone, version };
         const backend = await SoakBackend.start(place, this.#system, this.#dir, number);
         this.backends.push(backend);
-        this.#cuts.onStarted(backend);
+        this.#cuts.onBackendStarted(backend);
         void backend.exited.then(() => this.#onExited(backend));
-        await backend.trouble(trouble);
-        if (version === firstServerVersion) {
+        await backend.injectFaults(trouble);
+        if (version === initialServerVersion) {
             await this.register(backend, cold);
         }
         return backend;
@@ -312,7 +318,7 @@
 
     /** A server that ended by itself is replaced like one that was killed. */
     async #onExited(backend: SoakBackend): Promise<void> {
-        this.history.record({ type: "serverExited", server: backend.place.id });
+        this.history.record({ type: "serverExited", server: backend.info.id });
         try {
             if (!this.#closed) {
                 await this.#replaceKilled(backend, crashedDownMs);
@@ -329,14 +335,16 @@
     /** Writes a server's entry, cold or warm. */
     async register(backend: SoakBackend, cold: boolean): Promise<void> {
         this.#live.push(backend);
-        const coldForMs = cold ? coldMs : 0;
-        await backend.turnCold(coldForMs);
-        await this.#store.order({ puts: [this.#system.renderServer(backend.register("ready", coldForMs))] });
+        const coldForMs = cold ? coldDurationMs : 0;
+        await backend.setCold(coldForMs);
+        await this.#store.execute({
+            puts: [this.#system.renderServer(backend.createRegistration("ready", coldForMs))],
+        });
     }
 
     #deleteEntry(backend: SoakBackend): Promise<void> {
-        const { key } = this.#system.renderServer(backend.register("draining", 0));
-        return this.#store.order({ deletes: [key] });
+        const { key } = this.#system.renderServer(backend.createRegistration("draining", 0));
+        return this.#store.execute({ deletes: [key] });
     }
 
     /** The server crashes; its entry lapses, and another one comes up in its place, cold. */
@@ -357,18 +365,18 @@
             return;
         }
         await this.#replace(backend);
-        await this.#store.order({ puts: [this.#system.renderServer(backend.register("draining", 0))] });
-        this.history.record({ type: "drainAccepted", server: backend.place.id });
-        await backend.trouble({ leaves: true });
+        await this.#store.execute({ puts: [this.#system.renderServer(backend.createRegistration("draining", 0))] });
+        this.history.record({ type: "drainAccepted", server: backend.info.id });
+        await backend.injectFaults({ leaves: true });
         await sleep(applyMs + staysMs);
         await this.#deleteEntry(backend);
         await sleep(drainedStaysMs);
         await backend.kill();
     }
 
-    async #replace({ place: { service, availabilityZone, version } }: SoakBackend): Promise<void> {
+    async #replace({ info: { service, availabilityZone, version } }: SoakBackend): Promise<void> {
         // Of a version that is rolled out no more servers come: which ones they are is told with the order.
-        if (version === firstServerVersion) {
+        if (version === initialServerVersion) {
             await this.startBackend(service, availabilityZone, true);
         }
     }
@@ -407,7 +415,7 @@
                 limit,
             }));
             this.history.record({ type: "configurationWritten", revision, changeId: "", workspaces: written });
-            await this.#store.order({ puts: [entry] });
+            await this.#store.execute({ puts: [entry] });
             this.history.record({ type: "configurationAccepted", revision, changeId: "" });
             this.#acceptedWorkspaces = workspaces ?? [];
         };
@@ -422,18 +430,18 @@
         }
         this.#zonesOut.add(availabilityZone);
         const key = this.#system.zoneOutKey(availabilityZone);
-        await this.#store.order({ puts: [{ key, value: "{}" }] });
+        await this.#store.execute({ puts: [{ key, value: "{}" }] });
         this.history.record({ type: "zoneOutAccepted", availabilityZone });
         await sleep(forMs);
         this.history.record({ type: "zoneInRequested", availabilityZone });
-        await this.#store.order({ deletes: [key] });
+        await this.#store.execute({ deletes: [key] });
         this.#zonesOut.delete(availabilityZone);
     }
 
-    async #changeMood(mood: Partial<CallerMood>, forMs: number): Promise<void> {
+    async #changeMood(mood: Partial<CallerBehavior>, forMs: number): Promise<void> {
         this.#mood = { ...this.#mood, ...mood };
         await sleep(forMs);
-        this.#mood = { load: 1, hangUpShare: 0 };
+        this.#mood = { loadFactor: 1, earlyDisconnectShare: 0 };
     }
 }
 
--- a/packages/soak/src/soakCuts.ts
+++ b/packages/soak/src/soakPartitions.ts
@@ -1,9 +1,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
-import { type PlannedCut } from "./cutPlan.js";
+import { type PlannedPartition } from "./partitionPlan.js";
 import { type LinkFault } from "./faults.js";
 import { type SoakBackend } from "./soakBackend.js";
 import { type SoakEdge } from "./soakEdge.js";
-import { type SoakWorld } from "./soakWorld.js";
+import { type SoakFleet } from "./soakFleet.js";
 
 interface ActiveCut {
     readonly link: LinkFault;
@@ -12,11 +12,11 @@
 }
 
 /** Gateways that are cut off from all backend servers at the moment, those that start meanwhile included. */
-export class ActiveCuts {
+export class ActivePartitions {
     readonly #cuts = new Set<ActiveCut>();
 
     /** A server has started: cut-off gateways don't reach it either. */
-    onStarted({ proxy }: SoakBackend): void {
+    onBackendStarted({ proxy }: SoakBackend): void {
         for (const { link, from } of this.#cuts) {
             proxy.begin(link, from);
         }
@@ -28,7 +28,7 @@
         backends: readonly SoakBackend[],
         link: LinkFault,
     ): (now: readonly SoakBackend[]) => void {
-        const cuts = edges.map(({ serversFrom }): ActiveCut => ({ link, from: serversFrom }));
+        const cuts = edges.map(({ sourceAddress }): ActiveCut => ({ link, from: sourceAddress }));
         for (const cut of cuts) {
             this.#cuts.add(cut);
             backends.forEach(({ proxy }) => proxy.begin(link, cut.from));
@@ -43,16 +43,16 @@
 }
 
 /** Cuts gateways off as a run's plan has it. */
-export async function cutGateways(world: SoakWorld, cuts: readonly PlannedCut[]): Promise<void> {
-    await Promise.all(cuts.map(async ({ atMs, forMs, target, others, link, flapMs }) => {
+export async function partitionGateways(world: SoakFleet, cuts: readonly PlannedPartition[]): Promise<void> {
+    await Promise.all(cuts.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
         await sleep(atMs);
-        const count = Math.min(others + 1, world.edges.length);
+        const count = Math.min(additionalGateways + 1, world.edges.length);
         const edges = Array.from({ length: count }, (_, i) => world.edges[(target + i) % world.edges.length])
             .filter(edge => edge !== undefined);
-        for (let leftMs = forMs; leftMs > 0;) {
-            const downMs = Math.min(leftMs, flapMs ?? leftMs);
-            await world.cutOff(edges, link, downMs);
-            await sleep(Math.min(leftMs - downMs, flapMs ?? 0));
+        for (let leftMs = durationMs; leftMs > 0;) {
+            const downMs = Math.min(leftMs, flapPeriodMs ?? leftMs);
+            await world.partition(edges, linkFault, downMs);
+            await sleep(Math.min(leftMs - downMs, flapPeriodMs ?? 0));
             leftMs -= 2 * downMs;
         }
     }));
--- a/packages/soak/src/soakRollout.ts
+++ b/packages/soak/src/soakRollout.ts
@@ -1,18 +1,18 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-    firstServerVersion,
-    nextServerVersion,
-    rollbackMs,
-    rolloutAllowedMs,
-    rolloutPollMs,
-    rolloutServers,
-    settledMs,
+    initialServerVersion,
+    rolloutServerVersion,
+    rollbackGraceMs,
+    rolloutTimeoutMs,
+    rolloutPollPeriodMs,
+    rolloutServerCount,
+    convergenceMs,
 } from "./constants.js";
 import { type PlannedRollout } from "./rolloutPlan.js";
 import { type SoakSystem } from "./soakSystem.js";
-import { type SoakWorld } from "./soakWorld.js";
+import { type SoakFleet } from "./soakFleet.js";
 import { zoneAt } from "./soakZones.js";
-import { machineNow } from "./spans.js";
+import { monotonicNow } from "./faultWindows.js";
 
 /**
  * Orders a roll-out as the operator does, and does what follows from its end: servers of the old version stop at once when it is
@@ -23,43 +23,43 @@
  * @param rollout - what to roll out
  * @returns one line for each thing found; empty where it ended in time
  */
-export async function rollOut(
-    world: SoakWorld,
+export async function runRollout(
+    world: SoakFleet,
     system: SoakSystem,
     { service, isBad }: PlannedRollout,
 ): Promise<readonly string[]> {
     const fresh = await Promise.all(Array.from(
-        { length: rolloutServers },
-        (_, i) => world.startBackend(service, zoneAt(i), true, nextServerVersion, { fails: isBad }),
+        { length: rolloutServerCount },
+        (_, i) => world.startBackend(service, zoneAt(i), true, rolloutServerVersion, { fails: isBad }),
     ));
-    const servers = fresh.map(({ place }) => place.id);
-    await world.operate(
-        system.renderRollout({ service, version: nextServerVersion, allowedMs: rolloutAllowedMs }),
+    const servers = fresh.map(({ info }) => info.id);
+    await world.writeAsOperator(
+        system.renderRollout({ service, version: rolloutServerVersion, allowedMs: rolloutTimeoutMs }),
     );
-    world.history.record({ type: "rolloutOrdered", service, version: nextServerVersion, servers, isBad });
+    world.history.record({ type: "rolloutOrdered", service, version: rolloutServerVersion, servers, isBad });
     await Promise.all(fresh.map(backend => world.register(backend, true)));
     const stage = await awaitEnd(world, service);
     if (stage === undefined) {
         return [`rollout: the roll-out of ${service} has not ended in its time`];
     }
-    world.history.record({ type: "rolloutEnded", service, version: nextServerVersion, stage });
+    world.history.record({ type: "rolloutEnded", service, version: rolloutServerVersion, stage });
     if (stage === "rolledBack") {
-        await sleep(rollbackMs);
+        await sleep(rollbackGraceMs);
     }
-    const ended = stage === "completed" ? firstServerVersion : nextServerVersion;
-    await world.endServers(world.findLive(service, ended));
+    const ended = stage === "completed" ? initialServerVersion : rolloutServerVersion;
+    await world.killBackends(world.findLiveBackends(service, ended));
     return [];
 }
 
 /** @returns the final stage, or `undefined` where there was none in time and some calm seconds more */
-async function awaitEnd(world: SoakWorld, service: string): Promise<"completed" | "rolledBack" | undefined> {
-    const untilMs = machineNow() + rolloutAllowedMs + settledMs;
-    while (machineNow() < untilMs) {
+async function awaitEnd(world: SoakFleet, service: string): Promise<"completed" | "rolledBack" | undefined> {
+    const untilMs = monotonicNow() + rolloutTimeoutMs + convergenceMs;
+    while (monotonicNow() < untilMs) {
         const stage = await world.readRolloutStage(service);
         if (stage === "completed" || stage === "rolledBack") {
             return stage;
         }
-        await sleep(rolloutPollMs);
+        await sleep(rolloutPollPeriodMs);
     }
     return undefined;
 }
--- a/packages/soak/src/soakServer.ts
+++ b/packages/soak/src/soakServer.ts
@@ -2,12 +2,12 @@
 import { type HistoryRecorder } from "@galenaglade/stand-ins";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { text } from "node:stream/consumers";
-import { serverQueue, serverSlots, workMs } from "./constants.js";
-import { deadlyMark } from "./deadlyPlan.js";
-import { readAnswerBytes } from "./largeAnswers.js";
-import { type ArrivedRequest, type ServerNames, type ServerState } from "./serverNames.js";
-import { type ServerOrder, type ServerTrouble, soundServer } from "./soakSystem.js";
-import { keyMark } from "./workspacePlan.js";
+import { maxServerQueue, serverSlots, typicalWorkMs } from "./constants.js";
+import { queryOfDeathMarker } from "./queryOfDeathPlan.js";
+import { parseResponseBytes } from "./largeResponses.js";
+import { type ReceivedRequest, type ServerCodec, type ServerState } from "./serverCodec.js";
+import { type SoakServerOptions, type ServerFaults, noServerFaults } from "./soakSystem.js";
+import { secretPrefix } from "./workspacePlan.js";
 
 /** Share of the requests that a failing or shedding server fails or turns away, and that a spoiling one spoils. */
 const troubleShare = 0.5;
@@ -25,16 +25,16 @@
 
 /** A stand-in of a backend server: slots, a short queue, load and cold time, and faults as orders. Says what it ran. */
 export class SoakServer {
-    readonly #order: ServerOrder;
-    readonly #names: ServerNames;
+    readonly #order: SoakServerOptions;
+    readonly #names: ServerCodec;
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
     readonly #queue: (() => void)[] = [];
-    #trouble: ServerTrouble = soundServer;
+    #trouble: ServerFaults = noServerFaults;
     #coldUntilMs = -Infinity;
     #running = 0;
 
-    constructor(order: ServerOrder, names: ServerNames, history: HistoryRecorder) {
+    constructor(order: SoakServerOptions, names: ServerCodec, history: HistoryRecorder) {
         this.#order = order;
         this.#names = names;
         this.#history = history;
@@ -49,7 +49,7 @@
     async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const body = await text(req);
         if (req.url === "/control") {
-            this.#setTrouble({ ...soundServer, ...JSON.parse(body) as ServerTrouble });
+            this.#setTrouble({ ...noServerFaults, ...JSON.parse(body) as ServerFaults });
             this.#coldUntilMs = Math.max(this.#coldUntilMs, performance.now() + this.#trouble.coldMs);
             res.end();
             return;
@@ -68,19 +68,19 @@
         const { requestId, expectedServer } = request;
         const url = req.url ?? "";
         // Under whatever name: a key is known by how it begins.
-        const keyPassedOn = request.hasKey || JSON.stringify([url, req.rawHeaders]).includes(keyMark);
+        const keyPassedOn = request.hasKey || JSON.stringify([url, req.rawHeaders]).includes(secretPrefix);
         if (expectedServer !== undefined && expectedServer !== this.#order.id) {
             res.writeHead(421, this.#names.renderState(this.#state())).end();
             return;
         }
         const sheds = this.#trouble.restSeconds !== undefined
             || (this.#trouble.sheds && this.#random.next() < troubleShare);
-        if (sheds || this.#queue.length >= serverQueue || !await this.#getSlot(res, request.remainingMs)) {
+        if (sheds || this.#queue.length >= maxServerQueue || !await this.#getSlot(res, request.remainingMs)) {
             this.#turnAway(requestId, keyPassedOn, res);
             return;
         }
         this.#recordStart(request, keyPassedOn);
-        if (url.includes(deadlyMark)) {
+        if (url.includes(queryOfDeathMarker)) {
             setTimeout(() => this.#crash(requestId), crashMs);
         }
         const done = await this.#work(res, request.remainingMs);
@@ -93,7 +93,7 @@
             incarnation: this.#order.id,
         });
         if (done) {
-            this.#answer(requestId, readAnswerBytes(url), res);
+            this.#answer(requestId, parseResponseBytes(url), res);
         }
     }
 
@@ -131,7 +131,7 @@
     /** @returns whether the work came to its end while somebody waited for it */
     #work(res: ServerResponse, remainingMs: number): Promise<boolean> {
         const cold = this.#isCold() ? coldSlowdown : 1;
-        const tookMs = workMs * (0.5 + this.#random.next()) * this.#trouble.slowdown * cold;
+        const tookMs = typicalWorkMs * (0.5 + this.#random.next()) * this.#trouble.slowdown * cold;
         return new Promise(resolve => {
             const timer = setTimeout(
                 () => resolve(!res.destroyed && tookMs <= remainingMs),
@@ -147,7 +147,9 @@
     #answer(requestId: string, paddingBytes: number, res: ServerResponse): void {
         const body = JSON.stringify({ requestId, server: this.#order.id, padding: "x".repeat(paddingBytes) });
         if (this.#trouble.fails && this.#random.next() < troubleShare) {
-            res.writeHead(500, { ...this.#names.renderRan(requestId, true), ...this.#renderNotices() }).end("failed");
+            res.writeHead(500, { ...this.#names.renderDidRun(requestId, true), ...this.#renderNotices() }).end(
+                "failed",
+            );
             return;
         }
         const spoiling = this.#drawSpoiling();
@@ -159,7 +161,7 @@
             return;
         }
         const headers = {
-            ...this.#names.renderRan(requestId, spoiling !== "unsigned"),
+            ...this.#names.renderDidRun(requestId, spoiling !== "unsigned"),
             ...this.#renderNotices(),
             "content-length": body.length,
         };
@@ -197,12 +199,12 @@
             keyPassedOn,
         });
         if (!res.destroyed) {
-            const rest = restSeconds === undefined ? {} : this.#names.renderRest(restSeconds);
-            res.writeHead(503, { ...this.#names.renderNotRun(requestId), ...rest, ...this.#renderNotices() }).end();
+            const rest = restSeconds === undefined ? {} : this.#names.renderBackoff(restSeconds);
+            res.writeHead(503, { ...this.#names.renderDidNotRun(requestId), ...rest, ...this.#renderNotices() }).end();
         }
     }
 
-    #recordStart({ requestId, workspace }: ArrivedRequest, keyPassedOn: boolean): void {
+    #recordStart({ requestId, workspace }: ReceivedRequest, keyPassedOn: boolean): void {
         this.#history.record({
             type: "serverStarted",
             requestId,
@@ -217,7 +219,7 @@
         });
     }
 
-    #setTrouble(trouble: ServerTrouble): void {
+    #setTrouble(trouble: ServerFaults): void {
         const { limitPerSecond } = trouble;
         if (limitPerSecond !== this.#trouble.limitPerSecond) {
             this.#history.record({ type: "serverLimited", server: this.#order.id, perSecond: limitPerSecond });
--- a/packages/soak/src/soakStore.ts
+++ b/packages/soak/src/soakStore.ts
@@ -1,21 +1,21 @@
 import { type StartedProcess, startProcess } from "@galenaglade/stand-ins";
 import { request } from "undici";
-import { InOrder } from "./inOrder.js";
-import { soundStore, type SoakSystem, type StoreOrder, type StoreTrouble } from "./soakSystem.js";
+import { SerialExecutor } from "./serialExecutor.js";
+import { noStoreFaults, type SoakSystem, type StoreCommand, type StoreFaults } from "./soakSystem.js";
 
 /** The stand-in store as a process. The operator and the servers reach it past all faults, as they do in production. */
 export class SoakStore {
     readonly #process: StartedProcess;
-    readonly #troubles: Partial<StoreTrouble>[] = [];
+    readonly #troubles: Partial<StoreFaults>[] = [];
     /** Orders under way at once may overtake each other on their connections. */
-    readonly #inOrder = new InOrder();
+    readonly #inOrder = new SerialExecutor();
 
     private constructor(process: StartedProcess) {
         this.#process = process;
     }
 
     static async start(system: SoakSystem): Promise<SoakStore> {
-        return new SoakStore(await startProcess({ name: "store", ...system.store }));
+        return new SoakStore(await startProcess({ name: "store", ...system.storeProgram }));
     }
 
     get port(): number {
@@ -23,7 +23,7 @@
     }
 
     /** Writes past all faults; the store's answer is the acknowledgement. */
-    order(order: StoreOrder): Promise<void> {
+    execute(order: StoreCommand): Promise<void> {
         return this.#inOrder.run(async () => {
             const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
             await res.body.dump();
@@ -31,7 +31,7 @@
     }
 
     /** Begins a trouble. @returns ends it */
-    async trouble(trouble: Partial<StoreTrouble>): Promise<() => Promise<void>> {
+    async injectFaults(trouble: Partial<StoreFaults>): Promise<() => Promise<void>> {
         this.#troubles.push(trouble);
         await this.#tell();
         return async () => {
@@ -59,7 +59,7 @@
     }
 
     #tell(): Promise<void> {
-        const faults = this.#troubles.reduce<StoreTrouble>((sum, trouble) => ({ ...sum, ...trouble }), soundStore);
-        return this.order({ faults });
+        const faults = this.#troubles.reduce<StoreFaults>((sum, trouble) => ({ ...sum, ...trouble }), noStoreFaults);
+        return this.execute({ faults });
     }
 }
--- a/packages/soak/src/soakSystem.ts
+++ b/packages/soak/src/soakSystem.ts
@@ -4,7 +4,7 @@
     type RolloutOrder,
     type RolloutStage,
 } from "@galenaglade/fleet-state";
-import { type CallerSign } from "./callerDraw.js";
+import { type CallerCredentials } from "./requestGenerator.js";
 
 /** A program that the soak starts. */
 export interface SoakProgram {
@@ -23,7 +23,7 @@
 }
 
 /** What a stand-in of a backend server is told. */
-export interface ServerOrder {
+export interface SoakServerOptions {
     readonly id: string;
     readonly service: string;
     readonly availabilityZone: string;
@@ -32,12 +32,12 @@
 }
 
 /** What an answer's headers say. */
-export interface AnswerMarks {
+export interface SoakResponseMetadata {
     readonly requestId: string | undefined;
     /** Whether it bears a backend server's proof that the body is its own. */
     readonly signed: boolean;
     /** Whether its server names a limit in it. */
-    readonly limited: boolean;
+    readonly hasLimit: boolean;
     /** Whether its server says in it that it leaves. */
     readonly leaving: boolean;
 }
@@ -47,11 +47,11 @@
     /** Path on which the balancer asks for readiness. */
     abstract readonly readinessPath: string;
     /** The program under test. */
-    abstract resolveEdge(settingsPath: string): SoakProgram;
-    /** A store that says its address in its ready line and takes {@link StoreOrder}s on `/control`. */
-    abstract readonly store: SoakProgram;
+    abstract resolveEdgeProgram(settingsPath: string): SoakProgram;
+    /** A store that says its address in its ready line and takes {@link StoreCommand}s on `/control`. */
+    abstract readonly storeProgram: SoakProgram;
     /** A backend server that says its address in its ready line and takes `ServerTrouble`s on `/control`. */
-    abstract resolveServer(order: ServerOrder): SoakProgram;
+    abstract resolveServerProgram(order: SoakServerOptions): SoakProgram;
     abstract renderConfiguration(configuration: FleetConfiguration): StoreWrite;
     abstract renderServer(server: RegisteredServer): StoreWrite;
     abstract renderRollout(order: RolloutOrder): StoreWrite;
@@ -59,33 +59,35 @@
     abstract readRolloutStage(storePort: number, service: string): Promise<RolloutStage | undefined>;
     abstract zoneOutKey(availabilityZone: string): string;
     /** @returns the headers of a caller's request */
-    abstract renderRequest(
+    abstract renderRequestHeaders(
         requestId: string,
         patienceMs: number,
-        sign?: CallerSign,
+        sign?: CallerCredentials,
     ): Readonly<Record<string, string>>;
-    abstract readAnswer(headers: Readonly<Record<string, string | readonly string[] | undefined>>): AnswerMarks;
+    abstract parseResponseHeaders(
+        headers: Readonly<Record<string, string | readonly string[] | undefined>>,
+    ): SoakResponseMetadata;
 }
 
 /** What the stand-in store is told: writes of the operator and of backend servers, and faults. */
-export interface StoreOrder {
+export interface StoreCommand {
     readonly puts?: readonly StoreWrite[] | undefined;
     readonly deletes?: readonly string[] | undefined;
     /** Forgets all history: a watch that asks for older changes is told so. */
     readonly compact?: boolean | undefined;
-    readonly faults?: StoreTrouble | undefined;
+    readonly faults?: StoreFaults | undefined;
     /**
      * The store goes on from what it was so long ago, in milliseconds, and its term rises. What operators and servers wrote since is written
-     * again within {@link rewriteMs}, what gateways wrote isn't.
+     * again within {@link maxRewriteDelayMs}, what gateways wrote isn't.
      */
     readonly restoreMs?: number | undefined;
 }
 
 /** Time in which operators and servers write again what a store lacks that came back from an older copy, in milliseconds. */
-export const rewriteMs = 1_500;
+export const maxRewriteDelayMs = 1_500;
 
 /** Faults of the stand-in store; each order replaces them all. */
-export interface StoreTrouble {
+export interface StoreFaults {
     readonly refuses: boolean;
     readonly hangs: boolean;
     readonly slowMs: number;
@@ -94,7 +96,7 @@
 }
 
 /** Faults of a stand-in backend server; each order replaces them all. */
-export interface ServerTrouble {
+export interface ServerFaults {
     /** How many times longer work takes; told in the answer to a question for load. */
     readonly slowdown: number;
     /** Fails half of the requests after it ran them, and says that it is well. */
@@ -115,7 +117,7 @@
     readonly coldMs: number;
 }
 
-export const soundServer: ServerTrouble = Object.freeze({
+export const noServerFaults: ServerFaults = Object.freeze({
     slowdown: 1,
     fails: false,
     sheds: false,
@@ -127,7 +129,7 @@
     coldMs: 0,
 });
 
-export const soundStore: StoreTrouble = Object.freeze({
+export const noStoreFaults: StoreFaults = Object.freeze({
     refuses: false,
     hangs: false,
     slowMs: 0,
--- a/packages/soak/src/drillPlan.ts
+++ b/packages/soak/src/storeRestorePlan.ts
@@ -1,14 +1,14 @@
 import { createRandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 
 /** The store is away and comes back from an older copy. */
-export interface PlannedDrill {
+export interface PlannedStoreRestore {
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly awayMs: number;
+    readonly outageMs: number;
     /** Age of the copy at the return, in milliseconds. */
-    readonly copyMs: number;
-    readonly how: "refuses" | "hangs";
+    readonly snapshotAgeMs: number;
+    readonly outageKind: "refuses" | "hangs";
 }
 
 const againShare = 0.6;
@@ -24,15 +24,15 @@
  * @param seed - of the run
  * @returns the same for the same seed, in the order of time
  */
-export function planDrills(seed: number): readonly PlannedDrill[] {
+export function planStoreRestores(seed: number): readonly PlannedStoreRestore[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const drills: PlannedDrill[] = [];
+    const drills: PlannedStoreRestore[] = [];
     do {
         drills.push({
-            atMs: random.next() * (faultyMs - longestAwayMs),
-            awayMs: random.next() * longestAwayMs,
-            copyMs: random.next() * oldestCopyMs,
-            how: random.next() < 0.5 ? "refuses" : "hangs",
+            atMs: random.next() * (faultPhaseMs - longestAwayMs),
+            outageMs: random.next() * longestAwayMs,
+            snapshotAgeMs: random.next() * oldestCopyMs,
+            outageKind: random.next() < 0.5 ? "refuses" : "hangs",
         });
     }
     while (drills.length < mostDrills && random.next() < againShare);
--- a/packages/soak/src/workspacePlan.ts
+++ b/packages/soak/src/workspacePlan.ts
@@ -1,5 +1,5 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { faultyMs } from "./constants.js";
+import { faultPhaseMs } from "./constants.js";
 
 /** A key of a caller. */
 export interface SoakKey {
@@ -21,14 +21,14 @@
 export interface PlannedOverload {
     /** Since callers were let in, in milliseconds. */
     readonly atMs: number;
-    readonly forMs: number;
+    readonly durationMs: number;
     readonly perSecond: number;
     readonly key: SoakKey;
 }
 
 /** The workspaces of a run. */
 export interface PlannedWorkspaces {
-    readonly first: readonly SoakWorkspace[];
+    readonly initial: readonly SoakWorkspace[];
     /** Versions that follow, each with all workspaces, oldest first. */
     readonly changes: readonly { readonly atMs: number; readonly workspaces: readonly SoakWorkspace[]; }[];
     /** Every key that any version holds. */
@@ -38,10 +38,10 @@
 }
 
 /** Every secret begins with it, so that logs and what servers get can be searched for all of them. */
-export const keyMark = "soak-secret-";
+export const secretPrefix = "soak-secret-";
 
 /** A key that no version holds. */
-export const unknownKey: SoakKey = Object.freeze({ id: "unknown", secret: `${keyMark}unknown` });
+export const unknownKey: SoakKey = Object.freeze({ id: "unknown", secret: `${secretPrefix}unknown` });
 
 /** The workspace that has a limit. */
 export const limitedWorkspace = "cedar";
@@ -51,7 +51,7 @@
 const mostChanges = 5;
 const earliestMs = 300;
 /** After the last fault, so that every run has a change whose time to be in force is measured with nothing harmed. */
-const lastChangeMs = faultyMs + 2_000;
+const lastChangeMs = faultPhaseMs + 2_000;
 const smallestLimit = 3;
 const limitSpread = 4;
 /** How far the limited workspace's callers exceed its limit, and how long beyond the time of faults. */
@@ -74,7 +74,10 @@
     }
     const keys: SoakKey[] = [];
     const issueKey = (): SoakKey => {
-        const key = { id: `key-${keys.length + 1}`, secret: `${keyMark}${keys.length + 1}-${random.nextInt(2 ** 31)}` };
+        const key = {
+            id: `key-${keys.length + 1}`,
+            secret: `${secretPrefix}${keys.length + 1}-${random.nextInt(2 ** 31)}`,
+        };
         keys.push(key);
         return key;
     };
@@ -88,7 +91,7 @@
         { name: limitedWorkspace, keys: [limitedKey], limit: resolveLimit(perSecond) },
     ];
     const count = fewestChanges + random.nextInt(mostChanges - fewestChanges + 1);
-    const times = Array.from({ length: count }, () => earliestMs + random.next() * (faultyMs - earliestMs));
+    const times = Array.from({ length: count }, () => earliestMs + random.next() * (faultPhaseMs - earliestMs));
     times[0] = lastChangeMs;
     const lowersLimitAt = random.nextInt(count);
     let workspaces = first;
@@ -102,11 +105,11 @@
     });
     const overload = {
         atMs: 0,
-        forMs: faultyMs + overloadTailMs,
+        durationMs: faultPhaseMs + overloadTailMs,
         perSecond: perSecond * overloadFactor,
         key: limitedKey,
     };
-    return { first, changes, keys, overload: hasLimits ? overload : undefined };
+    return { initial: first, changes, keys, overload: hasLimits ? overload : undefined };
 }
 
 /** Adds, revokes or moves a key of one of the workspaces without a limit. */
--- a/scripts/__tests__/edgeBundle.test.ts
+++ b/scripts/__tests__/edgeBundle.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
-import { compiledFlags } from "../edgeBundle/constants.js";
+import { codeCacheFlags } from "../edgeBundle/constants.js";
 
 // Compiled code that was made with other flags is left aside without an error, and each start takes a third longer.
 test("the deploy file runs the program with the flags that its code is compiled for", () => {
     const deploy = readFileSync(new URL("../../deploy/system.toml", import.meta.url), "utf8");
     const run = /^run = "(.*)"$/m.exec(deploy)?.[1];
-    assert.equal(run, `node ${compiledFlags.join(" ")} target/galenaglade-edge.cjs`);
+    assert.equal(run, `node ${codeCacheFlags.join(" ")} target/galenaglade-edge.cjs`);
 });
--- a/scripts/__tests__/slope.test.ts
+++ b/scripts/__tests__/slope.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { generateConfiguration } from "../capacity/generateConfiguration.js";
-import { resolveSlope } from "../capacity/slope.js";
+import { fitSlope } from "../capacity/slope.js";
 
 test("a slope is the median round's, with the range over the rounds", () => {
     const round = (perUnit: number): { size: number; value: number; }[] =>
         [1, 2, 3, 4].map(size => ({ size, value: 10 + perUnit * size }));
-    const slope = resolveSlope([round(3), round(1), round(2)]);
+    const slope = fitSlope([round(3), round(1), round(2)]);
     assert.deepEqual(slope.perUnit, { minimum: 1, median: 2, maximum: 3 });
     assert.ok(Math.abs(slope.fixed - 10) < 1e-9);
 });
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -12,7 +12,7 @@
 import { type BenchResults, type RunResult } from "./bench/results.js";
 import { runLoad } from "./bench/runLoad.js";
 import { renderTable } from "./bench/table.js";
-import { declarePatience, type LoadShape, loadShapes, lonestatLoads, resolveCapacities } from "./bench/workload.js";
+import { overridePatience, type LoadShape, loadShapes, lonestatLoads, resolveCapacities } from "./bench/workload.js";
 
 /** The sizes at which a run is called whole. */
 const fullSize = { gateways: 13, serversPerService: 12, rounds: 5, seconds: 30 };
@@ -90,7 +90,7 @@
 function startFleet(): Promise<Fleet> {
     const declared = parse(readFileSync(configurationPath, "utf8")) as ConfigurationInput;
     return Fleet.start({
-        configuration: declarePatience(limitBackendServers(declared, Number(values.servers)), lonestatLoads),
+        configuration: overridePatience(limitBackendServers(declared, Number(values.servers)), lonestatLoads),
         gateways: Number(values.gateways),
         admin: false,
         gatewayProgram: createProgram(baseline),
--- a/scripts/bench/runLoad.ts
+++ b/scripts/bench/runLoad.ts
@@ -56,7 +56,7 @@
     const { fleet, load, variant, round } = options;
     const before = await takeSnapshot(fleet);
     const faults: string[] = [];
-    const zone = load.zoneLeaves === true
+    const zone = load.takesZoneOut === true
         ? moveZone(options).catch((err: unknown) => faults.push(String(err)))
         : undefined;
     const tally = await runCaller(options, faults);
--- a/scripts/bench/workload.ts
+++ b/scripts/bench/workload.ts
@@ -17,7 +17,7 @@
     readonly service: string;
     readonly authority: string;
     readonly method: string;
-    readonly keyed: boolean;
+    readonly requiresIdempotencyKey: boolean;
     readonly medianMs: number;
     readonly sigma: number;
     readonly kinds: readonly CallerKindLoad[];
@@ -29,7 +29,7 @@
         service: "table-reads",
         authority: "tables.lonestat.example",
         method: "GET",
-        keyed: false,
+        requiresIdempotencyKey: false,
         medianMs: 40,
         sigma: 0.5,
         kinds: [
@@ -41,7 +41,7 @@
         service: "return-intake",
         authority: "returns.lonestat.example",
         method: "POST",
-        keyed: true,
+        requiresIdempotencyKey: true,
         medianMs: 60,
         sigma: 0.5,
         kinds: [{ callerKind: "payroll", share: 1, patienceMs: 20_000 }],
@@ -50,7 +50,7 @@
         service: "archive-extracts",
         authority: "archive.lonestat.example",
         method: "GET",
-        keyed: false,
+        requiresIdempotencyKey: false,
         medianMs: 150,
         sigma: 0.7,
         kinds: [{ callerKind: "researcher", share: 1, patienceMs: 60_000 }],
@@ -90,7 +90,7 @@
  * @param cfg - declarations
  * @param loads - what the callers do
  */
-export function declarePatience(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): ConfigurationInput {
+export function overridePatience(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): ConfigurationInput {
     const services = cfg.services.map(service => {
         const kinds = loads.find(load => load.service === service.name)?.kinds ?? [];
         const longest = Math.max(60_000, ...kinds.map(kind => kind.patienceMs));
@@ -109,8 +109,8 @@
             authority: load.authority,
             callerKind: kind.callerKind,
             method: load.method,
-            idempotent: !load.keyed,
-            keyed: load.keyed,
+            idempotent: !load.requiresIdempotencyKey,
+            keyed: load.requiresIdempotencyKey,
             patienceMs: kind.patienceMs,
             work: { medianMs: load.medianMs, sigma: load.sigma },
             bodyBytes: load.method === "POST" ? 1_024 : 0,
@@ -124,7 +124,7 @@
     /** @param durationMs - of the whole */
     readonly phases: (capacities: Capacities, durationMs: number) => readonly Phase[];
     /** Takes an availability zone out after a third of the time, and brings it back after two. */
-    readonly zoneLeaves?: boolean | undefined;
+    readonly takesZoneOut?: boolean | undefined;
     /** Measures the time added: half of the requests go past the gateways, and each works the same short time. */
     readonly direct?: boolean | undefined;
 }
@@ -154,7 +154,7 @@
     { name: "steady50", phases: steady(0.5) },
     { name: "steady75", phases: steady(0.75) },
     { name: "steady90", phases: steady(0.9) },
-    { name: "zone", phases: steady(0.5), zoneLeaves: true },
+    { name: "zone", phases: steady(0.5), takesZoneOut: true },
     { name: "step", phases: step(0.4, 0.85) },
     { name: "noisy", phases: surge(0.5, "archive-extracts", 6) },
 ];
--- a/scripts/capacity/measureFleet.ts
+++ b/scripts/capacity/measureFleet.ts
@@ -2,7 +2,7 @@
 import { generateConfiguration } from "./generateConfiguration.js";
 import { type Measurement } from "./measurement.js";
 import { type ProcessUsage, readProcessUsage } from "./processUsage.js";
-import { resolveSlope, type Sample } from "./slope.js";
+import { fitSlope, type Sample } from "./slope.js";
 import { TestFleet } from "./testFleet.js";
 
 /** Sizes of the fleet, in gateways. */
@@ -104,6 +104,6 @@
     }
     return columns.map(({ name, unit }) => {
         const taken = samples.get(name) ?? [];
-        return { name, per: "gateway", unit, rounds: taken, slope: resolveSlope(taken) };
+        return { name, per: "gateway", unit, rounds: taken, slope: fitSlope(taken) };
     });
 }
--- a/scripts/capacity/measureRequests.ts
+++ b/scripts/capacity/measureRequests.ts
@@ -2,7 +2,7 @@
 import { BackendServer, Caller, callerPlanSchema } from "@galenaglade/stand-ins";
 import { type Measurement } from "./measurement.js";
 import { readProcessUsage } from "./processUsage.js";
-import { resolveSlope, type Sample } from "./slope.js";
+import { fitSlope, type Sample } from "./slope.js";
 import { TestFleet } from "./testFleet.js";
 
 /** Offered load of one gateway, in requests a second. */
@@ -42,7 +42,7 @@
             per: "request/s",
             unit: "ms/s",
             rounds: samples,
-            slope: resolveSlope(samples),
+            slope: fitSlope(samples),
         }];
     }
     finally {
--- a/scripts/capacity/measureTables.ts
+++ b/scripts/capacity/measureTables.ts
@@ -3,7 +3,7 @@
 import { createServiceTable, type ServiceTable } from "../../packages/gateway/src/requests/serviceTable.js";
 import { generateConfiguration } from "./generateConfiguration.js";
 import { type Measurement } from "./measurement.js";
-import { resolveSlope, type Sample } from "./slope.js";
+import { fitSlope, type Sample } from "./slope.js";
 
 /** Sizes of the configuration, in targets. */
 const configurationSizes = [1_050, 2_100, 4_200, 8_400];
@@ -21,7 +21,7 @@
     for (let round = 0; round < rounds; round++) {
         samples.push(sizes.map(size => ({ size, value: take(size) })));
     }
-    return { name, per, unit, rounds: samples, slope: resolveSlope(samples) };
+    return { name, per, unit, rounds: samples, slope: fitSlope(samples) };
 }
 
 function collectGarbage(): void {
--- a/scripts/capacity/slope.ts
+++ b/scripts/capacity/slope.ts
@@ -32,7 +32,7 @@
  *
  * @param rounds - samples of each round, at no fewer than four sizes
  */
-export function resolveSlope(rounds: readonly (readonly Sample[])[]): Slope {
+export function fitSlope(rounds: readonly (readonly Sample[])[]): Slope {
     const lines = rounds.map(fitLine).sort((a, b) => a.perUnit - b.perUnit);
     const median = lines[Math.floor(lines.length / 2)];
     const first = lines[0];
--- a/scripts/edgeBundle/build.ts
+++ b/scripts/edgeBundle/build.ts
@@ -1,7 +1,7 @@
 /** Bundles the program that runs on entry hosts, libraries included, and compiles it, so that it starts quickly. */
 import { build, type BuildOptions, type Plugin } from "esbuild";
 import { rmSync } from "node:fs";
-import { recordStart } from "./recordStart.js";
+import { createCodeCache } from "./createCodeCache.js";
 
 /**
  * The parts of undici that the edge process uses. The whole package also loads its fetch, cache, WebSocket and cookie
@@ -90,4 +90,4 @@
 });
 await build({ ...common, entryPoints: ["scripts/edgeBundle/start.ts"], outfile: "target/galenaglade-edge.cjs" });
 rmSync("target/galenaglade-edge.cache", { force: true });
-await recordStart("target/galenaglade-edge.cjs");
+await createCodeCache("target/galenaglade-edge.cjs");
--- a/scripts/edgeBundle/constants.ts
+++ b/scripts/edgeBundle/constants.ts
@@ -1,10 +1,10 @@
 /** Flags of node that decide over compiled code; it fits a process that runs with the same ones, as deploy/system.toml has them. */
-export const compiledFlags = ["--max-old-space-size=160", "--max-semi-space-size=1", "--liftoff-only"] as const;
+export const codeCacheFlags = ["--max-old-space-size=160", "--max-semi-space-size=1", "--liftoff-only"] as const;
 
 /** Set at build time alone: the program writes its compiled code and ends when it gets the signal. */
-export const recordVariable = "GALENAGLADE_RECORD";
-export const recordSignal = "SIGUSR2";
+export const codeCacheVariable = "GALENAGLADE_RECORD";
+export const codeCacheSignal = "SIGUSR2";
 
 /** Callers that the program answers before its compiled code is kept, and how long that may take, in milliseconds. */
-export const recordedCallers = 24;
-export const recordedMs = 10_000;
+export const codeCacheCallers = 24;
+export const codeCacheTimeoutMs = 10_000;
--- a/scripts/edgeBundle/recordStart.ts
+++ b/scripts/edgeBundle/createCodeCache.ts
@@ -5,7 +5,13 @@
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
 import { settingsVariable } from "../../platform/src/settingsVariable.js";
-import { compiledFlags, recordedCallers, recordedMs, recordSignal, recordVariable } from "./constants.js";
+import {
+    codeCacheFlags,
+    codeCacheCallers,
+    codeCacheTimeoutMs,
+    codeCacheSignal,
+    codeCacheVariable,
+} from "./constants.js";
 import { StandInFleet } from "./standInFleet.js";
 
 /**
@@ -16,17 +22,17 @@
  * @param script - the program
  * @throws Error where it ends without having written its code
  */
-export async function recordStart(script: string): Promise<void> {
+export async function createCodeCache(script: string): Promise<void> {
     const dir = mkdtempSync(join(tmpdir(), "galenaglade-build-"));
     const fleet = await StandInFleet.start({ running: 1, registered: 4, servers: 12 });
-    const child = spawn(process.execPath, [...compiledFlags, script], {
-        env: { ...process.env, [settingsVariable]: fleet.writeSettings(0, dir), [recordVariable]: "1" },
+    const child = spawn(process.execPath, [...codeCacheFlags, script], {
+        env: { ...process.env, [settingsVariable]: fleet.writeSettings(0, dir), [codeCacheVariable]: "1" },
         stdio: ["ignore", "ignore", "inherit"],
     });
     const exited = once(child, "exit");
     // Without answers less is compiled ahead, which is no reason not to build.
-    await Promise.race([callAll(fleet), exited, sleep(recordedMs)]);
-    child.kill(recordSignal);
+    await Promise.race([callAll(fleet), exited, sleep(codeCacheTimeoutMs)]);
+    child.kill(codeCacheSignal);
     await exited;
     fleet.close();
     rmSync(dir, { recursive: true });
@@ -36,5 +42,5 @@
 }
 
 async function callAll(fleet: StandInFleet): Promise<void> {
-    await Promise.all(Array.from({ length: recordedCallers }, (_, i) => fleet.call(0, `${i}`, i % 2 === 1)));
+    await Promise.all(Array.from({ length: codeCacheCallers }, (_, i) => fleet.call(0, `${i}`, i % 2 === 1)));
 }
--- a/scripts/edgeBundle/standInFleet.ts
+++ b/scripts/edgeBundle/standInFleet.ts
@@ -21,10 +21,10 @@
 }
 
 /** How a request ended for its caller. */
-export interface CallEnd {
+export interface CallResult {
     /** `undefined` where no answer came in time. */
     readonly status: number | undefined;
-    readonly tookMs: number;
+    readonly latencyMs: number;
 }
 
 const zones = ["north", "middle", "south"] as const;
@@ -87,23 +87,23 @@
      * @param i - of the gateway
      * @param requestId - of the request; every other one has a body and may run once only
      */
-    async call(i: number, requestId: string, hasBody: boolean): Promise<CallEnd> {
+    async call(i: number, requestId: string, hasBody: boolean): Promise<CallResult> {
         const [port = 0] = this.#portsOf(i);
         const beganAtMs = performance.now();
         for (;;) {
             const tookMs = performance.now() - beganAtMs;
             if (tookMs > patienceMs) {
-                return { status: undefined, tookMs };
+                return { status: undefined, latencyMs: tookMs };
             }
             try {
                 const res = await request(`http://127.0.0.1:${port}${hasBody ? "/returns/" : "/tables/"}${requestId}`, {
                     method: hasBody ? "POST" : "GET",
-                    headers: { host: authority, ...system.renderRequest(requestId, patienceMs) },
+                    headers: { host: authority, ...system.renderRequestHeaders(requestId, patienceMs) },
                     body: hasBody ? requestId : null,
                     signal: AbortSignal.timeout(patienceMs),
                 });
                 await res.body.dump();
-                return { status: res.statusCode, tookMs: performance.now() - beganAtMs };
+                return { status: res.statusCode, latencyMs: performance.now() - beganAtMs };
             }
             catch {
                 // Not there yet.
@@ -204,7 +204,7 @@
         running++;
         setTimeout(() => {
             running--;
-            res.writeHead(200, { ...renderState(), ...names.renderRan(requestId, true) }).end("done");
+            res.writeHead(200, { ...renderState(), ...names.renderDidRun(requestId, true) }).end("done");
         }, workMs);
     });
 }
--- a/scripts/edgeBundle/start.ts
+++ b/scripts/edgeBundle/start.ts
@@ -7,7 +7,7 @@
 import { createRequire, Module } from "node:module";
 import { dirname, join } from "node:path";
 import { Script } from "node:vm";
-import { recordSignal, recordVariable } from "./constants.js";
+import { codeCacheSignal, codeCacheVariable } from "./constants.js";
 
 type ModuleBody = (exports: object, require: NodeJS.Require, module: object, file: string, dir: string) => void;
 
@@ -28,8 +28,8 @@
 const module = { exports: {} };
 body(module.exports, createRequire(bundlePath), module, bundlePath, dir);
 
-if (process.env[recordVariable] !== undefined) {
-    process.on(recordSignal, () => {
+if (process.env[codeCacheVariable] !== undefined) {
+    process.on(codeCacheSignal, () => {
         writeFileSync(cachePath, script.createCachedData());
         process.exit(0);
     });
--- a/scripts/knownRed.ts
+++ b/scripts/knownRed.ts
@@ -3,22 +3,22 @@
  * Tests that are listed there fail for faults that are known and open; any other failure fails the run.
  */
 import { existsSync, readFileSync } from "node:fs";
-import { findFailedTests, findKnownRed, judgeFailures } from "./knownRed/judge.js";
+import { parseFailedTests, parseKnownRed, classifyFailures } from "./knownRed/classifyFailures.js";
 
 const listPath = "KNOWN-RED.txt";
 
 const results = readFileSync(process.argv[2] ?? "", "utf8");
-const known = findKnownRed(existsSync(listPath) ? readFileSync(listPath, "utf8") : "");
-const verdict = judgeFailures(findFailedTests(results), known);
+const known = parseKnownRed(existsSync(listPath) ? readFileSync(listPath, "utf8") : "");
+const verdict = classifyFailures(parseFailedTests(results), known);
 for (const { test, entry } of verdict.knownRed) {
     console.log(`known red: ${test}\n${entry}`);
 }
-for (const test of verdict.unexpected) {
+for (const test of verdict.unexpectedFailures) {
     console.error(`failed: ${test}`);
 }
-for (const test of verdict.green) {
+for (const test of verdict.passed) {
     console.log(`listed in ${listPath}, but passed in this run: ${test}`);
 }
 // A run that failed without naming a test was cut off, or its runner failed.
-const passed = verdict.unexpected.length === 0 && verdict.knownRed.length > 0;
+const passed = verdict.unexpectedFailures.length === 0 && verdict.knownRed.length > 0;
 process.exitCode = passed ? 0 : 1;
--- a/scripts/knownRed/judge.ts
+++ b/scripts/knownRed/classifyFailures.ts
@@ -7,11 +7,11 @@
 }
 
 /** What a run's failures come to. */
-export interface Verdict {
+export interface FailureVerdict {
     readonly knownRed: readonly KnownRed[];
-    readonly unexpected: readonly string[];
+    readonly unexpectedFailures: readonly string[];
     /** Listed tests that did not fail. */
-    readonly green: readonly string[];
+    readonly passed: readonly string[];
 }
 
 const testPrefix = "test: ";
@@ -24,7 +24,7 @@
  *
  * @param text - of the list
  */
-export function findKnownRed(text: string): readonly KnownRed[] {
+export function parseKnownRed(text: string): readonly KnownRed[] {
     const found: KnownRed[] = [];
     for (const block of text.split(/\n\s*\n/)) {
         const lines = block.split("\n").filter(line => line.trim() !== "" && !line.startsWith("#"));
@@ -42,7 +42,7 @@
  *
  * @param results - what it printed
  */
-export function findFailedTests(results: string): readonly string[] {
+export function parseFailedTests(results: string): readonly string[] {
     const failed: string[] = [];
     for (const line of results.split("\n")) {
         const name = failedLine.exec(line)?.[1];
@@ -57,11 +57,11 @@
  * @param failed - names of the tests that failed
  * @param known - the tests that may fail
  */
-export function judgeFailures(failed: readonly string[], known: readonly KnownRed[]): Verdict {
+export function classifyFailures(failed: readonly string[], known: readonly KnownRed[]): FailureVerdict {
     const names = new Set(known.map(({ test }) => test));
     return {
         knownRed: known.filter(({ test }) => failed.includes(test)),
-        unexpected: failed.filter(test => !names.has(test)),
-        green: known.map(({ test }) => test).filter(test => !failed.includes(test)),
+        unexpectedFailures: failed.filter(test => !names.has(test)),
+        passed: known.map(({ test }) => test).filter(test => !failed.includes(test)),
     };
 }
--- a/scripts/measureStart.ts
+++ b/scripts/measureStart.ts
@@ -14,8 +14,8 @@
 import { fileURLToPath } from "node:url";
 import { parseArgs } from "node:util";
 import { settingsVariable } from "../platform/src/settingsVariable.js";
-import { compiledFlags } from "./edgeBundle/constants.js";
-import { type CallEnd, objectiveMs, StandInFleet } from "./edgeBundle/standInFleet.js";
+import { codeCacheFlags } from "./edgeBundle/constants.js";
+import { type CallResult, objectiveMs, StandInFleet } from "./edgeBundle/standInFleet.js";
 
 const { values } = parseArgs({
     options: {
@@ -36,7 +36,7 @@
 const downMs = Number(values.down);
 const loadMs = 6_000;
 const random = createRandomSource(1);
-const arrived: (CallEnd & { readonly cameAtMs: number; })[] = [];
+const arrived: (CallResult & { readonly cameAtMs: number; })[] = [];
 
 const dir = mkdtempSync(join(tmpdir(), "galenaglade-start-"));
 const fleet = await StandInFleet.start({
@@ -67,7 +67,7 @@
 rmSync(dir, { recursive: true });
 process.exit(0);
 
-async function measure(i: number): Promise<readonly CallEnd[]> {
+async function measure(i: number): Promise<readonly CallResult[]> {
     const profile = values.profile === undefined
         ? []
         : ["--cpu-prof", "--cpu-prof-interval=200", `--cpu-prof-dir=${resolve(values.profile)}`];
@@ -76,7 +76,7 @@
         (_, n) => arrive(i, n),
     );
     await sleep(downMs);
-    const child = spawn(process.execPath, [...compiledFlags, ...profile, "target/galenaglade-edge.cjs"], {
+    const child = spawn(process.execPath, [...codeCacheFlags, ...profile, "target/galenaglade-edge.cjs"], {
         env: { ...process.env, [settingsVariable]: fleet.writeSettings(i, dir) },
         stdio: ["ignore", openSync(join(dir, `${i}.log`), "a"), "inherit"],
     });
@@ -87,7 +87,7 @@
 }
 
 /** An open load: callers come at their rate whatever became of those before them. */
-async function arrive(i: number, n: number): Promise<CallEnd> {
+async function arrive(i: number, n: number): Promise<CallResult> {
     await sleep((n + random.next()) * 1_000 / ratePerSecond);
     const cameAtMs = performance.now();
     const end = await fleet.call(i, `${i}-load-${n}`, n % 2 === 1);
@@ -98,7 +98,7 @@
 function reportLoad(): void {
     for (const [fromMs, toMs] of [[-downMs, 0], [0, 2_000], [2_000, 4_000], [4_000, loadMs]] as const) {
         const came = arrived.filter(({ cameAtMs }) => cameAtMs >= fromMs && cameAtMs < toMs);
-        const inTime = came.filter(({ status, tookMs }) => status === okStatus && tookMs <= objectiveMs).length;
+        const inTime = came.filter(({ status, latencyMs }) => status === okStatus && latencyMs <= objectiveMs).length;
         const answered = came.filter(({ status }) => status === okStatus).length;
         const share = (count: number): string => `${(100 * count / Math.max(1, came.length)).toFixed(1)}%`;
         console.log(
@@ -119,7 +119,7 @@
         const sorted = timelines.flatMap(each => each[phase] ?? []).sort((a, b) => a - b);
         console.log(`${phase.padEnd(32)} median ${at(sorted, 0.5)}  highest ${at(sorted, 1)}`);
     }
-    const took = ends.map(({ tookMs }) => tookMs).sort((a, b) => a - b);
+    const took = ends.map(({ latencyMs }) => latencyMs).sort((a, b) => a - b);
     const answered = ends.filter(({ status }) => status === okStatus).length;
     console.log(`callers: ${answered} of ${ends.length} answered; median ${at(took, 0.5)} ms, last ${at(took, 1)} ms`);
 }
