--- a/packages/atMostOnce/src/__tests__/claimWorld.ts
+++ b/packages/atMostOnce/src/__tests__/claimWorld.ts
@@ -1,7 +1,13 @@
 import { createFailure, type DidRun, type Failure, resolveFailure } from "@galenaglade/errors";
 import { type HistoryEvent, type HistoryLine } from "@galenaglade/history";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { type CallFate, FakeStore, type FateOf, KeyValueEngine, VirtualTime } from "@galenaglade/stand-ins";
+import {
+    type StoreCallOutcome,
+    FakeStore,
+    type StoreCallOutcomeResolver,
+    KeyValueEngine,
+    VirtualClock,
+} from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 import {
     type ClaimCallAnswer,
@@ -28,7 +34,7 @@
 
 /** What becomes of a store call, with fates that {@link FakeStore} lacks: it takes effect after its timeout, or lags. */
 export type WorldFate =
-    | CallFate
+    | StoreCallOutcome
     /** A read that returns the document as it was at the time given, or before it existed. */
     | { readonly type: "stale"; readonly asOfMs: number; }
     | { readonly type: "late"; readonly outMs: number; readonly timeoutMs: number; };
@@ -70,7 +76,7 @@
 
 /** Several gateways, one store and one server on one virtual clock, recording a history. */
 export class ClaimWorld {
-    readonly time = new VirtualTime();
+    readonly time = new VirtualClock();
     readonly history: HistoryLine[] = [];
     readonly told = new Map<string, Told>();
     fateOf: (client: string, nowMs: number) => WorldFate = () => ({ type: "answered", outMs: 1, backMs: 1 });
@@ -81,11 +87,11 @@
     readonly #gateways: readonly SimulatedGateway[];
     readonly #random: RandomSource;
     readonly #versions: Version[] = [];
-    #nextFate: CallFate = { type: "answered", outMs: 1, backMs: 1 };
+    #nextFate: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
 
     constructor(skewsMs: readonly number[], limits: ClaimLimits = worldLimits, seed = 1) {
         this.#random = createRandomSource(seed);
-        const fateOf: FateOf = () => this.#nextFate;
+        const fateOf: StoreCallOutcomeResolver = () => this.#nextFate;
         this.#store = new FakeStore(this.#engine, this.time, fateOf);
         this.#gateways = skewsMs.map((skewMs, i) => ({
             name: `gateway-${i}`,
@@ -99,12 +105,12 @@
 
     /** Sends a try at a time. */
     sendAt(atMs: number, attempt: Try): void {
-        this.time.after(atMs - this.time.nowMs, () => this.#send(attempt));
+        this.time.schedule(atMs - this.time.nowMs, () => this.#send(attempt));
     }
 
     /** Ends a gateway's process at a time; callers of what it held are cut off. */
     killAt(atMs: number, gateway: number): void {
-        this.time.after(atMs - this.time.nowMs, () => {
+        this.time.schedule(atMs - this.time.nowMs, () => {
             const killed = this.#gateway(gateway);
             killed.alive = false;
             for (const attempt of killed.tries.values()) {
@@ -182,12 +188,12 @@
             const stored = command.type === "read" ? command.keys.map(key => this.#findVersion(key, fate.asOfMs)) : [];
             const stale: ClaimCallAnswer = { type: "read", stored };
             const { nowMs } = this.time;
-            this.time.after(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
+            this.time.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
             return;
         }
         if (fate.type === "late") {
-            this.time.after(fate.outMs, () => run(this.#engine, this.time.nowMs));
-            this.time.after(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+            this.time.schedule(fate.outMs, () => run(this.#engine, this.time.nowMs));
+            this.time.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
         this.#nextFate = fate;
@@ -200,7 +206,7 @@
 
     #claimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
         const attempt = this.#try(gateway, nonce);
-        this.time.after(attempt.pauseMs ?? 0, () => {
+        this.time.schedule(attempt.pauseMs ?? 0, () => {
             if (!gateway.alive) {
                 return;
             }
@@ -216,7 +222,7 @@
     #handOver(gateway: SimulatedGateway, attempt: Try): void {
         const server = attempt.server ?? "answers";
         const runs = server === "answers" || server === "closesWhileRunning";
-        this.time.after(1 + this.#random.nextInt(5), () => {
+        this.time.schedule(1 + this.#random.nextInt(5), () => {
             if (runs) {
                 this.#record("server", {
                     type: "serverStarted",
@@ -230,7 +236,7 @@
                     bears: 3,
                 });
             }
-            this.time.after(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
+            this.time.schedule(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
         });
     }
 
@@ -281,7 +287,7 @@
                 this.#run(gateway, gateway.batcher.tick(this.#timeOf(gateway)));
             }
         }
-        this.time.after(20, () => this.#tick());
+        this.time.schedule(20, () => this.#tick());
     }
 
     #timeOf(gateway: SimulatedGateway): ClaimTime {
--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -9,9 +9,9 @@
 import { type Either, Left, Right } from "purify-ts";
 import { FakeCoordinator, fleetKey } from "../../../admin/src/__tests__/fakeFleet.js";
 import { AdminClient } from "../adminClient.js";
-import { callTries } from "../constants.js";
+import { maxCallAttempts } from "../constants.js";
 import { commands } from "../index.js";
-import { runCli, startAdmin, writeFile } from "./running.js";
+import { runCli, startAdmin, writeTemporaryFile } from "./runCli.js";
 
 const yaml = `availabilityZones:
     - name: a
@@ -26,7 +26,7 @@
 `;
 const faultyYaml = yaml.replace("patienceMs: 1000", "patienceMs: long").replace("port: 80", "port: 80, colour: red");
 
-const file = (t: TestContext, text = yaml) => writeFile(t, text);
+const file = (t: TestContext, text = yaml) => writeTemporaryFile(t, text);
 /** Where nobody listens: port 1 needs privileges that no test has. */
 const nobody = "http://127.0.0.1:1";
 
@@ -39,7 +39,7 @@
         assert.equal(help.code, 0);
         assert.match(help.out.join("\n"), /--json/);
         for (const option of command.options) {
-            assert.ok(help.out.some(line => line.startsWith(`--${option.name} ${option.value}`)));
+            assert.ok(help.out.some(line => line.startsWith(`--${option.name} ${option.valuePlaceholder}`)));
         }
     }
 });
@@ -172,7 +172,7 @@
 test("ends with 5 where nobody answers, and says how to go on", async t => {
     const { code, err, pauses } = await runCli(t, [nobody], ["zone", "out", "a", "--change-id", "tonight"]);
     assert.equal(code, 5);
-    assert.equal(pauses.length, callTries - 1);
+    assert.equal(pauses.length, maxCallAttempts - 1);
     assert.match(err.join("\n"), /--change-id tonight/);
 });
 
--- a/packages/cli/src/__tests__/endToEnd.test.ts
+++ b/packages/cli/src/__tests__/endToEnd.test.ts
@@ -4,7 +4,7 @@
 import { after, before, test } from "node:test";
 import { request } from "undici";
 import { stringify } from "yaml";
-import { runCli, writeFile } from "./running.js";
+import { runCli, writeTemporaryFile } from "./runCli.js";
 
 const declared: ConfigurationInput = {
     availabilityZones: [{ name: "a" }, { name: "b" }],
@@ -32,12 +32,12 @@
 });
 
 test("a file that is applied is in force on every gateway when the command ends", async t => {
-    const file = writeFile(t, stringify(fleet.configuration));
+    const file = writeTemporaryFile(t, stringify(fleet.configuration));
     const { code, out, err } = await runCli(t, [fleet.adminUrl], ["apply", file], { key: fleet.fleetKey });
     assert.deepEqual([code, err], [0, []]);
     // How many gateways have joined the roster by now is not said here; those that have must all hold it.
     assert.match(out.join(), /^revision 1: in force, held by (\d) of \1 gateways$/);
-    await fleet.becomeReady();
+    await fleet.waitUntilReady();
 });
 
 test("a change whose answer the store loses is stored once and reported as in force", async t => {
--- a/packages/cli/src/__tests__/running.ts
+++ b/packages/cli/src/__tests__/runCli.ts
@@ -19,7 +19,7 @@
 }
 
 /** A real operators' server over a fleet in memory. */
-export interface Running {
+export interface TestAdmin {
     readonly coordinator: FakeCoordinator;
     readonly server: AdminServer;
     readonly signal: ManualSignal;
@@ -30,7 +30,7 @@
     t: TestContext,
     coordinator = new FakeCoordinator(),
     observer?: BackendServerObserver,
-): Promise<Running> {
+): Promise<TestAdmin> {
     const hosts = new FakeHostList();
     hosts.hosts = [{ name: "entry-1", address: "10.0.0.9", availabilityZone: "a", state: "live" }];
     const calls = new OperatorCalls({ coordinator, hosts, observer, acceptWaitMs: 1_000 });
@@ -52,7 +52,7 @@
 }
 
 /** Writes a file that goes with the test. */
-export function writeFile(t: TestContext, text: string): string {
+export function writeTemporaryFile(t: TestContext, text: string): string {
     const directory = mkdtempSync(join(tmpdir(), "cli-"));
     t.after(() => rmSync(directory, { recursive: true }));
     const path = join(directory, "file");
@@ -60,7 +60,7 @@
     return path;
 }
 
-export interface Ended {
+export interface CliResult {
     readonly code: ExitCode;
     readonly out: readonly string[];
     readonly err: readonly string[];
@@ -68,7 +68,7 @@
     readonly pauses: readonly number[];
 }
 
-export interface RunOptions {
+export interface RunCliOptions {
     readonly key?: string;
     readonly signal?: AbortSignal;
     readonly onOut?: (line: string) => void;
@@ -80,8 +80,8 @@
     t: TestContext,
     urls: readonly string[],
     args: readonly string[],
-    options: RunOptions = {},
-): Promise<Ended> {
+    options: RunCliOptions = {},
+): Promise<CliResult> {
     const out: string[] = [];
     const err: string[] = [];
     const pauses: number[] = [];
@@ -89,7 +89,7 @@
         args,
         env: {
             GALENAGLADE_ADMIN: urls.length === 0 ? undefined : urls.join(","),
-            GALENAGLADE_KEY_FILE: writeFile(t, `${options.key ?? fleetKey}\n`),
+            GALENAGLADE_KEY_FILE: writeTemporaryFile(t, `${options.key ?? fleetKey}\n`),
         },
         terminal: {
             out: line => {
--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -4,10 +4,10 @@
 import { type Secret } from "@galenaglade/settings";
 import { type Either, Left, Right } from "purify-ts";
 import { type CallError, toCallError } from "./callOutcome.js";
-import { callTimeoutMs, callTries, maximumRetryDelayMs, pingIntervalMs, retryDelayMs } from "./constants.js";
+import { callTimeoutMs, maxCallAttempts, maxRetryDelayMs, pingIntervalMs, retryDelayMs } from "./constants.js";
 
 /** The calls of the schema file. */
-export type Operator = Client<typeof OperatorService>;
+export type OperatorClient = Client<typeof OperatorService>;
 
 /** How to reach the operators' servers. */
 export interface AdminClientOptions {
@@ -32,7 +32,7 @@
     }
 
     /** Whether the command is interrupted. */
-    get interrupted(): boolean {
+    get isInterrupted(): boolean {
         return this.#options.signal.aborted;
     }
 
@@ -56,21 +56,21 @@
      * @param make - makes the call
      * @returns its answer, or why the last try failed
      */
-    async call<T>(make: (operator: Operator, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
+    async call<T>(make: (operator: OperatorClient, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
         for (let i = 1;; i++) {
             const tried = await this.#try(make);
             if (tried.isRight()) {
                 return tried;
             }
             const error = tried.extract() as CallError;
-            if (!error.retryable || i === callTries || this.interrupted) {
+            if (!error.retryable || i === maxCallAttempts || this.isInterrupted) {
                 return Left(error);
             }
-            await this.pause(Math.min(error.retryAfterMs ?? retryDelayMs, maximumRetryDelayMs));
+            await this.pause(Math.min(error.retryAfterMs ?? retryDelayMs, maxRetryDelayMs));
         }
     }
 
-    async #try<T>(make: (operator: Operator, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
+    async #try<T>(make: (operator: OperatorClient, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
         const { operator, close } = this.#connect();
         const timeoutMs = this.#options.callTimeoutMs ?? callTimeoutMs;
         try {
@@ -91,8 +91,8 @@
      * @param onEvent - gets what it brings
      * @returns why it ended
      */
-    async follow<T>(
-        open: (operator: Operator, options: CallOptions) => AsyncIterable<T>,
+    async followStream<T>(
+        open: (operator: OperatorClient, options: CallOptions) => AsyncIterable<T>,
         onEvent: (event: T) => void,
     ): Promise<CallError> {
         const { operator, close } = this.#connect();
@@ -111,7 +111,7 @@
     }
 
     /** A new connection for every try: the last one may have gone silent for good. */
-    #connect(): { readonly operator: Operator; readonly close: () => void; } {
+    #connect(): { readonly operator: OperatorClient; readonly close: () => void; } {
         const { addresses, fleetKey } = this.#options;
         const baseUrl = addresses[this.#next++ % addresses.length] ?? "";
         const sessionManager = new Http2SessionManager(baseUrl, { pingIntervalMs });
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,13 +1,13 @@
 import { type AdminClient } from "./adminClient.js";
 import { type CallError, toExitCode } from "./callOutcome.js";
 import { type ExitCode } from "./exitCodes.js";
-import { printable, type Terminal } from "./terminal.js";
+import { replaceControlCharacters, type Terminal } from "./terminal.js";
 
 /** One option of a command beyond those that all have. */
 export interface CommandOption {
     readonly name: "expected-revision" | "change-id" | "yes";
     /** What stands for its value in the help; empty where it takes none. */
-    readonly value: string;
+    readonly valuePlaceholder: string;
     readonly description: string;
 }
 
@@ -32,7 +32,7 @@
     abstract readonly summary: string;
     abstract readonly options: readonly CommandOption[];
     /** Whether it calls the operators' server. */
-    abstract readonly remote: boolean;
+    abstract readonly usesAdmin: boolean;
 
     /**
      * @param context - the command line and the means
@@ -45,12 +45,12 @@
 export const changeOptions: readonly CommandOption[] = [
     {
         name: "expected-revision",
-        value: "N",
+        valuePlaceholder: "N",
         description: "change nothing unless this revision is present",
     },
     {
         name: "change-id",
-        value: "ID",
+        valuePlaceholder: "ID",
         description: "names the change, so that the command can be run again without a second effect",
     },
 ];
@@ -68,7 +68,7 @@
         terminal.out(JSON.stringify({ error: { ...error, kind: error.kind ?? "unanswered" }, changeId }));
         return toExitCode(error);
     }
-    terminal.err(`${error.kind ?? "no answer"}: ${printable(error.detail)}`);
+    terminal.err(`${error.kind ?? "no answer"}: ${replaceControlCharacters(error.detail)}`);
     if (error.presentRevision !== undefined) {
         terminal.err(`present revision: ${error.presentRevision}`);
     }
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -2,7 +2,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { parseArgs } from "node:util";
 import { type Command } from "./command.js";
-import { environment } from "./constants.js";
+import { environmentVariables } from "./constants.js";
 
 /** The command line, checked. */
 export interface CommandLine {
@@ -48,8 +48,8 @@
     }
     const expectedRevision = parseRevision(values["expected-revision"], faults);
     const changeId = checkChangeId(values["change-id"], faults);
-    const addresses = command.remote ? findAddresses(values.admin, env, faults) : [];
-    const fleetKey = command.remote ? findFleetKey(values["key-file"], env, faults) : undefined;
+    const addresses = command.usesAdmin ? findAddresses(values.admin, env, faults) : [];
+    const fleetKey = command.usesAdmin ? findFleetKey(values["key-file"], env, faults) : undefined;
     if (faults.length > 0) {
         return Left(faults);
     }
@@ -128,9 +128,9 @@
 }
 
 function findAddresses(given: readonly string[] | undefined, env: Environment, faults: string[]): readonly string[] {
-    const addresses = given ?? env[environment.admin]?.split(",") ?? [];
+    const addresses = given ?? env[environmentVariables.admin]?.split(",") ?? [];
     if (addresses.length === 0) {
-        faults.push(`--admin: missing, and ${environment.admin} is not set`);
+        faults.push(`--admin: missing, and ${environmentVariables.admin} is not set`);
     }
     for (const address of addresses) {
         if (!/^https?:\/\/[^/?#]+\/?$/.test(address) || !URL.canParse(address)) {
@@ -141,9 +141,9 @@
 }
 
 function findFleetKey(given: string | undefined, env: Environment, faults: string[]): Secret | undefined {
-    const file = given ?? env[environment.keyFile];
+    const file = given ?? env[environmentVariables.keyFile];
     if (file === undefined) {
-        faults.push(`--key-file: missing, and ${environment.keyFile} is not set`);
+        faults.push(`--key-file: missing, and ${environmentVariables.keyFile} is not set`);
         return undefined;
     }
     try {
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -12,7 +12,7 @@
     readonly operands = ["FILE"];
     readonly summary = "replace the configuration with a file's, and wait until it is in force";
     readonly options = changeOptions;
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const [file = ""] = context.operands;
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -9,7 +9,7 @@
     readonly operands = ["FILE"];
     readonly summary = "check a configuration file";
     readonly options = [];
-    readonly remote = false;
+    readonly usesAdmin = false;
 
     override run(context: CommandContext): Promise<ExitCode> {
         const [file = ""] = context.operands;
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -3,7 +3,7 @@
 import { type ExitCode, exitCodes } from "../exitCodes.js";
 import { explainRequest, formatLine, summarizeFailures } from "../explain/explainRequest.js";
 import { type LogLine, readLog } from "../explain/logLine.js";
-import { printable } from "../terminal.js";
+import { replaceControlCharacters } from "../terminal.js";
 
 /** In place of a request's id: all requests that failed, by cause. */
 const everything = "all";
@@ -14,7 +14,7 @@
     readonly operands = ["REQUEST-ID|all", "FILE..."];
     readonly summary = "tell from hosts' logs what became of a request, or count all failures by cause";
     readonly options = [];
-    readonly remote = false;
+    readonly usesAdmin = false;
 
     override run(context: CommandContext): Promise<ExitCode> {
         const { operands: [requestId = "", ...files], terminal } = context;
@@ -44,7 +44,9 @@
             return exitCodes.ok;
         }
         for (const { kind, detail, count, example } of causes) {
-            terminal.out(`${count} ${kind}: ${printable(detail)} (such as ${printable(example)})`);
+            terminal.out(
+                `${count} ${kind}: ${replaceControlCharacters(detail)} (such as ${replaceControlCharacters(example)})`,
+            );
         }
         return exitCodes.ok;
     }
@@ -52,11 +54,11 @@
     #tell({ json, terminal }: CommandContext, requestId: string, lines: readonly LogLine[]): ExitCode {
         const story = explainRequest(requestId, lines);
         if (story.length === 0) {
-            terminal.err(`no line names the request ${printable(requestId)}`);
+            terminal.err(`no line names the request ${replaceControlCharacters(requestId)}`);
             return exitCodes.badInput;
         }
         for (const line of story) {
-            terminal.out(json ? JSON.stringify(line) : printable(formatLine(line)));
+            terminal.out(json ? JSON.stringify(line) : replaceControlCharacters(formatLine(line)));
         }
         return exitCodes.ok;
     }
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -9,7 +9,7 @@
     readonly operands = [];
     readonly summary = "print the present configuration as YAML that apply takes";
     readonly options = [];
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const answer = await context.client.call((operator, options) => operator.getConfiguration({}, options));
--- a/packages/cli/src/commands/host.ts
+++ b/packages/cli/src/commands/host.ts
@@ -1,6 +1,6 @@
 import { Command, type CommandContext, type CommandOption, reportCallError } from "../command.js";
 import { type ExitCode, exitCodes } from "../exitCodes.js";
-import { printable } from "../terminal.js";
+import { replaceControlCharacters } from "../terminal.js";
 
 const danger = [
     "Say this only of a host that runs no more: its machine is off, or its gateway's process has ended.",
@@ -10,7 +10,7 @@
 ];
 
 const options: readonly CommandOption[] = [
-    { name: "yes", value: "", description: "say that the host runs no more; without it, nothing is done" },
+    { name: "yes", valuePlaceholder: "", description: "say that the host runs no more; without it, nothing is done" },
 ];
 
 /** Vouches that a lost host runs no more. */
@@ -19,7 +19,7 @@
     readonly operands = ["forget", "NAME"];
     readonly summary = "vouch that a lost host's gateway runs no more, so that changes don't wait for it";
     readonly options = options;
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const { operands: [action, name = ""], isConfirmed, json, terminal, client } = context;
@@ -35,7 +35,9 @@
         return answer.caseOf<ExitCode>({
             Left: error => reportCallError(context, error),
             Right: () => {
-                terminal.out(json ? JSON.stringify({ forgotten: name }) : `forgotten: ${printable(name)}`);
+                terminal.out(
+                    json ? JSON.stringify({ forgotten: name }) : `forgotten: ${replaceControlCharacters(name)}`,
+                );
                 return exitCodes.ok;
             },
         });
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -10,7 +10,7 @@
 } from "@galenaglade/schema";
 import { Command, type CommandContext, reportCallError } from "../command.js";
 import { type ExitCode, exitCodes } from "../exitCodes.js";
-import { describeExceptions, formatGateways, summarize, toStandingObject } from "../standingOutput.js";
+import { describeProblems, formatGateways, summarizeStanding, toStandingObject } from "../standingOutput.js";
 import { formatTable } from "../terminal.js";
 
 const hostStates: Readonly<Record<HostState, string>> = {
@@ -34,7 +34,7 @@
     readonly operands = [];
     readonly summary = "print whether the configuration is in force, the hosts and the backend servers";
     readonly options = [];
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const answer = await context.client.call(async (operator, options) => ({
@@ -66,8 +66,8 @@
             observationFailure: servers.observationFailure,
         })]
         : [
-            summarize(standing),
-            ...describeExceptions({ ...standing, gateways: [] }),
+            summarizeStanding(standing),
+            ...describeProblems({ ...standing, gateways: [] }),
             "",
             ...formatGateways(standing.gateways),
             "",
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -3,8 +3,8 @@
 import { Command, type CommandContext, reportCallError } from "../command.js";
 import { retryDelayMs } from "../constants.js";
 import { type ExitCode, exitCodes } from "../exitCodes.js";
-import { describeExceptions, summarize, toStandingObject } from "../standingOutput.js";
-import { printable } from "../terminal.js";
+import { describeProblems, summarizeStanding, toStandingObject } from "../standingOutput.js";
+import { replaceControlCharacters } from "../terminal.js";
 
 /** Prints the standing, and again whenever it changes. */
 export class WatchCommand extends Command {
@@ -12,16 +12,16 @@
     readonly operands = [];
     readonly summary = "print the standing, and again whenever it changes, until interrupted";
     readonly options = [];
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const { client } = context;
         for (;;) {
-            const error = await client.follow(
+            const error = await client.followStream(
                 (operator, options) => operator.watchChanges({}, options),
                 response => print(context, response),
             );
-            if (client.interrupted) {
+            if (client.isInterrupted) {
                 return exitCodes.ok;
             }
             if (!error.retryable) {
@@ -39,12 +39,14 @@
         const standing = event.value;
         const lines = json
             ? [JSON.stringify(toStandingObject(standing))]
-            : [summarize(standing), ...describeExceptions(standing)];
+            : [summarizeStanding(standing), ...describeProblems(standing)];
         lines.forEach(line => terminal.out(line));
     }
     else if (event.case === "failure") {
         const { kind, detail } = event.value;
-        terminal.out(json ? JSON.stringify({ error: { kind, detail } }) : `${kind}: ${printable(detail)}`);
+        terminal.out(
+            json ? JSON.stringify({ error: { kind, detail } }) : `${kind}: ${replaceControlCharacters(detail)}`,
+        );
     }
 }
 
@@ -54,6 +56,6 @@
         terminal.out(JSON.stringify({ error: { kind: kind ?? "unanswered", detail } }));
     }
     else {
-        terminal.err(`${kind ?? "no answer"}: ${printable(detail)}; connecting again`);
+        terminal.err(`${kind ?? "no answer"}: ${replaceControlCharacters(detail)}; connecting again`);
     }
 }
--- a/packages/cli/src/commands/zone.ts
+++ b/packages/cli/src/commands/zone.ts
@@ -11,7 +11,7 @@
     readonly operands = ["out|in", "NAME"];
     readonly summary = "take an availability zone out or bring it in, and wait until that is in force";
     readonly options = changeOptions;
-    readonly remote = true;
+    readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
         const [state, name = ""] = context.operands;
--- a/packages/cli/src/explain/explainRequest.ts
+++ b/packages/cli/src/explain/explainRequest.ts
@@ -40,7 +40,7 @@
 }
 
 /** One cause of failed requests. */
-export interface Cause {
+export interface FailureCause {
     readonly kind: string;
     readonly detail: string;
     readonly count: number;
@@ -53,8 +53,8 @@
  *
  * @param lines - lines of all hosts
  */
-export function summarizeFailures(lines: readonly LogLine[]): readonly Cause[] {
-    const causes = new Map<string, Cause>();
+export function summarizeFailures(lines: readonly LogLine[]): readonly FailureCause[] {
+    const causes = new Map<string, FailureCause>();
     for (const { message, fields } of [...lines].sort(byTime)) {
         // What another host failed at is told by the host that answered the caller.
         if (message !== "requestFailed" || fields["handedOverBy"] !== undefined) {
--- a/packages/cli/src/help.ts
+++ b/packages/cli/src/help.ts
@@ -1,5 +1,5 @@
 import { type Command } from "./command.js";
-import { environment } from "./constants.js";
+import { environmentVariables } from "./constants.js";
 import { formatTable } from "./terminal.js";
 
 const exitCodeLines = [
@@ -33,8 +33,10 @@
  */
 export function formatCommandHelp(command: Command): readonly string[] {
     const options = [
-        ...command.options.map(({ name, value, description }) => [`--${name} ${value}`.trimEnd(), description]),
-        ...(command.remote ? remoteOptions : []),
+        ...command.options.map((
+            { name, valuePlaceholder, description },
+        ) => [`--${name} ${valuePlaceholder}`.trimEnd(), description]),
+        ...(command.usesAdmin ? remoteOptions : []),
         ["--json", "print JSON for scripts"],
         ["--help", "print this"],
     ];
@@ -49,8 +51,11 @@
 }
 
 const remoteOptions: readonly (readonly string[])[] = [
-    ["--admin URL", `an operators' server, may be given more than once; otherwise ${environment.admin}, by commas`],
-    ["--key-file FILE", `file with the fleet's key; otherwise ${environment.keyFile}`],
+    [
+        "--admin URL",
+        `an operators' server, may be given more than once; otherwise ${environmentVariables.admin}, by commas`,
+    ],
+    ["--key-file FILE", `file with the fleet's key; otherwise ${environmentVariables.keyFile}`],
 ];
 
 function synopsis({ name, operands }: Command): string {
--- a/packages/cli/src/standingOutput.ts
+++ b/packages/cli/src/standingOutput.ts
@@ -23,8 +23,8 @@
         terminal.out(JSON.stringify(toStandingObject(standing)));
     }
     else {
-        terminal.out(summarize(standing));
-        for (const line of describeExceptions(standing)) {
+        terminal.out(summarizeStanding(standing));
+        for (const line of describeProblems(standing)) {
             terminal.out(line);
         }
     }
@@ -53,7 +53,7 @@
  * @param standing - the standing
  * @returns the line
  */
-export function summarize({ revision, inForce, gateways }: Standing): string {
+export function summarizeStanding({ revision, inForce, gateways }: Standing): string {
     const holding = gateways.filter(({ state }) => state === GatewayState.IN_FORCE).length;
     const state = inForce ? "in force" : "stored, not in force yet";
     return `revision ${revision}: ${state}, held by ${holding} of ${gateways.length} gateways`;
@@ -65,7 +65,7 @@
  * @param standing - the standing
  * @returns lines; none where all is well
  */
-export function describeExceptions({ gateways, zonesOut, unservedServices }: Standing): readonly string[] {
+export function describeProblems({ gateways, zonesOut, unservedServices }: Standing): readonly string[] {
     const late = gateways.filter(({ state }) => state !== GatewayState.IN_FORCE);
     const lines = late.length === 0 ? [] : [...formatGateways(late)];
     if (zonesOut.length > 0) {
--- a/packages/cli/src/terminal.ts
+++ b/packages/cli/src/terminal.ts
@@ -12,7 +12,7 @@
  * @param text - any text
  * @returns the text, with a `?` for each control character but line breaks
  */
-export function printable(text: string): string {
+export function replaceControlCharacters(text: string): string {
     return text.replace(/[\u0000-\u0009\u000b-\u001f\u007f-\u009f]/g, "?");
 }
 
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -1,6 +1,6 @@
 import { type HistoryEvent, type HistoryLine } from "@galenaglade/history";
 import { createRandomSource, type RandomSource, type ServerId } from "@galenaglade/routing";
-import { type CallFate, FakeStore, KeyValueEngine, VirtualTime } from "@galenaglade/stand-ins";
+import { type StoreCallOutcome, FakeStore, KeyValueEngine, VirtualClock } from "@galenaglade/stand-ins";
 import {
     type AttemptEnd,
     createServerGate,
@@ -138,7 +138,7 @@
 export class SimulatedFleet {
     readonly history: HistoryLine[] = [];
     readonly #plan: FleetPlan;
-    readonly #time = new VirtualTime();
+    readonly #time = new VirtualClock();
     readonly #random: RandomSource;
     readonly #store: FakeStore;
     readonly #servers: SimulatedServer[] = [];
@@ -179,7 +179,7 @@
         this.#repeat(this.#plan.replaceEveryMs, () => this.#replaceOne());
         const outage = this.#plan.outages[0];
         if (outage !== undefined && this.#plan.dead > 0) {
-            this.#time.after(outage.fromMs, () => {
+            this.#time.schedule(outage.fromMs, () => {
                 for (const gateway of this.#gateways.slice(0, this.#plan.dead)) {
                     gateway.isDead = true;
                 }
@@ -198,7 +198,7 @@
     /** Runs `work` at random times that lie `meanMs` apart in the mean. */
     #repeat(meanMs: number, work: () => void): void {
         if (meanMs > 0) {
-            this.#time.after(meanMs * 2 * this.#random.next(), () => {
+            this.#time.schedule(meanMs * 2 * this.#random.next(), () => {
                 work();
                 this.#repeat(meanMs, work);
             });
@@ -218,7 +218,7 @@
         return this.#plan.outages.some(outage => nowMs >= outage.fromMs && nowMs < outage.toMs);
     }
 
-    #fate(client: string, nowMs: number): CallFate {
+    #fate(client: string, nowMs: number): StoreCallOutcome {
         const gateway = this.#gateways.find(each => each.id === client);
         const isCut = gateway !== undefined && nowMs < gateway.cutFromStoreUntilMs;
         if (isCut || this.#isStoreDown(nowMs) || this.#isLost()) {
@@ -252,7 +252,7 @@
     }
 
     #every(gateway: SimulatedGateway, periodMs: number, work: () => void): void {
-        this.#time.after(periodMs / 2 + this.#random.nextInt(periodMs), () => {
+        this.#time.schedule(periodMs / 2 + this.#random.nextInt(periodMs), () => {
             if (gateway.isDead) {
                 return;
             }
@@ -268,7 +268,7 @@
         this.#roster = { version: this.#roster.version + 1, members, previous };
         const roster = this.#roster;
         for (const gateway of this.#gateways) {
-            this.#time.after(
+            this.#time.schedule(
                 this.#random.nextInt(2_000),
                 () => gateway.run(() => gateway.gate.onRoster(roster, this.#time.nowMs)),
             );
@@ -293,7 +293,7 @@
         this.#record(server.serverId, { type: "serverLeaving", server: server.serverId });
         for (const gateway of this.#gateways) {
             if (!this.#isLost()) {
-                this.#time.after(3_000 + this.#random.nextInt(20_000), () =>
+                this.#time.schedule(3_000 + this.#random.nextInt(20_000), () =>
                     gateway.run(() => {
                         gateway.gate.onHostListed(server.serverId, "leaving", this.#time.nowMs);
                     }));
@@ -304,7 +304,7 @@
     #pauseOne(): void {
         const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
         gateway?.pause();
-        this.#time.after(500 + this.#random.nextInt(15_000), () => gateway?.resume(this.#random));
+        this.#time.schedule(500 + this.#random.nextInt(15_000), () => gateway?.resume(this.#random));
     }
 
     #cutOne(): void {
@@ -356,13 +356,13 @@
             if (peer === gateway || this.#isCut(gateway, peer) || this.#isLost()) {
                 continue;
             }
-            this.#time.after(this.#delayMs(), () =>
+            this.#time.schedule(this.#delayMs(), () =>
                 peer.run(() => {
                     const answer = peer.gate.onHeartbeat(word, this.#time.nowMs);
                     if (this.#isLost()) {
                         return;
                     }
-                    this.#time.after(this.#delayMs(), () =>
+                    this.#time.schedule(this.#delayMs(), () =>
                         gateway.run(() => {
                             answers.push(answer);
                             end();
@@ -405,14 +405,14 @@
         const requestId = `${gateway.id}-${gateway.requests++}`;
         const request: RunningRequest = { requestId, ended: false };
         gateway.gate.onSent(server.serverId, requestId, this.#time.nowMs, deadlineMs);
-        this.#time.after(deadlineMs - this.#time.nowMs, () =>
+        this.#time.schedule(deadlineMs - this.#time.nowMs, () =>
             this.#end(gateway, server, request, {
                 outcome: "failed",
                 signs: noSigns,
                 mayStillRun: true,
             }));
         if (!this.#isLost()) {
-            this.#time.after(1 + this.#random.nextInt(20), () => this.#serve(gateway, server, request, deadlineMs));
+            this.#time.schedule(1 + this.#random.nextInt(20), () => this.#serve(gateway, server, request, deadlineMs));
         }
     }
 
@@ -449,7 +449,7 @@
         const isStuck = this.#random.next() < this.#plan.longShare;
         const serviceMs = isStuck ? Number.POSITIVE_INFINITY : (server.cold ? 20 : 5) + this.#random.nextInt(80);
         const latestMs = deadlineMs + this.#random.nextInt(500) - this.#time.nowMs;
-        this.#time.after(Math.min(serviceMs, latestMs), () => {
+        this.#time.schedule(Math.min(serviceMs, latestMs), () => {
             server.inFlight--;
             if (serviceMs > latestMs) {
                 return;
@@ -465,7 +465,7 @@
             };
             if (!this.#isLost()) {
                 const end: AttemptEnd = { outcome: "good", signs, mayStillRun: false };
-                this.#time.after(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
+                this.#time.schedule(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
             }
         });
     }
--- a/packages/edge/src/__tests__/partition.test.ts
+++ b/packages/edge/src/__tests__/partition.test.ts
@@ -207,7 +207,7 @@
                 store.silenceWatches();
             }
             else {
-                store.watchSnapshot = store.engine.freeze();
+                store.watchSnapshot = store.engine.snapshot();
             }
         }, storeFaultAfterMs);
         setTimeout(() => {
--- a/packages/edge/src/__tests__/requestPath.test.ts
+++ b/packages/edge/src/__tests__/requestPath.test.ts
@@ -1,4 +1,4 @@
-import { type RawRequest, sendRaw } from "@galenaglade/stand-ins";
+import { type RawRequest, sendRawRequest } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -164,7 +164,7 @@
     });
     const edge = await startPath(t, a);
     const head = "POST /returns/x HTTP/1.1\r\nhost: survey.example\r\nx-id: q1\r\ncontent-length: 0\r\n\r\n";
-    const { text } = await sendRaw(edge.url, head);
+    const { text } = await sendRawRequest(edge.url, head);
     assert.match(text, /^HTTP\/1\.1 200 /);
     assert.match(text, /half a ta$/);
     assert.doesNotMatch(text, /content-length|transfer-encoding/i);
@@ -254,7 +254,7 @@
         `GET /tables/${n} HTTP/1.1\r\nhost: survey.example\r\nx-id: p${n}\r\n${
             close ? "connection: close\r\n" : ""
         }\r\n`;
-    const { text } = await sendRaw(edge.url, render(1, false) + render(2, false) + render(3, true));
+    const { text } = await sendRawRequest(edge.url, render(1, false) + render(2, false) + render(3, true));
     assert.deepEqual(text.match(/\/tables\/\d/g), ["/tables/1", "/tables/2", "/tables/3"]);
 });
 
--- a/packages/edge/src/__tests__/stopping.test.ts
+++ b/packages/edge/src/__tests__/stopping.test.ts
@@ -1,4 +1,4 @@
-import { sendRaw } from "@galenaglade/stand-ins";
+import { sendRawRequest } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -57,7 +57,7 @@
 test("a connection with pipelined requests closes with the last response that is due on it", async t => {
     const edge = await startSlowPath(t, 200);
     const render = (n: number): string => `GET /tables/${n} HTTP/1.1\r\nhost: survey.example\r\nx-id: p${n}\r\n\r\n`;
-    const received = sendRaw(edge.url, render(1) + render(2) + render(3));
+    const received = sendRawRequest(edge.url, render(1) + render(2) + render(3));
     await sleep(80);
     const stopped = edge.stop();
     const { text, reset } = await received;
--- a/packages/edge/src/__tests__/support/faultyStore.ts
+++ b/packages/edge/src/__tests__/support/faultyStore.ts
@@ -78,7 +78,7 @@
         if (copy === undefined) {
             return [];
         }
-        this.#engine = copy.engine.copy();
+        this.#engine = copy.engine.clone();
         this.#backups = this.#backups.filter(({ atMs }) => atMs <= copy.atMs);
         this.term++;
         this.notifyWatches();
@@ -147,7 +147,7 @@
             const atMs = this.clock.monotonicMs();
             this.#revisions = [...this.#revisions.slice(-200), { atMs, revision }];
             const kept = this.#backups.filter(copy => atMs - copy.atMs <= maxBackupAgeMs);
-            this.#backups = [...kept, { atMs, engine: this.engine.copy() }];
+            this.#backups = [...kept, { atMs, engine: this.engine.clone() }];
         }
         for (const listener of [...this.#listeners]) {
             listener();
--- a/packages/endToEnd/src/__tests__/coldStart.test.ts
+++ b/packages/endToEnd/src/__tests__/coldStart.test.ts
@@ -27,14 +27,14 @@
 // come at three gateways at once with more than that. Each gateway by itself would be right to send one; together they
 // send three, and the server falls over. The permits in the store leave each server to one gateway until it is warm.
 test("cold servers are given no more than they bear by three gateways together, and become warm", async () => {
-    await run.read(10_000, 200);
-    const settled = await run.read(3_000, 200);
+    await run.sendReads(10_000, 200);
+    const settled = await run.sendReads(3_000, 200);
 
     const history = run.history();
     assert.deepEqual(findOverloads(history), []);
     assert.ok(history.some(line => line.type === "serverStarted" && line.cold), "servers were cold at first");
     const warm = new Set(history.flatMap(line => line.type === "serverStarted" && !line.cold ? [line.server] : []));
     assert.equal(warm.size, run.fleet.backendServers.length, "every server became warm");
-    const { sent, whole } = settled.countsOf("tables/default");
+    const { sent, whole } = settled.getCounts("tables/default");
     assert.equal(whole, sent, "the warm site serves every caller");
 });
--- a/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
+++ b/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
@@ -20,7 +20,7 @@
 // comes later is turned away before anything ran. Nobody's connection breaks in the middle of an answer.
 test("a planned stop cuts no request in flight", async () => {
     const stopping = run.gateway(2);
-    const slow = Array.from({ length: 12 }, (_, i) => run.file(stopping, `stop-${i}`, 700));
+    const slow = Array.from({ length: 12 }, (_, i) => run.fileReturn(stopping, `stop-${i}`, 700));
     await sleep(300);
     const exit = await stopping.process.stop();
     const told = await Promise.all(slow);
@@ -36,13 +36,13 @@
     const killed = run.gateway(0);
     const other = run.gateway(1);
     const keys = Array.from({ length: 12 }, (_, i) => `return-${i}`);
-    const first = keys.map(key => run.file(killed, key, 600));
+    const first = keys.map(key => run.fileReturn(killed, key, 600));
     await sleep(300);
     killed.process.kill();
     killedName = killed.name;
     const firstTold = await Promise.all(first);
-    const again = await Promise.all(keys.map(key => run.file(other, key, 5)));
-    await run.file(other, "fresh", 5);
+    const again = await Promise.all(keys.map(key => run.fileReturn(other, key, 5)));
+    await run.fileReturn(other, "fresh", 5);
 
     const history = run.history();
     assert.deepEqual(checkAtMostOnce(history), []);
--- a/packages/endToEnd/src/__tests__/zoneOut.test.ts
+++ b/packages/endToEnd/src/__tests__/zoneOut.test.ts
@@ -30,21 +30,21 @@
 // back it serves again.
 test("a zone that is taken out receives nothing from a gateway that is cut from the store", async () => {
     await run.setPlatformFaults({ cuts: [{ client: "gateway-2", direction: "toStore" }] });
-    const reading = run.read(6_000, 60);
+    const reading = run.sendReads(6_000, 60);
     await sleep(1_000);
     await run.takeZoneOut("north");
     const outAt = run.history().length;
     const tally = await reading;
     await run.bringZoneIn("north");
     await run.setPlatformFaults({});
-    await run.read(1_500, 60);
+    await run.sendReads(1_500, 60);
 
     const history = run.history();
     assert.deepEqual(checkZoneOut(history, graceMs), []);
     assert.deepEqual(checkResponseIntegrity(history), []);
     assert.ok(countStarts(history.slice(0, outAt), "north") > 0, "the zone served before it was out");
     assert.ok(countStarts(history.slice(outAt), "north") > 0, "the zone serves again");
-    const counts = tally.countsOf("tables/default");
+    const counts = tally.getCounts("tables/default");
     assert.equal(counts.whole, counts.sent, "every caller got its whole answer throughout");
 });
 
@@ -54,18 +54,18 @@
 test("a gateway that was stopped past its lease sends nothing into a zone taken out meanwhile", async () => {
     const paused = run.gateway(0);
     const others = [run.gateway(1), run.gateway(2)];
-    await run.read(500, 60);
-    const readPatiently = await run.connectPatiently(paused, patientCallers);
+    await run.sendReads(500, 60);
+    const readPatiently = await run.openIdleConnections(paused, patientCallers);
     paused.process.pause();
     const atDoor = readPatiently();
-    const reading = run.read(longPauseMs, 30, others);
+    const reading = run.sendReads(longPauseMs, 30, others);
     await sleep(1_000);
     await run.takeZoneOut("south");
     await reading;
     paused.process.resume();
     const statuses = await atDoor;
-    await run.fleet.becomeReady();
-    await run.read(1_000, 60);
+    await run.fleet.waitUntilReady();
+    await run.sendReads(1_000, 60);
 
     const history = run.history();
     assert.deepEqual(checkZoneOut(history, graceMs), []);
@@ -79,9 +79,9 @@
 test("service goes on through an outage of the store", async () => {
     await run.setPlatformFaults({ down: "refusing" });
     await sleep(7_000);
-    const tally = await run.read(3_000, 60);
+    const tally = await run.sendReads(3_000, 60);
     await run.setPlatformFaults({});
-    const counts = tally.countsOf("tables/default");
+    const counts = tally.getCounts("tables/default");
     assert.equal(counts.whole, counts.sent);
     assert.deepEqual(checkResponseIntegrity(run.history()), []);
 });
--- a/packages/endToEnd/src/fleetRun.ts
+++ b/packages/endToEnd/src/fleetRun.ts
@@ -13,10 +13,10 @@
     Fleet,
     FleetConfigurer,
     type FleetGateway,
-    MemoryHistory,
+    MemoryHistoryRecorder,
     mergeHistories,
     type PlatformFaults,
-    type Tally,
+    type OutcomeTally,
 } from "@galenaglade/stand-ins";
 import { Agent, request } from "undici";
 
@@ -32,7 +32,7 @@
 const warmUpRequestsPerSecond = 60;
 
 /** What a caller with an idempotency key was told. */
-export interface KeyedAnswer {
+export interface KeyedResponse {
     readonly status: number;
     readonly didRun: string | undefined;
 }
@@ -63,8 +63,8 @@
 export class FleetRun {
     readonly fleet: Fleet;
     readonly #configurer: FleetConfigurer;
-    readonly #operator = new MemoryHistory("operator");
-    readonly #callers: MemoryHistory[] = [];
+    readonly #operator = new MemoryHistoryRecorder("operator");
+    readonly #callers: MemoryHistoryRecorder[] = [];
     readonly #zoneStates = new Map<string, ZoneState>();
 
     private constructor(fleet: Fleet) {
@@ -90,14 +90,14 @@
             configuration: describeDeployment(),
             gateways,
             admin: false,
-            history: true,
+            recordsHistory: true,
             startsCold,
             enforcesColdStart: startsCold,
             workTime: { medianMs: 5, sigma: 0.2 },
         });
         const run = new FleetRun(fleet);
         await run.#applyZones();
-        await fleet.becomeReady();
+        await fleet.waitUntilReady();
         await run.#waitForRoster(gateways);
         return run;
     }
@@ -133,8 +133,12 @@
     }
 
     /** Open-loop table reads at every gateway. @returns what became of them */
-    async read(durationMs: number, requestsPerSecond: number, gateways = this.fleet.gateways): Promise<Tally> {
-        const history = new MemoryHistory(`caller-${this.#callers.length}`);
+    async sendReads(
+        durationMs: number,
+        requestsPerSecond: number,
+        gateways = this.fleet.gateways,
+    ): Promise<OutcomeTally> {
+        const history = new MemoryHistoryRecorder(`caller-${this.#callers.length}`);
         this.#callers.push(history);
         const plan = callerPlanSchema.parse({
             name: `caller-${this.#callers.length}`,
@@ -151,7 +155,7 @@
      *
      * @returns sends one table read on each of them, and gives the statuses
      */
-    async connectPatiently(gateway: FleetGateway, count: number): Promise<() => Promise<readonly number[]>> {
+    async openIdleConnections(gateway: FleetGateway, count: number): Promise<() => Promise<readonly number[]>> {
         const agent = new Agent({ connections: count, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 });
         const read = async (workMs: number): Promise<number> => {
             const res = await request(`${gateway.process.url}/tables`, {
@@ -173,8 +177,8 @@
     }
 
     /** Files one return under an idempotency key. @returns what the caller was told; `undefined` if it was cut off */
-    async file(gateway: FleetGateway, key: string, workMs: number): Promise<KeyedAnswer | undefined> {
-        const history = new MemoryHistory(`payroll-${this.#callers.length}`);
+    async fileReturn(gateway: FleetGateway, key: string, workMs: number): Promise<KeyedResponse | undefined> {
+        const history = new MemoryHistoryRecorder(`payroll-${this.#callers.length}`);
         this.#callers.push(history);
         const requestId = `${key}-${this.#callers.length}`;
         history.record({
@@ -203,7 +207,7 @@
 
     /** @returns every line of every process, in the order of the machine's clock */
     history(): readonly HistoryLine[] {
-        return mergeHistories(this.fleet.histories, [this.#operator, ...this.#callers]);
+        return mergeHistories(this.fleet.historyFiles, [this.#operator, ...this.#callers]);
     }
 
     /** Planned stop of all. @returns names of those that didn't end with code 0 */
@@ -242,8 +246,8 @@
     async #warmUp(): Promise<void> {
         const untilMs = performance.now() + warmWithinMs;
         while (performance.now() < untilMs) {
-            const tally = await this.read(warmUpMs, warmUpRequestsPerSecond);
-            const { sent, whole } = tally.countsOf("tables/default");
+            const tally = await this.sendReads(warmUpMs, warmUpRequestsPerSecond);
+            const { sent, whole } = tally.getCounts("tables/default");
             const started = new Set<string>();
             for (const line of this.history()) {
                 if (line.type === "serverStarted") {
--- a/packages/endToEnd/src/index.ts
+++ b/packages/endToEnd/src/index.ts
@@ -1,2 +1,2 @@
 /** What the tests of the whole path, on real processes, have in common. */
-export { FleetRun, type KeyedAnswer } from "./fleetRun.js";
+export { FleetRun, type KeyedResponse } from "./fleetRun.js";
--- a/packages/gateway/src/__tests__/badInput.test.ts
+++ b/packages/gateway/src/__tests__/badInput.test.ts
@@ -5,7 +5,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import { type CallerServerOptions, createCallerServer } from "@galenaglade/http-parts";
-import { sendRaw } from "@galenaglade/stand-ins";
+import { sendRawRequest } from "@galenaglade/stand-ins";
 
 const limits: CallerServerOptions = {
     maximumConnections: 20,
@@ -67,7 +67,7 @@
 for (const [what, bytes, expected] of malformed) {
     test(`${what} is refused with its reason and hurts nobody else`, async t => {
         const { url } = await openDoor(t);
-        const [told, served] = await Promise.all([sendRaw(url, bytes), isServed(url)]);
+        const [told, served] = await Promise.all([sendRawRequest(url, bytes), isServed(url)]);
         assert.match(told.text, expected);
         if (told.text !== "") {
             assert.match(told.text, didRun);
@@ -82,7 +82,7 @@
 // request may take, and its connection ends.
 test("a request that is sent too slowly is refused", async t => {
     const { url, handled } = await openDoor(t);
-    const told = await sendRaw(url, "GET / HTTP/1.1\r\nhost: a\r\nx-slow: ");
+    const told = await sendRawRequest(url, "GET / HTTP/1.1\r\nhost: a\r\nx-slow: ");
     assert.match(told.text, /^HTTP\/1\.1 408 /);
     assert.match(told.text, didRun);
     assert.equal(handled(), 0);
@@ -98,7 +98,7 @@
         await once(socket, "connect");
         held.push(socket);
     }
-    const over = await sendRaw(url, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
+    const over = await sendRawRequest(url, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
     assert.match(over.text, /^HTTP\/1\.1 503 /);
     assert.match(over.text, /retry-after: 1/);
     const [first] = held;
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -4,10 +4,10 @@
 import {
     backendHeaders,
     BackendServer,
-    MemoryHistory,
-    type Outcome,
+    MemoryHistoryRecorder,
+    type RequestOutcome,
     PlatformServer,
-    resolveOutcome,
+    classifyResponse,
 } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
@@ -45,8 +45,8 @@
 interface World {
     readonly platform: PlatformServer;
     readonly backends: readonly BackendServer[];
-    readonly histories: readonly MemoryHistory[];
-    readonly callers: MemoryHistory;
+    readonly histories: readonly MemoryHistoryRecorder[];
+    readonly callers: MemoryHistoryRecorder;
     readonly urls: readonly string[];
     readonly agent: Agent;
 }
@@ -54,10 +54,10 @@
 async function startWorld(t: TestContext): Promise<World> {
     const platform = await PlatformServer.start();
     t.after(() => platform.stop());
-    const histories: MemoryHistory[] = [];
+    const histories: MemoryHistoryRecorder[] = [];
     const backends: BackendServer[] = [];
     for (let i = 0; i < 3; i++) {
-        const history = new MemoryHistory(`intake-${i}`);
+        const history = new MemoryHistoryRecorder(`intake-${i}`);
         const backend = await BackendServer.start({ name: `intake-${i}`, availabilityZone: "north", history, seed: i });
         t.after(() => backend.stop());
         histories.push(history);
@@ -77,7 +77,7 @@
     }
     const agent = new Agent({ pipelining: 1 });
     t.after(() => agent.destroy());
-    return { platform, backends, histories, callers: new MemoryHistory("callers"), urls, agent };
+    return { platform, backends, histories, callers: new MemoryHistoryRecorder("callers"), urls, agent };
 }
 
 /** One try, recorded as its caller sees it. */
@@ -85,7 +85,7 @@
     world: World,
     url: string,
     what: { readonly requestId: string; readonly key: string | undefined; readonly workMs: number; },
-): Promise<Outcome> {
+): Promise<RequestOutcome> {
     const { requestId, key, workMs } = what;
     const idempotent = key === undefined;
     world.callers.record({
@@ -123,7 +123,7 @@
     requestId: string,
     headers: Readonly<Record<string, string>>,
     method: "GET" | "POST",
-): Promise<Outcome> {
+): Promise<RequestOutcome> {
     try {
         const res = await request(`${url}/tables`, {
             method,
@@ -131,7 +131,7 @@
             dispatcher: world.agent,
             ...(method === "POST" ? { body: "wages" } : {}),
         });
-        return resolveOutcome(requestId, {
+        return classifyResponse(requestId, {
             status: res.statusCode,
             didRun: String(res.headers[backendHeaders.didRun]),
             bodyDigest: String(res.headers[backendHeaders.bodyDigest]),
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -8,7 +8,13 @@
 import { test, type TestContext } from "node:test";
 import { request } from "undici";
 import { EngineStore } from "./engineStore.js";
-import { type RawBackend, type RawRequest, renderAnswer, sendRaw, startRawBackend } from "@galenaglade/stand-ins";
+import {
+    type RawBackend,
+    type RawRequest,
+    renderRawResponse,
+    sendRawRequest,
+    startRawBackend,
+} from "@galenaglade/stand-ins";
 import { describeService, FixedSource, startGateway, type TestGateway } from "./testGateway.js";
 
 /** Retries that a service has saved up when nothing has failed yet. */
@@ -48,10 +54,10 @@
 }
 
 const shed = (req: RawRequest): void => {
-    req.socket.write(renderAnswer("shed", "503 Service Unavailable", [`${didRunHeader}: no`]));
+    req.socket.write(renderRawResponse("shed", "503 Service Unavailable", [`${didRunHeader}: no`]));
 };
 const answer = (req: RawRequest): void => {
-    req.socket.write(renderAnswer(`${req.method} ${req.path}`));
+    req.socket.write(renderRawResponse(`${req.method} ${req.path}`));
 };
 const close = (req: RawRequest): void => {
     req.socket.destroy();
@@ -71,7 +77,7 @@
 // The backend server closes its kept connection just as the next deposit is written to it. On a shared connection
 // the deposit would be unknown for no reason; on one of its own there is nothing that could be closing.
 test("a deposit does not go over a connection that may be closing", async t => {
-    const backend = await startRawBackend(t, req => req.turn > 1 ? close(req) : answer(req));
+    const backend = await startRawBackend(t, req => req.requestNumber > 1 ? close(req) : answer(req));
     const { url } = await startWith(t, [backend]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
     const second = await send(`${url}/tables`, "POST");
@@ -97,7 +103,7 @@
 // that outgrows the declared limit is refused before anything is sent.
 test("a body is passed on as it was sent, and held to its limit", async t => {
     const large = 1_500_000;
-    const backend = await startRawBackend(t, req => req.socket.write(renderAnswer(String(req.body.length))));
+    const backend = await startRawBackend(t, req => req.socket.write(renderRawResponse(String(req.body.length))));
     const source = new FixedSource();
     const described = describeService([backend.port]);
     source.apply(1, {
@@ -114,7 +120,7 @@
     assert.deepEqual(await upload(Readable.from([Buffer.alloc(500, "a"), Buffer.alloc(700, "b")])), [200, "1200"]);
     assert.equal((await upload(Buffer.alloc(large + 1)))[0], 413);
     const before = backend.requests.length;
-    const outgrown = await sendRaw(
+    const outgrown = await sendRawRequest(
         url,
         `POST /tables HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n${
             `10000\r\n${"x".repeat(65_536)}\r\n`.repeat(17)
@@ -178,7 +184,10 @@
         const backend = await startRawBackend(t, req => req.socket.end(cut));
         const { url } = await startWith(t, [backend]);
         for (const version of ["1.0", "1.1"]) {
-            const seen = await sendRaw(url, `GET /tables HTTP/${version}\r\nhost: a\r\nconnection: close\r\n\r\n`);
+            const seen = await sendRawRequest(
+                url,
+                `GET /tables HTTP/${version}\r\nhost: a\r\nconnection: close\r\n\r\n`,
+            );
             assert.equal(seen.reset, true, `HTTP/${version} after ${JSON.stringify(cut)} saw ${seen.text}`);
         }
     }
@@ -243,7 +252,7 @@
             late = req;
             return;
         }
-        late?.socket.write(renderAnswer("the late answer"));
+        late?.socket.write(renderRawResponse("the late answer"));
         void setTimeout(20).then(() => answer(req));
     });
     const { url } = await startWith(t, [backend], { patienceMs: 200 });
@@ -263,7 +272,7 @@
 // one; it goes again on a new connection, to the same backend server, which is the only one and not to blame.
 test("a read on a silent connection is answered on another", async t => {
     const backend = await startRawBackend(t, req => {
-        if (req.connection !== 1 || req.turn === 1) {
+        if (req.connection !== 1 || req.requestNumber === 1) {
             answer(req);
         }
     });
@@ -350,7 +359,7 @@
     await started;
     const during = await send(`${other.url}/tables`, "POST", "ring-7");
     assert.deepEqual([during.status, during.didRun, during.retryAfter], [409, "unknown", "1"]);
-    running?.socket.write(renderAnswer("paid"));
+    running?.socket.write(renderRawResponse("paid"));
     assert.equal((await first).body, "paid");
     const after = await send(`${other.url}/tables`, "POST", "ring-7");
     assert.deepEqual([after.status, after.didRun], [409, "yes"]);
@@ -386,7 +395,7 @@
     assert.deepEqual([during.status, during.didRun], [409, "unknown"]);
     assert.ok(running);
     assert.equal(running.socket.destroyed, false);
-    running.socket.write(renderAnswer("taken in"));
+    running.socket.write(renderRawResponse("taken in"));
     let after = await send(`${url}/tables`, "POST", "return-7");
     while (after.didRun === "unknown") {
         after = await send(`${url}/tables`, "POST", "return-7");
@@ -441,7 +450,7 @@
     await started;
     const stopped = one.gateway.stop();
     store.ready = setTimeout(200);
-    running?.socket.write(renderAnswer("taken in"));
+    running?.socket.write(renderRawResponse("taken in"));
     assert.equal((await first).body, "taken in");
     await stopped;
     store.down = true;
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -297,7 +297,7 @@
     sim.storeFaults.silentWatches = true;
     sim.startGateway("gw5");
     await sim.run(5_000);
-    sim.storeFaults.staleEngine = sim.engine.freeze();
+    sim.storeFaults.staleEngine = sim.engine.snapshot();
     split(sim, ["gw5"], [...all, "op1"]);
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     await sim.run(10_000);
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -56,7 +56,7 @@
     changeRegularly(): void {
         const operator = this.sim.startOperator("regular");
         for (let atMs = 2_000; atMs < faultyMs; atMs += 2_000 + this.sim.random.nextInt(2_000)) {
-            this.sim.time.after(atMs, () => void this.sim.change(operator, `change-${this.#changes++}`));
+            this.sim.time.schedule(atMs, () => void this.sim.change(operator, `change-${this.#changes++}`));
         }
     }
 
@@ -78,27 +78,27 @@
                 return;
             case "storeCut":
                 chosen.forEach(name => sim.cutFromStore.add(name));
-                sim.time.after(lastsMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
+                sim.time.schedule(lastsMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
                 return;
             case "storeDown":
                 sim.cutFromStore.add("*");
-                sim.time.after(lastsMs, () => sim.cutFromStore.delete("*"));
+                sim.time.schedule(lastsMs, () => sim.cutFromStore.delete("*"));
                 return;
             case "storeSlow":
                 sim.storeDelayMs = 1 + who;
-                sim.time.after(lastsMs, () => {
+                sim.time.schedule(lastsMs, () => {
                     sim.storeDelayMs = 5;
                 });
                 return;
             case "answersLost":
                 sim.lostAnswers = who / 1_024;
-                sim.time.after(lastsMs, () => {
+                sim.time.schedule(lastsMs, () => {
                     sim.lostAnswers = 0;
                 });
                 return;
             case "readsStale":
-                sim.storeFaults.staleEngine = sim.engine.freeze();
-                sim.time.after(lastsMs, () => {
+                sim.storeFaults.staleEngine = sim.engine.snapshot();
+                sim.time.schedule(lastsMs, () => {
                     sim.storeFaults.staleEngine = undefined;
                 });
                 return;
@@ -107,7 +107,7 @@
                 return;
             case "networkCut":
                 this.#cut(new Set(chosen), (who & 512) === 0);
-                sim.time.after(lastsMs, () => sim.network.heal());
+                sim.time.schedule(lastsMs, () => sim.network.heal());
                 return;
             case "isolated":
                 this.#isolate(chosen.filter(name => !name.startsWith("op")), lastsMs);
@@ -120,7 +120,7 @@
                 return;
             case "pause":
                 gateway?.process.pause();
-                sim.time.after(lastsMs, () => gateway?.process.resume());
+                sim.time.schedule(lastsMs, () => gateway?.process.resume());
                 return;
             case "restart":
                 if (gateway !== undefined) {
@@ -148,7 +148,7 @@
     #isolate(names: readonly string[], lastsMs: number): void {
         this.#cut(new Set(names), true);
         names.forEach(name => this.sim.cutFromStore.add(name));
-        this.sim.time.after(lastsMs, () => {
+        this.sim.time.schedule(lastsMs, () => {
             this.sim.network.heal();
             names.forEach(name => this.sim.cutFromStore.delete(name));
         });
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -2,7 +2,7 @@
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type ConfigurationOffer, type Heartbeat, type OfferAnswer } from "@galenaglade/membership";
 import { type RandomSource } from "@galenaglade/routing";
-import { type VirtualTime } from "@galenaglade/stand-ins";
+import { type VirtualClock } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 import { PeerCaller, type PeerHandler, PeerListener } from "../../peerCaller.js";
 import { type ServerObservations } from "../../serverObservation.js";
@@ -15,14 +15,14 @@
 
 /** The network between simulated processes: each way of each call takes its own time, or is lost. */
 export class SimulatedNetwork {
-    readonly #time: VirtualTime;
+    readonly #time: VirtualClock;
     readonly #random: RandomSource;
     readonly #endpoints = new Map<string, Endpoint>();
     readonly #cut = new Set<string>();
     #lossShare = 0;
     #maximumDelayMs = 5;
 
-    constructor(time: VirtualTime, random: RandomSource) {
+    constructor(time: VirtualClock, random: RandomSource) {
         this.#time = time;
         this.#random = random;
     }
@@ -63,7 +63,7 @@
         run: (handler: PeerHandler) => T,
     ): Promise<Either<Failure, T>> {
         return new Promise(resolve => {
-            this.#time.after(timeoutMs, () => {
+            this.#time.schedule(timeoutMs, () => {
                 from.run(() => resolve(Left(createFailure("peerUnreachable", "timeout"))));
             });
             const to = this.#endpoints.get(address);
@@ -80,7 +80,7 @@
     #deliver(from: SimulatedProcess, to: SimulatedProcess, turn: () => void): void {
         const lost = this.#cut.has(`${from.name}>${to.name}`) || this.#random.next() < this.#lossShare;
         if (!lost) {
-            this.#time.after(1 + this.#random.nextInt(this.#maximumDelayMs), () => to.run(turn));
+            this.#time.schedule(1 + this.#random.nextInt(this.#maximumDelayMs), () => to.run(turn));
         }
     }
 }
--- a/packages/peers/src/__tests__/support/simulatedProcess.ts
+++ b/packages/peers/src/__tests__/support/simulatedProcess.ts
@@ -1,14 +1,14 @@
-import { type VirtualTime } from "@galenaglade/stand-ins";
+import { type VirtualClock } from "@galenaglade/stand-ins";
 import { Clock } from "../../clock.js";
 
 /** One process of a simulated run: it can be stopped for a while, go on, or end. */
 export class SimulatedProcess {
     readonly name: string;
-    readonly #time: VirtualTime;
+    readonly #time: VirtualClock;
     #state: "running" | "paused" | "ended" = "running";
     #held: (() => void)[] = [];
 
-    constructor(name: string, time: VirtualTime) {
+    constructor(name: string, time: VirtualClock) {
         this.name = name;
         this.#time = time;
     }
@@ -58,9 +58,9 @@
 
 class ProcessClock extends Clock {
     readonly #process: SimulatedProcess;
-    readonly #time: VirtualTime;
+    readonly #time: VirtualClock;
 
-    constructor(process: SimulatedProcess, time: VirtualTime) {
+    constructor(process: SimulatedProcess, time: VirtualClock) {
         super();
         this.#process = process;
         this.#time = time;
@@ -72,7 +72,7 @@
 
     override after(delayMs: number, run: () => void): () => void {
         let cancelled = false;
-        this.#time.after(delayMs, () => {
+        this.#time.schedule(delayMs, () => {
             this.#process.run(() => {
                 if (!cancelled) {
                     run();
--- a/packages/peers/src/__tests__/support/simulatedStore.ts
+++ b/packages/peers/src/__tests__/support/simulatedStore.ts
@@ -9,7 +9,7 @@
     type WatchEvents,
     type WatchRequest,
 } from "@galenaglade/platform";
-import { type FakeStore, type KeyValueEngine, type VirtualTime } from "@galenaglade/stand-ins";
+import { type FakeStore, type KeyValueEngine, type VirtualClock } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 import { type SimulatedProcess } from "./simulatedProcess.js";
 
@@ -31,7 +31,7 @@
     readonly #process: SimulatedProcess;
     readonly #store: FakeStore;
     readonly #engine: KeyValueEngine;
-    readonly #time: VirtualTime;
+    readonly #time: VirtualClock;
     readonly #faults: StoreFaults;
     readonly #onSwap: (req: CompareAndSwap, swapped: boolean) => void;
 
@@ -39,7 +39,7 @@
         process: SimulatedProcess,
         store: FakeStore,
         engine: KeyValueEngine,
-        time: VirtualTime,
+        time: VirtualClock,
         faults: StoreFaults,
         onSwap: (req: CompareAndSwap, swapped: boolean) => void,
     ) {
@@ -101,7 +101,7 @@
                     void this.#call(() => events).then(resolve);
                     return;
                 }
-                this.#time.after(watchLookMs, look);
+                this.#time.schedule(watchLookMs, look);
             };
             look();
         });
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -16,7 +16,7 @@
 } from "@galenaglade/membership";
 import { type HostEntry, HostList } from "@galenaglade/platform";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { type CallFate, FakeStore, KeyValueEngine, VirtualTime } from "@galenaglade/stand-ins";
+import { type StoreCallOutcome, FakeStore, KeyValueEngine, VirtualClock } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { type Either, Right } from "purify-ts";
 import { createChangeCoordinator, type StoreChangeCoordinator } from "../../changeCoordinatorShell.js";
@@ -52,7 +52,7 @@
 
 /** A fleet on virtual time, with the real shells on fake networks, a fake store and a recorder. */
 export class Simulation {
-    readonly time = new VirtualTime();
+    readonly time = new VirtualClock();
     readonly random: RandomSource;
     readonly network: SimulatedNetwork;
     readonly engine = new KeyValueEngine();
@@ -292,7 +292,7 @@
         });
     }
 
-    #fateOf(client: string): CallFate {
+    #fateOf(client: string): StoreCallOutcome {
         if (this.cutFromStore.has(client) || this.cutFromStore.has("*")) {
             return { type: "requestLost", timeoutMs: storeTimeoutMs };
         }
--- a/packages/soak/src/soakBackend.ts
+++ b/packages/soak/src/soakBackend.ts
@@ -114,6 +114,6 @@
     }
 
     #hasEnded(): boolean {
-        return this.#process.exit !== undefined;
+        return this.#process.exitStatus !== undefined;
     }
 }
--- a/packages/soak/src/soakEdge.ts
+++ b/packages/soak/src/soakEdge.ts
@@ -1,5 +1,5 @@
 import { type RandomSource } from "@galenaglade/routing";
-import { findFreePorts, MemoryHistory, type StartedProcess, startProcess } from "@galenaglade/stand-ins";
+import { findFreePorts, MemoryHistoryRecorder, type StartedProcess, startProcess } from "@galenaglade/stand-ins";
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -21,7 +21,7 @@
 interface Life {
     readonly process: StartedProcess;
     readonly caller: SoakCaller;
-    readonly history: MemoryHistory;
+    readonly history: MemoryHistoryRecorder;
     /** What was done to it; anything else that ends it is its own fault. */
     ending: "no" | "asked" | "killed";
 }
@@ -98,7 +98,7 @@
         );
     }
 
-    get histories(): readonly MemoryHistory[] {
+    get histories(): readonly MemoryHistoryRecorder[] {
         return this.#lives.map(({ history }) => history);
     }
 
@@ -119,7 +119,7 @@
     /** Planned stop, and the next life after a while. */
     async restart(downMs: number): Promise<void> {
         const life = this.#lives.at(-1);
-        if (life === undefined || life.process.exit !== undefined || life.ending !== "no") {
+        if (life === undefined || life.process.exitStatus !== undefined || life.ending !== "no") {
             return;
         }
         life.ending = "asked";
@@ -138,7 +138,7 @@
     /** Ends without warning, and the next life after a while. */
     async kill(downMs: number): Promise<void> {
         const life = this.#lives.at(-1);
-        if (life === undefined || life.process.exit !== undefined || life.ending === "killed") {
+        if (life === undefined || life.process.exitStatus !== undefined || life.ending === "killed") {
             return;
         }
         const isStopping = life.ending === "asked";
@@ -206,9 +206,9 @@
             env,
             nodeFlags,
             logPath: this.#logPath,
-            findReady: line => line.includes("\"started\"") ? `http://127.0.0.1:${this.#ports.callers}` : undefined,
+            parseReadyUrl: line => line.includes("\"started\"") ? `http://127.0.0.1:${this.#ports.callers}` : undefined,
         });
-        const history = new MemoryHistory(`${this.name}/${this.#lives.length + 1}`);
+        const history = new MemoryHistoryRecorder(`${this.name}/${this.#lives.length + 1}`);
         const life: Life = {
             process,
             history,
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -1,6 +1,6 @@
 import { type RolloutStage } from "@galenaglade/fleet-state";
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
-import { MemoryHistory } from "@galenaglade/stand-ins";
+import { MemoryHistoryRecorder } from "@galenaglade/stand-ins";
 import { setTimeout as sleep } from "node:timers/promises";
 import {
     applyMs,
@@ -52,7 +52,7 @@
 
 /** All processes of a run, and what is done to them. */
 export class SoakFleet {
-    readonly history = new MemoryHistory("operator");
+    readonly history = new MemoryHistoryRecorder("operator");
     /** When the store, a gateway or a way between them was harmed, or a way to a server. */
     readonly faultWindows = new FaultWindows();
     readonly backends: SoakBackend[] = [];
--- a/packages/standIns/src/__tests__/backendServer.test.ts
+++ b/packages/standIns/src/__tests__/backendServer.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { afterEach, test } from "node:test";
 import { Agent, request } from "undici";
-import { backendAnswerSchema, backendHeaders, digest } from "../backendServer/answer.js";
+import { backendResponseSchema, backendHeaders, computeDigest } from "../backendServer/backendResponse.js";
 import { BackendServer, type BackendServerOptions } from "../backendServer/backendServer.js";
-import { MemoryHistory } from "../recording/historyFile.js";
+import { MemoryHistoryRecorder } from "../recording/historyRecorder.js";
 
 const stops: (() => Promise<void>)[] = [];
 
@@ -56,17 +56,17 @@
     const server = await startServer();
     const res = await send(server, createAgent());
     const text = await res.body.text();
-    const answer = backendAnswerSchema.parse(JSON.parse(text));
+    const answer = backendResponseSchema.parse(JSON.parse(text));
     assert.equal(answer.requestId, "r1");
-    assert.equal(answer.requestDigest, digest("two carats"));
-    assert.equal(res.headers[backendHeaders.bodyDigest], digest(text));
+    assert.equal(answer.requestDigest, computeDigest("two carats"));
+    assert.equal(res.headers[backendHeaders.bodyDigest], computeDigest(text));
     assert.equal(res.headers[backendHeaders.state], "warm");
     assert.equal(res.headers[backendHeaders.inFlight], "0");
     assert.equal(res.headers[backendHeaders.bears], "3");
 });
 
 test("a request over the queue is shed before it runs, and says so", async () => {
-    const history = new MemoryHistory("catalog-1");
+    const history = new MemoryHistoryRecorder("catalog-1");
     const server = await startServer({ capacity: { slots: 1, queueLimit: 0 }, history });
     const agent = createAgent();
     const first = send(server, agent, { id: "first", workMs: 60_000 });
@@ -107,7 +107,7 @@
 test("a cold server given two at once falls over and records it", async () => {
     // A server has just started and bears one request; a gateway that takes it for warm sends two.
     // The second one and all that follow get a late error, and the warm-up starts again.
-    const history = new MemoryHistory("catalog-1");
+    const history = new MemoryHistoryRecorder("catalog-1");
     const server = await startServer({ startsCold: true, history });
     const agent = createAgent();
     const answers = await Promise.all([send(server, agent, { workMs: 500 }), send(server, agent, { workMs: 500 })]);
--- a/packages/standIns/src/__tests__/caller.test.ts
+++ b/packages/standIns/src/__tests__/caller.test.ts
@@ -2,12 +2,12 @@
 import { afterEach, test } from "node:test";
 import { BackendServer } from "../backendServer/backendServer.js";
 import { Caller } from "../caller/caller.js";
-import { resolveOutcome } from "../caller/outcome.js";
-import { type CallerPlan, type CallerPlanInput, callerPlanSchema } from "../caller/plan.js";
-import { createSchedule } from "../caller/schedule.js";
-import { Tally } from "../caller/tally.js";
-import { digest } from "../backendServer/answer.js";
-import { MemoryHistory } from "../recording/historyFile.js";
+import { classifyResponse } from "../caller/classifyResponse.js";
+import { type CallerPlan, type CallerPlanInput, callerPlanSchema } from "../caller/callerPlan.js";
+import { generateSchedule } from "../caller/generateSchedule.js";
+import { OutcomeTally } from "../caller/outcomeTally.js";
+import { computeDigest } from "../backendServer/backendResponse.js";
+import { MemoryHistoryRecorder } from "../recording/historyRecorder.js";
 
 const stops: (() => Promise<void>)[] = [];
 
@@ -38,7 +38,7 @@
 
 test("a seed gives the same schedule whatever it is sent to, at the rate asked for", () => {
     const phases = [{ durationMs: 60_000, requestsPerSecond: 100 }];
-    const strip = (plan: CallerPlan) => [...createSchedule(plan)].map(({ atMs, workMs }) => ({ atMs, workMs }));
+    const strip = (plan: CallerPlan) => [...generateSchedule(plan)].map(({ atMs, workMs }) => ({ atMs, workMs }));
     const first = strip(createPlan({ phases }));
     const second = strip(createPlan({ phases, targets: ["http://127.0.0.1:2"] }));
     assert.deepEqual(first, second);
@@ -50,7 +50,7 @@
     const mix = [catalog, { ...catalog, service: "orders" }];
     const surge = { service: "orders", factor: 9 };
     const plan = createPlan({ mix, phases: [{ durationMs: 60_000, requestsPerSecond: 100, surge }] });
-    const services = [...createSchedule(plan)].map(scheduled => scheduled.mix.service);
+    const services = [...generateSchedule(plan)].map(scheduled => scheduled.mix.service);
     const share = services.filter(service => service === "orders").length / services.length;
     assert.ok(share > 0.87 && share < 0.93, String(share));
 });
@@ -61,15 +61,15 @@
 
 test("answers are counted by what the caller got", async () => {
     const server = await startServer();
-    const history = new MemoryHistory("caller-1");
+    const history = new MemoryHistoryRecorder("caller-1");
     server.setFaults({ truncateAnswers: 1 });
     const plan = createPlan({ targets: [server.url], maximumRequests: 10 });
     const tally = await new Caller(plan, history).run();
-    const counts = tally.countsOf("catalog/default");
+    const counts = tally.getCounts("catalog/default");
     assert.equal(counts.sent, 10);
     assert.equal(counts.cutOff, 1);
     assert.equal(counts.withinPatience, 9);
-    assert.equal(tally.latencyOf("catalog/default").count, 9);
+    assert.equal(tally.getLatency("catalog/default").count, 9);
     assert.equal(history.lines.filter(line => line.type === "callerSent").length, 10);
     assert.equal(history.lines.filter(line => line.type === "callerAnswered" && line.whole).length, 9);
 });
@@ -81,33 +81,33 @@
     server.setFaults({ silent: "all" });
     const mix = [{ ...catalog, patienceMs: 50 }];
     const tally = await new Caller(createPlan({ targets: [server.url], mix, maximumRequests: 1 })).run();
-    assert.equal(tally.countsOf("catalog/default").gaveUp, 1);
-    assert.ok(tally.latencyOf("catalog/default").max >= 50);
+    assert.equal(tally.getCounts("catalog/default").gaveUp, 1);
+    assert.ok(tally.getLatency("catalog/default").max >= 50);
 });
 
 test("a refusal says if the request ran", async () => {
     const server = await startServer();
     server.setFaults({ shed: true });
     const tally = await new Caller(createPlan({ targets: [server.url], maximumRequests: 3 })).run();
-    const { refused, refusedDidNotRun, whole } = tally.countsOf("catalog/default");
+    const { refused, refusedDidNotRun, whole } = tally.getCounts("catalog/default");
     assert.deepEqual({ refused, refusedDidNotRun, whole }, { refused: 3, refusedDidNotRun: 3, whole: 0 });
 });
 
 test("another request's answer and a changed one are wrong", () => {
     const text = JSON.stringify({ requestId: "r1", server: "s", incarnation: "1", requestDigest: "", padding: "" });
-    const received = { status: 200, didRun: undefined, bodyDigest: digest(text), text };
-    assert.equal(resolveOutcome("r1", received).type, "whole");
-    assert.equal(resolveOutcome("r2", received).type, "wrong");
-    assert.equal(resolveOutcome("r1", { ...received, bodyDigest: digest("other") }).type, "wrong");
+    const received = { status: 200, didRun: undefined, bodyDigest: computeDigest(text), text };
+    assert.equal(classifyResponse("r1", received).type, "whole");
+    assert.equal(classifyResponse("r2", received).type, "wrong");
+    assert.equal(classifyResponse("r1", { ...received, bodyDigest: computeDigest("other") }).type, "wrong");
 });
 
 test("results of several callers add up", () => {
-    const one = new Tally();
+    const one = new OutcomeTally();
     one.add("a", { type: "whole", status: 200, bodyRequestId: "r" }, 10, 100);
-    const two = new Tally();
+    const two = new OutcomeTally();
     two.add("a", { type: "whole", status: 200, bodyRequestId: "r" }, 1_000, 100);
-    const merged = Tally.merge([one.toDocument(), two.toDocument()]);
-    assert.equal(merged.countsOf("a").sent, 2);
-    assert.equal(merged.countsOf("a").withinPatience, 1);
-    assert.equal(Math.round(merged.latencyOf("a").max), 1_000);
+    const merged = OutcomeTally.merge([one.toDocument(), two.toDocument()]);
+    assert.equal(merged.getCounts("a").sent, 2);
+    assert.equal(merged.getCounts("a").withinPatience, 1);
+    assert.equal(Math.round(merged.getLatency("a").max), 1_000);
 });
--- a/packages/standIns/src/__tests__/fleet.test.ts
+++ b/packages/standIns/src/__tests__/fleet.test.ts
@@ -3,12 +3,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { request } from "undici";
-import { backendHeaders } from "../backendServer/answer.js";
-import { resolveOutcome } from "../caller/outcome.js";
+import { backendHeaders } from "../backendServer/backendResponse.js";
+import { classifyResponse } from "../caller/classifyResponse.js";
 import { Fleet } from "../fleet/fleet.js";
 import { limitBackendServers } from "../fleet/fleetConfiguration.js";
 import { FleetConfigurer } from "../fleet/fleetConfigurer.js";
-import { mergeHistories } from "../recording/historyFile.js";
+import { mergeHistories } from "../recording/historyRecorder.js";
 
 const backendServers = ["stone-1", "stone-2", "stone-3"].map(name => ({
     name,
@@ -39,7 +39,7 @@
 async function untilStarted(fleet: Fleet, requestId: string): Promise<void> {
     const limitMs = performance.now() + 30_000;
     const isStart = (line: HistoryLine): boolean => line.type === "serverStarted" && line.requestId === requestId;
-    while (!mergeHistories(fleet.histories).some(isStart)) {
+    while (!mergeHistories(fleet.historyFiles).some(isStart)) {
         assert.ok(performance.now() < limitMs, `${requestId} never started`);
         await new Promise(resolve => setTimeout(resolve, 10));
     }
@@ -58,14 +58,14 @@
         configuration: limitBackendServers(configuration, 2),
         gateways: 2,
         admin: false,
-        history: true,
+        recordsHistory: true,
     });
     let stopped: Promise<readonly string[]> | undefined;
     try {
         const configurer = new FleetConfigurer(fleet);
         assert.equal((await configurer.apply(fleet.configuration)).inForce, true);
         await configurer.close();
-        await fleet.becomeReady();
+        await fleet.waitUntilReady();
         const [first, second] = fleet.gateways;
         assert.ok(first !== undefined && second !== undefined);
         const quick = await send(second.process.url, "quick", 0);
@@ -77,7 +77,7 @@
         const res = await inFlight;
         const bodyDigest = String(res.headers[backendHeaders.bodyDigest]);
         const received = { status: res.statusCode, didRun: undefined, bodyDigest, text: await res.body.text() };
-        assert.equal(resolveOutcome("slow", received).type, "whole");
+        assert.equal(classifyResponse("slow", received).type, "whole");
         assert.deepEqual(await stopped, []);
     }
     finally {
--- a/packages/standIns/src/__tests__/serverModel.test.ts
+++ b/packages/standIns/src/__tests__/serverModel.test.ts
@@ -7,7 +7,7 @@
     const admissions = [1, 2, 3, 4, 5].map(() => model.admit(0));
     assert.deepEqual(admissions, ["run", "run", "run", "queue", "shed"]);
     assert.equal(model.startQueued(), false);
-    model.end(true);
+    model.onRequestEnded(true);
     assert.equal(model.startQueued(), true);
     assert.equal(model.inFlight, 3);
 });
@@ -16,27 +16,27 @@
     const model = new ServerModel({ ...defaultServerCapacity, answersToWarm: 4 }, false);
     const bears: number[] = [];
     for (let i = 0; i < 4; i++) {
-        bears.push(model.bears);
+        bears.push(model.concurrencyLimit);
         assert.equal(model.admit(i), "run");
-        model.end(true);
+        model.onRequestEnded(true);
     }
     assert.deepEqual(bears, [1, 1, 2, 2]);
     assert.equal(model.state, "warm");
 });
 
 test("a cold server that gets more than it bears falls over, and loses the warmth that it had", () => {
-    const model = new ServerModel({ ...defaultServerCapacity, answersToWarm: 4, fallOverMs: 1_000 }, false);
+    const model = new ServerModel({ ...defaultServerCapacity, answersToWarm: 4, overloadRecoveryMs: 1_000 }, false);
     for (let i = 0; i < 2; i++) {
         model.admit(0);
-        model.end(true);
+        model.onRequestEnded(true);
     }
     assert.deepEqual([1, 2, 3].map(() => model.admit(0)), ["run", "run", "fallOver"]);
-    assert.equal(model.bears, 1);
-    assert.equal(model.overloads, 1);
+    assert.equal(model.concurrencyLimit, 1);
+    assert.equal(model.coldOverloads, 1);
     for (let i = 0; i < 3; i++) {
-        model.end(false);
+        model.onRequestEnded(false);
     }
     assert.equal(model.admit(999), "fallOver");
-    model.end(false);
+    model.onRequestEnded(false);
     assert.equal(model.admit(1_000), "run");
 });
--- a/packages/standIns/src/__tests__/startProcess.test.ts
+++ b/packages/standIns/src/__tests__/startProcess.test.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from "node:url";
 import { request } from "undici";
 import { startProcess } from "../processes/startProcess.js";
-import { mergeHistories } from "../recording/historyFile.js";
+import { mergeHistories } from "../recording/historyRecorder.js";
 
 const script = fileURLToPath(new URL("../backendServer/cli.ts", import.meta.url));
 
--- a/packages/standIns/src/backendServer/answer.ts
+++ b/packages/standIns/src/backendServer/backendResponse.ts
@@ -17,7 +17,7 @@
 });
 
 /** What a stand-in backend server answers a request that ran. */
-export const backendAnswerSchema = z.object({
+export const backendResponseSchema = z.object({
     requestId: z.string(),
     server: z.string(),
     incarnation: z.string(),
@@ -27,9 +27,9 @@
 });
 
 /** An answer's body. */
-export type BackendAnswer = z.output<typeof backendAnswerSchema>;
+export type BackendResponse = z.output<typeof backendResponseSchema>;
 
 /** @returns SHA-256 in hexadecimal */
-export function digest(body: Buffer | string): string {
+export function computeDigest(body: Buffer | string): string {
     return createHash("sha256").update(body).digest("hex");
 }
--- a/packages/standIns/src/backendServer/backendServer.ts
+++ b/packages/standIns/src/backendServer/backendServer.ts
@@ -11,15 +11,15 @@
     readJson,
     sendJson,
 } from "../http/jsonServer.js";
-import { type HistoryRecorder, NoHistory } from "../recording/historyFile.js";
-import { type BackendAnswer, backendHeaders, digest } from "./answer.js";
+import { type HistoryRecorder, NoopHistoryRecorder } from "../recording/historyRecorder.js";
+import { type BackendResponse, backendHeaders, computeDigest } from "./backendResponse.js";
 import { type BackendFaults, backendFaultsSchema } from "./backendFaults.js";
-import { type LoadReport, LoadReports } from "./loadReports.js";
-import { readRequestFacts, readText, type RequestFacts } from "./requestFacts.js";
+import { type LoadReport, LoadReportHistory } from "./loadReportHistory.js";
+import { readRequestMetadata, readHeader, type RequestMetadata } from "./requestMetadata.js";
 import { defaultServerCapacity, type ServerCapacity, ServerModel } from "./serverModel.js";
 import { SlotQueue } from "./slotQueue.js";
-import { resolveRemainingMs, work } from "./work.js";
-import { drawWorkMs, type WorkTimeOptions } from "./workTime.js";
+import { computeRemainingMs, simulateWork } from "./simulateWork.js";
+import { drawWorkMs, type WorkTimeDistribution } from "./workTime.js";
 
 /** How a stand-in backend server is set up. */
 export interface BackendServerOptions {
@@ -28,10 +28,10 @@
     readonly listen?: ListenAddress | undefined;
     readonly capacity?: Partial<ServerCapacity> | undefined;
     /** Connections that it holds open; more are closed at once. */
-    readonly connections?: number | undefined;
+    readonly maxConnections?: number | undefined;
     readonly startsCold?: boolean | undefined;
     readonly seed?: number | undefined;
-    readonly workTime?: WorkTimeOptions | undefined;
+    readonly workTime?: WorkTimeDistribution | undefined;
     readonly history?: HistoryRecorder | undefined;
 }
 
@@ -47,7 +47,7 @@
 }
 
 const defaultConnections = 200;
-const defaultWorkTime: WorkTimeOptions = { medianMs: 20, sigma: 0.5 };
+const defaultWorkTime: WorkTimeDistribution = { medianMs: 20, sigma: 0.5 };
 /** How long a fallen server takes over each error. */
 const lateErrorMs = 1_000;
 /** The stand-in backend server: slots, cold start, drain and faults behind HTTP. */
@@ -58,7 +58,7 @@
     readonly #model: ServerModel;
     readonly #firstLife = process.pid;
     readonly #queue: SlotQueue;
-    readonly #reports = new LoadReports();
+    readonly #reports = new LoadReportHistory();
     readonly #silentSockets = new WeakSet<Socket>();
     readonly #sockets = new Set<Socket>();
     /** Connections on which faults are switched; a restart spares them, so that the switch is answered. */
@@ -69,7 +69,7 @@
 
     private constructor(options: BackendServerOptions) {
         this.#options = options;
-        this.#history = options.history ?? new NoHistory();
+        this.#history = options.history ?? new NoopHistoryRecorder();
         this.#random = createRandomSource(options.seed ?? 1);
         this.#model = new ServerModel({ ...defaultServerCapacity, ...options.capacity }, options.startsCold !== true);
         this.#queue = new SlotQueue(this.#model);
@@ -82,7 +82,7 @@
             options.listen ?? { host: "127.0.0.1", port: 0 },
             (req, res) => server.#handle(req, res),
         );
-        server.#listening.server.maxConnections = options.connections ?? defaultConnections;
+        server.#listening.server.maxConnections = options.maxConnections ?? defaultConnections;
         server.#listening.server.on("connection", (socket: Socket) => server.#keep(socket));
         return server;
     }
@@ -96,13 +96,18 @@
     }
 
     get counters(): BackendCounters {
-        return { ...this.#counters, coldOverloads: this.#model.overloads };
+        return { ...this.#counters, coldOverloads: this.#model.coldOverloads };
     }
 
     /** The truth, whatever `/load` says. */
     get load(): LoadReport {
-        const { state, inFlight, bears } = this.#model;
-        return { state, inFlight, bears, incarnation: `${this.#firstLife}-${this.#model.lives}` };
+        const { state, inFlight, concurrencyLimit } = this.#model;
+        return {
+            state,
+            inFlight,
+            bears: concurrencyLimit,
+            incarnation: `${this.#firstLife}-${this.#model.incarnationCount}`,
+        };
     }
 
     /** Replaces every fault. */
@@ -140,7 +145,7 @@
 
     #leave(): void {
         if (this.#model.state !== "leaving") {
-            this.#model.leave();
+            this.#model.startLeaving();
             this.#history.record({ type: "serverLeaving", server: this.#options.name });
         }
     }
@@ -148,7 +153,7 @@
     /** A restart closes every connection; turning cold unannounced only sheds what waits. */
     #turnCold(restarted: boolean): void {
         this.#model.turnCold(restarted);
-        this.#queue.giveUpAll();
+        this.#queue.cancelAll();
         if (!restarted) {
             return;
         }
@@ -185,19 +190,19 @@
 
     #answerProbe(req: IncomingMessage, res: ServerResponse): void {
         this.#counters.probes++;
-        const gateway = readText(req, clientHeader) ?? "unknown";
+        const gateway = readHeader(req, clientHeader) ?? "unknown";
         this.#history.record({ type: "serverProbed", server: this.#options.name, gateway });
         if (this.#isSilent(req)) {
             return;
         }
-        const report = this.#reports.resolve(this.load, this.#faults, performance.now());
+        const report = this.#reports.createReport(this.load, this.#faults, performance.now());
         this.#describe(res, report);
         sendJson(res, 200, report);
     }
 
     async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const arrivedAtMs = performance.now();
-        const facts = readRequestFacts(req);
+        const facts = readRequestMetadata(req);
         const body = await readBody(req);
         if (this.#faults.closeOnRead > 0) {
             this.#faults = { ...this.#faults, closeOnRead: this.#faults.closeOnRead - 1 };
@@ -208,12 +213,12 @@
             return;
         }
         const admission = this.#faults.shed ? "shed" : this.#model.admit(arrivedAtMs);
-        this.#reports.note(this.load, arrivedAtMs);
+        this.#reports.record(this.load, arrivedAtMs);
         if (admission === "shed") {
             this.#shed(res, "too many requests in flight");
             return;
         }
-        if (admission === "queue" && !await this.#queue.wait(res, resolveRemainingMs(facts, arrivedAtMs))) {
+        if (admission === "queue" && !await this.#queue.wait(res, computeRemainingMs(facts, arrivedAtMs))) {
             this.#shed(res, "it waited for a slot in vain");
             return;
         }
@@ -223,16 +228,20 @@
     async #run(
         req: IncomingMessage,
         res: ServerResponse,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         body: Buffer,
         arrivedAtMs: number,
         fallen: boolean,
     ): Promise<void> {
         this.#recordStart(facts);
         const failing = fallen || this.#faults.failFast;
-        const outcome = await work(res, this.#resolveWorkMs(facts, fallen), resolveRemainingMs(facts, arrivedAtMs));
-        this.#model.end(outcome === "done" && !failing);
-        this.#reports.note(this.load, performance.now());
+        const outcome = await simulateWork(
+            res,
+            this.#resolveWorkMs(facts, fallen),
+            computeRemainingMs(facts, arrivedAtMs),
+        );
+        this.#model.onRequestEnded(outcome === "done" && !failing);
+        this.#reports.record(this.load, performance.now());
         this.#history.record({
             type: "serverEnded",
             requestId: facts.requestId,
@@ -261,24 +270,24 @@
         this.#answer(res, facts, body);
     }
 
-    #answer(res: ServerResponse, facts: RequestFacts, body: Buffer): void {
+    #answer(res: ServerResponse, facts: RequestMetadata, body: Buffer): void {
         if (this.#faults.closeAfterRun > 0) {
             this.#faults = { ...this.#faults, closeAfterRun: this.#faults.closeAfterRun - 1 };
             res.socket?.destroy();
             return;
         }
-        const answer: BackendAnswer = {
+        const answer: BackendResponse = {
             requestId: facts.requestId,
             server: this.#options.name,
             incarnation: this.load.incarnation,
-            requestDigest: digest(body),
+            requestDigest: computeDigest(body),
             padding: "x".repeat(facts.answerBytes),
         };
         const text = Buffer.from(JSON.stringify(answer));
         res.writeHead(200, {
             "content-type": "application/json",
             "content-length": text.length,
-            [backendHeaders.bodyDigest]: digest(text),
+            [backendHeaders.bodyDigest]: computeDigest(text),
         });
         if (this.#faults.truncateAnswers > 0) {
             this.#faults = { ...this.#faults, truncateAnswers: this.#faults.truncateAnswers - 1 };
@@ -295,7 +304,7 @@
         sendJson(res, 503, { error: reason });
     }
 
-    #resolveWorkMs(facts: RequestFacts, fallen: boolean): number {
+    #resolveWorkMs(facts: RequestMetadata, fallen: boolean): number {
         if (fallen) {
             return lateErrorMs;
         }
@@ -306,7 +315,7 @@
         return drawn * this.#faults.slowFactor;
     }
 
-    #recordStart(facts: RequestFacts): void {
+    #recordStart(facts: RequestMetadata): void {
         this.#counters.started++;
         this.#history.record({
             type: "serverStarted",
@@ -317,7 +326,7 @@
             incarnation: this.load.incarnation,
             cold: this.#model.isCold,
             inFlight: this.#model.inFlight,
-            bears: this.#model.bears,
+            bears: this.#model.concurrencyLimit,
         });
     }
 
--- a/packages/standIns/src/backendServer/cli.ts
+++ b/packages/standIns/src/backendServer/cli.ts
@@ -1,7 +1,7 @@
 import { parseArgs } from "node:util";
-import { resolveListenAddress } from "../http/jsonServer.js";
+import { parseListenAddress } from "../http/jsonServer.js";
 import { printReady, stopOnSignal } from "../processes/ready.js";
-import { HistoryFile } from "../recording/historyFile.js";
+import { FileHistoryRecorder } from "../recording/historyRecorder.js";
 import { BackendServer } from "./backendServer.js";
 
 const { values } = parseArgs({
@@ -23,13 +23,13 @@
 const server = await BackendServer.start({
     name: values.name,
     availabilityZone: values.zone,
-    listen: resolveListenAddress(values.listen),
+    listen: parseListenAddress(values.listen),
     capacity: { slots: Number(values.slots) },
-    connections: Number(values.connections),
+    maxConnections: Number(values.connections),
     startsCold: values.cold,
     seed: Number(values.seed),
     workTime: { medianMs: Number(values["work-median-ms"]), sigma: Number(values["work-sigma"]) },
-    history: values.history === undefined ? undefined : new HistoryFile(values.history, values.name),
+    history: values.history === undefined ? undefined : new FileHistoryRecorder(values.history, values.name),
 });
 stopOnSignal(() => server.drain(Number(values["grace-ms"])));
 printReady(values.name, server.url);
--- a/packages/standIns/src/backendServer/loadReports.ts
+++ b/packages/standIns/src/backendServer/loadReportHistory.ts
@@ -18,11 +18,11 @@
 const reportsKept = 10_000;
 
 /** What a server has reported of its load, for those that it misleads with old news. */
-export class LoadReports {
+export class LoadReportHistory {
     readonly #reports: TimedReport[] = [];
 
     /** Keeps the load as it was at a time. */
-    note(report: LoadReport, atMs: number): void {
+    record(report: LoadReport, atMs: number): void {
         this.#reports.push({ atMs, report });
         if (this.#reports.length > reportsKept) {
             this.#reports.splice(0, reportsKept / 2);
@@ -35,7 +35,7 @@
      * @param nowMs - the present time in milliseconds
      * @returns what to tell
      */
-    resolve(truth: LoadReport, faults: BackendFaults, nowMs: number): LoadReport {
+    createReport(truth: LoadReport, faults: BackendFaults, nowMs: number): LoadReport {
         switch (faults.loadReport) {
             case "true":
                 return truth;
--- a/packages/standIns/src/backendServer/requestFacts.ts
+++ b/packages/standIns/src/backendServer/requestMetadata.ts
@@ -1,8 +1,8 @@
 import { type IncomingMessage } from "node:http";
-import { backendHeaders } from "./answer.js";
+import { backendHeaders } from "./backendResponse.js";
 
 /** What a backend server reads of a request's headers. */
-export interface RequestFacts {
+export interface RequestMetadata {
     readonly requestId: string;
     readonly idempotencyKey: string | undefined;
     /** Time that the caller still waits, in milliseconds from arrival. */
@@ -14,10 +14,10 @@
 const defaultAnswerBytes = 256;
 
 /** Reads the headers. */
-export function readRequestFacts(req: IncomingMessage): RequestFacts {
+export function readRequestMetadata(req: IncomingMessage): RequestMetadata {
     return {
-        requestId: readText(req, backendHeaders.requestId) ?? "",
-        idempotencyKey: readText(req, backendHeaders.idempotencyKey),
+        requestId: readHeader(req, backendHeaders.requestId) ?? "",
+        idempotencyKey: readHeader(req, backendHeaders.idempotencyKey),
         deadlineMs: readNumber(req, backendHeaders.deadlineMs),
         workMs: readNumber(req, backendHeaders.workMs),
         answerBytes: readNumber(req, backendHeaders.answerBytes) ?? defaultAnswerBytes,
@@ -25,13 +25,13 @@
 }
 
 /** @returns the header's value where it came once */
-export function readText(req: IncomingMessage, header: string): string | undefined {
+export function readHeader(req: IncomingMessage, header: string): string | undefined {
     const value = req.headers[header];
     return typeof value === "string" ? value : undefined;
 }
 
 function readNumber(req: IncomingMessage, header: string): number | undefined {
-    const text = readText(req, header);
+    const text = readHeader(req, header);
     const value = Number(text);
     return text === undefined || !Number.isFinite(value) || value < 0 ? undefined : value;
 }
--- a/packages/standIns/src/backendServer/serverModel.ts
+++ b/packages/standIns/src/backendServer/serverModel.ts
@@ -9,7 +9,7 @@
     /** Good answers until it is warm. */
     readonly answersToWarm: number;
     /** How long it answers nothing but late errors after it fell over, in milliseconds. */
-    readonly fallOverMs: number;
+    readonly overloadRecoveryMs: number;
 }
 
 /** Capacity of the users' backend servers. */
@@ -18,14 +18,14 @@
     queueLimit: 12,
     coldConcurrency: 1,
     answersToWarm: 20,
-    fallOverMs: 3_000,
+    overloadRecoveryMs: 3_000,
 };
 
 /** How a server describes itself. */
 export type ServerState = "warm" | "cold" | "leaving";
 
 /** What happens to an arriving request. */
-export type Admission = "run" | "queue" | "shed" | "fallOver";
+export type AdmissionDecision = "run" | "queue" | "shed" | "fallOver";
 
 /** The decisions of the stand-in backend server: what it takes, when it is warm and when it falls over. */
 export class ServerModel {
@@ -56,7 +56,7 @@
     }
 
     /** Rises when the server is restarted. */
-    get lives(): number {
+    get incarnationCount(): number {
         return this.#lives;
     }
 
@@ -66,12 +66,12 @@
     }
 
     /** How often a cold server was given more than it bears. */
-    get overloads(): number {
+    get coldOverloads(): number {
         return this.#overloads;
     }
 
     /** Requests in flight that it can stand now; grows with the work done while cold. */
-    get bears(): number {
+    get concurrencyLimit(): number {
         const { slots, coldConcurrency, answersToWarm } = this.#capacity;
         if (this.#warm) {
             return slots;
@@ -80,11 +80,11 @@
     }
 
     /**
-     * Takes in one request. `run` and `fallOver` hold a slot until {@link end}, `queue` waits for {@link startQueued}.
+     * Takes in one request. `run` and `fallOver` hold a slot until {@link onRequestEnded}, `queue` waits for {@link startQueued}.
      *
      * @param nowMs - the present time in milliseconds
      */
-    admit(nowMs: number): Admission {
+    admit(nowMs: number): AdmissionDecision {
         if (this.#warm && this.inFlight >= this.#capacity.slots + this.#capacity.queueLimit) {
             return "shed";
         }
@@ -114,12 +114,12 @@
     }
 
     /** A waiting request was given up before it ran. */
-    abandonQueued(): void {
+    removeQueued(): void {
         this.#queued--;
     }
 
     /** A running request ended. @param good - whether its work was done */
-    end(good: boolean): void {
+    onRequestEnded(good: boolean): void {
         this.#running--;
         if (!good || this.#warm) {
             return;
@@ -137,18 +137,18 @@
         }
     }
 
-    leave(): void {
+    startLeaving(): void {
         this.#leaving = true;
     }
 
-    #admitCold(nowMs: number): Admission {
+    #admitCold(nowMs: number): AdmissionDecision {
         this.#running++;
-        if (this.#running + this.#queued <= this.bears) {
+        if (this.#running + this.#queued <= this.concurrencyLimit) {
             return "run";
         }
         this.#overloads++;
         this.#goodAnswers = 0;
-        this.#fallenUntilMs = nowMs + this.#capacity.fallOverMs;
+        this.#fallenUntilMs = nowMs + this.#capacity.overloadRecoveryMs;
         return "fallOver";
     }
 }
--- a/packages/standIns/src/backendServer/work.ts
+++ b/packages/standIns/src/backendServer/simulateWork.ts
@@ -1,5 +1,5 @@
 import { type ServerResponse } from "node:http";
-import { type RequestFacts } from "./requestFacts.js";
+import { type RequestMetadata } from "./requestMetadata.js";
 
 /** How a request's work ended. */
 export type WorkOutcome = "done" | "cancelled" | "deadline";
@@ -9,7 +9,7 @@
  * @param arrivedAtMs - when it came, on the process's monotonic clock
  * @returns what is left until its deadline in milliseconds, or `undefined` where it has none
  */
-export function resolveRemainingMs(facts: RequestFacts, arrivedAtMs: number): number | undefined {
+export function computeRemainingMs(facts: RequestMetadata, arrivedAtMs: number): number | undefined {
     return facts.deadlineMs === undefined ? undefined : arrivedAtMs + facts.deadlineMs - performance.now();
 }
 
@@ -21,7 +21,11 @@
  * @param deadlineMs - the time that there is
  * @returns how it ended
  */
-export function work(res: ServerResponse, workMs: number, deadlineMs: number | undefined): Promise<WorkOutcome> {
+export function simulateWork(
+    res: ServerResponse,
+    workMs: number,
+    deadlineMs: number | undefined,
+): Promise<WorkOutcome> {
     return new Promise(resolve => {
         if (res.closed) {
             resolve("cancelled");
--- a/packages/standIns/src/backendServer/slotQueue.ts
+++ b/packages/standIns/src/backendServer/slotQueue.ts
@@ -28,7 +28,7 @@
             const start = (): void => settle(true);
             const giveUp = (): void => {
                 this.#waiting.delete(start);
-                this.#model.abandonQueued();
+                this.#model.removeQueued();
                 settle(false);
             };
             this.#waiting.set(start, giveUp);
@@ -49,7 +49,7 @@
     }
 
     /** Gives up all that wait. */
-    giveUpAll(): void {
+    cancelAll(): void {
         for (const giveUp of [...this.#waiting.values()]) {
             giveUp();
         }
--- a/packages/standIns/src/caller/caller.ts
+++ b/packages/standIns/src/caller/caller.ts
@@ -1,20 +1,20 @@
 import { Agent, request } from "undici";
-import { backendHeaders } from "../backendServer/answer.js";
-import { type HistoryRecorder, NoHistory } from "../recording/historyFile.js";
-import { type Outcome, resolveOutcome } from "./outcome.js";
-import { type CallerPlan } from "./plan.js";
-import { createSchedule, type ScheduledRequest } from "./schedule.js";
-import { Tally } from "./tally.js";
+import { backendHeaders } from "../backendServer/backendResponse.js";
+import { type HistoryRecorder, NoopHistoryRecorder } from "../recording/historyRecorder.js";
+import { type RequestOutcome, classifyResponse } from "./classifyResponse.js";
+import { type CallerPlan } from "./callerPlan.js";
+import { generateSchedule, type ScheduledRequest } from "./generateSchedule.js";
+import { OutcomeTally } from "./outcomeTally.js";
 
 /** Sends a plan's requests on schedule, whatever becomes of them. */
 export class Caller {
     readonly #plan: CallerPlan;
     readonly #history: HistoryRecorder;
     readonly #agent: Agent;
-    readonly #tally = new Tally();
+    readonly #tally = new OutcomeTally();
     readonly #open = new Set<Promise<void>>();
 
-    constructor(plan: CallerPlan, history: HistoryRecorder = new NoHistory()) {
+    constructor(plan: CallerPlan, history: HistoryRecorder = new NoopHistoryRecorder()) {
         this.#plan = plan;
         this.#history = history;
         this.#agent = new Agent({ pipelining: 1, headersTimeout: 0, bodyTimeout: 0 });
@@ -25,9 +25,9 @@
      *
      * @returns what became of the requests
      */
-    async run(): Promise<Tally> {
+    async run(): Promise<OutcomeTally> {
         const startMs = performance.now();
-        for (const scheduled of createSchedule(this.#plan)) {
+        for (const scheduled of generateSchedule(this.#plan)) {
             await sleepUntil(startMs + scheduled.atMs);
             this.#start(scheduled, startMs + scheduled.atMs);
         }
@@ -60,7 +60,7 @@
         this.#count(scheduled, outcome, performance.now() - dueMs);
     }
 
-    async #exchange(scheduled: ScheduledRequest, dueMs: number): Promise<Outcome> {
+    async #exchange(scheduled: ScheduledRequest, dueMs: number): Promise<RequestOutcome> {
         const giveUpAtMs = dueMs + scheduled.mix.patienceMs + this.#plan.listenBeyondMs;
         const giveUp = AbortSignal.timeout(Math.max(1, Math.ceil(giveUpAtMs - performance.now())));
         try {
@@ -71,7 +71,7 @@
                 body: scheduled.mix.bodyBytes === 0 ? undefined : "x".repeat(scheduled.mix.bodyBytes),
                 signal: giveUp,
             });
-            return resolveOutcome(scheduled.requestId, {
+            return classifyResponse(scheduled.requestId, {
                 status: res.statusCode,
                 didRun: readHeader(res.headers[backendHeaders.didRun]),
                 bodyDigest: readHeader(res.headers[backendHeaders.bodyDigest]),
@@ -94,7 +94,7 @@
         };
     }
 
-    #recordOutcome(requestId: string, outcome: Outcome): void {
+    #recordOutcome(requestId: string, outcome: RequestOutcome): void {
         switch (outcome.type) {
             case "cutOff":
                 this.#history.record({ type: "callerCutOff", requestId });
@@ -116,7 +116,7 @@
         }
     }
 
-    #count({ atMs, mix }: ScheduledRequest, outcome: Outcome, tookMs: number): void {
+    #count({ atMs, mix }: ScheduledRequest, outcome: RequestOutcome, tookMs: number): void {
         if (atMs >= this.#plan.warmUpMs) {
             this.#tally.add(`${mix.service}/${mix.callerKind}`, outcome, tookMs, mix.patienceMs);
         }
--- a/packages/standIns/src/caller/plan.ts
+++ b/packages/standIns/src/caller/callerPlan.ts
@@ -52,4 +52,4 @@
 /** What a stand-in caller does, as written. */
 export type CallerPlanInput = z.input<typeof callerPlanSchema>;
 /** One kind of request in a plan. */
-export type CallerMix = CallerPlan["mix"][number];
+export type CallerMixEntry = CallerPlan["mix"][number];
--- a/packages/standIns/src/caller/outcome.ts
+++ b/packages/standIns/src/caller/classifyResponse.ts
@@ -1,8 +1,8 @@
 import { type DidRun } from "@galenaglade/errors";
-import { backendAnswerSchema, digest } from "../backendServer/answer.js";
+import { backendResponseSchema, computeDigest } from "../backendServer/backendResponse.js";
 
 /** How a request ended for its caller. */
-export type Outcome =
+export type RequestOutcome =
     /** The whole answer to its own request. */
     | { readonly type: "whole"; readonly status: number; readonly bodyRequestId: string; }
     /** A final answer that says why not. */
@@ -17,7 +17,7 @@
     | { readonly type: "notSent"; };
 
 /** An answer as it came. */
-export interface ReceivedAnswer {
+export interface ReceivedResponse {
     readonly status: number;
     readonly didRun: string | undefined;
     readonly bodyDigest: string | undefined;
@@ -31,12 +31,12 @@
  * @param received - the answer
  * @returns what the caller got
  */
-export function resolveOutcome(requestId: string, received: ReceivedAnswer): Outcome {
+export function classifyResponse(requestId: string, received: ReceivedResponse): RequestOutcome {
     if (received.status >= 400) {
         return { type: "refused", status: received.status, didRun: resolveDidRun(received.didRun) };
     }
     const bodyRequestId = findRequestId(received.text);
-    if (bodyRequestId !== requestId || digest(received.text) !== received.bodyDigest) {
+    if (bodyRequestId !== requestId || computeDigest(received.text) !== received.bodyDigest) {
         return { type: "wrong", status: received.status, bodyRequestId };
     }
     return { type: "whole", status: received.status, bodyRequestId };
@@ -48,7 +48,7 @@
 
 function findRequestId(text: string): string | undefined {
     try {
-        return backendAnswerSchema.parse(JSON.parse(text)).requestId;
+        return backendResponseSchema.parse(JSON.parse(text)).requestId;
     }
     catch {
         return undefined;
--- a/packages/standIns/src/caller/schedule.ts
+++ b/packages/standIns/src/caller/generateSchedule.ts
@@ -1,13 +1,13 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import { drawWorkMs } from "../backendServer/workTime.js";
-import { type CallerMix, type CallerPlan } from "./plan.js";
+import { type CallerMixEntry, type CallerPlan } from "./callerPlan.js";
 
 /** One request, as it is to be sent whatever became of those before it. */
 export interface ScheduledRequest {
     readonly requestId: string;
     /** Milliseconds from the start of the run. */
     readonly atMs: number;
-    readonly mix: CallerMix;
+    readonly mix: CallerMixEntry;
     readonly target: string;
     readonly workMs: number;
     readonly idempotencyKey: string | undefined;
@@ -19,7 +19,7 @@
  * @param plan - rates, mix and seed
  * @returns requests in the order of their time
  */
-export function* createSchedule(plan: CallerPlan): Generator<ScheduledRequest, void> {
+export function* generateSchedule(plan: CallerPlan): Generator<ScheduledRequest, void> {
     const random = createRandomSource(plan.seed);
     let phaseStartMs = 0;
     let count = 0;
@@ -54,7 +54,7 @@
     return -Math.log(1 - random.next()) * 1_000 / perSecond;
 }
 
-function drawMix(mixes: readonly CallerMix[], weights: readonly number[], random: RandomSource): CallerMix {
+function drawMix(mixes: readonly CallerMixEntry[], weights: readonly number[], random: RandomSource): CallerMixEntry {
     let left = random.next() * weights.reduce((sum, weight) => sum + weight, 0);
     for (const [i, mix] of mixes.entries()) {
         left -= weights[i] ?? 0;
@@ -62,5 +62,5 @@
             return mix;
         }
     }
-    return mixes.at(-1) as CallerMix;
+    return mixes.at(-1) as CallerMixEntry;
 }
--- a/packages/standIns/src/caller/tally.ts
+++ b/packages/standIns/src/caller/outcomeTally.ts
@@ -1,6 +1,6 @@
 import { build, decodeFromCompressedBase64, encodeIntoCompressedBase64, type Histogram } from "hdr-histogram-js";
 import * as z from "zod";
-import { type Outcome } from "./outcome.js";
+import { type RequestOutcome } from "./classifyResponse.js";
 
 /** Histograms count in hundredths of a millisecond. */
 const unitsPerMs = 100;
@@ -53,12 +53,12 @@
 }
 
 /** Counts outcomes and latencies by kind of caller. */
-export class Tally {
+export class OutcomeTally {
     readonly #kinds = new Map<string, KindTally>();
 
     /** @returns the sum of what several callers wrote */
-    static merge(documents: readonly TallyDocument[]): Tally {
-        const tally = new Tally();
+    static merge(documents: readonly TallyDocument[]): OutcomeTally {
+        const tally = new OutcomeTally();
         for (const document of documents) {
             for (const [name, written] of Object.entries(document)) {
                 const kind = tally.#kindOf(name);
@@ -77,7 +77,7 @@
     }
 
     /** @param tookMs - from the scheduled time to the end */
-    add(name: string, outcome: Outcome, tookMs: number, patienceMs: number): void {
+    add(name: string, outcome: RequestOutcome, tookMs: number, patienceMs: number): void {
         const kind = this.#kindOf(name);
         kind.counts.sent++;
         kind.counts[outcome.type]++;
@@ -104,17 +104,17 @@
     }
 
     /** @returns counts of one kind; all zero where it never came */
-    countsOf(name: string): OutcomeCounts {
+    getCounts(name: string): OutcomeCounts {
         return { ...this.#kindOf(name).counts };
     }
 
     /** @returns latency of one kind, whole and given up */
-    latencyOf(name: string): Percentiles {
+    getLatency(name: string): Percentiles {
         return resolvePercentiles(this.#kindOf(name).latency);
     }
 
     /** @returns time to a refusal of one kind */
-    refusalOf(name: string): Percentiles {
+    getRefusalLatency(name: string): Percentiles {
         return resolvePercentiles(this.#kindOf(name).refusal);
     }
 
--- a/packages/standIns/src/fakes/virtualTime.ts
+++ b/packages/standIns/src/fakes/virtualClock.ts
@@ -5,7 +5,7 @@
 }
 
 /** A clock that only the test moves, with what is to happen on it. Events at the same time run in the order added. */
-export class VirtualTime {
+export class VirtualClock {
     readonly #queue: Scheduled[] = [];
     #nowMs = 0;
     #order = 0;
@@ -20,7 +20,7 @@
     }
 
     /** Runs `run` once, `delayMs` from now. */
-    after(delayMs: number, run: () => void): void {
+    schedule(delayMs: number, run: () => void): void {
         const entry = { atMs: this.#nowMs + Math.max(0, delayMs), order: this.#order++, run };
         let i = this.#queue.length;
         while (i > 0 && isLater(this.#queue[i - 1], entry)) {
--- a/packages/standIns/src/fleet/fleet.ts
+++ b/packages/standIns/src/fleet/fleet.ts
@@ -6,12 +6,12 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { request } from "undici";
-import { type WorkTimeOptions } from "../backendServer/workTime.js";
+import { type WorkTimeDistribution } from "../backendServer/workTime.js";
 import { type StartedProcess, startProcess, type StartProcessOptions } from "../processes/startProcess.js";
-import { placeOnLoopback } from "./fleetConfiguration.js";
+import { useLoopbackAddresses } from "./fleetConfiguration.js";
 import { type GatewayPorts, renderAdminSettings, renderGatewaySettings, type SharedSettings } from "./fleetSettings.js";
 import { findFreePorts } from "./freePorts.js";
-import { untilReady } from "./readiness.js";
+import { waitUntilReady } from "./waitUntilReady.js";
 
 /** What a fleet on loopback consists of. */
 export interface FleetOptions {
@@ -21,15 +21,15 @@
     readonly admin: boolean;
     /** Program of the gateways, where it isn't the usual one. */
     readonly gatewayProgram?: GatewayProgram | undefined;
-    /** Whether histories are kept, see {@link Fleet.histories}. */
-    readonly history?: boolean | undefined;
-    readonly workTime?: WorkTimeOptions | undefined;
+    /** Whether histories are kept, see {@link Fleet.historyFiles}. */
+    readonly recordsHistory?: boolean | undefined;
+    readonly workTime?: WorkTimeDistribution | undefined;
     /** Whether gateways warm cold backend servers up under permits; not where nothing is said. */
     readonly enforcesColdStart?: boolean | undefined;
     /** Whether the backend servers start cold; warm where nothing is said. */
     readonly startsCold?: boolean | undefined;
-    /** See {@link StartProcessOptions.ownGroup}. */
-    readonly ownGroup?: boolean | undefined;
+    /** See {@link StartProcessOptions.ownProcessGroup}. */
+    readonly ownProcessGroup?: boolean | undefined;
     /** Says what is being started. */
     readonly onProgress?: ((text: string) => void) | undefined;
 }
@@ -124,14 +124,14 @@
         const ports = new Map(
             this.#backendServers.map(server => [`${server.service}/${server.name}`, server.process.url]),
         );
-        return placeOnLoopback(this.#options.configuration, (service, server) => {
+        return useLoopbackAddresses(this.#options.configuration, (service, server) => {
             return Number(new URL(ports.get(`${service}/${server}`) ?? "").port);
         });
     }
 
     /** Files of the histories that the stand-ins keep. */
-    get histories(): readonly string[] {
-        return this.#options.history === true
+    get historyFiles(): readonly string[] {
+        return this.#options.recordsHistory === true
             ? this.#backendServers.map(server => this.#historyPath(server.service, server.name))
             : [];
     }
@@ -141,10 +141,10 @@
      *
      * @throws Error where one ended, or isn't ready in time
      */
-    async becomeReady(withinMs = 60_000): Promise<void> {
+    async waitUntilReady(withinMs = 60_000): Promise<void> {
         const untilMs = performance.now() + withinMs;
         for (const { process, operationsUrl } of this.#gateways) {
-            await untilReady(process, operationsUrl, untilMs);
+            await waitUntilReady(process, operationsUrl, untilMs);
         }
     }
 
@@ -162,7 +162,7 @@
         this.#gateways.length = 0;
         await this.#startGateways(await findFreePorts(this.#options.gateways * portsPerGateway), program);
         await this.#publishHosts();
-        await this.becomeReady();
+        await this.waitUntilReady();
     }
 
     /**
@@ -223,7 +223,9 @@
                         ...["--work-sigma", String(workTime.sigma)],
                     ],
                     ...this.#options.startsCold === true ? ["--cold"] : [],
-                    ...this.#options.history === true ? ["--history", this.#historyPath(service, server.name)] : [],
+                    ...this.#options.recordsHistory === true
+                        ? ["--history", this.#historyPath(service, server.name)]
+                        : [],
                 ],
             });
             this.#backendServers.push({
@@ -281,7 +283,11 @@
 
     #startProcess(options: Omit<StartProcessOptions, "logPath">): Promise<StartedProcess> {
         const logName = options.name.replace("/", "-");
-        return startProcess({ ...options, ownGroup: this.#options.ownGroup, logPath: this.#logPath(logName) });
+        return startProcess({
+            ...options,
+            ownProcessGroup: this.#options.ownProcessGroup,
+            logPath: this.#logPath(logName),
+        });
     }
 
     get #shared(): SharedSettings {
--- a/packages/standIns/src/fleet/fleetConfiguration.ts
+++ b/packages/standIns/src/fleet/fleetConfiguration.ts
@@ -19,7 +19,7 @@
  * @param cfg - declarations
  * @param portOf - port of a service's backend server on 127.0.0.1
  */
-export function placeOnLoopback(
+export function useLoopbackAddresses(
     cfg: ConfigurationInput,
     portOf: (service: string, server: string) => number,
 ): ConfigurationInput {
--- a/packages/standIns/src/fleet/operator.ts
+++ b/packages/standIns/src/fleet/fleetOperator.ts
@@ -6,7 +6,7 @@
 import { type Fleet } from "./fleet.js";
 
 /** Makes an operator's calls to a fleet's admin. */
-export class Operator {
+export class FleetOperator {
     readonly #client;
 
     /** @param fleet - with admin */
--- a/packages/standIns/src/fleet/readiness.ts
+++ b/packages/standIns/src/fleet/waitUntilReady.ts
@@ -11,13 +11,13 @@
  * @param untilMs - on this process's monotonic clock
  * @throws Error where it ended, or isn't ready in time
  */
-export async function untilReady(process: StartedProcess, operationsUrl: string, untilMs: number): Promise<void> {
+export async function waitUntilReady(process: StartedProcess, operationsUrl: string, untilMs: number): Promise<void> {
     for (;;) {
         const reason = await readReadiness(operationsUrl);
         if (reason === undefined) {
             return;
         }
-        if (performance.now() > untilMs || process.exit !== undefined) {
+        if (performance.now() > untilMs || process.exitStatus !== undefined) {
             throw new Error(`${process.name} is not ready: ${reason}`);
         }
         await new Promise(resolve => setTimeout(resolve, askAgainMs));
--- a/packages/standIns/src/http/jsonServer.ts
+++ b/packages/standIns/src/http/jsonServer.ts
@@ -11,7 +11,7 @@
 }
 
 /** Reads `127.0.0.1:7000`; without a port any free one is taken. */
-export function resolveListenAddress(text: string): ListenAddress {
+export function parseListenAddress(text: string): ListenAddress {
     const [host = "127.0.0.1", port = "0"] = text.split(":");
     return { host, port: Number(port) };
 }
--- a/packages/standIns/src/index.ts
+++ b/packages/standIns/src/index.ts
@@ -1,8 +1,13 @@
 /** Small stand-ins for the systems that galenaglade serves and uses; for tests, benches and the playground only. */
-export { type BackendAnswer, backendAnswerSchema, backendHeaders, digest } from "./backendServer/answer.js";
 export { type BackendFaults, backendFaultsSchema } from "./backendServer/backendFaults.js";
+export {
+    type BackendResponse,
+    backendResponseSchema,
+    backendHeaders,
+    computeDigest,
+} from "./backendServer/backendResponse.js";
 export { type BackendCounters, BackendServer, type BackendServerOptions } from "./backendServer/backendServer.js";
-export { type LoadReport } from "./backendServer/loadReports.js";
+export { type LoadReport } from "./backendServer/loadReportHistory.js";
 export {
     defaultServerCapacity,
     type ServerCapacity,
@@ -10,12 +15,18 @@
     type ServerState,
 } from "./backendServer/serverModel.js";
 export { Caller } from "./caller/caller.js";
-export { type Outcome, type ReceivedAnswer, resolveOutcome } from "./caller/outcome.js";
-export { type CallerMix, type CallerPlan, type CallerPlanInput, callerPlanSchema } from "./caller/plan.js";
-export { createSchedule, type ScheduledRequest } from "./caller/schedule.js";
-export { type OutcomeCounts, type Percentiles, Tally, type TallyDocument, tallySchema } from "./caller/tally.js";
-export { type CallFate, FakeStore, type FateOf } from "./fakes/fakeStore.js";
-export { VirtualTime } from "./fakes/virtualTime.js";
+export { type CallerMixEntry, type CallerPlan, type CallerPlanInput, callerPlanSchema } from "./caller/callerPlan.js";
+export { type RequestOutcome, type ReceivedResponse, classifyResponse } from "./caller/classifyResponse.js";
+export { generateSchedule, type ScheduledRequest } from "./caller/generateSchedule.js";
+export {
+    type OutcomeCounts,
+    type Percentiles,
+    OutcomeTally,
+    type TallyDocument,
+    tallySchema,
+} from "./caller/outcomeTally.js";
+export { type StoreCallOutcome, FakeStore, type StoreCallOutcomeResolver } from "./fakes/fakeStore.js";
+export { VirtualClock } from "./fakes/virtualClock.js";
 export {
     Fleet,
     type FleetBackendServer,
@@ -23,28 +34,34 @@
     type FleetOptions,
     type GatewayProgram,
 } from "./fleet/fleet.js";
-export { limitBackendServers, placeOnLoopback } from "./fleet/fleetConfiguration.js";
+export { limitBackendServers, useLoopbackAddresses } from "./fleet/fleetConfiguration.js";
 export { FleetConfigurer } from "./fleet/fleetConfigurer.js";
+export { FleetOperator } from "./fleet/fleetOperator.js";
 export { findFreePorts } from "./fleet/freePorts.js";
-export { Operator } from "./fleet/operator.js";
-export { type CallCounts, type CallLimits, defaultCallLimits } from "./platform/callMeter.js";
+export { type CallCounts, type CallLimits, defaultCallLimits } from "./platform/callRateLimiter.js";
 export { KeyValueEngine } from "./platform/keyValueEngine.js";
 export { type PlatformFaults, platformFaultsSchema } from "./platform/platformFaults.js";
 export { PlatformServer, type PlatformServerOptions } from "./platform/platformServer.js";
 export { printReady, type ReadyLine, stopOnSignal } from "./processes/ready.js";
 export {
     type ExitStatus,
-    findReadyLine,
+    parseReadyLine,
     StartedProcess,
     startProcess,
     type StartProcessOptions,
 } from "./processes/startProcess.js";
 export {
     type RawBackend,
-    type RawOutcome,
+    type RawResponse,
     type RawRequest,
-    renderAnswer,
-    sendRaw,
+    renderRawResponse,
+    sendRawRequest,
     startRawBackend,
 } from "./raw/rawBackend.js";
-export { HistoryFile, HistoryRecorder, MemoryHistory, mergeHistories, NoHistory } from "./recording/historyFile.js";
+export {
+    FileHistoryRecorder,
+    HistoryRecorder,
+    MemoryHistoryRecorder,
+    mergeHistories,
+    NoopHistoryRecorder,
+} from "./recording/historyRecorder.js";
--- a/packages/standIns/src/platform/callMeter.ts
+++ b/packages/standIns/src/platform/callRateLimiter.ts
@@ -43,7 +43,7 @@
 }
 
 /** Counts calls by client and refuses those over the limit. A waiting watch counts as one read. */
-export class CallMeter {
+export class CallRateLimiter {
     readonly #writes: TokenBucket;
     readonly #reads: TokenBucket;
     readonly #byClient = new Map<string, Counts>();
@@ -80,7 +80,7 @@
     }
 
     /** @returns the counts over all clients, and of each */
-    read(): { readonly total: CallCounts; readonly byClient: Readonly<Record<string, CallCounts>>; } {
+    snapshot(): { readonly total: CallCounts; readonly byClient: Readonly<Record<string, CallCounts>>; } {
         const total: Counts = { reads: 0, writes: 0, watches: 0, rateLimited: 0 };
         for (const counts of this.#byClient.values()) {
             total.reads += counts.reads;
--- a/packages/standIns/src/platform/cli.ts
+++ b/packages/standIns/src/platform/cli.ts
@@ -1,7 +1,7 @@
 import { parseArgs } from "node:util";
-import { resolveListenAddress } from "../http/jsonServer.js";
+import { parseListenAddress } from "../http/jsonServer.js";
 import { printReady, stopOnSignal } from "../processes/ready.js";
-import { defaultCallLimits } from "./callMeter.js";
+import { defaultCallLimits } from "./callRateLimiter.js";
 import { PlatformServer } from "./platformServer.js";
 
 const { values } = parseArgs({
@@ -14,7 +14,7 @@
 });
 
 const platform = await PlatformServer.start({
-    listen: resolveListenAddress(values.listen),
+    listen: parseListenAddress(values.listen),
     hostListLagMs: Number(values["host-list-lag-ms"]),
     limits: {
         writesPerSecond: Number(values["writes-per-second"]),
--- a/packages/standIns/src/platform/laggingHosts.ts
+++ b/packages/standIns/src/platform/delayedHostList.ts
@@ -6,7 +6,7 @@
 }
 
 /** A host list that shows each change only after a lag. */
-export class LaggingHosts {
+export class DelayedHostList {
     #versions: readonly Version[] = [];
     /** Milliseconds until a change shows. */
     lagMs: number;
--- a/packages/standIns/src/platform/keyValueEngine.ts
+++ b/packages/standIns/src/platform/keyValueEngine.ts
@@ -32,7 +32,7 @@
     }
 
     /** @returns the present state for ever; keys under lease stay in it */
-    freeze(): KeyValueEngine {
+    snapshot(): KeyValueEngine {
         const copy = new KeyValueEngine();
         for (const [key, entry] of this.#keys) {
             copy.#keys.set(key, entry);
@@ -43,8 +43,8 @@
     }
 
     /** @returns a store of its own that begins with the present state: keys, leases with their ends, history and revision */
-    copy(): KeyValueEngine {
-        const copy = this.freeze();
+    clone(): KeyValueEngine {
+        const copy = this.snapshot();
         for (const [id, lease] of this.#leases) {
             copy.#leases.set(id, { ...lease });
         }
--- a/packages/standIns/src/platform/platformServer.ts
+++ b/packages/standIns/src/platform/platformServer.ts
@@ -8,9 +8,9 @@
     readJson,
     sendJson,
 } from "../http/jsonServer.js";
-import { type CallLimits, CallMeter, defaultCallLimits } from "./callMeter.js";
+import { type CallLimits, CallRateLimiter, defaultCallLimits } from "./callRateLimiter.js";
 import { KeyValueEngine } from "./keyValueEngine.js";
-import { LaggingHosts } from "./laggingHosts.js";
+import { DelayedHostList } from "./delayedHostList.js";
 import { type PlatformFaults, platformFaultsSchema } from "./platformFaults.js";
 
 /** How a stand-in platform is set up. */
@@ -35,8 +35,8 @@
 export class PlatformServer {
     readonly #now: () => number;
     readonly #engine = new KeyValueEngine();
-    readonly #meter: CallMeter;
-    readonly #hosts: LaggingHosts;
+    readonly #meter: CallRateLimiter;
+    readonly #hosts: DelayedHostList;
     readonly #waiting = new Set<() => void>();
     #frozen: KeyValueEngine | undefined;
     #faults: PlatformFaults = platformFaultsSchema.parse({});
@@ -45,8 +45,8 @@
 
     private constructor(options: PlatformServerOptions) {
         this.#now = options.now ?? (() => performance.now());
-        this.#meter = new CallMeter(options.limits ?? defaultCallLimits, this.#now());
-        this.#hosts = new LaggingHosts(options.hostListLagMs ?? 0);
+        this.#meter = new CallRateLimiter(options.limits ?? defaultCallLimits, this.#now());
+        this.#hosts = new DelayedHostList(options.hostListLagMs ?? 0);
         this.#hosts.set(options.hosts ?? [], this.#now());
     }
 
@@ -73,7 +73,7 @@
     /** Replaces every fault. */
     setFaults(faults: Partial<PlatformFaults>): void {
         this.#faults = platformFaultsSchema.parse(faults);
-        this.#frozen = this.#faults.staleReads ? this.#frozen ?? this.#engine.freeze() : undefined;
+        this.#frozen = this.#faults.staleReads ? this.#frozen ?? this.#engine.snapshot() : undefined;
         this.#wake();
     }
 
@@ -83,8 +83,8 @@
     }
 
     /** @returns calls since the start */
-    counters(): ReturnType<CallMeter["read"]> {
-        return this.#meter.read();
+    counters(): ReturnType<CallRateLimiter["snapshot"]> {
+        return this.#meter.snapshot();
     }
 
     /** Closes every connection and stops. */
--- a/packages/standIns/src/processes/startProcess.ts
+++ b/packages/standIns/src/processes/startProcess.ts
@@ -16,14 +16,14 @@
     /** Gets what the program prints; without one it is dropped. */
     readonly logPath?: string | undefined;
     /** Finds the address in a printed line; by default the ready line of the stand-ins. */
-    readonly findReady?: ((line: string) => string | undefined) | undefined;
+    readonly parseReadyUrl?: ((line: string) => string | undefined) | undefined;
     /**
      * Keeps the terminal's Ctrl-C from it, for a starter that stops what it started in an order of its own: the
      * platform would otherwise be gone before gateways had given back their leases.
      */
-    readonly ownGroup?: boolean | undefined;
+    readonly ownProcessGroup?: boolean | undefined;
     /** Wide limit on the time to become ready, in milliseconds. */
-    readonly readyWithinMs?: number | undefined;
+    readonly readyTimeoutMs?: number | undefined;
 }
 
 /** How a process ended. */
@@ -65,12 +65,12 @@
     }
 
     /** How it ended; `undefined` while it runs. */
-    get exit(): ExitStatus | undefined {
+    get exitStatus(): ExitStatus | undefined {
         return this.#exit;
     }
 
     /** @internal */
-    becomeReady(url: string): void {
+    setReady(url: string): void {
         this.#url = url;
     }
 
@@ -121,12 +121,12 @@
     ], {
         env: { ...process.env, ...options.env },
         stdio: ["ignore", "pipe", "pipe"],
-        detached: options.ownGroup ?? false,
+        detached: options.ownProcessGroup ?? false,
     });
     const started = new StartedProcess(options.name, child);
     const log = options.logPath === undefined ? undefined : createWriteStream(options.logPath, { flags: "a" });
     const lastLines: string[] = [];
-    const findReady = options.findReady ?? findReadyLine;
+    const findReady = options.parseReadyUrl ?? parseReadyLine;
     const ready = new Promise<string>(resolve => {
         for (const output of [child.stdout, child.stderr]) {
             createInterface({ input: output }).on("line", line => {
@@ -141,18 +141,18 @@
         }
     });
     void started.exited.then(() => log?.end());
-    const url = await settleFirst(ready, started, options.readyWithinMs ?? defaultReadyWithinMs);
+    const url = await settleFirst(ready, started, options.readyTimeoutMs ?? defaultReadyWithinMs);
     if (url === undefined) {
         started.kill();
         await started.exited;
         throw new Error(`${options.name} did not become ready:\n${lastLines.join("\n")}`);
     }
-    started.becomeReady(url);
+    started.setReady(url);
     return started;
 }
 
 /** @returns the ready line's address, or `undefined` for any other line */
-export function findReadyLine(line: string): string | undefined {
+export function parseReadyLine(line: string): string | undefined {
     if (!line.startsWith("{")) {
         return undefined;
     }
--- a/packages/standIns/src/raw/rawBackend.ts
+++ b/packages/standIns/src/raw/rawBackend.ts
@@ -11,7 +11,7 @@
     /** Number of its connection, from 1. */
     readonly connection: number;
     /** Number of the request on its connection, from 1. */
-    readonly turn: number;
+    readonly requestNumber: number;
     readonly socket: Socket;
 }
 
@@ -39,7 +39,7 @@
             received += chunk.toString("latin1");
             for (let parsed = parseRequest(received); parsed !== undefined; parsed = parseRequest(received)) {
                 received = received.slice(parsed.bytes);
-                const req = { ...parsed, connection, turn: ++turn, socket };
+                const req = { ...parsed, connection, requestNumber: ++turn, socket };
                 requests.push(req);
                 serve(req);
             }
@@ -85,19 +85,19 @@
 }
 
 /** @returns a whole answer with its length */
-export function renderAnswer(body: string, status = "200 OK", headers: readonly string[] = []): string {
+export function renderRawResponse(body: string, status = "200 OK", headers: readonly string[] = []): string {
     return [`HTTP/1.1 ${status}`, `content-length: ${body.length}`, ...headers, "", body].join("\r\n");
 }
 
 /** What a caller's bare socket saw. */
-export interface RawOutcome {
+export interface RawResponse {
     readonly text: string;
     /** Whether the connection was reset rather than ended. */
     readonly reset: boolean;
 }
 
 /** Sends bytes as a caller and collects what comes until the connection ends. */
-export function sendRaw(url: string, text: string): Promise<RawOutcome> {
+export function sendRawRequest(url: string, text: string): Promise<RawResponse> {
     return new Promise(resolve => {
         const socket = connect(Number(new URL(url).port), "127.0.0.1");
         let received = "";
--- a/packages/standIns/src/recording/historyFile.ts
+++ b/packages/standIns/src/recording/historyRecorder.ts
@@ -7,14 +7,14 @@
 }
 
 /** Keeps nothing. */
-export class NoHistory extends HistoryRecorder {
+export class NoopHistoryRecorder extends HistoryRecorder {
     override record(): void {
         // A run without --history has no reader for it.
     }
 }
 
 /** Keeps the events in memory, for tests within one process. */
-export class MemoryHistory extends HistoryRecorder {
+export class MemoryHistoryRecorder extends HistoryRecorder {
     readonly #process: string;
     readonly #lines: HistoryLine[] = [];
 
@@ -34,7 +34,7 @@
 }
 
 /** Appends one JSON line for each event; written through, so that a killed process loses none. */
-export class HistoryFile extends HistoryRecorder {
+export class FileHistoryRecorder extends HistoryRecorder {
     readonly #process: string;
     readonly #file: number;
     #sequence = 0;
@@ -63,13 +63,13 @@
 /**
  * Reads the histories of several processes of one machine as one.
  *
- * @param paths - files that {@link HistoryFile} wrote
+ * @param paths - files that {@link FileHistoryRecorder} wrote
  * @param recorded - histories kept by this process
  * @returns all lines in the order of the machine's monotonic clock, numbered anew
  */
 export function mergeHistories(
     paths: readonly string[],
-    recorded: readonly MemoryHistory[] = [],
+    recorded: readonly MemoryHistoryRecorder[] = [],
 ): readonly HistoryLine[] {
     const lines: HistoryLine[] = recorded.flatMap(history => history.lines);
     for (const path of paths) {
--- a/playground/up.ts
+++ b/playground/up.ts
@@ -6,12 +6,12 @@
 import { parse } from "yaml";
 import { type ConfigurationInput } from "@galenaglade/configuration";
 import {
-    backendAnswerSchema,
+    backendResponseSchema,
     backendHeaders,
     Fleet,
     limitBackendServers,
-    Operator,
-    resolveOutcome,
+    FleetOperator,
+    classifyResponse,
 } from "@galenaglade/stand-ins";
 
 const usage = `usage: npm run up -- [--configuration FILE] [--small] [--gateways N] [--once]
@@ -52,7 +52,7 @@
         configuration,
         gateways: Number(values.gateways),
         admin: true,
-        ownGroup: true,
+        ownProcessGroup: true,
         onProgress: text => console.log(`starting ${text}`),
     });
     let good = true;
@@ -80,9 +80,9 @@
 }
 
 async function applyConfiguration(fleet: Fleet): Promise<void> {
-    const standing = await new Operator(fleet).apply(fleet.configuration);
+    const standing = await new FleetOperator(fleet).apply(fleet.configuration);
     console.log(`configuration: revision ${standing?.revision ?? 0}, in force: ${standing?.inForce ?? false}`);
-    await fleet.becomeReady();
+    await fleet.waitUntilReady();
 }
 
 function describe(fleet: Fleet, cfg: ConfigurationInput): void {
@@ -107,7 +107,7 @@
 async function sendOnce(fleet: Fleet, cfg: ConfigurationInput): Promise<boolean> {
     let good = await sendToAll(fleet, cfg, undefined);
     const zone = cfg.availabilityZones[0]?.name ?? "";
-    const operator = new Operator(fleet);
+    const operator = new FleetOperator(fleet);
     const out = await operator.takeZoneOut(zone);
     console.log(`${zone} out: revision ${out?.revision ?? 0}, in force: ${out?.inForce ?? false}`);
     good = await sendToAll(fleet, cfg, zone) && good;
@@ -144,8 +144,8 @@
     });
     const text = await res.body.text();
     const bodyDigest = String(res.headers[backendHeaders.bodyDigest] ?? "");
-    const outcome = resolveOutcome(requestId, { status: res.statusCode, didRun: undefined, bodyDigest, text });
-    const server = outcome.type === "whole" ? backendAnswerSchema.parse(JSON.parse(text)).server : undefined;
+    const outcome = classifyResponse(requestId, { status: res.statusCode, didRun: undefined, bodyDigest, text });
+    const server = outcome.type === "whole" ? backendResponseSchema.parse(JSON.parse(text)).server : undefined;
     const shown = server === undefined ? text.slice(0, shownCharacters) : `from ${server}`;
     console.log(`${service.name} by ${gatewayUrl}: ${outcome.type}, status ${res.statusCode}, ${shown}`);
     return server;
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -65,7 +65,7 @@
     const runs: RunResult[] = [];
     try {
         await configurer.apply(fleet.configuration);
-        await fleet.becomeReady();
+        await fleet.waitUntilReady();
         for (let round = 1; round <= Number(values.rounds); round++) {
             for (const variant of rotate(values.variants.split(","), round)) {
                 console.log(`round ${round}, ${variant}`);
--- a/scripts/bench/runLoad.ts
+++ b/scripts/bench/runLoad.ts
@@ -6,7 +6,7 @@
     type FleetConfigurer,
     type OutcomeCounts,
     startProcess,
-    Tally,
+    OutcomeTally,
     tallySchema,
 } from "@galenaglade/stand-ins";
 import { readFileSync, writeFileSync } from "node:fs";
@@ -65,7 +65,11 @@
     const seconds = (after.atMs - before.atMs) / 1_000;
     const kinds: Record<string, KindResult> = {};
     for (const name of tally.kinds) {
-        kinds[name] = { counts: tally.countsOf(name), latency: tally.latencyOf(name), refusal: tally.refusalOf(name) };
+        kinds[name] = {
+            counts: tally.getCounts(name),
+            latency: tally.getLatency(name),
+            refusal: tally.getRefusalLatency(name),
+        };
     }
     return {
         round,
@@ -89,7 +93,7 @@
     return sent;
 }
 
-async function runCaller(options: RunOptions, faults: string[]): Promise<Tally> {
+async function runCaller(options: RunOptions, faults: string[]): Promise<OutcomeTally> {
     const { fleet, load, variant, round } = options;
     const name = `${load.name}-${variant}-${round}`;
     const planPath = join(fleet.directory, `${name}.plan.json`);
@@ -101,9 +105,9 @@
     if (exit.code !== 0) {
         throw new Error(`the caller ended with ${exit.code ?? exit.signal ?? ""}`);
     }
-    const tally = Tally.merge([tallySchema.parse(JSON.parse(readFileSync(resultPath, "utf8")))]);
+    const tally = OutcomeTally.merge([tallySchema.parse(JSON.parse(readFileSync(resultPath, "utf8")))]);
     for (const kind of tally.kinds) {
-        faults.push(...findFaults(kind, tally.countsOf(kind)));
+        faults.push(...findFaults(kind, tally.getCounts(kind)));
     }
     return tally;
 }
--- a/scripts/capacity/measureRequests.ts
+++ b/scripts/capacity/measureRequests.ts
@@ -95,7 +95,7 @@
         phases: [{ durationMs, requestsPerSecond }],
     });
     const tally = await new Caller(plan).run();
-    const counts = tally.countsOf("tables/default");
+    const counts = tally.getCounts("tables/default");
     if (counts.whole < counts.sent * 0.99) {
         throw new Error(`only ${counts.whole} of ${counts.sent} requests were answered at ${requestsPerSecond}/s`);
     }
--- a/scripts/capacity/testFleet.ts
+++ b/scripts/capacity/testFleet.ts
@@ -77,6 +77,6 @@
         name,
         script: bundle,
         args: ["--settings", settings],
-        findReady: line => readyPattern.exec(line)?.[1],
+        parseReadyUrl: line => readyPattern.exec(line)?.[1],
     });
 }
