--- a/packages/admin/src/__tests__/adminServer.test.ts
+++ b/packages/admin/src/__tests__/adminServer.test.ts
@@ -163,7 +163,7 @@
         const operator = createOperator(t, protocol, url);
         let finish: () => void = () => undefined;
         const waiting = new Promise<void>(reached => {
-            coordinator.turn = step =>
+            coordinator.beforeStep = step =>
                 step !== "answer" ? Promise.resolve() : new Promise(resolve => {
                     finish = resolve;
                     reached();
@@ -231,7 +231,7 @@
 test("the stop ends when its time is up, whatever is in flight", async t => {
     const { url, coordinator, server } = await start(t, { drainMs: 50 });
     const waiting = new Promise<void>(reached => {
-        coordinator.turn = () => {
+        coordinator.beforeStep = () => {
             reached();
             return new Promise(() => undefined);
         };
@@ -324,7 +324,7 @@
     for await (const { event } of createOperator(t, "gRPC", url).watchChanges({})) {
         seen.push(event.case === "failure" ? event.value.detail : event.case);
         const broken = seen.length === 1;
-        coordinator.turn = () => broken ? Promise.reject(new Error("out of order")) : Promise.resolve();
+        coordinator.beforeStep = () => broken ? Promise.reject(new Error("out of order")) : Promise.resolve();
         signal.announce();
         if (seen.length === 3) {
             break;
--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -41,9 +41,9 @@
     /** Called when a change takes effect. */
     onStored: (stored: ConfigurationRevision) => void = () => undefined;
     /** Changes whose write takes effect and whose answer is lost, from the next one on. */
-    answersToLose = 0;
+    responsesToLose = 0;
     /** Awaited before each step, so that a test decides what happens in which order. */
-    turn: (step: string) => Promise<void> = () => Promise.resolve();
+    beforeStep: (step: string) => Promise<void> = () => Promise.resolve();
 
     constructor(history: readonly ConfigurationRevision[] = [firstRevision]) {
         super();
@@ -56,12 +56,12 @@
     }
 
     override async read(): Promise<Either<Failure, ConfigurationRevision>> {
-        await this.turn("read");
+        await this.beforeStep("read");
         return Right(this.present);
     }
 
     override async apply(req: ChangeRequest): Promise<Either<Failure, Acceptance>> {
-        await this.turn("apply");
+        await this.beforeStep("apply");
         const before = this.history.find(change => change.changeId === req.changeId);
         if (before === undefined && req.expectedRevision !== this.present.revision) {
             return Left(createFailure("revisionConflict", "another revision is present"));
@@ -75,16 +75,16 @@
             this.history.push(written);
             this.onStored(written);
         }
-        if (this.answersToLose > 0) {
-            this.answersToLose--;
+        if (this.responsesToLose > 0) {
+            this.responsesToLose--;
             return Left(createFailure("storeOutcomeUnknown", "the store did not say"));
         }
-        await this.turn("answer");
+        await this.beforeStep("answer");
         return Right(this.#accept(written));
     }
 
     override async standing(): Promise<Either<Failure, Acceptance>> {
-        await this.turn("standing");
+        await this.beforeStep("standing");
         return Right(this.#accept(this.present));
     }
 
--- a/packages/admin/src/__tests__/operatorCalls.test.ts
+++ b/packages/admin/src/__tests__/operatorCalls.test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { operatorsChangeId } from "../changeId.js";
+import { parseOperatorChangeId } from "../changeId.js";
 import { OperatorCalls } from "../index.js";
 import { declared, FakeCoordinator, FakeHostList, resolved } from "./fakeFleet.js";
 
@@ -49,11 +49,11 @@
     const run = fc.asyncProperty(fc.scheduler(), operators, fc.nat(3), async (scheduler, changes, lost) => {
         const history: OperatorChangeLine[] = [];
         const coordinator = new FakeCoordinator();
-        coordinator.answersToLose = lost;
-        coordinator.turn = step => scheduler.schedule(Promise.resolve(), step);
+        coordinator.responsesToLose = lost;
+        coordinator.beforeStep = step => scheduler.schedule(Promise.resolve(), step);
         coordinator.onStored = ({ revision, changeId, configuration }) => {
             const states = Object.fromEntries(configuration.availabilityZones.map(({ name, state }) => [name, state]));
-            history.push({ type: "revisionStored", revision, changeId: operatorsChangeId(changeId), states });
+            history.push({ type: "revisionStored", revision, changeId: parseOperatorChangeId(changeId), states });
         };
         const runs = changes.map(async ({ name, state }, i) => {
             const changeId = `change-${i}`;
@@ -89,7 +89,7 @@
     // by then the present revision is 2 and the expected one still 1. It must get the first answer, not a conflict.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
-    coordinator.answersToLose = 1;
+    coordinator.responsesToLose = 1;
     const change = { changeId: "file", expectedRevision: 1, configuration: declared };
     const first = await calls.applyConfiguration(change);
     assert.equal(first.swap().unsafeCoerce().failure.kind, "storeOutcomeUnknown");
@@ -103,7 +103,7 @@
     // sends its call again. Done a second time, it would take out a zone that operators believe in.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
-    coordinator.answersToLose = 1;
+    coordinator.responsesToLose = 1;
     await calls.changeZone(zone("a", "out", "one"));
     await calls.changeZone(zone("a", "in", "two"));
     const again = (await calls.changeZone(zone("a", "out", "one"))).unsafeCoerce();
@@ -133,7 +133,7 @@
 test("gives up on a zone change that others always overtake", async () => {
     const coordinator = new FakeCoordinator();
     let changes = 0;
-    coordinator.turn = step => {
+    coordinator.beforeStep = step => {
         if (step === "apply") {
             const { revision, configuration } = coordinator.present;
             coordinator.history.push({ revision: revision + 1, changeId: `other-${changes++}`, configuration });
--- a/packages/admin/src/adminServer.ts
+++ b/packages/admin/src/adminServer.ts
@@ -11,7 +11,7 @@
 import { Connection } from "./connection.js";
 import {
     idleTimeoutMs,
-    keepAliveDelayMs,
+    tcpKeepAliveIdleMs,
     maximumCallTimeoutMs,
     maximumHeaderBytes,
     maximumStreamsPerConnection,
@@ -20,7 +20,13 @@
 import { type OperatorCalls } from "./operatorCalls.js";
 import { createOperatorRoutes } from "./operatorRoutes.js";
 import { detectProtocol } from "./protocolDetection.js";
-import { dropRestOfBody, giveUp, refuse, type ServerRequest, type ServerResponse } from "./refusal.js";
+import {
+    discardRequestBody,
+    abortRequest,
+    rejectRequest,
+    type ServerRequest,
+    type ServerResponse,
+} from "./rejectRequest.js";
 import { type StandingFeed } from "./standingFeed.js";
 
 /** How an {@link AdminServer} is made. */
@@ -100,7 +106,7 @@
     async #accept(socket: Socket): Promise<void> {
         // A connection that something in between has forgotten stays silent for good; probes by the system find that
         // out, also while a watch has nothing to say.
-        socket.setKeepAlive(true, keepAliveDelayMs);
+        socket.setKeepAlive(true, tcpKeepAliveIdleMs);
         const connection = new Connection(socket, this.#requestTimeoutMs);
         this.#connections.add(connection);
         socket.once("close", () => this.#connections.delete(connection));
@@ -138,29 +144,29 @@
     #handle(req: ServerRequest, res: ServerResponse, connection: Connection): void {
         // Checked before the body is read, so that a stranger can't make the server hold large messages.
         if (!this.#authorization.accepts(req.headers.authorization)) {
-            refuse(req, res, "unauthenticated", "authorization: expected `Bearer` and the fleet's key");
+            rejectRequest(req, res, "unauthenticated", "authorization: expected `Bearer` and the fleet's key");
             return;
         }
         if (this.#shutdown.signal.aborted) {
-            refuse(req, res, "stopping", "this host is shutting down");
+            rejectRequest(req, res, "stopping", "this host is shutting down");
             return;
         }
-        connection.begin();
-        res.once("close", () => connection.end());
-        dropRestOfBody(req, res);
+        connection.onCallStarted();
+        res.once("close", () => connection.onCallEnded());
+        discardRequestBody(req, res);
         this.#limitBody(req, res);
         try {
             this.#handleCall(req, res);
         }
         catch (err) {
             // The adapter throws on a request whose authority makes no URL; uncaught, it would end the process.
-            refuse(req, res, "badRequest", err instanceof Error ? err.message : String(err));
+            rejectRequest(req, res, "badRequest", err instanceof Error ? err.message : String(err));
         }
     }
 
     /** A body that never ends would hold its call, and a planned stop, for ever. */
     #limitBody(req: ServerRequest, res: ServerResponse): void {
-        const limit = setTimeout(() => giveUp(req), this.#requestTimeoutMs);
+        const limit = setTimeout(() => abortRequest(req), this.#requestTimeoutMs);
         req.once("end", () => clearTimeout(limit));
         res.once("close", () => clearTimeout(limit));
     }
--- a/packages/admin/src/backendServerObserver.ts
+++ b/packages/admin/src/backendServerObserver.ts
@@ -3,7 +3,7 @@
 import { type Either } from "purify-ts";
 
 /** What the gateways know of the backend servers. */
-export interface Observed {
+export interface GatewayObservations {
     readonly answered: readonly ServerObservations[];
     /** Names of the registered gateways that gave no usable answer. */
     readonly unanswered: readonly string[];
@@ -15,7 +15,7 @@
      * @param service - only this service's servers; all where `undefined`
      * @returns what the gateways that answered know, and which didn't; or why none could be asked
      */
-    abstract observe(service: string | undefined): Promise<Either<Failure, Observed>>;
+    abstract observe(service: string | undefined): Promise<Either<Failure, GatewayObservations>>;
 }
 
 /** Asks all registered gateways by their peer ports. */
@@ -27,7 +27,7 @@
         this.#fleet = fleet;
     }
 
-    override observe(service: string | undefined): Promise<Either<Failure, Observed>> {
+    override observe(service: string | undefined): Promise<Either<Failure, GatewayObservations>> {
         return this.#fleet.observe(service);
     }
 }
--- a/packages/admin/src/callFailure.ts
+++ b/packages/admin/src/callFailure.ts
@@ -70,7 +70,7 @@
  * @param faults - everything that is wrong
  * @returns the failure
  */
-export function createInvalidConfiguration(faults: readonly DocumentFault[]): CallFailure {
+export function createInvalidConfigurationFailure(faults: readonly DocumentFault[]): CallFailure {
     const lines = faults.map(fault => `${formatPath(fault.path)}: ${fault.message}`);
     return { failure: createFailure("configurationInvalid", lines.join("; ")), faults };
 }
--- a/packages/admin/src/changeId.ts
+++ b/packages/admin/src/changeId.ts
@@ -32,6 +32,6 @@
  * @param storedChangeId - what {@link createStoredChangeId} made
  * @returns what the operator sent
  */
-export function operatorsChangeId(storedChangeId: string): string {
+export function parseOperatorChangeId(storedChangeId: string): string {
     return storedChangeId.split(separator, 1)[0] ?? "";
 }
--- a/packages/admin/src/changeSignal.ts
+++ b/packages/admin/src/changeSignal.ts
@@ -1,6 +1,6 @@
 import { type KeyValueStore } from "@galenaglade/platform";
 import { setTimeout as pause } from "node:timers/promises";
-import { watchRefreshMs, watchRetryMs } from "./constants.js";
+import { watchRefreshPeriodMs, watchRetryDelayMs } from "./constants.js";
 
 /** Tells when the configuration may have changed. */
 export abstract class ChangeSignal {
@@ -29,17 +29,17 @@
             const listed = await this.#store.list(this.#prefix);
             this.#afterRevision = listed.map(({ revision }) => revision).toMaybe().extract();
             // What changed before the list was read has to be looked at, so the first wait is none.
-            await pauseUnlessAborted(listed.isLeft() ? watchRetryMs : 0, signal);
+            await sleepUnlessAborted(listed.isLeft() ? watchRetryDelayMs : 0, signal);
             return;
         }
         const events = await this.#store.watch({
             prefix: this.#prefix,
             afterRevision: this.#afterRevision,
-            waitMs: watchRefreshMs,
+            waitMs: watchRefreshPeriodMs,
             signal,
         });
         if (events.isLeft()) {
-            await pauseUnlessAborted(watchRetryMs, signal);
+            await sleepUnlessAborted(watchRetryDelayMs, signal);
             return;
         }
         this.#afterRevision = events.unsafeCoerce().revision;
@@ -52,7 +52,7 @@
  * @param ms - how long, in milliseconds
  * @param signal - ends the wait early
  */
-export async function pauseUnlessAborted(ms: number, signal: AbortSignal): Promise<void> {
+export async function sleepUnlessAborted(ms: number, signal: AbortSignal): Promise<void> {
     try {
         await pause(ms, undefined, { signal });
     }
--- a/packages/admin/src/connection.ts
+++ b/packages/admin/src/connection.ts
@@ -32,13 +32,13 @@
     }
 
     /** A call with the key begins. */
-    begin(): void {
+    onCallStarted(): void {
         clearTimeout(this.#strangerLimit);
         this.#inFlight++;
     }
 
     /** A call's answer is out. */
-    end(): void {
+    onCallEnded(): void {
         this.#inFlight--;
         if (this.#closing) {
             this.close();
--- a/packages/admin/src/constants.ts
+++ b/packages/admin/src/constants.ts
@@ -1,5 +1,5 @@
 /** How often a zone change is tried again when other changes keep getting in first. */
-export const zoneChangeTries = 16;
+export const maxZoneChangeAttempts = 16;
 
 /** Largest configuration that is taken, as JSON: the store's value of one megabyte less room for what stands beside it. */
 export const maximumConfigurationBytes = 1_000_000;
@@ -20,10 +20,10 @@
 export const maximumCallTimeoutMs = 3_600_000;
 
 /** How long a watcher's view may lag when the store announces nothing: a watch can go silent for good. */
-export const watchRefreshMs = 10_000;
+export const watchRefreshPeriodMs = 10_000;
 
 /** How soon a standing that is not in force, or could not be read, is looked at again. */
-export const watchRetryMs = 1_000;
+export const watchRetryDelayMs = 1_000;
 
 /** Silence after which the system probes a connection. */
-export const keepAliveDelayMs = 30_000;
+export const tcpKeepAliveIdleMs = 30_000;
--- a/packages/admin/src/index.ts
+++ b/packages/admin/src/index.ts
@@ -1,7 +1,7 @@
 /** The operators' server. */
 export { createAdminProcess } from "./adminProcess.js";
 export { AdminServer, type AdminServerOptions } from "./adminServer.js";
-export { BackendServerObserver, type Observed } from "./backendServerObserver.js";
+export { BackendServerObserver, type GatewayObservations } from "./backendServerObserver.js";
 export { ChangeSignal, StoreChangeSignal } from "./changeSignal.js";
 export { OperatorCalls, type OperatorCallsOptions } from "./operatorCalls.js";
 export { type StandingEvent, StandingFeed } from "./standingFeed.js";
--- a/packages/admin/src/operatorCalls.ts
+++ b/packages/admin/src/operatorCalls.ts
@@ -14,10 +14,10 @@
 import { HostState } from "@galenaglade/schema";
 import { createServerId, type ServerId } from "@galenaglade/routing";
 import { type Either, Left, Right } from "purify-ts";
-import { type BackendServerObserver, type Observed } from "./backendServerObserver.js";
-import { type CallFailure, createInvalidConfiguration, toCallFailure } from "./callFailure.js";
+import { type BackendServerObserver, type GatewayObservations } from "./backendServerObserver.js";
+import { type CallFailure, createInvalidConfigurationFailure, toCallFailure } from "./callFailure.js";
 import { createStoredChangeId } from "./changeId.js";
-import { maximumConfigurationBytes, zoneChangeTries } from "./constants.js";
+import { maximumConfigurationBytes, maxZoneChangeAttempts } from "./constants.js";
 import { findHostState, type StandingInit, toHostInits, toStandingInit } from "./standingMessages.js";
 
 /** What the calls are answered from. */
@@ -132,7 +132,7 @@
             return Left(toCallFailure(storedId.extract()));
         }
         let lastFailure: Failure | undefined;
-        for (let i = 0; i < zoneChangeTries; i++) {
+        for (let i = 0; i < maxZoneChangeAttempts; i++) {
             const tried = await this.#tryZoneChange(change, storedId.unsafeCoerce());
             if (tried.isRight()) {
                 return Right(await this.#toStanding(tried.unsafeCoerce()));
@@ -283,10 +283,12 @@
 
 const noZones: Configuration = { timeZone: "UTC", callerKindHeader: "", availabilityZones: [], services: [] };
 
-const nobodyAsked: Observed = { answered: [], unanswered: [] };
+const nobodyAsked: GatewayObservations = { answered: [], unanswered: [] };
 
 /** Gateways' words are kept side by side: where they differ, that is what an operator looks for. */
-function groupByServer(answered: Observed["answered"]): ReadonlyMap<ServerId, readonly GatewayObservation[]> {
+function groupByServer(
+    answered: GatewayObservations["answered"],
+): ReadonlyMap<ServerId, readonly GatewayObservation[]> {
     const groups = new Map<ServerId, GatewayObservation[]>();
     for (const { gateway, servers } of answered) {
         for (const server of servers) {
@@ -303,7 +305,7 @@
     present: ConfigurationRevision,
 ): Either<CallFailure, Configuration> {
     const resolved = resolveConfiguration(keepZoneStates(declared, present.configuration))
-        .mapLeft(createInvalidConfiguration);
+        .mapLeft(createInvalidConfigurationFailure);
     return resolved.chain(cfg => {
         const bytes = Buffer.byteLength(JSON.stringify(cfg));
         if (bytes <= maximumConfigurationBytes) {
--- a/packages/admin/src/operatorRoutes.ts
+++ b/packages/admin/src/operatorRoutes.ts
@@ -11,7 +11,7 @@
 } from "@galenaglade/schema";
 import { type Either } from "purify-ts";
 import { type CallFailure, toCallFailure, toConnectError, toFailureInit } from "./callFailure.js";
-import { operatorsChangeId } from "./changeId.js";
+import { parseOperatorChangeId } from "./changeId.js";
 import { type ListedServer, type OperatorCalls } from "./operatorCalls.js";
 import { type StandingEvent, type StandingFeed } from "./standingFeed.js";
 
@@ -34,7 +34,7 @@
                 const { revision, changeId, configuration } = unwrap(await calls.getConfiguration());
                 return {
                     revision,
-                    changeId: operatorsChangeId(changeId),
+                    changeId: parseOperatorChangeId(changeId),
                     configuration: revision === 0 ? undefined : toConfigurationMessage(configuration),
                 };
             },
--- a/packages/admin/src/refusal.ts
+++ b/packages/admin/src/rejectRequest.ts
@@ -18,10 +18,10 @@
  * @param kind - why
  * @param detail - for a person
  */
-export function refuse(req: ServerRequest, res: ServerResponse, kind: ErrorKind, detail: string): void {
+export function rejectRequest(req: ServerRequest, res: ServerResponse, kind: ErrorKind, detail: string): void {
     const { status, retryAfterSeconds } = resolveFailure(createFailure(kind, detail));
     if (res.headersSent) {
-        giveUp(req);
+        abortRequest(req);
         return;
     }
     const body = JSON.stringify({ code: codeToString(connectCodes[kind]), message: detail });
@@ -34,7 +34,7 @@
         res.writeHead(status, headers).end(body);
         return;
     }
-    dropRestOfBody(req, res);
+    discardRequestBody(req, res);
     res.writeHead(status, headers);
     res.end(body);
 }
@@ -50,7 +50,7 @@
  * @param req - a request that is about to be answered
  * @param res - its response
  */
-export function dropRestOfBody(req: ServerRequest, res: ServerResponse): void {
+export function discardRequestBody(req: ServerRequest, res: ServerResponse): void {
     if (!("stream" in req)) {
         // Whoever stops reading early would destroy the connection, and the answer with it; closing it with bytes
         // unread resets it, which may lose the answer too. So the rest is read and dropped.
@@ -78,7 +78,7 @@
  *
  * @param req - the request
  */
-export function giveUp(req: ServerRequest): void {
+export function abortRequest(req: ServerRequest): void {
     if ("stream" in req) {
         req.stream.close(constants.NGHTTP2_CANCEL);
         req.stream.destroy();
--- a/packages/admin/src/standingFeed.ts
+++ b/packages/admin/src/standingFeed.ts
@@ -1,8 +1,8 @@
 import { createFailure } from "@galenaglade/errors";
 import { type Either, Left } from "purify-ts";
 import { type CallFailure, toCallFailure } from "./callFailure.js";
-import { type ChangeSignal, pauseUnlessAborted } from "./changeSignal.js";
-import { watchRetryMs } from "./constants.js";
+import { type ChangeSignal, sleepUnlessAborted } from "./changeSignal.js";
+import { watchRetryDelayMs } from "./constants.js";
 import { type StandingInit } from "./standingMessages.js";
 
 /** A standing, or why it can't be learnt now. */
@@ -95,7 +95,7 @@
             this.#publish(event, signal);
             // A change that isn't in force yet comes into force without any change in the store.
             const settled = event.map(({ inForce }) => inForce).orDefault(false);
-            await (settled ? this.#changes.wait(signal) : pauseUnlessAborted(watchRetryMs, signal));
+            await (settled ? this.#changes.wait(signal) : sleepUnlessAborted(watchRetryDelayMs, signal));
         }
     }
 
--- a/packages/admin/src/standingMessages.ts
+++ b/packages/admin/src/standingMessages.ts
@@ -2,7 +2,7 @@
 import { type Acceptance, type GatewayStanding } from "@galenaglade/membership";
 import { GatewayState, HostState } from "@galenaglade/schema";
 import { type HostEntry } from "@galenaglade/platform";
-import { operatorsChangeId } from "./changeId.js";
+import { parseOperatorChangeId } from "./changeId.js";
 
 const gatewayStates: Readonly<Record<GatewayStanding["state"], GatewayState>> = {
     inForce: GatewayState.IN_FORCE,
@@ -27,7 +27,7 @@
     const zonesOut = cfg?.availabilityZones.filter(zone => zone.state === "out").map(zone => zone.name) ?? [];
     return {
         revision: acceptance.revision,
-        changeId: operatorsChangeId(acceptance.changeId),
+        changeId: parseOperatorChangeId(acceptance.changeId),
         inForce: acceptance.inForce,
         gateways: acceptance.gateways.map(toGatewayStandingInit),
         unservedServices: cfg === undefined ? [] : [...findUnservedServices(cfg)],
--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -1,4 +1,4 @@
-import { BackendServerObserver, type Observed } from "@galenaglade/admin";
+import { BackendServerObserver, type GatewayObservations } from "@galenaglade/admin";
 import { checkYaml, resolveConfiguration } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { Secret } from "@galenaglade/settings";
@@ -114,7 +114,7 @@
     // The store takes the change and its answer is lost, twice. Under a new id the second try would conflict with the
     // first one's effect, and the operator would be told that someone else's change came first.
     const { url, coordinator } = await startAdmin(t);
-    coordinator.answersToLose = 2;
+    coordinator.responsesToLose = 2;
     const { code, pauses } = await runCli(t, [url], ["apply", file(t)]);
     assert.equal(code, 0);
     assert.equal(pauses.length, 2);
@@ -236,14 +236,14 @@
 });
 
 class FixedObserver extends BackendServerObserver {
-    readonly #observed: Either<Failure, Observed>;
+    readonly #observed: Either<Failure, GatewayObservations>;
 
-    constructor(observed: Either<Failure, Observed>) {
+    constructor(observed: Either<Failure, GatewayObservations>) {
         super();
         this.#observed = observed;
     }
 
-    override observe(): Promise<Either<Failure, Observed>> {
+    override observe(): Promise<Either<Failure, GatewayObservations>> {
         return Promise.resolve(this.#observed);
     }
 }
--- a/packages/gateway/src/__tests__/attempt.test.ts
+++ b/packages/gateway/src/__tests__/attempt.test.ts
@@ -60,11 +60,11 @@
         res: new ServerResponse(new IncomingMessage(new Socket())),
         headers: [],
         signal,
-        ranBefore: "no",
-        findRefusal: () => undefined,
-        stall: undefined,
+        previousDidRun: "no",
+        checkBeforeSend: () => undefined,
+        stallCheck: undefined,
         onHead: () => undefined,
-        onInFlight: () => undefined,
+        onLoadReport: () => undefined,
     });
 }
 
--- a/packages/gateway/src/__tests__/coldStart.test.ts
+++ b/packages/gateway/src/__tests__/coldStart.test.ts
@@ -6,15 +6,15 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "@galenaglade/http-parts";
-import { ColdStartPeers, ColdStartShell } from "../coldStart/coldStartShell.js";
+import { ColdStartPeers, ColdStartGate } from "../coldStart/coldStartGate.js";
 import { LocalStore } from "./localStore.js";
 import { describeService, FixedSource, startBackend, startGateway, type TestGateway } from "./testGateway.js";
 
 class LocalPeers extends ColdStartPeers {
-    readonly #shells: Map<string, ColdStartShell>;
+    readonly #shells: Map<string, ColdStartGate>;
     readonly #self: string;
 
-    constructor(self: string, shells: Map<string, ColdStartShell>) {
+    constructor(self: string, shells: Map<string, ColdStartGate>) {
         super();
         this.#self = self;
         this.#shells = shells;
@@ -26,7 +26,7 @@
 
     override exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
         const peers = [...this.#shells].filter(([name]) => name !== this.#self);
-        return peers.map(([, shell]) => Promise.resolve(Right(shell.onWord(word))));
+        return peers.map(([, shell]) => Promise.resolve(Right(shell.onHeartbeat(word))));
     }
 }
 
@@ -59,10 +59,10 @@
 
 async function startTwoGateways(t: TestContext, source: FixedSource): Promise<readonly string[]> {
     const store = new LocalStore();
-    const shells = new Map<string, ColdStartShell>();
+    const shells = new Map<string, ColdStartGate>();
     const gateways: TestGateway[] = [];
     for (const self of ["g1/1", "g2/1"]) {
-        shells.set(self, new ColdStartShell({ self, clock: systemClock, store, peers: new LocalPeers(self, shells) }));
+        shells.set(self, new ColdStartGate({ self, clock: systemClock, store, peers: new LocalPeers(self, shells) }));
     }
     for (const gate of shells.values()) {
         gateways.push(await startGateway(t, source, undefined, gate));
@@ -109,7 +109,7 @@
     const source = new FixedSource();
     source.apply(1, describeService([port], 86_400_000));
     const parts = { self: "gateway-1/1", clock: systemClock, store: new LocalStore(), peers: new LostPeers() };
-    const { url, operationsUrl } = await startGateway(t, source, undefined, new ColdStartShell(parts));
+    const { url, operationsUrl } = await startGateway(t, source, undefined, new ColdStartGate(parts));
     const answer = await fetch(`${url}/tables`);
     assert.deepEqual([answer.status, answer.headers.get("retry-after")], [503, "2"]);
     assert.equal(answer.headers.get("x-galenaglade-did-run"), "no");
--- a/packages/gateway/src/__tests__/engineStore.ts
+++ b/packages/gateway/src/__tests__/engineStore.ts
@@ -12,7 +12,7 @@
 
 /** The platform's store in the test's own process; what claims don't use is not there. */
 export class EngineStore extends KeyValueStore {
-    down = false;
+    isDown = false;
     calls = 0;
     /** Calls take effect once this is settled. */
     ready: Promise<void> = Promise.resolve();
@@ -55,7 +55,7 @@
     async #call<T>(run: () => T): Promise<Either<Failure, T>> {
         this.calls++;
         await this.ready;
-        return this.down ? await this.#refuse() : Right(run());
+        return this.isDown ? await this.#refuse() : Right(run());
     }
 
     #refuse<T>(): Promise<Either<Failure, T>> {
--- a/packages/gateway/src/__tests__/headers.test.ts
+++ b/packages/gateway/src/__tests__/headers.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { resolveAnswerHeaders, resolveForwardHeaders } from "../requests/headers.js";
+import { resolveResponseHeaders, resolveForwardHeaders } from "../requests/headers.js";
 
 test("headers of the caller's connection, and those that only the gateway may set, are not passed on", () => {
     const raw = [
@@ -21,5 +21,5 @@
 
 test("what backend servers say to the gateway does not reach callers", () => {
     const raw = ["X-Backend-In-Flight", "2", "X-Galenaglade-Did-Run", "no", "ETag", "7"];
-    assert.deepEqual(resolveAnswerHeaders(raw), ["etag", "7"]);
+    assert.deepEqual(resolveResponseHeaders(raw), ["etag", "7"]);
 });
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -453,7 +453,7 @@
     running?.socket.write(renderRawResponse("taken in"));
     assert.equal((await first).body, "taken in");
     await stopped;
-    store.down = true;
+    store.isDown = true;
     const next = await send(`${other.url}/tables`, "POST", "return-8");
     assert.deepEqual([next.status, next.didRun], [409, "yes"]);
 });
@@ -461,7 +461,7 @@
 test("while the store is down a keyed request is refused at once, and one without a key runs", async t => {
     const backend = await startRawBackend(t, answer);
     const store = new EngineStore();
-    store.down = true;
+    store.isDown = true;
     const { url } = await startWith(t, [backend], { store });
     const keyed = await send(`${url}/tables`, "POST", "ring-7");
     assert.deepEqual([keyed.status, keyed.didRun, keyed.retryAfter], [503, "no", "5"]);
--- a/packages/gateway/src/__tests__/testGateway.ts
+++ b/packages/gateway/src/__tests__/testGateway.ts
@@ -93,7 +93,7 @@
         },
         operations: { address: "127.0.0.1", port: 0 },
         stopping: { balancerWaitMs: 0, drainMs: 5_000 },
-        source,
+        configurationSource: source,
         policy: createRoutingPolicy("freeSlotFirst") ?? failTest(),
         seed: 1,
         logger,
--- a/packages/gateway/src/backends/backendConnections.ts
+++ b/packages/gateway/src/backends/backendConnections.ts
@@ -1,6 +1,11 @@
 import { createServerId, type ServerId } from "@galenaglade/routing";
 import { Client, type Dispatcher, Pool } from "undici";
-import { connectionsPerServer, connectTimeoutMs, idleConnectionMs, keepAliveProbeMs } from "../constants.js";
+import {
+    maxConnectionsPerServer,
+    connectTimeoutMs,
+    idleConnectionTimeoutMs,
+    tcpKeepAliveIdleMs,
+} from "../constants.js";
 import { type ServiceTable, type Target } from "../requests/serviceTable.js";
 
 interface Held {
@@ -85,15 +90,15 @@
 const connectionOptions = {
     pipelining: 1,
     // A connection that was lost track of gives no error; unasked, a night's extract would wait on it until morning.
-    connect: { timeout: connectTimeoutMs, keepAlive: true, keepAliveInitialDelay: keepAliveProbeMs },
-    keepAliveTimeout: idleConnectionMs,
+    connect: { timeout: connectTimeoutMs, keepAlive: true, keepAliveInitialDelay: tcpKeepAliveIdleMs },
+    keepAliveTimeout: idleConnectionTimeoutMs,
     // Each request has a deadline of its own; undici's timers would end long extracts.
     headersTimeout: 0,
     bodyTimeout: 0,
 };
 
 function createPool(origin: string): Pool {
-    return new Pool(origin, { ...connectionOptions, connections: connectionsPerServer });
+    return new Pool(origin, { ...connectionOptions, connections: maxConnectionsPerServer });
 }
 
 function originOf(target: Target): string {
--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -10,7 +10,7 @@
 import { type RequestTelemetry } from "../telemetry/requestTelemetry.js";
 
 /** What the handler works with. */
-export interface CallerHandlerParts {
+export interface CallerHandlerDeps {
     readonly clock: Clock;
     readonly forwarder: Forwarder;
     readonly telemetry: RequestTelemetry;
@@ -21,13 +21,13 @@
 
 /** Takes each caller's request from its arrival to its one final answer. */
 export class CallerHandler {
-    readonly #parts: CallerHandlerParts;
+    readonly #parts: CallerHandlerDeps;
     readonly #answers = new Set<ServerResponse>();
     #leaving = false;
     #stopping = false;
     #onIdle: (() => void) | undefined;
 
-    constructor(parts: CallerHandlerParts) {
+    constructor(parts: CallerHandlerDeps) {
         this.#parts = parts;
     }
 
@@ -35,7 +35,7 @@
      * From now on each answer ends its caller's connection. A kept one would be cut at the end of the stop, perhaps just
      * as its caller sends the next request on it, who then couldn't know whether that ran.
      */
-    leave(): void {
+    beginDrain(): void {
         this.#leaving = true;
         for (const res of this.#answers) {
             res.shouldKeepAlive = false;
@@ -62,7 +62,7 @@
         if (this.#leaving) {
             res.shouldKeepAlive = false;
         }
-        telemetry.onBegun();
+        telemetry.onRequestStarted();
         let failure: Failure | undefined;
         let request: CallerRequest | undefined;
         res.once("close", () => {
@@ -145,7 +145,7 @@
         const service = request?.route.service.name ?? "";
         const durationMs = clock.monotonicMs() - arrivedAtMs;
         const status = failure === undefined ? res.statusCode : resolveFailure(failure).status;
-        telemetry.onEnded({ method: req.method ?? "", service, status, errorKind: failure?.kind, durationMs });
+        telemetry.onRequestEnded({ method: req.method ?? "", service, status, errorKind: failure?.kind, durationMs });
         span.setAttribute("http.response.status_code", status);
         span.setAttribute("http.route", service);
         span.end();
--- a/packages/gateway/src/coldStart/attemptEnd.ts
+++ b/packages/gateway/src/coldStart/attemptEnd.ts
@@ -6,8 +6,12 @@
  * @returns what it means for the backend server's cold start
  */
 export function resolveAttemptEnd(result: AttemptResult): AttemptEnd {
-    const { outcome, failure, signs } = result;
-    return { outcome: resolveOutcome(result), signs, mayStillRun: failure !== undefined && outcome.didRun !== "no" };
+    const { outcome, failure, metadata } = result;
+    return {
+        outcome: resolveOutcome(result),
+        signs: metadata,
+        mayStillRun: failure !== undefined && outcome.didRun !== "no",
+    };
 }
 
 function resolveOutcome({ outcome, failure }: AttemptResult): AttemptEnd["outcome"] {
--- a/packages/gateway/src/coldStart/coldStartShell.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -15,7 +15,7 @@
 import { type Grant } from "../requests/grant.js";
 import { ServerGate } from "../requests/serverGate.js";
 import { type Target } from "../requests/serviceTable.js";
-import { gateRoundMs, gateTickMs } from "./constants.js";
+import { gateHeartbeatPeriodMs, gateCheckPeriodMs } from "./constants.js";
 import { runStoreCommand } from "./storeCalls.js";
 
 /** The other gateways, as cold start needs them. */
@@ -27,7 +27,7 @@
 }
 
 /** What the shell works with. */
-export interface ColdStartShellParts {
+export interface ColdStartGateDeps {
     /** `name/incarnation` of this gateway. */
     readonly self: string;
     readonly clock: Clock;
@@ -36,20 +36,20 @@
 }
 
 /** Feeds the gate of cold start and asks it, for the scheduler. */
-export class ColdStartShell extends ServerGate {
-    readonly #parts: ColdStartShellParts;
+export class ColdStartGate extends ServerGate {
+    readonly #parts: ColdStartGateDeps;
     readonly #gate: PermitGate;
     #tickTimer: NodeJS.Timeout | undefined;
     #roundTimer: NodeJS.Timeout | undefined;
 
-    constructor(parts: ColdStartShellParts) {
+    constructor(parts: ColdStartGateDeps) {
         super();
         this.#parts = parts;
         this.#gate = createServerGate(parts.self);
     }
 
     /** The decisions themselves, for whoever learns of servers by other ways. */
-    get gate(): PermitGate {
+    get permitGate(): PermitGate {
         return this.#gate;
     }
 
@@ -57,8 +57,8 @@
         this.#tickTimer = setInterval(() => {
             this.#tick();
             reconsider();
-        }, gateTickMs);
-        this.#roundTimer = setInterval(() => this.#round(), gateRoundMs);
+        }, gateCheckPeriodMs);
+        this.#roundTimer = setInterval(() => this.#round(), gateHeartbeatPeriodMs);
         this.#round();
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Takes a peer's word. @returns the answer to it */
-    onWord(word: ColdStartWord): ColdStartWord {
+    onHeartbeat(word: ColdStartWord): ColdStartWord {
         return this.#gate.onHeartbeat(word, this.#now());
     }
 
@@ -86,7 +86,7 @@
         return this.#gate.maySend(target.serverId, nowMs, deadlineMs) === "yes";
     }
 
-    override isInTouch(nowMs: number): boolean {
+    override hasPeerContact(nowMs: number): boolean {
         return this.#gate.isInTouch(nowMs);
     }
 
@@ -98,7 +98,7 @@
         this.#gate.onSent(grant.target.serverId, grant.id, grant.grantedAtMs, deadlineMs);
     }
 
-    override mayHandOver(grant: Grant, nowMs: number): boolean {
+    override mayStillSend(grant: Grant, nowMs: number): boolean {
         return this.#gate.mayStillSend(grant.target.serverId, grant.id, nowMs);
     }
 
--- a/packages/gateway/src/coldStart/constants.ts
+++ b/packages/gateway/src/coldStart/constants.ts
@@ -1,5 +1,5 @@
 /** How often the gate's calls of the store are made, and waiting requests offered to servers that have opened. */
-export const gateTickMs = 100;
+export const gateCheckPeriodMs = 100;
 
 /** How often peers are asked for their word; several rounds fit into the time for which contact counts. */
-export const gateRoundMs = 500;
+export const gateHeartbeatPeriodMs = 500;
--- a/packages/gateway/src/coldStart/fleetPeers.ts
+++ b/packages/gateway/src/coldStart/fleetPeers.ts
@@ -3,7 +3,7 @@
 import { type GatewayIdentity } from "@galenaglade/membership";
 import { type FleetMembership } from "@galenaglade/peers";
 import { type Either } from "purify-ts";
-import { ColdStartPeers } from "./coldStartShell.js";
+import { ColdStartPeers } from "./coldStartGate.js";
 
 /** The fleet's roster and peer calls, as cold start needs them. */
 export class FleetColdStartPeers extends ColdStartPeers {
@@ -22,8 +22,8 @@
         }
         return {
             version: roster.version,
-            members: roster.members.map(resolveGatewayLife),
-            previous: roster.previous?.map(resolveGatewayLife),
+            members: roster.members.map(formatIncarnationId),
+            previous: roster.previous?.map(formatIncarnationId),
         };
     }
 
@@ -33,6 +33,6 @@
 }
 
 /** @returns the name of one life of a gateway's process: `name/incarnation` */
-export function resolveGatewayLife({ name, incarnation }: Pick<GatewayIdentity, "name" | "incarnation">): string {
+export function formatIncarnationId({ name, incarnation }: Pick<GatewayIdentity, "name" | "incarnation">): string {
     return `${name}/${incarnation}`;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -18,12 +18,12 @@
 import { Forwarder } from "./requests/forwarder.js";
 import { type RequestClaims } from "./requests/requestClaims.js";
 import { Scheduler } from "./requests/scheduler.js";
-import { OpenGate, type ServerGate } from "./requests/serverGate.js";
+import { AllowAllGate, type ServerGate } from "./requests/serverGate.js";
 import { createServiceTable, type ServiceTable } from "./requests/serviceTable.js";
 import { RequestTelemetry } from "./telemetry/requestTelemetry.js";
 
 /** What a gateway is told and given. */
-export interface GatewayParts {
+export interface GatewayOptions {
     readonly availabilityZone: string;
     readonly callers: ListenAddress & Omit<CallerServerOptions, "keepAliveMs">;
     readonly operations: ListenAddress;
@@ -33,7 +33,7 @@
         /** Longest wait for requests in flight. */
         readonly drainMs: number;
     };
-    readonly source: ConfigurationSource;
+    readonly configurationSource: ConfigurationSource;
     readonly policy: RoutingPolicy;
     /** Seed of the routing's random numbers. */
     readonly seed: number;
@@ -61,19 +61,20 @@
  * @param parts - what it is told and given
  * @returns a gateway that is not started yet
  */
-export function createGateway(parts: GatewayParts): Gateway {
+export function createGateway(parts: GatewayOptions): Gateway {
     const clock = parts.clock ?? systemClock;
     const board = parts.board ?? new ServerLoadTracker();
     const connections = new BackendConnections();
     const telemetry = new RequestTelemetry(parts.tracing, parts.metrics);
-    const gate = parts.gate ?? new OpenGate();
+    const gate = parts.gate ?? new AllowAllGate();
     let table: ServiceTable | undefined;
     let stopping = false;
     let stopped: Promise<void> | undefined;
 
     // A gate that is out of touch lets nothing through. Held until its patience ended, a request would get its refusal
     // late and be lost to the other gateways; so it is refused at once, and the balancer is told.
-    const mayTakeNewWork = (): boolean => parts.source.mayTakeNewWork() && gate.isInTouch(clock.monotonicMs());
+    const mayTakeNewWork = (): boolean =>
+        parts.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
     const scheduler = new Scheduler({
         clock,
         board,
@@ -111,20 +112,20 @@
     });
 
     const applyConfiguration = (): void => {
-        const revised = parts.source.current();
+        const revised = parts.configurationSource.current();
         if (revised === undefined || revised.revision === table?.revision) {
             return;
         }
         table = createServiceTable(revised);
         connections.retain(table);
         gate.onConfiguration(revised);
-        scheduler.reconsider();
+        scheduler.dispatchQueued();
         parts.logger.info("configuration in force", { revision: revised.revision });
     };
 
     const stop = async (): Promise<void> => {
         stopping = true;
-        handler.leave();
+        handler.beginDrain();
         // Callers that the balancer still sends are served, not refused, until it has noticed.
         await sleep(parts.stopping.balancerWaitMs);
         const idle = handler.stop();
@@ -145,9 +146,9 @@
 
     return {
         start: async () => {
-            parts.source.onConfiguration(applyConfiguration);
+            parts.configurationSource.onConfiguration(applyConfiguration);
             applyConfiguration();
-            gate.start(() => scheduler.reconsider());
+            gate.start(() => scheduler.dispatchQueued());
             const operationsPort = await listen(operations, parts.operations);
             const callersPort = await listen(callers, parts.callers);
             return { callersPort, operationsPort };
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -7,10 +7,10 @@
 import { type Program, type ResolvedGatewaySettings } from "@galenaglade/settings";
 import { createLogger, createMetrics, createTracing } from "@galenaglade/telemetry";
 import { randomInt, randomUUID } from "node:crypto";
-import { defaultRoutingPolicy, loadPublishingMs, sampledShare } from "./constants.js";
+import { defaultRoutingPolicy, loadPublishPeriodMs, traceSampleRatio } from "./constants.js";
 import { systemClock } from "@galenaglade/http-parts";
-import { ColdStartShell } from "./coldStart/coldStartShell.js";
-import { FleetColdStartPeers, resolveGatewayLife } from "./coldStart/fleetPeers.js";
+import { ColdStartGate } from "./coldStart/coldStartGate.js";
+import { FleetColdStartPeers, formatIncarnationId } from "./coldStart/fleetPeers.js";
 import { createGateway } from "./gateway.js";
 import { describeServers } from "./operations/serverObservations.js";
 import { RequestClaims } from "./requests/requestClaims.js";
@@ -28,7 +28,7 @@
 ): Program {
     const logger = createLogger({ process: settings.name, level: settings.logging.level });
     const metrics = createMetrics("galenaglade-gateway");
-    const tracing = createTracing({ process: settings.name, samplingRatio: sampledShare, logger });
+    const tracing = createTracing({ process: settings.name, samplingRatio: traceSampleRatio, logger });
     const connection = new PlatformClient({
         addresses: [settings.platform.address],
         client: settings.name,
@@ -36,7 +36,7 @@
     });
     const store = new HttpKeyValueStore(connection);
     const incarnation = randomUUID();
-    const self = resolveGatewayLife({ name: settings.name, incarnation });
+    const self = formatIncarnationId({ name: settings.name, incarnation });
     const fleet = createFleetMember({
         store,
         incarnation,
@@ -51,12 +51,12 @@
     const board = new ServerLoadTracker();
     const stopSharing = shareLoads(fleet, board);
     const gate = settings.coldStart.enforced
-        ? new ColdStartShell({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
+        ? new ColdStartGate({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
         : undefined;
     if (gate !== undefined) {
-        fleet.answerColdStart(word => gate.onWord(word));
+        fleet.answerColdStart(word => gate.onHeartbeat(word));
     }
-    const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.gate.stateOf(serverId);
+    const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.permitGate.stateOf(serverId);
     fleet.answerObservations(service =>
         describeServers({ configuration: fleet.current(), board, stateOf }, service, performance.now())
     );
@@ -65,7 +65,7 @@
         callers: settings.callers,
         operations: settings.operations,
         stopping: settings.stopping,
-        source: fleet,
+        configurationSource: fleet,
         policy: mustCreatePolicy(policyName),
         seed: randomInt(2 ** 31),
         logger,
@@ -104,7 +104,7 @@
             board.onPeerLoad(from.name, load, performance.now());
         }
     });
-    const timer = setInterval(() => fleet.publishLoads(board.ownLoads(performance.now())), loadPublishingMs);
+    const timer = setInterval(() => fleet.publishLoads(board.ownLoads(performance.now())), loadPublishPeriodMs);
     return () => clearInterval(timer);
 }
 
--- a/packages/gateway/src/operations/operationsServer.ts
+++ b/packages/gateway/src/operations/operationsServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 
 /** What the operations port tells the platform and operators. */
-export interface OperationsParts {
+export interface OperationsDeps {
     /** Whether the balancer should send callers here; a reason where not. */
     readonly readiness: () => { readonly ready: boolean; readonly reason: string; };
     readonly renderMetrics: () => Promise<string>;
@@ -13,7 +13,7 @@
  * @param parts - where the answers come from
  * @returns a server that doesn't listen yet
  */
-export function createOperationsServer(parts: OperationsParts): Server {
+export function createOperationsServer(parts: OperationsDeps): Server {
     return createServer({ requestTimeout: 5_000, maxHeaderSize: 8_192 }, (req, res) => {
         switch (req.url) {
             case "/healthz":
--- a/packages/gateway/src/requests/attempt.ts
+++ b/packages/gateway/src/requests/attempt.ts
@@ -17,14 +17,14 @@
 import { type ServerResponse } from "node:http";
 import { type Dispatcher } from "undici";
 import { backendInFlightHeader } from "../constants.js";
-import { resolveFraming } from "./answerFraming.js";
+import { resolveFraming } from "./responseFraming.js";
 import { type CallerRequest } from "./callerRequest.js";
-import { resolveAnswerHeaders } from "./headers.js";
+import { resolveResponseHeaders } from "./headers.js";
 
 /** Finds out whether an attempt's connection has gone silent. */
-export interface StallWatch {
+export interface StallCheck {
     /** Time in milliseconds after which to ask, and ask again. */
-    checkAfterMs(): number;
+    checkDelayMs(): number;
     isStalled(): boolean;
 }
 
@@ -40,24 +40,24 @@
     /** Aborted when the caller gives up. */
     readonly signal: AbortSignal;
     /** What the attempts before this one may have done. */
-    readonly ranBefore: DidRun;
+    readonly previousDidRun: DidRun;
     /** Asked in the same turn in which the first byte is given to the connection. */
-    readonly findRefusal: () => Failure | undefined;
+    readonly checkBeforeSend: () => Failure | undefined;
     /** Asked while no head has come; absent where the attempt is left alone until its caller gives up. */
-    readonly stall: StallWatch | undefined;
+    readonly stallCheck: StallCheck | undefined;
     /** Called when the answer's head comes. */
     readonly onHead: () => void;
     /** Called with what the answer's head says of the backend server's load. */
-    readonly onInFlight: (inFlight: number) => void;
+    readonly onLoadReport: (inFlight: number) => void;
 }
 
 /** What came of a try. */
 export interface AttemptResult {
     readonly outcome: AttemptOutcome;
     readonly status: number | undefined;
-    readonly headMs: number | undefined;
+    readonly headLatencyMs: number | undefined;
     /** What the backend server said of itself in the answer's head. */
-    readonly signs: AnswerSigns;
+    readonly metadata: AnswerSigns;
     /** Whether it was given up for its connection, which went silent. */
     readonly stalled: boolean;
     /** Why the caller has no whole answer from this try; `undefined` where it has. */
@@ -115,7 +115,7 @@
             controller.abort(createAbort("the request is not sent any more"));
             return;
         }
-        this.#refusal = this.#input.findRefusal();
+        this.#refusal = this.#input.checkBeforeSend();
         if (this.#refusal !== undefined) {
             controller.abort(createAbort(this.#refusal.detail));
             return;
@@ -137,7 +137,7 @@
         this.#input.onHead();
         const inFlight = Number(findHeader(raw, backendInFlightHeader) ?? Number.NaN);
         if (Number.isFinite(inFlight)) {
-            this.#input.onInFlight(inFlight);
+            this.#input.onLoadReport(inFlight);
         }
         if (!this.#isShed()) {
             this.#passHeadOn(status, raw);
@@ -182,18 +182,18 @@
 
     /** One connection may have gone silent for good while the server answers on others: it alone is given up. */
     #awaitHead(): void {
-        const { stall } = this.#input;
-        if (stall === undefined) {
+        const { stallCheck } = this.#input;
+        if (stallCheck === undefined) {
             return;
         }
         this.#stallTimer = setTimeout(() => {
-            if (!stall.isStalled()) {
+            if (!stallCheck.isStalled()) {
                 this.#awaitHead();
                 return;
             }
             this.#stalled = true;
             this.#abandon("the connection went silent while the backend server answered on others");
-        }, stall.checkAfterMs());
+        }, stallCheck.checkDelayMs());
     }
 
     #advance(event: AttemptEvent): void {
@@ -213,12 +213,12 @@
     }
 
     #passHeadOn(status: number, raw: RawHeaders): void {
-        const { res, ranBefore } = this.#input;
+        const { res, previousDidRun } = this.#input;
         if (res.destroyed) {
             return;
         }
-        const headers = resolveAnswerHeaders(raw);
-        headers.push(didRunHeader, combineDidRun([{ didRun: ranBefore }, resolveAttempt(this.#attempt)]));
+        const headers = resolveResponseHeaders(raw);
+        headers.push(didRunHeader, combineDidRun([{ didRun: previousDidRun }, resolveAttempt(this.#attempt)]));
         res.writeHead(status, headers);
     }
 
@@ -245,8 +245,8 @@
         this.#resolve({
             outcome,
             status: this.#attempt.head?.status,
-            headMs: this.#headMs,
-            signs: this.#signs,
+            headLatencyMs: this.#headMs,
+            metadata: this.#signs,
             stalled: this.#stalled,
             failure: this.#refusal ?? this.#describe(outcome, detail),
         });
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -8,13 +8,13 @@
 import { type Clock, readRequestBody, type RequestBody } from "@galenaglade/http-parts";
 import {
     deadlineHeader,
-    heldBodyBytes,
-    lossRetryAfterSeconds,
-    maximumAttempts,
-    ownConnectionPatienceMs,
+    maxBufferedBodyBytes,
+    connectionLossRetryAfterSeconds,
+    maxAttempts,
+    dedicatedConnectionPatienceMs,
 } from "../constants.js";
 import { type RequestTelemetry } from "../telemetry/requestTelemetry.js";
-import { type AttemptResult, runAttempt, type StallWatch } from "./attempt.js";
+import { type AttemptResult, runAttempt, type StallCheck } from "./attempt.js";
 import { type CallerRequest } from "./callerRequest.js";
 import { resolveForwardHeaders } from "./headers.js";
 import { type Grant } from "./grant.js";
@@ -34,7 +34,7 @@
 }
 
 /** What the forwarder works with. */
-export interface ForwarderParts {
+export interface ForwarderDeps {
     readonly clock: Clock;
     readonly scheduler: Scheduler;
     readonly board: ServerLoadTracker;
@@ -55,10 +55,10 @@
 
 /** Takes a request to a backend server, and to another where the first try may be repeated. */
 export class Forwarder {
-    readonly #parts: ForwarderParts;
+    readonly #parts: ForwarderDeps;
     readonly #stalls = new StallJudge();
 
-    constructor(parts: ForwarderParts) {
+    constructor(parts: ForwarderDeps) {
         this.#parts = parts;
     }
 
@@ -71,7 +71,7 @@
         const limits = {
             contentLength: request.bodyBytes,
             maxBytes: request.route.service.maximumBodyBytes,
-            maxBufferedBytes: heldBodyBytes,
+            maxBufferedBytes: maxBufferedBodyBytes,
         };
         const read = await readRequestBody(limits, req, signal);
         if (read.isLeft()) {
@@ -117,12 +117,12 @@
         const outcomes: AttemptOutcome[] = [];
         let last: Failure | undefined;
         let isRetryPaid = false;
-        for (let attempt = 1; attempt <= maximumAttempts; attempt++) {
+        for (let attempt = 1; attempt <= maxAttempts; attempt++) {
             if (signal.aborted) {
                 last ??= createFailure("patienceSpent", "the caller's patience ended before a try");
                 break;
             }
-            if (attempt > 1 && !isRetryPaid && !scheduler.takeRetry(request)) {
+            if (attempt > 1 && !isRetryPaid && !scheduler.tryAcquireRetry(request)) {
                 break;
             }
             const grant = await scheduler.acquire(request, failedOn, signal);
@@ -185,16 +185,16 @@
             res: exchange.res,
             headers,
             signal: exchange.signal,
-            ranBefore: combineDidRun(before),
-            findRefusal: () => this.#findRefusal(exchange, grant, claim),
-            stall: mayStall ? this.#watchStall(request, awaited) : undefined,
+            previousDidRun: combineDidRun(before),
+            checkBeforeSend: () => this.#findRefusal(exchange, grant, claim),
+            stallCheck: mayStall ? this.#watchStall(request, awaited) : undefined,
             onHead: () => this.#stalls.onHead(awaited, clock.monotonicMs()),
-            onInFlight: inFlight => board.onReport(serverId, { inFlight }, clock.monotonicMs()),
+            onLoadReport: inFlight => board.onReport(serverId, { inFlight }, clock.monotonicMs()),
         });
         connection.release();
         const answered = result.failure === undefined;
         scheduler.release(request, grant, {
-            latencyMs: answered ? result.headMs : undefined,
+            latencyMs: answered ? result.headLatencyMs : undefined,
             succeeded: answered,
             attempt: resolveAttemptEnd(result),
         });
@@ -209,11 +209,11 @@
      * Slow work can't be told from a silent connection for sure. Given up without another try, it would end in a refusal
      * of a request that was about to be answered; so the other try is paid for first, and without it this one goes on.
      */
-    #watchStall(request: CallerRequest, awaited: AwaitedHead): StallWatch {
+    #watchStall(request: CallerRequest, awaited: AwaitedHead): StallCheck {
         const { clock, scheduler } = this.#parts;
         return {
-            checkAfterMs: () => this.#stalls.limitMs(awaited.service),
-            isStalled: () => this.#stalls.isStalled(awaited, clock.monotonicMs()) && scheduler.takeRetry(request),
+            checkDelayMs: () => this.#stalls.limitMs(awaited.service),
+            isStalled: () => this.#stalls.isStalled(awaited, clock.monotonicMs()) && scheduler.tryAcquireRetry(request),
         };
     }
 
@@ -231,10 +231,10 @@
         if (!this.#parts.mayTakeNewWork()) {
             return createFailure("notFresh", "the configuration can't be shown to be current");
         }
-        if (!this.#parts.scheduler.mayHandOver(grant)) {
+        if (!this.#parts.scheduler.mayStillSend(grant)) {
             return createFailure("noBackendServer", "the backend server may not be sent to any more");
         }
-        if (claim?.mayHandOver() === false) {
+        if (claim?.mayStillSend() === false) {
             return createFailure(
                 "patienceSpent",
                 "the claim of the idempotency key ran out before the request was sent",
@@ -248,7 +248,7 @@
 function findTimeToComeBack(request: CallerRequest, failure: Failure): Pick<Failure, "retryAfterSeconds"> {
     const { retryAfterSeconds } = resolveFailure(failure);
     const maySendAgain = request.idempotent || request.idempotencyKey !== undefined;
-    return { retryAfterSeconds: retryAfterSeconds ?? (maySendAgain ? lossRetryAfterSeconds : undefined) };
+    return { retryAfterSeconds: retryAfterSeconds ?? (maySendAgain ? connectionLossRetryAfterSeconds : undefined) };
 }
 
 /**
@@ -259,7 +259,7 @@
  */
 function needsOwnConnection(request: CallerRequest, before: readonly AttemptOutcome[]): boolean {
     const patienceMs = request.deadlineMs - request.arrivedAtMs;
-    return !request.idempotent || patienceMs > ownConnectionPatienceMs || before.length > 0;
+    return !request.idempotent || patienceMs > dedicatedConnectionPatienceMs || before.length > 0;
 }
 
 /** @returns the trace id that a caller may quote, or `undefined` where there is none */
--- a/packages/gateway/src/requests/headers.ts
+++ b/packages/gateway/src/requests/headers.ts
@@ -26,6 +26,6 @@
  * @param raw - as the backend server sent them
  * @returns names and values in turn
  */
-export function resolveAnswerHeaders(raw: RawHeaders): string[] {
+export function resolveResponseHeaders(raw: RawHeaders): string[] {
     return filterEndToEndHeaders(raw, name => name.startsWith(backendHeaderPrefix) || name === didRunHeader);
 }
--- a/packages/gateway/src/requests/requestClaims.ts
+++ b/packages/gateway/src/requests/requestClaims.ts
@@ -11,11 +11,11 @@
 import { createHash, randomUUID } from "node:crypto";
 import { Either, Left, Right } from "purify-ts";
 import { type Clock, type RequestBody } from "@galenaglade/http-parts";
-import { claimTickMs } from "../constants.js";
+import { claimCheckPeriodMs } from "../constants.js";
 import { type CallerRequest } from "./callerRequest.js";
 
 /** What claims are made with. */
-export interface RequestClaimsParts {
+export interface RequestClaimsDeps {
     readonly store: KeyValueStore;
     /** Name and incarnation of this gateway. */
     readonly holder: string;
@@ -26,7 +26,7 @@
 export interface HeldClaim {
     readonly nonce: string;
     /** Asked in the same turn in which the request is handed over. */
-    mayHandOver(): boolean;
+    mayStillSend(): boolean;
 }
 
 type Settle = (result: Either<Failure, HeldClaim>) => void;
@@ -34,14 +34,14 @@
 
 /** Claims callers' idempotency keys in the platform's store before their requests are sent. */
 export class RequestClaims {
-    readonly #parts: RequestClaimsParts;
+    readonly #parts: RequestClaimsDeps;
     readonly #batcher: ClaimBatcher;
     readonly #waiting = new Map<string, Settle>();
     #timer: NodeJS.Timeout | undefined;
     #onIdle: (() => void) | undefined;
 
     /** @param parts - the store stays the maker's to close */
-    constructor(parts: RequestClaimsParts) {
+    constructor(parts: RequestClaimsDeps) {
         this.#parts = parts;
         this.#batcher = new ClaimBatcher(parts.holder);
     }
@@ -132,7 +132,7 @@
     }
 
     #createHeld(nonce: string, validUntilMs: number): HeldClaim {
-        return { nonce, mayHandOver: () => mayHandOver(validUntilMs, this.#parts.clock.monotonicMs()) };
+        return { nonce, mayStillSend: () => mayHandOver(validUntilMs, this.#parts.clock.monotonicMs()) };
     }
 
     #settle(nonce: string, result: Either<Failure, HeldClaim>): void {
@@ -141,7 +141,7 @@
     }
 
     #startTicking(): void {
-        this.#timer ??= setInterval(() => this.#run(this.#batcher.tick(this.#now())), claimTickMs);
+        this.#timer ??= setInterval(() => this.#run(this.#batcher.tick(this.#now())), claimCheckPeriodMs);
     }
 
     #now(): ClaimTime {
--- a/packages/gateway/src/requests/scheduler.ts
+++ b/packages/gateway/src/requests/scheduler.ts
@@ -9,7 +9,7 @@
 } from "@galenaglade/routing";
 import { type Either, Left, Right } from "purify-ts";
 import { type Clock } from "@galenaglade/http-parts";
-import { initialServiceTimeMs, serviceTimeWeight, warmUpShare } from "../constants.js";
+import { initialServiceTimeMs, serviceTimeEwmaWeight, warmUpProbability } from "../constants.js";
 import { type CallerRequest } from "./callerRequest.js";
 import { type Grant, type GrantEnd } from "./grant.js";
 import { type ServerGate } from "./serverGate.js";
@@ -30,7 +30,7 @@
 }
 
 /** What the scheduler works with. */
-export interface SchedulerParts {
+export interface SchedulerDeps {
     readonly clock: Clock;
     readonly board: ServerLoadTracker;
     readonly policy: RoutingPolicy;
@@ -45,11 +45,11 @@
 
 /** Gives requests leave to go to a backend server, at once or from a short queue. */
 export class Scheduler {
-    readonly #parts: SchedulerParts;
+    readonly #parts: SchedulerDeps;
     readonly #services = new Map<string, ServiceState>();
     #grants = 0;
 
-    constructor(parts: SchedulerParts) {
+    constructor(parts: SchedulerDeps) {
         this.#parts = parts;
     }
 
@@ -97,24 +97,24 @@
         this.#parts.gate.onEnded(grant, end.attempt, now);
         if (end.succeeded) {
             state.retryBudget.onSuccess();
-            state.serviceTimeMs += serviceTimeWeight * (now - grant.grantedAtMs - state.serviceTimeMs);
+            state.serviceTimeMs += serviceTimeEwmaWeight * (now - grant.grantedAtMs - state.serviceTimeMs);
         }
         state.queue.onSlotFreed(now);
         this.#drain(state);
     }
 
     /** @returns whether a granted request may still be handed over, in this turn */
-    mayHandOver(grant: Grant): boolean {
-        return this.#parts.gate.mayHandOver(grant, this.#parts.clock.monotonicMs());
+    mayStillSend(grant: Grant): boolean {
+        return this.#parts.gate.mayStillSend(grant, this.#parts.clock.monotonicMs());
     }
 
     /** @returns whether the service's retry budget allows one more try; it is paid for when it does */
-    takeRetry(request: CallerRequest): boolean {
+    tryAcquireRetry(request: CallerRequest): boolean {
         return this.#stateOf(request.route.service.name).retryBudget.tryTake();
     }
 
     /** Routes anew whatever waits: the configuration, the freshness or a backend server's state has changed. */
-    reconsider(): void {
+    dispatchQueued(): void {
         for (const state of this.#services.values()) {
             this.#drain(state);
         }
@@ -196,7 +196,7 @@
      */
     #preferCold(candidates: readonly Candidate[]): readonly Candidate[] {
         const cold = candidates.filter(candidate => this.#parts.gate.isCold(candidate));
-        return cold.length > 0 && this.#parts.random.next() < warmUpShare ? cold : candidates;
+        return cold.length > 0 && this.#parts.random.next() < warmUpProbability ? cold : candidates;
     }
 
     /** What waited through a change of the configuration goes by the new one. */
--- a/packages/gateway/src/requests/serverGate.ts
+++ b/packages/gateway/src/requests/serverGate.ts
@@ -13,13 +13,13 @@
     abstract maySend(target: Target, nowMs: number, deadlineMs: number): boolean;
 
     /** Whether anything may be sent at all, now or in a moment; if not, requests are refused instead of held. */
-    abstract isInTouch(nowMs: number): boolean;
+    abstract hasPeerContact(nowMs: number): boolean;
     /** Whether a backend server is cold, so that what it gets is its warm-up. */
     abstract isCold(target: Pick<Target, "serverId">): boolean;
     /** Told when leave has been given, in the same turn as {@link maySend} was asked. */
     abstract onGranted(grant: Grant, deadlineMs: number): void;
     /** Asked in the turn of the first byte, for leave may be over by then. */
-    abstract mayHandOver(grant: Grant, nowMs: number): boolean;
+    abstract mayStillSend(grant: Grant, nowMs: number): boolean;
     /** Told how a granted request ended. */
     abstract onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void;
     /** Takes the backend servers of a newer configuration. */
@@ -30,12 +30,12 @@
 }
 
 /** Lets everything through; what the configuration names may be sent to. */
-export class OpenGate extends ServerGate {
+export class AllowAllGate extends ServerGate {
     override maySend(): boolean {
         return true;
     }
 
-    override isInTouch(): boolean {
+    override hasPeerContact(): boolean {
         return true;
     }
 
@@ -47,7 +47,7 @@
         return;
     }
 
-    override mayHandOver(): boolean {
+    override mayStillSend(): boolean {
         return true;
     }
 
--- a/packages/gateway/src/telemetry/requestTelemetry.ts
+++ b/packages/gateway/src/telemetry/requestTelemetry.ts
@@ -25,7 +25,7 @@
 };
 
 /** How a caller's request ended, for the metrics. */
-export interface RequestEnd {
+export interface RequestMetrics {
     readonly method: string;
     readonly service: string;
     readonly status: number;
@@ -65,11 +65,11 @@
         return carrier;
     }
 
-    onBegun(): void {
+    onRequestStarted(): void {
         this.#active.add(1);
     }
 
-    onEnded(end: RequestEnd): void {
+    onRequestEnded(end: RequestMetrics): void {
         this.#active.add(-1);
         const attributes = {
             "http.request.method": end.method,
