--- a/packages/history/src/__tests__/configurationCheckers.test.ts
+++ b/packages/history/src/__tests__/configurationCheckers.test.ts
@@ -39,25 +39,25 @@
     sent(2),
 ];
 
-test("a good history passes every checker", () => {
+test("a valid history passes every configuration checker", () => {
     const history = createHistory(...good);
     assert.deepEqual(checkConfigurationInForce(history), []);
     assert.deepEqual(checkConfigurationNeverReverts(history), []);
     assert.deepEqual(checkConfigurationOrder(history), []);
 });
 
-test("work under an older revision after acceptance is found", () => {
+test("reports a request sent under an older revision after a newer one was accepted", () => {
     const found = checkConfigurationInForce(createHistory(...good, sent(1)));
     assert.deepEqual(found.map(violation => violation.lines), [[6, 8]]);
 });
 
-test("a revision applied again or a lower one is found", () => {
+test("reports a process that applies a revision twice or goes back to a lower one", () => {
     assert.equal(checkConfigurationNeverReverts(createHistory(...good, applied(2))).length, 1);
     assert.equal(checkConfigurationNeverReverts(createHistory(...good, applied(1))).length, 1);
     assert.equal(checkConfigurationNeverReverts(createHistory(...good, sent(1))).length, 1);
 });
 
-test("a lost, doubled or invented change is found", () => {
+test("reports skipped and overwritten revisions, a change written twice, and changes that were never written", () => {
     assert.equal(checkConfigurationOrder(createHistory(...good, written(2, "c"))).length, 1);
     assert.equal(checkConfigurationOrder(createHistory(...good, written(4, "c"))).length, 1);
     assert.equal(checkConfigurationOrder(createHistory(...good, written(3, "a"))).length, 1);
--- a/packages/history/src/__tests__/fleetCheckers.test.ts
+++ b/packages/history/src/__tests__/fleetCheckers.test.ts
@@ -9,7 +9,7 @@
     type HistoryLine,
 } from "../index.js";
 
-/** @returns a history of events at given times */
+/** @returns a history of events with their times in milliseconds */
 function record(...events: readonly (readonly [atMs: number, event: HistoryEvent])[]): readonly HistoryLine[] {
     return events.map(([atMs, event], i) => ({ ...event, atMs, sequence: i + 1, process: "p" }));
 }
@@ -35,7 +35,7 @@
     return { type: "serverTurnedAway", requestId, server: "s1", availabilityZone: "north", cold };
 }
 
-test("a cold server may be given its rate, and not one request more in any second", () => {
+test("cold rate: reports one request above the rate in any second, counting rejected requests", () => {
     const allowed = record([0, started("a", true)], [900, turnedAway("b", true)], [1_000, started("c", true)]);
     assert.deepEqual(checkColdRate(allowed, 2), []);
     const oneMore = record([0, started("a", true)], [900, turnedAway("b", true)], [999, started("c", true)]);
@@ -43,14 +43,14 @@
     assert.deepEqual(checkColdRate(record([0, started("a")], [1, started("b")], [2, started("c")]), 2), []);
 });
 
-test("a draining server may be given what was on its way, and nothing later", () => {
+test("drain: reports requests that reach a draining server after the grace period, but none within it", () => {
     const drained: HistoryEvent = { type: "drainAccepted", server: "s1" };
     assert.deepEqual(checkDrained(record([0, started("a")], [10, drained], [2_010, started("b")]), 2_000), []);
     assert.equal(checkDrained(record([10, drained], [2_011, started("b")]), 2_000).length, 1);
     assert.equal(checkDrained(record([10, drained], [2_011, turnedAway("b")]), 2_000).length, 1);
 });
 
-test("repeats stay within a share of the requests and the fixed part, those that were turned away included", () => {
+test("repeat budget: reports one repeat above ratio and slack in a window, counting rejected arrivals", () => {
     const bounds = { ratio: 0.5, slack: 1, windowMs: 1_000 };
     const events: (readonly [number, HistoryEvent])[] = [
         [0, sent("a")],
@@ -61,11 +61,11 @@
     ];
     assert.deepEqual(checkRepeatBudget(record(...events), bounds), []);
     assert.equal(checkRepeatBudget(record(...events, [40, started("a")]), bounds).length, 1);
-    // A window later the earlier repeats count no more.
+    // Repeats of an earlier window no longer count.
     assert.deepEqual(checkRepeatBudget(record(...events, [1_100, started("a")]), bounds), []);
 });
 
-test("a request that ended three servers may reach them three times after all gateways must know, and not once more", () => {
+test("query of death: after three crashes and the settling time, reports a fourth arrival at servers", () => {
     const bounds = { crashes: 3, settleMs: 1_000, retries: 3 };
     const ask = (atMs: number, requestId: string, crashes: boolean): (readonly [number, HistoryEvent])[] => [
         [atMs, { ...sent(requestId), contentId: "deadly" } as HistoryEvent],
--- a/packages/history/src/__tests__/operatorChangeChecker.test.ts
+++ b/packages/history/src/__tests__/operatorChangeChecker.test.ts
@@ -23,7 +23,7 @@
 const detailsOf = (history: readonly OperatorChangeLine[]) =>
     checkOperatorChanges(history, initial).map(found => found.detail);
 
-test("accepts two changes at once, one of them called again", () => {
+test("accepts two concurrent changes, one of them requested twice", () => {
     const history = [
         call("x", "a"),
         call("y", "b"),
@@ -36,22 +36,22 @@
     assert.deepEqual(detailsOf(history), []);
 });
 
-test("rejects an update that undoes another's", () => {
+test("rejects a lost update: a change that undoes another operator's change", () => {
     const history = [call("x", "a"), call("y", "b"), store("x", 2, "out", "in"), store("y", 3, "in", "out")];
-    assert.deepEqual(detailsOf(history), ["revision 3 left a wrong"]);
+    assert.deepEqual(detailsOf(history), ["revision 3 has wrong states for a"]);
 });
 
-test("rejects a second effect of the same change", () => {
+test("rejects a change that takes effect twice", () => {
     const history = [call("x", "a"), store("x", 2, "out", "in"), call("x", "a"), store("x", 3, "out", "in")];
     assert.deepEqual(detailsOf(history), ["x took effect as revision 2 and again as 3"]);
 });
 
-test("rejects an answer before the effect, without one or with another's revision", () => {
+test("rejects a response that comes before the commit, without a commit, or with another revision", () => {
     assert.equal(detailsOf([call("x", "a"), answer("x", 2), store("x", 2, "out", "in")]).length, 1);
     assert.equal(detailsOf([call("x", "a"), answer("x", 1)]).length, 1);
     assert.equal(detailsOf([call("x", "a"), store("x", 2, "out", "in"), answer("x", 3)]).length, 1);
 });
 
-test("rejects a revision that nobody called for", () => {
-    assert.deepEqual(detailsOf([store("z", 2, "in", "in")]), ["revision 2 comes from z, which nobody called"]);
+test("rejects a revision that no operator requested", () => {
+    assert.deepEqual(detailsOf([store("z", 2, "in", "in")]), ["revision 2 comes from z, which no operator requested"]);
 });
--- a/packages/history/src/__tests__/partitionedGatewayChecker.test.ts
+++ b/packages/history/src/__tests__/partitionedGatewayChecker.test.ts
@@ -4,7 +4,7 @@
 
 const bounds = { settleMs: 3_000, minRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 
-/** Requests every 10 ms through a gateway that is cut off at 0 and one that isn't. */
+/** Records a request every 10 ms through a gateway that is partitioned from time 0 on, and through one that isn't. */
 function record(servedWhileCut: (atMs: number) => boolean, untilMs = 6_000): readonly HistoryLine[] {
     const lines: HistoryLine[] = [];
     const add = (atMs: number, event: HistoryEvent): void => {
@@ -30,8 +30,8 @@
     return lines;
 }
 
-// Guards against a checker that finds nothing whatever happens.
-test("callers of a gateway that is cut off must be served like the others, from some time on", () => {
+// Guards against a checker that reports nothing, or that reports losses within the bounds.
+test("callers of a partitioned gateway must be served about as well as others once the settling time is over", () => {
     assert.equal(checkPartitionedGateways(record(() => false), bounds).length, 1);
     assert.deepEqual(checkPartitionedGateways(record(() => true), bounds), []);
     assert.deepEqual(checkPartitionedGateways(record(atMs => atMs >= 3_000), bounds), []);
@@ -39,11 +39,11 @@
     assert.deepEqual(
         checkPartitionedGateways(record(atMs => atMs % 50 !== 0), bounds),
         [],
-        "a fifth fails: served four fifths as often",
+        "a fifth fails, so the relative success rate of 4/5 is above the bound of 2/3",
     );
     assert.deepEqual(
         checkPartitionedGateways(record(() => false, 3_100), bounds),
         [],
-        "a cut so short fails no more than ten",
+        "the partition is too short for more failures than always allowed",
     );
 });
--- a/packages/history/src/__tests__/requestCheckers.test.ts
+++ b/packages/history/src/__tests__/requestCheckers.test.ts
@@ -59,13 +59,13 @@
     createAnswered("r3", { status: 503, didRun: "no", bodyRequestId: undefined }),
 );
 
-test("the checkers accept a good history", () => {
+test("the request checkers accept a valid history", () => {
     assert.deepEqual(checkAtMostOnce(good), []);
     assert.deepEqual(checkDidRunAccuracy(good), []);
     assert.deepEqual(checkResponseIntegrity(good), []);
 });
 
-test("at most once rejects a second start of a request, and of a key under another request", () => {
+test("at most once: reports a second start of a request, and of an idempotency key under another request id", () => {
     const twice = createHistory(createSent("r1"), createStarted("r1"), createStarted("r1"));
     assert.deepEqual(checkAtMostOnce(twice).map(violation => violation.lines), [[1, 2]]);
     const twoTries = createHistory(
@@ -77,7 +77,7 @@
     assert.deepEqual(checkAtMostOnce(twoTries).map(violation => violation.lines), [[2, 3]]);
 });
 
-test("truthful did-run rejects a `no` for what started before or after, and a `yes` for what never did", () => {
+test("didRun: reports `no` for a request that starts before or after the response, and `yes` without a start", () => {
     const refused = createAnswered("r1", { status: 503, didRun: "no", bodyRequestId: undefined });
     const before = createHistory(createSent("r1"), createStarted("r1"), refused);
     assert.deepEqual(checkDidRunAccuracy(before).map(violation => violation.lines), [[1, 2]]);
@@ -87,7 +87,7 @@
     assert.deepEqual(checkDidRunAccuracy(never).map(violation => violation.lines), [[1]]);
 });
 
-test("whole answer rejects a cut answer, another request's, an empty one and a second one", () => {
+test("response integrity: reports a truncated, foreign, empty or second response", () => {
     for (
         const more of [
             { whole: false },
--- a/packages/history/src/__tests__/rolloutChecker.test.ts
+++ b/packages/history/src/__tests__/rolloutChecker.test.ts
@@ -25,19 +25,19 @@
     return checkRollouts(record(events), bounds).map(({ invariant }) => invariant);
 }
 
-test("a bad version that is completed is found, a sound one is not", () => {
+test("reports a completed rollout of a bad version, but not of a good one", () => {
     assert.deepEqual(check([[0, ordered(true)], [100, ended("completed")]]), ["rollout"]);
     assert.deepEqual(check([[0, ordered(false)], [100, ended("completed")], [200, started("new")]]), []);
 });
 
-test("too many requests on a bad version are found, counted from the order and within its service", () => {
+test("reports too many requests to a bad version, counting only its service's requests since the order", () => {
     const few = [[10, started("new")], [20, started("new")], [30, started("old")]] as const;
     assert.deepEqual(check([[0, ordered(true)], ...few]), ["exposure"]);
     assert.deepEqual(check([[15, ordered(true)], [20, started("new")], [30, started("other")]]), []);
     assert.deepEqual(check([[0, ordered(false)], ...few]), []);
 });
 
-test("a request on a version long after it was rolled back is found", () => {
+test("reports a request to a version that was rolled back after the grace period is over", () => {
     const end = [[0, ordered(false)], [100, ended("rolledBack")]] as const;
     assert.deepEqual(check([...end, [900, started("new")]]), []);
     assert.deepEqual(check([...end, [1_200, started("new")]]), ["rollback"]);
--- a/packages/history/src/__tests__/serverCheckers.test.ts
+++ b/packages/history/src/__tests__/serverCheckers.test.ts
@@ -34,7 +34,7 @@
 const heard: HistoryEvent = { type: "coldSignHeard", gateway: "g1", server };
 const round = (startedAtMs: number): HistoryEvent => ({ type: "majorityRound", gateway: "g1", startedAtMs });
 
-test("cold start: within the window the stated sum is allowed, and afterwards only what the server bears", () => {
+test("cold start: allows the higher limit within the propagation window and the server's own limit afterwards", () => {
     const history = createHistory(
         [0, createStarted(3, false)],
         [10, turned],
@@ -47,7 +47,7 @@
     assert.deepEqual(checkColdStart(history, bounds), []);
 });
 
-test("cold start: rejects too much after the window, within it, and for a server that was never warm", () => {
+test("cold start: reports too many requests after the window, within it, and on a server that was never warm", () => {
     const afterwards = createHistory([10, turned], [30, heard], [50, round(40)], [151, createStarted(2)]);
     assert.equal(checkColdStart(afterwards, bounds).length, 1);
     const within = createHistory([10, turned], [20, createStarted(7)]);
@@ -56,12 +56,12 @@
     assert.equal(checkColdStart(never, bounds).length, 1);
 });
 
-test("cold start: a round that began before the sign, or of a gateway that heard none, doesn't end the window", () => {
+test("cold start: a majority round that began before the gateway learned of the change doesn't end the window", () => {
     const history = createHistory([10, turned], [30, heard], [50, round(29)], [300, createStarted(6)]);
     assert.deepEqual(checkColdStart(history, bounds), []);
 });
 
-test("leaving: rejects new work once the word has spread", () => {
+test("leaving: reports a new request once the change has propagated", () => {
     const leaving = { type: "serverLeaving", server } as const;
     const word = { type: "leavingHeard", gateway: "g1", server } as const;
     const bad = createHistory([0, leaving], [5, word], [20, round(10)], [121, createStarted(1, false)]);
@@ -70,7 +70,7 @@
     assert.deepEqual(checkServerLeaving(good, 100), []);
 });
 
-test("probe budget: rejects one probe too many in any window, and accepts as many as the budget allows", () => {
+test("probe budget: reports one probe too many in any window and accepts as many as the budget allows", () => {
     const probed = { type: "serverProbed", server, gateway: "g1" } as const;
     const budget = { probesPerSecond: 2, seats: 2 };
     const good = createHistory([0, probed], [999, probed], [1_000, probed], [1_999, probed]);
@@ -79,7 +79,7 @@
     assert.deepEqual(checkProbeBudget(bad, budget).map(violation => violation.lines), [[0, 1, 2]]);
 });
 
-test("server limit: what told gateways send together stays within the limit, and others' requests don't count", () => {
+test("server limit: reports requests above the limit, summed over gateways that have received it and no others", () => {
     const limitBounds = { factor: 1.5, slack: 1, windowMs: 1_000, settleMs: 100, gatewayGraceMs: 50 };
     const ask = (atMs: number, requestId: string, gateway: string): (readonly [number, HistoryEvent])[] => [
         [atMs, { type: "callerSent", requestId, service: "catalog", idempotent: true, patienceMs: 1, gateway }],
--- a/packages/history/src/__tests__/serverResponseMetadataCheckers.test.ts
+++ b/packages/history/src/__tests__/serverResponseMetadataCheckers.test.ts
@@ -17,7 +17,7 @@
     return { type: "serverTurnedAway", requestId, server, availabilityZone: "north", cold: false, restMs };
 }
 
-test("rest: more than two requests of the same gateway within it are found", () => {
+test("back-off: reports more than two requests from the same gateway during a back-off", () => {
     const asked: (readonly [number, HistoryEvent])[] = [[0, createSent("q", "g")], [1, createTurnedAway("q", 3_000)]];
     const two = createHistory(...asked, [600, createTurnedAway("q")], [700, createTurnedAway("q")]);
     assert.deepEqual(checkServerBackoff(two, bounds), []);
@@ -32,7 +32,7 @@
     assert.equal(checkServerBackoff(three, bounds).length, 1);
 });
 
-test("rest: another gateway wasn't asked for any", () => {
+test("back-off: ignores requests from a gateway that the server didn't ask to back off", () => {
     const history = createHistory(
         [0, createSent("q", "g")],
         [0, createSent("p", "h")],
@@ -42,7 +42,7 @@
     assert.deepEqual(checkServerBackoff(history, bounds), []);
 });
 
-test("leaving: a request that was sent after the grace is found, and one that was sent before it isn't", () => {
+test("leaving: reports a request sent after the grace period, but none sent within it", () => {
     const history = createHistory(
         [0, { type: "leavingPassedOn", gateway: "g", server }],
         [1_900, createSent("early", "g")],
--- a/packages/history/src/__tests__/workspaceCheckers.test.ts
+++ b/packages/history/src/__tests__/workspaceCheckers.test.ts
@@ -46,12 +46,12 @@
 
 const first = version(0, 1, [{ name: "north", keyIds: ["n"] }, { name: "south", keyIds: ["s"] }]);
 
-test("keys: a request that runs for its key's holder, and on an open route for nobody, is sound", () => {
+test("keys: accepts a request that runs for its key's workspace, and one without a key on an open route", () => {
     const history = [...first, sent(100, "r", "n"), ran(110, "r", "north"), sent(120, "o", undefined, true)];
     assert.deepEqual(findKeyFaults(settled, ...history, ran(130, "o", undefined), answered(140, "o", 200)), []);
 });
 
-test("keys: a name that the caller made up, another workspace's and a missing one are found", () => {
+test("keys: reports a workspace name that is forged, of another workspace or missing", () => {
     for (const told of ["forged", "south", undefined]) {
         assert.deepEqual(findKeyFaults(unsettled, ...first, sent(100, "r", "n"), ran(110, "r", told)), [
             "workspaceName",
@@ -61,7 +61,7 @@
     assert.deepEqual(findKeyFaults(unsettled, ...first, ...open), ["workspaceName"]);
 });
 
-test("keys: a key that reaches a server is found, also where the server turned the request away", () => {
+test("keys: reports a key that reaches a server, even if the server rejects the request", () => {
     assert.deepEqual(findKeyFaults(settled, ...first, sent(1, "r", "n"), ran(2, "r", "north", true)), ["keyPassedOn"]);
     const away: HistoryEvent = {
         type: "serverTurnedAway",
@@ -74,16 +74,16 @@
     assert.deepEqual(findKeyFaults(settled, ...first, sent(1, "r", "n"), [2, away]), ["keyPassedOn"]);
 });
 
-test("keys: a request that runs with an unknown key or without one is found, whatever hosts know", () => {
+test("keys: reports a request that runs with an unknown or no key, even if hosts are out of sync", () => {
     for (const keyId of ["other", undefined]) {
         assert.deepEqual(findKeyFaults(unsettled, ...first, sent(1, "r", keyId), ran(2, "r", "north")), ["unknownKey"]);
     }
-    // A version that is written later doesn't excuse it.
+    // A version that is written after the request ran doesn't make its key known.
     const early = [sent(1, "r", "late"), ran(2, "r", "north"), ...version(3, 2, [{ name: "north", keyIds: ["late"] }])];
     assert.deepEqual(findKeyFaults(unsettled, ...first, ...early), ["unknownKey"]);
 });
 
-test("keys: a revoked key binds what was sent after the version must be in force, and what hosts could know", () => {
+test("keys: reports a revoked key only once the version must be in force and hosts are in sync with the store", () => {
     const revoked = [...first, ...version(1_000, 2, [{ name: "south", keyIds: ["s"] }])];
     assert.deepEqual(findKeyFaults(settled, ...revoked, sent(3_500, "r", "n"), ran(3_600, "r", "north")), []);
     const late = [...revoked, sent(3_520, "r", "n"), ran(3_600, "r", "north")];
@@ -91,7 +91,7 @@
     assert.deepEqual(findKeyFaults(unsettled, ...late), []);
 });
 
-test("keys: a key that was moved runs for its new holder once the version must be in force", () => {
+test("keys: a moved key must run for its new workspace once the version must be in force", () => {
     const moved = [...first, ...version(1_000, 2, [{ name: "south", keyIds: ["n", "s"] }])];
     assert.deepEqual(findKeyFaults(settled, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "south")), []);
     assert.deepEqual(findKeyFaults(settled, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "north")), [
@@ -99,7 +99,7 @@
     ]);
 });
 
-test("keys: a 401 is found where every version that may be in force has the key", () => {
+test("keys: reports status 401 if every version that may be in force contains the key", () => {
     const added = [...first, ...version(1_000, 2, [{ name: "north", keyIds: ["n", "new"] }])];
     assert.deepEqual(findKeyFaults(settled, ...added, sent(3_500, "r", "new"), answered(3_600, "r", 401)), []);
     assert.deepEqual(findKeyFaults(settled, ...added, sent(3_520, "r", "new"), answered(3_600, "r", 401)), [
@@ -111,13 +111,13 @@
     ]);
 });
 
-test("keys: a 429 is found where no version that may be in force limits the workspace", () => {
+test("keys: reports status 429 if no version that may be in force limits the workspace", () => {
     const refused = [sent(100, "r", "n"), answered(110, "r", 429)];
     assert.deepEqual(findKeyFaults(settled, ...first, ...refused), ["limitRefused"]);
     assert.deepEqual(findKeyFaults(settled, ...version(0, 1, limited(10)), ...refused), []);
 });
 
-/** Requests at even distances, each run 10 ms after it was sent. */
+/** @returns evenly spaced requests, each of which starts 10 ms after it was sent */
 function load(fromMs: number, count: number, everyMs: number): readonly Timed[] {
     return Array.from({ length: count }, (_, i) => fromMs + i * everyMs).flatMap((atMs, i) => [
         sent(atMs, `r${fromMs}-${i}`, "n"),
@@ -133,7 +133,7 @@
     return checkWorkspaceLimits(createHistory(...events), { ...bounds, ...rates }).length;
 }
 
-test("limits: one request above (5 R + B) x 1.1 + 20 in 5 s is found, and one that runs later doesn't count", () => {
+test("limits: reports one request above (5 * rate + burst) * 1.1 + 20 in 5 s, unless it starts later", () => {
     const ten = version(0, 1, limited(10));
     assert.equal(countLimitFaults(settled, ...ten, ...load(100, 86, 50)), 0);
     assert.equal(countLimitFaults(unsettled, ...ten, ...load(100, 87, 50)), 1);
@@ -141,11 +141,11 @@
         event.type === "serverStarted" && event.requestId === "r100-86" ? [6_000, event] : [atMs, event]
     );
     assert.equal(countLimitFaults(settled, ...ten, ...waits), 0);
-    // A request that is sent to servers twice counts once.
+    // A request that starts twice counts once.
     assert.equal(countLimitFaults(settled, ...ten, ...load(100, 86, 50), ran(4_500, "r100-0", "north")), 0);
 });
 
-test("limits: a lowered limit binds windows that begin once it is in force", () => {
+test("limits: a lowered limit applies to windows that start once it is in force", () => {
     const lowered = [...version(0, 1, limited(10)), ...version(1_000, 2, limited(1))];
     assert.equal(countLimitFaults(settled, ...lowered, ...load(3_400, 60, 1)), 0);
     assert.equal(countLimitFaults(settled, ...lowered, ...load(3_600, 60, 1)), 1);
--- a/packages/history/src/__tests__/zoneOutChecker.test.ts
+++ b/packages/history/src/__tests__/zoneOutChecker.test.ts
@@ -19,7 +19,7 @@
     return events.map(([atMs, event], i) => ({ ...event, sequence: i + 1, atMs, process: "p" }));
 }
 
-test("work in a zone after it was out is found, and nothing else", () => {
+test("reports only requests in a zone that was taken out longer ago than the grace period", () => {
     const history = record([
         [0, started("north")],
         [100, { type: "zoneOutAccepted", availabilityZone: "north" }],
--- a/packages/history/src/atMostOnceChecker.ts
+++ b/packages/history/src/atMostOnceChecker.ts
@@ -3,11 +3,11 @@
 type Started = Extract<HistoryLine, { readonly type: "serverStarted"; }>;
 
 /**
- * Checks that a non-idempotent request runs at most once: no two starts bear the same idempotency key, whichever
- * request they belong to, and no two starts belong to the same non-idempotent request.
+ * Checks that a non-idempotent request runs at most once: no such request starts twice, and no idempotency key starts
+ * twice, even under different request ids.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkAtMostOnce(history: readonly HistoryLine[]): readonly Violation[] {
     const nonIdempotent = new Set<string>();
--- a/packages/history/src/coldRateChecker.ts
+++ b/packages/history/src/coldRateChecker.ts
@@ -3,12 +3,12 @@
 const oneSecondMs = 1_000;
 
 /**
- * Checks that no cold backend server is given more requests in one second than it bears, from all gateways together.
- * Requests that it turned away count: they reached it.
+ * Checks that all gateways together send no cold backend server more requests per second than allowed. Requests that
+ * the server rejected count as well, since they reached it.
  *
- * @param history - every line of a run, in the order of its times
- * @param limit - requests that it may be given in any one second
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param limit - maximum requests to a cold server in any one second
+ * @returns violations; empty if the invariant held
  */
 export function checkColdRate(history: readonly HistoryLine[], limit: number): readonly Violation[] {
     const recent = new Map<string, HistoryLine[]>();
--- a/packages/history/src/coldStartChecker.ts
+++ b/packages/history/src/coldStartChecker.ts
@@ -1,25 +1,26 @@
 import { type HistoryLine, type Violation } from "./events.js";
 import { PropagationWindow } from "./propagationWindow.js";
 
-/** What is allowed while a server's turn to cold is not yet known. */
+/** Load that a server may receive while some gateways don't know yet that it has become cold. */
 export interface ColdStartBounds {
-    /** How long a gateway sends without hearing from a majority, with the time a request takes to arrive. */
+    /** How long a gateway sends without contact to a majority, plus the transit time of a request, in milliseconds. */
     readonly contactLimitMs: number;
-    /** Most requests in flight at a server within the window, from all gateways together. */
+    /** Maximum requests in flight at a server within the window, from all gateways together. */
     readonly inFlightInWindow: number;
 }
 
 /**
- * Checks that a cold server is never given more than it bears, by its own count of all that is in flight, whoever
- * sent it and whenever.
+ * Checks that a cold server never has more requests in flight than it can handle. The server's own count is used, which
+ * includes requests of every gateway.
  *
- * Allowed, and nothing else: a server that was warm and turned cold without a word may be given up to
- * `inFlightInWindow` until the word has spread, which is `contactLimitMs` after a gateway that got an answer saying so
- * has had answers from a majority. A server that was never warm in the run has no such window.
+ * The only exception: a server that was warm and became cold without an announcement may have up to `inFlightInWindow`
+ * requests until the change has propagated. That is `contactLimitMs` after a gateway that received a response reporting
+ * the change has completed a heartbeat round with a majority. A server that was never warm in the run has no such
+ * exception.
  *
  * @param history - every line of a run
- * @param bounds - what is allowed in the window
- * @returns what was found against it; empty where the invariant held
+ * @param bounds - the exception's size and duration
+ * @returns violations; empty if the invariant held
  */
 export function checkColdStart(history: readonly HistoryLine[], bounds: ColdStartBounds): readonly Violation[] {
     const windows = new Map<string, PropagationWindow>();
@@ -58,6 +59,6 @@
     if (!line.cold || line.inFlight <= limit) {
         return [];
     }
-    const detail = `${line.server} was given ${line.inFlight} at ${line.atMs} ms while it bore ${limit}`;
+    const detail = `${line.server} had ${line.inFlight} requests in flight at ${line.atMs} ms, ${limit} are allowed`;
     return [{ invariant: "coldStart", detail, lines: [line.sequence] }];
 }
--- a/packages/history/src/configurationChecker.ts
+++ b/packages/history/src/configurationChecker.ts
@@ -1,11 +1,11 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /**
- * Checks that an accepted configuration is in force: once a revision was accepted, no gateway sends new work under an
- * older one.
+ * Checks that an accepted configuration is in force: once a revision is accepted, no gateway sends new requests under
+ * an older one.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkConfigurationInForce(history: readonly HistoryLine[]): readonly Violation[] {
     let accepted = { revision: 0, sequence: -1 };
@@ -17,7 +17,8 @@
         if (line.type === "workSent" && line.revision < accepted.revision) {
             violations.push({
                 invariant: "configurationInForce",
-                detail: `${line.process} sent work under ${line.revision} after ${accepted.revision} was accepted`,
+                detail:
+                    `${line.process} sent a request under revision ${line.revision}, ${accepted.revision} was accepted`,
                 lines: [accepted.sequence, line.sequence],
             });
         }
@@ -26,10 +27,11 @@
 }
 
 /**
- * Checks that no process goes back: the revisions that it applies rise, and it sends work under the one applied last.
+ * Checks that no process reverts to an older configuration: the revisions that it applies increase, and it sends
+ * requests under the one that it applied last.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkConfigurationNeverReverts(history: readonly HistoryLine[]): readonly Violation[] {
     const applied = new Map<string, { readonly revision: number; readonly sequence: number; }>();
@@ -45,7 +47,7 @@
         if (!inOrder) {
             violations.push({
                 invariant: "configurationNeverReverts",
-                detail: `${line.process}: ${line.type} ${line.revision} after it applied ${before.revision}`,
+                detail: `${line.process}: ${line.type} with revision ${line.revision}, ${before.revision} was applied`,
                 lines: [before.sequence, line.sequence],
             });
         }
@@ -55,11 +57,11 @@
 }
 
 /**
- * Checks the order of changes: each revision and each change is written once, no revision is left out or written over,
- * and what was accepted or applied was written.
+ * Checks the order of configuration changes: each revision and each change id is written once, no revision is skipped
+ * or overwritten, and every accepted or applied revision was written before.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkConfigurationOrder(history: readonly HistoryLine[]): readonly Violation[] {
     const writtenBy = new Map<number, string>();
@@ -80,15 +82,15 @@
     switch (line.type) {
         case "configurationWritten":
             if (line.revision !== writtenBy.size + 1) {
-                return `revision ${line.revision} was written after ${writtenBy.size}`;
+                return `revision ${line.revision} was written after revision ${writtenBy.size}`;
             }
             return [...writtenBy.values()].includes(line.changeId) ? `${line.changeId} was written twice` : undefined;
         case "configurationAccepted":
             return writtenBy.get(line.revision) === line.changeId
                 ? undefined
-                : `${line.changeId} was accepted as ${line.revision}, which it isn't`;
+                : `${line.changeId} was accepted as revision ${line.revision}, which another change or none wrote`;
         case "configurationApplied":
-            return writtenBy.has(line.revision) ? undefined : `${line.revision} was applied and never written`;
+            return writtenBy.has(line.revision) ? undefined : `revision ${line.revision} was applied and never written`;
         default:
             return undefined;
     }
--- a/packages/history/src/configurationVersions.ts
+++ b/packages/history/src/configurationVersions.ts
@@ -1,33 +1,35 @@
 import { type HistoryLine, type WrittenWorkspace } from "./events.js";
 
-/** From when on a version of the configuration replaces the ones before it. */
+/** When a new configuration version must have replaced the earlier ones on every host. */
 export interface VersionBounds {
-    /** Time after its acknowledgement in which a version must be in force at hosts that know what the store says. */
+    /**
+     * Maximum time from the store's acknowledgement of a version until synced hosts have applied it, in milliseconds.
+     */
     readonly applyMs: number;
     /**
-     * Whether all hosts knew, for the whole of a time, what the store said. Where they didn't, no earlier version counts
-     * as replaced.
+     * Whether all hosts were in sync with the store throughout a period. If they weren't, earlier versions may still be
+     * in force, so none of them counts as replaced.
      */
     readonly isSettled: (fromMs: number, toMs: number) => boolean;
 }
 
-/** One version of the configuration. */
+/** One version of the configuration as written by the run. */
 export interface ConfigurationVersion {
     readonly revision: number;
     readonly writtenAtMs: number;
-    /** Infinite where the store has not acknowledged it. */
+    /** `Infinity` if the store has not acknowledged the version. */
     readonly acceptedAtMs: number;
     readonly workspaces: readonly WrittenWorkspace[] | undefined;
 }
 
-/** The versions of the configuration that a run wrote, and which of them may have been in force when. */
+/** All configuration versions that a run wrote. Finds those that may have been in force in a given period. */
 export class ConfigurationVersions {
     readonly #versions: readonly ConfigurationVersion[];
     readonly #bounds: VersionBounds;
 
     /**
-     * @param history - every line of a run, in the order of its times
-     * @param bounds - from when on a version replaces the ones before it
+     * @param history - every line of a run, ordered by time
+     * @param bounds - when a version must have replaced the earlier ones
      */
     constructor(history: readonly HistoryLine[], bounds: VersionBounds) {
         this.#bounds = bounds;
@@ -49,16 +51,17 @@
         );
     }
 
-    /** @returns every version that was written until then, oldest first */
+    /** @returns all versions written up to a time, oldest first */
     writtenUntil(atMs: number): readonly ConfigurationVersion[] {
         return this.#versions.filter(({ writtenAtMs }) => writtenAtMs <= atMs);
     }
 
     /**
-     * Finds the versions by which a host may act on what was sent to it at `fromMs`.
+     * Finds the versions that a host may use to handle a request sent at `fromMs`.
      *
-     * @param settledUntilMs - until when all hosts must know what the store says, lest earlier versions count too
-     * @returns those in force at any time from `fromMs` to `toMs`, at any host, oldest first
+     * @param settledUntilMs - end of the period in which all hosts must be in sync with the store; if they aren't, all
+     *   earlier versions count as possibly in force
+     * @returns versions that may be in force on any host at any time from `fromMs` to `toMs`, oldest first
      */
     inForce(fromMs: number, toMs: number, settledUntilMs = toMs): readonly ConfigurationVersion[] {
         const written = this.writtenUntil(toMs);
--- a/packages/history/src/didRunAccuracyChecker.ts
+++ b/packages/history/src/didRunAccuracyChecker.ts
@@ -1,11 +1,11 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /**
- * Checks that what callers are told of their requests is true: none that was told `no` was started by any server,
- * before the answer or after it, and each that was told `yes` was.
+ * Checks that the `didRun` field of responses is accurate: no server starts a request reported as `no`, neither before
+ * nor after the response, and some server started every request reported as `yes`.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkDidRunAccuracy(history: readonly HistoryLine[]): readonly Violation[] {
     const starts = new Map<string, number>();
@@ -30,14 +30,14 @@
         if (line.didRun === "no" && start !== undefined) {
             violations.push({
                 invariant: "truthfulDidRun",
-                detail: `${line.requestId} was said not to have run, and a server started it`,
+                detail: `${line.requestId} was reported as not run, and a server started it`,
                 lines: [start, line.sequence],
             });
         }
         if (line.didRun === "yes" && start === undefined && (key === undefined || !startedKeys.has(key))) {
             violations.push({
                 invariant: "truthfulDidRun",
-                detail: `${line.requestId} was said to have run, and no server started it`,
+                detail: `${line.requestId} was reported as run, and no server started it`,
                 lines: [line.sequence],
             });
         }
--- a/packages/history/src/drainChecker.ts
+++ b/packages/history/src/drainChecker.ts
@@ -1,12 +1,12 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /**
- * Checks that a backend server gets no new work once the store has taken the word that it is leaving or gone and every
- * gateway has had the time to hear it.
+ * Checks that a backend server receives no new requests once the store has committed that it is leaving or removed, and
+ * every gateway has had time to learn it.
  *
- * @param history - every line of a run, in the order of its times
- * @param graceMs - from the store's word on
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param graceMs - time that gateways have from the commit on, in milliseconds
+ * @returns violations; empty if the invariant held
  */
 export function checkDrained(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
     const accepted = new Map<string, HistoryLine>();
--- a/packages/history/src/events.ts
+++ b/packages/history/src/events.ts
@@ -1,23 +1,23 @@
-/** What the recorder adds to every event. */
+/** Fields that the recorder adds to every event. */
 export interface RecordMetadata {
-    /** Order in which the one recorder of a run took the events. */
+    /** Position in the order in which the run's single recorder received the events. */
     readonly sequence: number;
-    /** Milliseconds on the recorder's clock. */
+    /** Time on the recorder's clock, in milliseconds. */
     readonly atMs: number;
-    /** Which process or gateway it is about. */
+    /** The process or gateway that the event belongs to. */
     readonly process: string;
 }
 
-/** A workspace of a configuration, without its keys. */
+/** A workspace of a configuration version. API keys are replaced by ids, so that a history contains no secrets. */
 export interface WrittenWorkspace {
     readonly name: string;
-    /** Stand for the keys that it holds. */
+    /** Ids of the workspace's keys. */
     readonly keyIds: readonly string[];
-    /** `undefined` for no limit. */
+    /** Token bucket of the workspace; `undefined` for no limit. */
     readonly limit?: { readonly perSecond: number; readonly burst: number; } | undefined;
 }
 
-/** Everything that a run may record; a checker reads the kinds that its invariant is about. */
+/** Every event that a run may record. Each checker reads only the types that its invariant concerns. */
 export type HistoryEvent =
     | {
         readonly type: "callerSent";
@@ -25,14 +25,15 @@
         readonly service: string;
         readonly idempotent: boolean;
         readonly idempotencyKey?: string | undefined;
-        /** The same for requests that ask the same of a server; `undefined` where no other request does. */
+        /** Equal for requests with the same content; `undefined` where the content is unique to the request. */
         readonly contentId?: string | undefined;
-        /** The gateway that it was sent to, where that is known. */
+        /** The gateway that the request was sent to, if known. */
         readonly gateway?: string | undefined;
+        /** How long the caller waits for the response, in milliseconds. */
         readonly patienceMs: number;
-        /** Stands for the caller's key, which no history contains; `undefined` where it sent none. */
+        /** Id of the caller's key; histories don't contain the key itself. `undefined` if the caller sent none. */
         readonly keyId?: string | undefined;
-        /** Whether its route takes callers without a key. */
+        /** Whether the request's route accepts callers without a key. */
         readonly open?: boolean | undefined;
     }
     | {
@@ -40,7 +41,11 @@
         readonly requestId: string;
         readonly status: number;
         readonly didRun: "no" | "yes" | "unknown" | undefined;
+        /** Whether the response arrived complete. */
         readonly whole: boolean;
+        /**
+         * Request id that the backend server wrote into the response body; `undefined` if the gateway responded itself.
+         */
         readonly bodyRequestId: string | undefined;
     }
     | { readonly type: "callerCutOff"; readonly requestId: string; }
@@ -53,11 +58,13 @@
         readonly availabilityZone: string;
         readonly incarnation: string;
         readonly cold: boolean;
+        /** Requests in flight at the server, this one included. */
         readonly inFlight: number;
+        /** Concurrent requests that the server can handle in its present state. */
         readonly bears: number;
-        /** Name of the caller's workspace as the server was told it. */
+        /** Workspace name in the request that the server received. */
         readonly workspace?: string | undefined;
-        /** Whether the caller's key reached the server. */
+        /** Whether the request that the server received still contained the caller's key. */
         readonly keyPassedOn?: boolean | undefined;
     }
     | {
@@ -66,61 +73,64 @@
         readonly server: string;
         readonly incarnation: string;
     }
-    /** A server ended under a request that it had begun to run. */
+    /** A server's process crashed while it executed the request. */
     | { readonly type: "serverCrashed"; readonly requestId: string; readonly server: string; }
-    /** A server rejected a request that reached it. */
+    /** A server rejected a request without executing it. */
     | {
         readonly type: "serverTurnedAway";
         readonly requestId: string;
         readonly server: string;
         readonly availabilityZone: string;
         readonly cold: boolean;
-        /** How long it wants nothing from the gateway that sent it; `undefined` where it doesn't say. */
+        /** Back-off that the server asks of the sending gateway, in milliseconds; `undefined` if it asks for none. */
         readonly restMs?: number | undefined;
         readonly keyPassedOn?: boolean | undefined;
     }
-    /** A server cut, lost or otherwise spoilt its answer. */
+    /** A server truncated, dropped or otherwise corrupted its response. */
     | { readonly type: "serverSpoilt"; readonly requestId: string; readonly server: string; }
-    /** A server's process ended, for whatever reason. */
+    /** A server's process ended, whatever the reason. */
     | { readonly type: "serverExited"; readonly server: string; }
+    /** A gateway sent a load probe to a server. */
     | { readonly type: "serverProbed"; readonly server: string; readonly gateway: string; }
-    /** From now on a server names a limit of requests a second in its answers; `undefined` for none any more. */
+    /** From now on a server advertises this rate limit in its responses; `undefined` ends the limit. */
     | { readonly type: "serverLimited"; readonly server: string; readonly perSecond: number | undefined; }
-    /** A caller got an answer through a gateway in which a server names a limit. */
+    /** A gateway forwarded a response in which the server advertises a limit, and the caller received it. */
     | { readonly type: "limitPassedOn"; readonly gateway: string; readonly server: string; }
+    /** A server started to shut down. */
     | { readonly type: "serverLeaving"; readonly server: string; }
-    /** A caller got an answer through a gateway in which a server says that it leaves. */
+    /** A gateway forwarded a response in which the server announces its shutdown, and the caller received it. */
     | { readonly type: "leavingPassedOn"; readonly gateway: string; readonly server: string; }
     | { readonly type: "serverTurnedCold"; readonly server: string; }
     | { readonly type: "serverTurnedWarm"; readonly server: string; }
-    /** A gateway got an answer in which the server says that it is cold. */
+    /** A gateway received a response in which the server reports that it is cold. */
     | { readonly type: "coldSignHeard"; readonly gateway: string; readonly server: string; }
-    /** A gateway got a word, of whatever source, that the server is leaving. */
+    /** A gateway learned, from any source, that the server is shutting down. */
     | { readonly type: "leavingHeard"; readonly gateway: string; readonly server: string; }
-    /** A gateway has had answers to heartbeats from a majority. */
+    /** A majority of the gateways acknowledged a heartbeat round of this gateway that was sent at `startedAtMs`. */
     | { readonly type: "majorityRound"; readonly gateway: string; readonly startedAtMs: number; }
     | {
         readonly type: "configurationWritten";
         readonly revision: number;
         readonly changeId: string;
-        /** `undefined` where callers need no keys. */
+        /** `undefined` if callers need no keys. */
         readonly workspaces?: readonly WrittenWorkspace[] | undefined;
     }
     | { readonly type: "configurationAccepted"; readonly revision: number; readonly changeId: string; }
-    /** The store took the word that a server is leaving, or gone. */
+    /** The store committed that a server is leaving or has been removed. */
     | { readonly type: "drainAccepted"; readonly server: string; }
     | { readonly type: "zoneOutAccepted"; readonly availabilityZone: string; }
     | { readonly type: "zoneInRequested"; readonly availabilityZone: string; }
-    /** The store took the order of a roll-out. */
+    /** The store committed the order that starts a rollout. */
     | {
         readonly type: "rolloutOrdered";
         readonly service: string;
         readonly version: string;
         /** Servers of the new version. */
         readonly servers: readonly string[];
+        /** Whether the test injects faults into the new version. */
         readonly isBad: boolean;
     }
-    /** The status of a roll-out was read, and is final. */
+    /** The status of a rollout was read and is final. */
     | {
         readonly type: "rolloutEnded";
         readonly service: string;
@@ -137,20 +147,20 @@
         readonly availabilityZone: string;
     }
     | { readonly type: "workRefused"; readonly gateway: string; readonly requestId: string; readonly kind: string; }
-    /** From now on a gateway reaches no backend server. */
+    /** From now on a gateway can't reach any backend server. */
     | { readonly type: "gatewayCutFromServers"; readonly gateway: string; }
-    /** From now on a gateway reaches them again. */
+    /** From now on a gateway can reach the backend servers again. */
     | { readonly type: "gatewayLinksRestored"; readonly gateway: string; }
     | { readonly type: "gatewayStopping"; readonly gateway: string; }
     | { readonly type: "gatewayStopped"; readonly gateway: string; readonly exitCode: number; };
 
-/** One line of a history. */
+/** One line of a history: an event with the recorder's fields. */
 export type HistoryLine = RecordMetadata & HistoryEvent;
 
-/** What a checker found against its invariant. */
+/** A breach of an invariant that a checker found. */
 export interface Violation {
     readonly invariant: string;
     readonly detail: string;
-    /** Sequence numbers of the lines that show it. */
+    /** Sequence numbers of the history lines that prove the breach. */
     readonly lines: readonly number[];
 }
--- a/packages/history/src/index.ts
+++ b/packages/history/src/index.ts
@@ -1,4 +1,4 @@
-/** Recorded histories of concurrent runs, and the pure checkers that read them. */
+/** Histories recorded from concurrent runs, and pure functions that check them against invariants. */
 export { checkAtMostOnce } from "./atMostOnceChecker.js";
 export { checkColdRate } from "./coldRateChecker.js";
 export { checkColdStart, type ColdStartBounds } from "./coldStartChecker.js";
--- a/packages/history/src/operatorChangeChecker.ts
+++ b/packages/history/src/operatorChangeChecker.ts
@@ -1,37 +1,37 @@
 import { type Violation } from "./events.js";
 
-/** State of each availability zone by its name. */
+/** State of each availability zone, by name. */
 export type ZoneStates = Readonly<Record<string, "in" | "out">>;
 
-/** One line of the history of operators' zone changes, in the order in which they happened. */
+/** One line of the history of operators' zone changes. Lines are in the order in which they happened. */
 export type OperatorChangeLine =
-    /** A change was called; a call that goes unanswered is called again under the same id. */
+    /** An operator requested a change. A request without a response is repeated under the same change id. */
     | {
         readonly type: "zoneChangeCalled";
         readonly changeId: string;
         readonly availabilityZone: string;
         readonly state: "in" | "out";
     }
-    /** A revision took effect in the store. */
+    /** The store committed a revision. */
     | {
         readonly type: "revisionStored";
         readonly changeId: string;
         readonly revision: number;
         readonly states: ZoneStates;
     }
-    /** An operator was told that the change is stored. */
+    /** An operator received the response that the change is stored. */
     | { readonly type: "zoneChangeAnswered"; readonly changeId: string; readonly revision: number; };
 
 type Called = Extract<OperatorChangeLine, { readonly type: "zoneChangeCalled"; }>;
 type Stored = Extract<OperatorChangeLine, { readonly type: "revisionStored"; }>;
 
 /**
- * Checks that operators' zone changes are linearizable: each takes effect once at most, between its first call and its
- * answer, on top of what was stored then, and changes nothing but its own zone.
+ * Checks that operators' zone changes are linearizable: each takes effect at most once, between its first request and
+ * its response, is based on the state stored at that time, and changes only its own zone.
  *
  * @param history - every line of a run
- * @param initial - states before the run
- * @returns what was found against it, with the lines' indexes; empty where the invariant held
+ * @param initial - zone states before the run
+ * @returns violations, with indexes into `history` as lines; empty if the invariant held
  */
 export function checkOperatorChanges(
     history: readonly OperatorChangeLine[],
@@ -58,7 +58,7 @@
             }
             case "zoneChangeAnswered":
                 if (stored.get(line.changeId)?.revision !== line.revision) {
-                    report(`${line.changeId} was answered with revision ${line.revision}, which it had not stored`);
+                    report(`${line.changeId} got a response with revision ${line.revision}, which it had not stored`);
                 }
                 break;
         }
@@ -73,12 +73,12 @@
     states: ZoneStates,
 ): string | undefined {
     if (call === undefined) {
-        return `revision ${line.revision} comes from ${line.changeId}, which nobody called`;
+        return `revision ${line.revision} comes from ${line.changeId}, which no operator requested`;
     }
     if (before !== undefined) {
         return `${line.changeId} took effect as revision ${before.revision} and again as ${line.revision}`;
     }
     const expected: ZoneStates = { ...states, [call.availabilityZone]: call.state };
     const changed = Object.keys({ ...expected, ...line.states }).filter(zone => expected[zone] !== line.states[zone]);
-    return changed.length === 0 ? undefined : `revision ${line.revision} left ${changed.join(", ")} wrong`;
+    return changed.length === 0 ? undefined : `revision ${line.revision} has wrong states for ${changed.join(", ")}`;
 }
--- a/packages/history/src/partitionedGatewayChecker.ts
+++ b/packages/history/src/partitionedGatewayChecker.ts
@@ -1,12 +1,12 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What callers of gateways that are cut off from all backend servers may lose. */
+/** Failures allowed for callers of gateways that are partitioned from all backend servers. */
 export interface PartitionedGatewayBounds {
-    /** From the beginning of a cut until it counts, in milliseconds. */
+    /** Time from the start of a partition until failures count, in milliseconds. */
     readonly settleMs: number;
-    /** Requests served there, as a part of the share that the other gateways serve in the same time, at least. */
+    /** Minimum success rate through partitioned gateways, as a share of the other gateways' rate in the same time. */
     readonly minRelativeShare: number;
-    /** Requests that may fail there in any case: so many, and so large a part of all that are sent in the same time. */
+    /** Failures that are always allowed: this number plus `allowedFailureShare` of all requests in the same time. */
     readonly allowedFailures: number;
     readonly allowedFailureShare: number;
 }
@@ -17,12 +17,12 @@
 }
 
 /**
- * Checks that callers whose gateway is cut off from all backend servers are served like the callers of the others. Each request counts as
- * a first try.
+ * Checks that callers of gateways that are partitioned from all backend servers are served about as well as callers of
+ * the other gateways. Each request counts as a first try.
  *
- * @param history - every line of a run, in the order of its times; callers' requests name their gateways
- * @param bounds - what callers may lose
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time; `callerSent` lines must have a gateway
+ * @param bounds - the failures allowed
+ * @returns violations; empty if the invariant held
  */
 export function checkPartitionedGateways(
     history: readonly HistoryLine[],
@@ -64,7 +64,7 @@
         return [];
     }
     const detail =
-        `gateways without links to servers served ${cut.served} of ${cut.sent} requests, the others ${others.served} of ${others.sent}`;
+        `partitioned gateways served ${cut.served} of ${cut.sent}, the others ${others.served} of ${others.sent}`;
     return [{ invariant: "cutGateways", detail, lines: failed }];
 }
 
--- a/packages/history/src/probeBudgetChecker.ts
+++ b/packages/history/src/probeBudgetChecker.ts
@@ -1,20 +1,20 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What measuring one backend server's load may cost, all gateways together. */
+/** Limit of the load probes to one backend server, from all gateways together. */
 export interface ProbeBudgetBounds {
     readonly probesPerSecond: number;
-    /** Gateways that may probe at the same time. */
+    /** Number of gateways that may probe a server at the same time. */
     readonly seats: number;
 }
 
 /**
- * Checks that no server is probed more often than its budget. The window is `seats / probesPerSecond` seconds, half
- * open: no such stretch of time, wherever it begins, holds more than `seats` probes of one server, which is the budget
- * times the window exactly.
+ * Checks that no server is probed more often than its budget allows. No half-open window of `seats / probesPerSecond`
+ * seconds, wherever it starts, may contain more than `seats` probes of one server, which is exactly the budget times
+ * the window's length.
  *
  * @param history - every line of a run
  * @param budget - the budget of every server
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkProbeBudget(history: readonly HistoryLine[], budget: ProbeBudgetBounds): readonly Violation[] {
     const windowMs = budget.seats * 1_000 / budget.probesPerSecond;
--- a/packages/history/src/propagationWindow.ts
+++ b/packages/history/src/propagationWindow.ts
@@ -1,9 +1,9 @@
 import { type HistoryLine } from "./events.js";
 
 /**
- * The time until which a gateway may, without fault, not know a word about a server. It ends a fixed time after some
- * gateway that heard the word has since had answers from a majority: from then on every gateway either has heard
- * it from that majority, or is out of contact and sends nothing.
+ * Period in which a state change of a server may still be unknown to some gateways. It ends a fixed time after a
+ * gateway that received the change has completed a heartbeat round with a majority. From then on every other gateway
+ * has either received the change from that majority, or has lost contact with a majority and sends no requests.
  */
 export class PropagationWindow {
     readonly #contactLimitMs: number;
@@ -11,16 +11,18 @@
     #endsAtMs = Number.POSITIVE_INFINITY;
 
     /**
-     * @param contactLimitMs - how long a gateway sends without hearing from a majority, in milliseconds
+     * @param contactLimitMs - how long a gateway keeps sending requests without contact to a majority, in milliseconds
      */
     constructor(contactLimitMs: number) {
         this.#contactLimitMs = contactLimitMs;
     }
 
+    /** `Infinity` until a majority is known to have received the change. */
     get endsAtMs(): number {
         return this.#endsAtMs;
     }
 
+    /** Records that a gateway received the change; the earliest receipt counts. */
     onReceived(gateway: string, atMs: number): void {
         this.#heardAtMs.set(gateway, Math.min(atMs, this.#heardAtMs.get(gateway) ?? atMs));
     }
--- a/packages/history/src/queryOfDeathChecker.ts
+++ b/packages/history/src/queryOfDeathChecker.ts
@@ -1,12 +1,12 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What servers may still get of a request that crashes them. */
+/** How often a request that crashes servers may still reach them. */
 export interface QueryOfDeathBounds {
-    /** Servers that such a request ends before it counts as one. */
+    /** Number of crashes after which the request counts as a query of death. */
     readonly crashes: number;
-    /** Time from then on until every gateway must know, in milliseconds. */
+    /** Time from the last of these crashes until every gateway must block the request, in milliseconds. */
     readonly settleMs: number;
-    /** Arrivals at servers that are allowed after that. */
+    /** Maximum arrivals at servers after that. */
     readonly retries: number;
 }
 
@@ -16,12 +16,12 @@
 }
 
 /**
- * Checks that a request which crashes the servers that run it is kept from servers once enough of them have ended, however often it
- * comes again and at whichever gateway.
+ * Checks that a request that crashes servers no longer reaches them after a number of crashes, however often callers
+ * repeat it and through whichever gateway.
  *
- * @param history - every line of a run, in the order of its times
- * @param bounds - what servers may still get
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param bounds - how often the request may still reach servers
+ * @returns violations; empty if the invariant held
  */
 export function checkQueryOfDeath(history: readonly HistoryLine[], bounds: QueryOfDeathBounds): readonly Violation[] {
     const contentOf = new Map<string, Content>();
@@ -51,7 +51,8 @@
     return [...contents].filter(([, { lateArrivals }]) => lateArrivals.length > bounds.retries).map(
         ([name, { lateArrivals, crashedAtMs }]) => ({
             invariant: "queryOfDeath",
-            detail: `${name} was sent to servers ${lateArrivals.length} times more; ${crashedAtMs.length} ended in all`,
+            detail:
+                `${name} reached servers ${lateArrivals.length} times too late; ${crashedAtMs.length} crashed in all`,
             lines: lateArrivals.map(({ sequence }) => sequence),
         }),
     );
--- a/packages/history/src/repeatBudgetChecker.ts
+++ b/packages/history/src/repeatBudgetChecker.ts
@@ -1,10 +1,10 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What the whole fleet may repeat, a service. */
+/** Retries and hedges that all gateways together may send for one service. */
 export interface RepeatBudgetBounds {
-    /** Share of the requests that callers sent. */
+    /** Repeats allowed per request of the callers. */
     readonly ratio: number;
-    /** Besides the share, in any one window. */
+    /** Fixed number of repeats allowed in any one window in addition. */
     readonly slack: number;
     readonly windowMs: number;
 }
@@ -15,13 +15,14 @@
 }
 
 /**
- * Checks that the fleet repeats no more than it may: in any one window, arrivals at backend servers beyond the first of
- * each request, those that a server turned away included. The requests are counted in the window or in the one before
- * it, whichever has more, so that a load that falls doesn't make yesterday's repeats too many.
+ * Checks that all gateways together stay within the budget for repeats in any one window. Every arrival of a request at
+ * a backend server after its first counts as a repeat, including arrivals that the server rejected. The requests that
+ * the ratio applies to are those of the window or of the one before, whichever has more, so that falling load doesn't
+ * turn repeats of earlier requests into a violation.
  *
- * @param history - every line of a run, in the order of its times
- * @param bounds - what may be repeated
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param bounds - the budget
+ * @returns violations; empty if the invariant held
  */
 export function checkRepeatBudget(history: readonly HistoryLine[], bounds: RepeatBudgetBounds): readonly Violation[] {
     const serviceOf = new Map<string, string>();
--- a/packages/history/src/responseIntegrityChecker.ts
+++ b/packages/history/src/responseIntegrityChecker.ts
@@ -1,11 +1,12 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
 /**
- * Checks that every answer a caller took as complete is whole and its own. A connection that is cut is no answer;
- * an answer without a request's body is galenaglade's own and must be a refusal. Each request is answered once.
+ * Checks that every response that a caller accepted as complete is complete and belongs to its request, and that each
+ * request gets one response. A dropped connection is no response. A response without a backend server's body comes from
+ * galenaglade itself and must be an error.
  *
  * @param history - every line of a run
- * @returns what was found against it; empty where the invariant held
+ * @returns violations; empty if the invariant held
  */
 export function checkResponseIntegrity(history: readonly HistoryLine[]): readonly Violation[] {
     const answered = new Map<string, number>();
@@ -18,17 +19,17 @@
             violations.push({ invariant: "wholeAnswer", detail: `${line.requestId} ${detail}`, lines });
         };
         if (!line.whole) {
-            found("got a cut answer as if it were whole");
+            found("got a truncated response as if it were complete");
         }
         if (line.bodyRequestId === undefined && line.status < 400) {
-            found("got an answer without its body");
+            found("got a success response without its body");
         }
         if (line.bodyRequestId !== undefined && line.bodyRequestId !== line.requestId) {
-            found(`got the answer of ${line.bodyRequestId}`);
+            found(`got the response to ${line.bodyRequestId}`);
         }
         const first = answered.get(line.requestId);
         if (first !== undefined) {
-            found("was answered twice", [first, line.sequence]);
+            found("got two responses", [first, line.sequence]);
         }
         answered.set(line.requestId, first ?? line.sequence);
     }
--- a/packages/history/src/rolloutChecker.ts
+++ b/packages/history/src/rolloutChecker.ts
@@ -4,24 +4,24 @@
 type Ended = Extract<HistoryLine, { readonly type: "rolloutEnded"; }>;
 type Started = Extract<HistoryLine, { readonly type: "serverStarted"; }>;
 
-/** What is allowed around roll-outs. */
+/** Limits for rollouts. */
 export interface RolloutBounds {
     /** Service of each backend server. */
     readonly serviceOf: ReadonlyMap<string, string>;
-    /** Share of a service's requests that a bad version may get, and how many besides. */
+    /** Maximum share of a service's requests that a bad version may receive, plus a fixed number of requests. */
     readonly exposureShare: number;
     readonly exposureSlack: number;
-    /** How long after the end of a roll-out a version that was rolled back may still get requests. */
+    /** How long a version may still receive requests after it was rolled back, in milliseconds. */
     readonly rollbackMs: number;
 }
 
 /**
- * Checks that a bad version is never completed and gets a bounded share of its service's requests, and that a version that was
- * rolled back gets none any more.
+ * Checks that the rollout of a bad version is never completed, that a bad version receives a bounded share of its
+ * service's requests, and that a version receives no requests after it was rolled back.
  *
- * @param history - every line of a run, in the order of its times
- * @param bounds - what is allowed
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param bounds - the limits
+ * @returns violations; empty if the invariant held
  */
 export function checkRollouts(history: readonly HistoryLine[], bounds: RolloutBounds): readonly Violation[] {
     const orders = history.filter((line): line is Ordered => line.type === "rolloutOrdered");
@@ -47,7 +47,7 @@
     }
     return [{
         invariant: "rollout",
-        detail: `the bad version ${order.version} of ${order.service} was completed`,
+        detail: `the rollout of bad version ${order.version} of ${order.service} was completed`,
         lines: [order.sequence, end.sequence],
     }];
 }
--- a/packages/history/src/serverLeavingChecker.ts
+++ b/packages/history/src/serverLeavingChecker.ts
@@ -2,12 +2,13 @@
 import { PropagationWindow } from "./propagationWindow.js";
 
 /**
- * Checks that a server which has begun to leave gets no new work once the word has spread: `contactLimitMs` after a
- * gateway that heard it has had answers from a majority.
+ * Checks that a server that is leaving receives no new requests once the change has propagated: `contactLimitMs` after
+ * a gateway that learned of it has completed a heartbeat round with a majority.
  *
  * @param history - every line of a run
- * @param contactLimitMs - how long a gateway sends without hearing from a majority, with the time a request takes
- * @returns what was found against it; empty where the invariant held
+ * @param contactLimitMs - how long a gateway sends without contact to a majority, plus the transit time of a request,
+ *   in milliseconds
+ * @returns violations; empty if the invariant held
  */
 export function checkServerLeaving(history: readonly HistoryLine[], contactLimitMs: number): readonly Violation[] {
     const windows = new Map<string, PropagationWindow>();
@@ -27,7 +28,7 @@
         else if (line.type === "serverStarted") {
             const window = windows.get(line.server);
             if (window !== undefined && line.atMs > window.endsAtMs) {
-                const detail = `${line.server} was given new work at ${line.atMs} ms while leaving`;
+                const detail = `${line.server} got a new request at ${line.atMs} ms while leaving`;
                 violations.push({ invariant: "serverLeaving", detail, lines: [line.sequence] });
             }
         }
--- a/packages/history/src/serverLimitChecker.ts
+++ b/packages/history/src/serverLimitChecker.ts
@@ -1,32 +1,32 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What a server that names a limit may get from gateways that it has told. */
+/** Requests that a server may receive from gateways that have received its advertised limit. */
 export interface ServerLimitBounds {
-    /** Times what the limit allows, and requests besides, in any one window. */
+    /** Allowed in any one window: the limit times `factor`, plus `slack` requests. */
     readonly factor: number;
     readonly slack: number;
     readonly windowMs: number;
-    /** Time from the first naming on until the limit must be kept, in milliseconds. */
+    /** Time from the first advertisement until the limit must be enforced, in milliseconds. */
     readonly settleMs: number;
-    /** Time from an answer that passed through a gateway on until that gateway counts as told, in milliseconds. */
+    /** Time that a gateway has to apply the limit after it forwarded a response that advertises it, in milliseconds. */
     readonly gatewayGraceMs: number;
 }
 
 interface LimitedServer {
     readonly namedAtMs: number;
-    /** Every limit that it has named, `Infinity` for its end, with when. */
+    /** Every limit that the server has advertised, with its time; `Infinity` ends the limit. */
     readonly limits: { readonly atMs: number; readonly perSecond: number; }[];
     readonly toldAtMs: Map<string, number>;
     readonly arrivals: HistoryLine[];
 }
 
 /**
- * Checks that a server which names a limit of requests a second gets no more than it may from the gateways that it has told, all of them
- * together.
+ * Checks that a server that advertises a rate limit receives no more requests than that from all gateways together that
+ * have received the limit.
  *
- * @param history - every line of a run, in the order of its times; callers' requests name their gateways
- * @param bounds - what such a server may get
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time; `callerSent` lines must have a gateway
+ * @param bounds - the tolerance
+ * @returns violations; empty if the invariant held
  */
 export function checkServerLimit(history: readonly HistoryLine[], bounds: ServerLimitBounds): readonly Violation[] {
     const gatewayOf = new Map<string, string>();
@@ -76,7 +76,7 @@
     { factor, slack, windowMs }: ServerLimitBounds,
 ): Violation | undefined {
     const fromMs = line.atMs - windowMs;
-    // The highest limit that held at any time of the window.
+    // The highest limit that was in force at any time of the window applies.
     const heldAtStart = limits.findLast(({ atMs }) => atMs <= fromMs);
     const held = [...limits.filter(({ atMs }) => atMs > fromMs), ...(heldAtStart === undefined ? [] : [heldAtStart])];
     const perSecond = Math.max(...held.map(each => each.perSecond));
@@ -87,9 +87,10 @@
     }
     return {
         invariant: "serverLimit",
-        detail: `${line.server} named ${perSecond} a second and got ${recent.length} requests in ${windowMs} ms, ${
-            Math.floor(allowed)
-        } are allowed`,
+        detail:
+            `${line.server} advertised ${perSecond} per second and got ${recent.length} requests in ${windowMs} ms, ${
+                Math.floor(allowed)
+            } are allowed`,
         lines: recent.map(({ sequence }) => sequence),
     };
 }
--- a/packages/history/src/serverResponseMetadataCheckers.ts
+++ b/packages/history/src/serverResponseMetadataCheckers.ts
@@ -1,10 +1,10 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What a server that wants rest may get from a gateway that it has told. */
+/** Requests that a gateway may still send to a server that asked it to back off. */
 export interface ServerBackoffBounds {
-    /** Time for what is on its way, from the answer on, in milliseconds. */
+    /** Time after the response in which requests in transit don't count, in milliseconds. */
     readonly inFlightGraceMs: number;
-    /** Requests from then to the end of the rest. */
+    /** Maximum requests from then until the back-off ends. */
     readonly maxRequests: number;
 }
 
@@ -15,11 +15,11 @@
 }
 
 /**
- * Checks that a gateway which a server has asked for rest leaves it alone until the end of that time.
+ * Checks that a gateway sends no requests to a server that asked it to back off until the back-off ends.
  *
- * @param history - every line of a run, in the order of its times; callers' requests name their gateways
- * @param bounds - what such a server may get all the same
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time; `callerSent` lines must have a gateway
+ * @param bounds - the exceptions allowed
+ * @returns violations; empty if the invariant held
  */
 export function checkServerBackoff(history: readonly HistoryLine[], bounds: ServerBackoffBounds): readonly Violation[] {
     const gatewayOf = new Map<string, string>();
@@ -39,7 +39,8 @@
             }
             rest.arrivals.push(line.sequence);
             if (rest.arrivals.length > bounds.maxRequests) {
-                const detail = `${key} got ${rest.arrivals.length} requests in a time for which the server wanted none`;
+                const detail =
+                    `${key} got ${rest.arrivals.length} requests during a back-off that the server asked for`;
                 violations.push({ invariant: "serverRest", detail, lines: [...rest.arrivals] });
             }
         }
@@ -52,11 +53,12 @@
 }
 
 /**
- * Checks that a gateway which has passed on an answer in which a server says that it leaves gives it no new work.
+ * Checks that a gateway sends no new requests to a server after it has forwarded a response in which that server
+ * announces its shutdown.
  *
- * @param history - every line of a run, in the order of its times; callers' requests name their gateways
- * @param graceMs - from that answer on, until the last request that may be given to it was sent by its caller
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time; `callerSent` lines must have a gateway
+ * @param graceMs - requests that callers send within this time after the response may still reach the server, in ms
+ * @returns violations; empty if the invariant held
  */
 export function checkLeavingRespected(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
     const sent = new Map<string, { readonly gateway: string; readonly atMs: number; }>();
@@ -78,9 +80,9 @@
         if (request !== undefined && since !== undefined && request.atMs > since.atMs + graceMs) {
             violations.push({
                 invariant: "leavingHeeded",
-                detail: `${line.server} got a request that ${request.gateway} was sent ${
+                detail: `${line.server} got a request that was sent to ${request.gateway} ${
                     Math.round(request.atMs - since.atMs)
-                } ms after it had heard that the server leaves`,
+                } ms after the server had announced its shutdown to it`,
                 lines: [since.sequence, line.sequence],
             });
         }
@@ -88,7 +90,10 @@
     return violations;
 }
 
-/** A gateway that was started again has heard nothing: callers' lines are recorded under its life. */
+/**
+ * Identifies a gateway's process incarnation, since a restarted gateway has no knowledge of earlier responses. Callers'
+ * lines name the incarnation as their `process`.
+ */
 function gatewayLifeOf({ process, gateway = "" }: HistoryLine & { readonly gateway?: string | undefined; }): string {
     return `${gateway} ${process}`;
 }
--- a/packages/history/src/workspaceKeyChecker.ts
+++ b/packages/history/src/workspaceKeyChecker.ts
@@ -4,11 +4,11 @@
 type LineOf<Type extends HistoryLine["type"]> = Extract<HistoryLine, { readonly type: Type; }>;
 type Sent = LineOf<"callerSent">;
 
-/** What a version says of a request: the name that a server is told, or that it must not run. */
+/** What a configuration version prescribes for a request: the workspace name sent to the server, or rejection. */
 type Ruling =
-    /** The version has no workspaces: whatever the caller sent is passed on. */
+    /** The version has no workspaces: whatever the caller sent is forwarded. */
     | { readonly type: "unchecked"; }
-    /** `name` is `undefined` on an open route without a known key. */
+    /** `name` is `undefined` for a request without a known key on an open route. */
     | { readonly type: "admitted"; readonly name: string | undefined; }
     | { readonly type: "rejected"; };
 
@@ -16,18 +16,18 @@
 const overLimitStatus = 429;
 
 /**
- * Checks that requests run for the holder of their key and for nobody else:
+ * Checks that requests run only for the workspace that their key belongs to:
  *
- * - `keyPassedOn`: no backend server gets a caller's key;
- * - `unknownKey`: no request runs whose key no version ever held;
- * - `workspaceName`: a server is told the name of the workspace that holds the key by a version that may be in force;
- * - `revokedKey`: a key that a version revokes runs nothing that was sent after that version must be in force;
- * - `keyDenied`: no request is refused with 401 whose key is there by every version that may be in force;
- * - `limitRefused`: no request is refused with 429 whose workspace has no limit by any version that may be in force.
+ * - `keyPassedOn`: no backend server receives a caller's key;
+ * - `unknownKey`: no request runs with a key that no version ever contained;
+ * - `workspaceName`: the workspace name sent to a server owns the key in a version that may be in force;
+ * - `revokedKey`: no request runs with a revoked key if it was sent after the revoking version must be in force;
+ * - `keyDenied`: no request gets status 401 if every version that may be in force contains its key;
+ * - `limitRefused`: no request gets status 429 if its workspace has no limit in any version that may be in force.
  *
- * @param history - every line of a run, in the order of its times
- * @param bounds - from when on a version replaces the ones before it
- * @returns what was found against it; empty where the invariants held
+ * @param history - every line of a run, ordered by time
+ * @param bounds - when a version must have replaced the earlier ones
+ * @returns violations; empty if the invariants held
  */
 export function checkWorkspaceKeys(history: readonly HistoryLine[], bounds: VersionBounds): readonly Violation[] {
     const versions = new ConfigurationVersions(history, bounds);
@@ -79,12 +79,12 @@
 ): readonly [invariant: string, detail: string] | undefined {
     const inForce = versions.inForce(request.atMs, atMs);
     if (status === unauthenticatedStatus && inForce.every(version => rule(version, request).type !== "rejected")) {
-        return ["keyDenied", "got 401, and is admitted by every version that may be in force"];
+        return ["keyDenied", "got 401, although every version that may be in force admits it"];
     }
     const hasNoLimit = ({ workspaces }: ConfigurationVersion): boolean =>
         workspaces !== undefined && findHolder(workspaces, request)?.limit === undefined;
     return status === overLimitStatus && inForce.every(hasNoLimit)
-        ? ["limitRefused", "got 429, and its workspace has no limit by any version that may be in force"]
+        ? ["limitRefused", "got 429, although its workspace has no limit in any version that may be in force"]
         : undefined;
 }
 
@@ -110,15 +110,18 @@
     };
     const written = versions.writtenUntil(atMs);
     if (!written.some(admits)) {
-        return ["unknownKey", `ran on ${server}, and no version ever held its key`];
+        return ["unknownKey", `ran on ${server}, although no version ever contained its key`];
     }
     const inForce = versions.inForce(request.atMs, atMs);
     if (inForce.some(allows)) {
         return undefined;
     }
     return inForce.some(admits)
-        ? ["workspaceName", `ran on ${server} for ${told}, which doesn't hold its key`]
-        : ["revokedKey", `ran on ${server} for ${told}, and version ${inForce[0]?.revision ?? 0} has revoked its key`];
+        ? ["workspaceName", `ran on ${server} for ${told}, which doesn't own its key`]
+        : [
+            "revokedKey",
+            `ran on ${server} for ${told}, although version ${inForce[0]?.revision ?? 0} has revoked its key`,
+        ];
 }
 
 function findHolder(workspaces: readonly WrittenWorkspace[], { keyId }: Sent): WrittenWorkspace | undefined {
--- a/packages/history/src/workspaceLimitChecker.ts
+++ b/packages/history/src/workspaceLimitChecker.ts
@@ -4,13 +4,13 @@
 /** How far a workspace's requests may exceed its limit. */
 export interface WorkspaceLimitBounds extends VersionBounds {
     readonly windowMs: number;
-    /** Share of the limit that may be exceeded in a window. */
+    /** Tolerance in a window, as a share of the limit. */
     readonly overshoot: number;
-    /** Requests besides, in any one window. */
+    /** Fixed number of requests allowed in any one window in addition. */
     readonly slack: number;
 }
 
-/** A request that has run: when its caller sent it and when the first server started it. */
+/** A request that ran: when its caller sent it, and when a server first started it. */
 interface Run {
     readonly sentAtMs: number;
     readonly startedAtMs: number;
@@ -20,14 +20,14 @@
 const msPerSecond = 1_000;
 
 /**
- * Checks that all hosts together keep the limit of each workspace: in any one window, the requests that were both sent
- * and run in it are at most what the limit allows with its tolerance. A request counts once, however often it ran. Where
- * the limit changes, the largest one that may be in force at any time of the window holds, so that a lowered limit binds
- * windows that begin once it is in force everywhere.
+ * Checks that all hosts together enforce the limit of each workspace: in any one window, the number of requests that
+ * were both sent and started in it is at most the limit with its tolerance. A request counts once, however often it
+ * ran. If the limit changes, the largest one that may be in force at any time of the window applies, so that a lowered
+ * limit applies to windows that start once it is in force on every host.
  *
- * @param history - every line of a run, in the order of its times
+ * @param history - every line of a run, ordered by time
  * @param bounds - how far a limit may be exceeded
- * @returns the fullest window of each workspace that exceeds its limit; empty where the invariant held
+ * @returns for each workspace over its limit, the window that exceeds it most; empty if the invariant held
  */
 export function checkWorkspaceLimits(
     history: readonly HistoryLine[],
@@ -43,9 +43,10 @@
             const within = findWithin(runs, i, untilMs);
             const excess = within.length - allowed;
             if (excess > (worst?.excess ?? 0)) {
-                const detail = `${workspace}: ${within.length} requests were sent and run in ${bounds.windowMs} ms, ${
-                    Math.floor(allowed)
-                } are allowed`;
+                const detail =
+                    `${workspace}: ${within.length} requests were sent and started in ${bounds.windowMs} ms, ${
+                        Math.floor(allowed)
+                    } are allowed`;
                 const lines = within.map(({ sequence }) => sequence);
                 worst = { excess, violation: { invariant: "workspaceLimit", detail, lines } };
             }
@@ -57,7 +58,7 @@
     return violations;
 }
 
-/** @returns runs by the workspace that servers were told, in the order in which their callers sent them */
+/** @returns runs by the workspace name that servers received, ordered by the time at which callers sent the requests */
 function findRuns(history: readonly HistoryLine[]): ReadonlyMap<string, readonly Run[]> {
     const sentAtMs = new Map<string, number>();
     const counted = new Set<string>();
@@ -101,14 +102,15 @@
     fromMs: number,
     { windowMs, overshoot, slack }: WorkspaceLimitBounds,
 ): number {
-    // What is in force at a host stays in force there, whatever befalls it within the window.
+    // Hosts need to be in sync only at the window's start: a host never falls back to a version that it has replaced.
     const possible = versions.inForce(fromMs, fromMs + windowMs, fromMs);
     const workspaces = possible.map(version => version.workspaces?.find(workspace => workspace.name === name));
     const allow = ({ limit }: WrittenWorkspace): number =>
         limit === undefined
             ? Infinity
             : (limit.perSecond * windowMs / msPerSecond + limit.burst) * (1 + overshoot) + slack;
-    // A version without the workspace allows it nothing; where no version has it, its name is at fault and not its rate.
+    // Versions without the workspace allow it nothing. If no version has it, the name is wrong rather than the rate,
+    // which checkWorkspaceKeys reports.
     const allowed = workspaces.flatMap(workspace => workspace === undefined ? [] : [allow(workspace)]);
     return allowed.length === 0 ? Infinity : Math.max(...allowed);
 }
--- a/packages/history/src/zoneOutChecker.ts
+++ b/packages/history/src/zoneOutChecker.ts
@@ -6,12 +6,13 @@
 }
 
 /**
- * Checks that an availability zone that was taken out receives no new work: from `graceMs` after the change was
- * accepted until the zone is asked back in, no backend server in it starts a request.
+ * Checks that an availability zone that was taken out receives no new requests: from `graceMs` after the change was
+ * accepted until an operator requests the zone back in, no backend server in it starts a request.
  *
- * @param history - every line of a run, in the order of its times
- * @param graceMs - for requests that were on the wire when the change was accepted; the brief's "a few seconds"
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time
+ * @param graceMs - allowance for requests in transit when the change was accepted, in milliseconds; a few seconds by
+ *   the requirements
+ * @returns violations; empty if the invariant held
  */
 export function checkZoneOut(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
     const out = new Map<string, ZoneOut>();
@@ -31,7 +32,8 @@
             const lateMs = Math.round(line.atMs - since.atMs);
             violations.push({
                 invariant: "zoneOut",
-                detail: `${line.server} in ${line.availabilityZone} started a request ${lateMs} ms after it was out`,
+                detail:
+                    `${line.server} in ${line.availabilityZone} started a request ${lateMs} ms after it was taken out`,
                 lines: [since.sequence, line.sequence],
             });
         }
--- a/packages/replay/src/__tests__/command.test.ts
+++ b/packages/replay/src/__tests__/command.test.ts
@@ -41,20 +41,20 @@
     return { code, output, errors, written };
 }
 
-test("every scenario in the repository is valid", () => {
+test("every scenario file in the repository is valid", () => {
     for (const name of readdirSync(scenarios)) {
         const resolved = resolveScenario(readFileSync(new URL(name, scenarios), "utf8"));
         assert.ok(resolved.isRight(), `${name}: ${JSON.stringify(resolved.extract())}`);
     }
 });
 
-test("the same scenario and seed show the same, another seed something else", () => {
+test("the same scenario and seed give the same report, and another seed gives a different one", () => {
     const scenario = resolveScenario(small).unsafeCoerce();
     assert.deepEqual(runReplay(scenario), runReplay(scenario));
     assert.notDeepEqual(runReplay(scenario), runReplay({ ...scenario, seed: 2 }));
 });
 
-test("a table, JSON for each seed, and a plot", () => {
+test("writes a text report, JSON for each seed, and an SVG plot", () => {
     const files = { "small.yaml": small };
     assert.match(run(["small.yaml"], files).output, /small, seed 1: \d+ callers/);
     const { output, written, code } = run(["small.yaml", "--json", "--seeds", "1,2", "--svg", "plot.svg"], files);
@@ -63,13 +63,13 @@
     assert.match(written.get("plot.svg") ?? "", /^<svg .*<\/svg>\n$/s);
 });
 
-test("two variants are played on the same seeds, and their figures stand side by side", () => {
+test("--compare runs both variants with the same seeds and prints their results side by side", () => {
     const files = { "small.yaml": small, "variant.yaml": "waitShare: 0.3\n" };
     const { output } = run(["small.yaml", "--seeds", "1,2", "--compare", "variant.yaml"], files);
     assert.deepEqual(output.trim().split("\n").map(line => line.split(" ")[0]), ["seed", "1", "2"]);
 });
 
-test("bad input: a clear error for each, and exit code 2", () => {
+test("invalid input: prints an error that names the fault, and exits with code 2", () => {
     const files = {
         "small.yaml": small,
         "unknown.yaml": `${small}surprise: 1\n`,
@@ -77,12 +77,12 @@
         "noPolicy.yaml": "waitShares: 1\n",
     };
     const cases = [
-        [[], /one scenario is expected/],
+        [[], /expected one scenario file/],
         [["gone.yaml"], /gone.yaml: no such file/],
         [["unknown.yaml"], /unknown.yaml:\d+:\d+.*surprise/s],
-        [["noService.yaml"], /no service none/],
+        [["noService.yaml"], /unknown service none/],
         [["small.yaml", "--compare", "noPolicy.yaml"], /waitShares/],
-        [["small.yaml", "--seeds", "a"], /whole numbers/],
+        [["small.yaml", "--seeds", "a"], /expected integers from 0 to 4294967295/],
         [["small.yaml", "--what"], /what/],
     ] as const;
     for (const [args, message] of cases) {
--- a/packages/replay/src/__tests__/eventQueue.test.ts
+++ b/packages/replay/src/__tests__/eventQueue.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { EventQueue } from "../index.js";
 
-test("events run by time, and those of one moment in the order in which they were added", () => {
+test("events run in order of time, and events at the same time in the order in which they were added", () => {
     fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: 20 }), { maxLength: 60 }), delays => {
         const events = new EventQueue();
         const seen: (readonly [number, number])[] = [];
@@ -16,8 +16,8 @@
     }));
 });
 
-// A replay whose decisions ask without end ran on for minutes in place of failing.
-test("what schedules itself without end fails with the time at which it did", () => {
+// A replay whose placement decisions probed without end kept running for minutes instead of failing.
+test("an event that schedules itself without end fails with its time", () => {
     const events = new EventQueue();
     const again = (): void => events.schedule(0, again);
     events.schedule(5, again);
--- a/packages/replay/src/__tests__/simulatedServer.test.ts
+++ b/packages/replay/src/__tests__/simulatedServer.test.ts
@@ -33,7 +33,7 @@
     );
 }
 
-/** @returns when each of some requests that arrive together was done; those that were not taken have none */
+/** @returns end times of requests that arrive together, without those that the server rejected */
 function serve(count: number, prepare: (server: SimulatedServer) => void = () => undefined): readonly number[] {
     const events = new EventQueue();
     const server = createServer(events);
@@ -46,17 +46,17 @@
     return done;
 }
 
-test("below its knee work takes its time, from there on all of it longer", () => {
+test("requests take their usual time below the knee, and all of them take longer above it", () => {
     assert.deepEqual(serve(2), [100, 100]);
     assert.deepEqual(serve(3), [200, 200, 200]);
 });
 
-test("what finds no slot waits for one, and what finds no place in the queue is reset", () => {
+test("a request waits if all slots are busy, and its connection is reset if the queue is full", () => {
     assert.deepEqual(serve(4), [200, 200, 200, 300]);
     assert.equal(serve(5).length, 4);
 });
 
-test("a cold server works slower, and counts what reaches it", () => {
+test("a cold server is slower and counts the requests that reach it", () => {
     const events = new EventQueue();
     const server = createServer(events);
     server.coldUntilMs = 1_000;
@@ -68,7 +68,7 @@
     assert.equal(server.findMaxColdArrivalsPerSecond(), 1);
 });
 
-test("abandoned work frees its slot for the next one in the queue", () => {
+test("an abandoned request frees its slot for the next one in the queue", () => {
     const events = new EventQueue();
     const server = createServer(events);
     const done: string[] = [];
--- a/packages/replay/src/command.ts
+++ b/packages/replay/src/command.ts
@@ -10,16 +10,16 @@
 import { type Scenario } from "./world/scenario.js";
 
 const usage = `usage: npm run replay -- SCENARIO.yaml [options]
-    --seeds A,B         seeds in place of the scenario's own
-    --compare FILE      plays each seed again with these settings of the placement (YAML)
-    --json              prints reports as JSON
-    --svg FILE          draws the last seed's report
+    --seeds A,B         seeds to use instead of the scenario's own
+    --compare FILE      runs each seed a second time with these placement settings (YAML)
+    --json              prints the reports as JSON
+    --svg FILE          writes a plot of the last seed's report
     --help`;
 
 const badInputExitCode = 2;
 const largestSeed = 0xffff_ffff;
 
-/** Where a run of the command reads and writes. */
+/** Files and terminal of a command run. */
 export interface CommandIo {
     readonly readFile: (path: string) => string;
     readonly writeFile: (path: string, text: string) => void;
@@ -38,9 +38,9 @@
 /**
  * Runs the replay command.
  *
- * @param args - the command line without node and script
+ * @param args - command-line arguments, without the Node executable and the script
  * @param io - files and terminal
- * @returns the exit code: 0, or 2 where the input is faulty
+ * @returns exit code: 0, or 2 for invalid input
  */
 export function runCommand(args: readonly string[], io: CommandIo): number {
     return readInput(args, io).caseOf({
@@ -104,7 +104,7 @@
         return Left(usage);
     }
     if (path === undefined || others.length > 0) {
-        return Left(`one scenario is expected\n${usage}`);
+        return Left(`expected one scenario file\n${usage}`);
     }
     const { compare, json, svg } = values;
     return readChecked(path, resolveScenario, io).chain(scenario =>
@@ -139,5 +139,5 @@
     const seeds = text.split(",").map(Number);
     return seeds.every(seed => Number.isInteger(seed) && seed >= 0 && seed <= largestSeed)
         ? Right(seeds)
-        : Left(`--seeds ${text}: whole numbers from 0 to ${largestSeed} are expected`);
+        : Left(`--seeds ${text}: expected integers from 0 to ${largestSeed}`);
 }
--- a/packages/replay/src/index.ts
+++ b/packages/replay/src/index.ts
@@ -1,4 +1,4 @@
-/** Replays loads on the placement's decisions: no sockets, no processes, a clock of its own. */
+/** Discrete-event simulation of the placement decisions under load, without sockets, processes or real time. */
 export { findMaxWithin, FleetRecorder, type ReplayReport, type ReplayWindow } from "./report/fleetRecorder.js";
 export { renderPlot } from "./report/renderPlot.js";
 export { renderComparison, renderReport } from "./report/renderReport.js";
--- a/packages/replay/src/report/fleetRecorder.ts
+++ b/packages/replay/src/report/fleetRecorder.ts
@@ -2,52 +2,57 @@
 import { type FleetReplay } from "../world/fleetReplay.js";
 import { type SimulatedCaller } from "../world/simulatedCaller.js";
 
-/** What became of the callers of one span of time. Shares go from 0 to 1. */
+/** Outcomes of the callers that arrived in one window. Shares are from 0 to 1. */
 export interface ReplayWindow {
-    /** Start of the span, in seconds. */
+    /** Start of the window, in seconds. */
     readonly fromSeconds: number;
     readonly asked: number;
     readonly inTime: number;
     readonly late: number;
     readonly refused: number;
     readonly failed: number;
-    /** Load probes, a server and second. */
+    /** Load probes per server and second. */
     readonly probes: number;
-    /** Share of all servers' slots that were taken, on average. */
+    /** Average share of busy slots of all servers. */
     readonly slots: number;
 }
 
-/** Figures of one kind of request. */
+/** Results for one request kind. */
 export interface RequestKindStats {
     readonly name: string;
     readonly asked: number;
+    /** Share of the callers that were answered within the objective. */
     readonly inTime: number;
-    /** In milliseconds. */
+    /** Latency percentiles, in milliseconds. */
     readonly p50: number;
     readonly p99: number;
 }
 
-/** What a replay showed. */
+/** Report of a replay. */
 export interface ReplayReport {
     readonly scenario: string;
     readonly seed: number;
     readonly callers: number;
-    /** Share of the callers that were answered within their objective. */
+    /** Share of the callers that were answered within the objective. */
     readonly inTime: number;
-    /** Mean share of the two windows with the lowest one. */
+    /** Mean of the two lowest windows' shares of callers answered within the objective. */
     readonly worstWindows: number;
+    /** Share of the callers that were refused. */
     readonly refused: number;
-    /** Load probes and new connections, for each caller. */
+    /** Load probes and new connections per caller. */
     readonly probesPerCaller: number;
     readonly connectionsPerCaller: number;
-    /** Most load probes of one server within ten seconds. */
+    /** Maximum number of load probes to one server within ten seconds. */
     readonly mostProbes: number;
-    /** Most requests to one cold server within a second. */
+    /** Maximum number of requests to one cold server within a second. */
     readonly mostColdArrivals: number;
-    /** Most requests within four seconds to one server that named a limit, from gateways that it had told. */
+    /**
+     * Maximum number of requests within four seconds to one server with a limit, from gateways that must enforce it.
+     */
     readonly mostLimitedArrivals: number;
-    /** All of these requests, and those of other gateways. */
+    /** Number of all these requests. */
     readonly limitedArrivals: number;
+    /** Number of requests to servers with a limit from gateways that need not enforce it yet. */
     readonly untoldArrivals: number;
     readonly kinds: readonly RequestKindStats[];
     readonly windows: readonly ReplayWindow[];
@@ -58,12 +63,12 @@
 const worstWindows = 2;
 const limitWindowMs = 4_000;
 
-/** Notes what servers do while a replay goes on, and sums up at its end. */
+/** Samples the servers during a replay and creates the report at its end. */
 export class FleetRecorder {
     readonly everyMs = sampleMs;
     readonly #slotSamples: { readonly atMs: number; readonly share: number; }[] = [];
 
-    /** Called by the replay as time passes. */
+    /** Takes a sample; called by the replay every `everyMs` milliseconds. */
     readonly run = (fleet: FleetReplay, nowMs: number): void => {
         let running = 0;
         let slots = 0;
@@ -76,10 +81,10 @@
         this.#slotSamples.push({ atMs: nowMs, share: slots === 0 ? 0 : running / slots });
     };
 
-    /** @returns the report of a replay that has ended */
+    /** @returns the report of a finished replay */
     report(fleet: FleetReplay): ReplayReport {
         const { scenario, callers, servers, gateways } = fleet;
-        // Those of the last moment had no time to be answered.
+        // Callers that arrived shortly before the end had too little time to get a response.
         const settled = callers.filter(({ arrivedAtMs, kind }) =>
             arrivedAtMs + kind.objectiveMs <= scenario.durationMs
         );
@@ -135,7 +140,7 @@
     }
 }
 
-/** @returns the most of some sorted times that lie within one span */
+/** @returns maximum number of the sorted times that lie within one span */
 export function findMaxWithin(timesMs: readonly number[], spanMs: number): number {
     let most = 0;
     let first = 0;
--- a/packages/replay/src/report/renderPlot.ts
+++ b/packages/replay/src/report/renderPlot.ts
@@ -2,7 +2,7 @@
 
 interface Panel {
     readonly title: string;
-    /** Top of the scale; `undefined` for the largest figure. */
+    /** Maximum of the scale; `undefined` to use the largest value. */
     readonly top: number | undefined;
     readonly figureOf: (window: ReplayWindow) => number;
 }
@@ -13,16 +13,16 @@
 const colors = ["#1f5fa8", "#c2571a"];
 
 const panels: readonly Panel[] = [
-    { title: "share in objective", top: 1, figureOf: ({ inTime, asked }) => inTime / Math.max(1, asked) },
+    { title: "share within objective", top: 1, figureOf: ({ inTime, asked }) => inTime / Math.max(1, asked) },
     { title: "share refused", top: undefined, figureOf: ({ refused, asked }) => refused / Math.max(1, asked) },
-    { title: "load probes a server and second", top: undefined, figureOf: ({ probes }) => probes },
-    { title: "share of slots taken", top: 1, figureOf: ({ slots }) => slots },
+    { title: "load probes per server and second", top: undefined, figureOf: ({ probes }) => probes },
+    { title: "share of busy slots", top: 1, figureOf: ({ slots }) => slots },
 ];
 
 /**
- * Draws what became of callers, load probes and slots over time.
+ * Plots the outcomes of callers, the load probes and the busy slots over time.
  *
- * @param reports - one, or two variants of the same scenario
+ * @param reports - the report of a scenario, or those of two variants of it
  * @returns an SVG document
  */
 export function renderPlot(reports: readonly ReplayReport[]): string {
--- a/packages/replay/src/report/renderReport.ts
+++ b/packages/replay/src/report/renderReport.ts
@@ -1,10 +1,10 @@
 import { type ReplayReport } from "./fleetRecorder.js";
 
 /**
- * Renders a replay's report for a person.
+ * Renders a replay's report as text.
  *
  * @param report - the report
- * @returns lines of text
+ * @returns several lines of text
  */
 export function renderReport(report: ReplayReport): string {
     const { kinds, windows } = report;
@@ -13,10 +13,10 @@
         + `worst windows ${percent(report.worstWindows)}, refused ${percent(report.refused)}`,
         `load probes ${report.probesPerCaller.toFixed(2)} and new connections ${
             report.connectionsPerCaller.toFixed(2)
-        } a caller; `
-        + `at most ${report.mostProbes} probes of a server in ten seconds, ${report.mostColdArrivals} requests to a cold one in one, `
-        + `${report.mostLimitedArrivals} to one that named a limit in four`
-        + ` (${report.limitedArrivals} in all, ${report.untoldArrivals} from gateways not told)`,
+        } per caller; `
+        + `maximum ${report.mostProbes} probes of a server in ten seconds, ${report.mostColdArrivals} requests to a cold server in one second, `
+        + `${report.mostLimitedArrivals} to a server with a limit in four seconds`
+        + ` (${report.limitedArrivals} in all, ${report.untoldArrivals} from gateways without the limit)`,
         "",
         renderTable(
             ["kind", "asked", "in time", "p50 ms", "p99 ms"],
@@ -41,10 +41,10 @@
 }
 
 /**
- * Renders two variants of the policy side by side, seed by seed.
+ * Renders the results of two policy variants side by side, one row per seed.
  *
- * @param pairs - reports of the same scenario and seed: the first variant's, the second one's
- * @returns lines of text
+ * @param pairs - reports of the first and the second variant for the same scenario and seed
+ * @returns several lines of text
  */
 export function renderComparison(pairs: readonly (readonly [ReplayReport, ReplayReport])[]): string {
     const rows = pairs.map(([a, b]) => [
--- a/packages/replay/src/rollout/rolloutSimulation.ts
+++ b/packages/replay/src/rollout/rolloutSimulation.ts
@@ -13,7 +13,7 @@
 
 const stepMs = 10;
 const tickMs = 250;
-/** Within which a gateway in touch hears of a change. */
+/** Maximum time until a connected gateway receives a change of the store. */
 const hearingMs = 500;
 const startMs = 10_000;
 
@@ -33,7 +33,7 @@
     readonly run: () => void;
 }
 
-/** A fleet of gateways with a store and servers of two versions, on a clock of its own; everything follows from the seed. */
+/** Deterministic simulation of a rollout: gateways, a store and servers of two versions on a virtual clock. */
 export class RolloutSimulation {
     readonly #scenario: RolloutScenario;
     readonly #random: RandomSource;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Plays the roll-out to its end and some time on. */
+    /** Runs the rollout to its end, and for some time after that. */
     run(): RolloutSimulationResult {
         const { allowedMs } = this.#scenario;
         const order: RolloutOrder = { service, version: newVersion, allowedMs };
@@ -129,7 +129,7 @@
         }
     }
 
-    /** It comes back after a while, and knows nothing of before. */
+    /** Kills a gateway, which restarts after a while without its state. */
     #kill(gateway: Gateway): void {
         gateway.downUntilMs = this.#nowMs + 2_000;
         this.#at(gateway.downUntilMs, () => {
@@ -242,7 +242,7 @@
         const { participant } = gateway;
         const isAway = gateway.cutUntilMs > this.#nowMs || this.#storeAwayUntilMs > this.#nowMs;
         const answerIsLost = trouble === "lostWrites" && this.#random.next() < 0.5;
-        // A write whose answer is lost may be done seconds later, if its condition still holds.
+        // A write whose response is lost may be committed seconds later, if its expected revision still matches.
         const delayMs = answerIsLost ? this.#random.next() * 4_000 : 5;
         if (isAway) {
             this.#at(this.#nowMs + 400, () => participant.onStatusWritten(service, undefined, this.#nowMs));
--- a/packages/replay/src/rollout/rolloutTable.ts
+++ b/packages/replay/src/rollout/rolloutTable.ts
@@ -6,22 +6,22 @@
 } from "./rolloutScenario.js";
 import { RolloutSimulation } from "./rolloutSimulation.js";
 
-/** What a table of roll-outs is made of. */
+/** Settings of a table of simulated rollouts. */
 export interface RolloutTableInput {
-    /** Roll-outs of each kind of version with each trouble. */
+    /** Number of rollouts for each combination of version fault and injected fault. */
     readonly seeds: number;
     readonly scenario: Omit<RolloutScenario, "seed" | "badness" | "trouble">;
 }
 
 /**
- * Plays roll-outs of sound and bad versions with each trouble.
+ * Simulates rollouts of good and bad versions with each injected fault.
  *
- * @param input - how many, and of what size
- * @returns one row for each kind of version and trouble, as Markdown
+ * @param input - number and size of the rollouts
+ * @returns Markdown table with one row for each combination of version fault and injected fault
  */
 export function renderRolloutTable({ seeds, scenario }: RolloutTableInput): string {
     const rows = [
-        "| version | beside | completed | rolled back | open | most exposed, of the share allowed | median end, s |",
+        "| version fault | injected fault | completed | rolled back | open | maximum exposed share | median end, s |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ];
     for (const badness of versionFaults) {
--- a/packages/replay/src/rollout/versionedServers.ts
+++ b/packages/replay/src/rollout/versionedServers.ts
@@ -5,20 +5,20 @@
 export const service = "tables";
 export const oldVersion = "v1";
 export const newVersion = "v2";
-/** Usual work of one request, in milliseconds. */
+/** Usual execution time of a request, in milliseconds. */
 export const workMs = 150;
 
 const serversPerVersion = 12;
 const slots = 4;
 const coldMs = 2_000;
-/** When a fault that comes late begins, since the order. */
+/** Time from the order until a late fault starts. */
 const lateMs = 3_000;
-/** Share of everybody's answers that are bad in a trouble that both versions share, and when it lasts. */
+/** Share of bad responses of both versions during a shared fault, and its period as shares of the allowed time. */
 const sharedBadShare = 0.3;
 const sharedFromShare = 0.2;
 const sharedToShare = 0.6;
 
-/** The servers of both versions, with what runs on each. */
+/** The servers of both versions, with the number of requests running on each. */
 export class VersionedServers {
     readonly all: readonly RegisteredServer[];
     readonly #scenario: RolloutScenario;
@@ -34,23 +34,23 @@
         ]).flat();
     }
 
-    /** A cold server is left alone, and a full one too. */
+    /** @returns whether a server is neither cold nor full */
     hasCapacity({ id, version }: RegisteredServer, sinceOrderMs: number): boolean {
         const isCold = version === newVersion && sinceOrderMs < coldMs;
         return !isCold && (this.#running.get(id) ?? 0) < slots;
     }
 
-    /** A request begins on a server. @returns whether its answer will be bad */
+    /** Counts a request that starts on a server. @returns whether its response will be bad */
     begin(server: RegisteredServer, route: string, sinceOrderMs: number): boolean {
         return this.#isBad(server, route, this.#change(server.id, 1), sinceOrderMs);
     }
 
-    /** A request has ended on a server. */
+    /** Counts a request that has ended on a server. */
     end({ id }: RegisteredServer): void {
         this.#change(id, -1);
     }
 
-    /** @returns how many requests run on a version's servers */
+    /** @returns number of requests running on the servers of a version */
     countRunning(version: string): number {
         return this.all
             .filter(server => server.version === version)
--- a/packages/replay/src/runReplay.ts
+++ b/packages/replay/src/runReplay.ts
@@ -3,10 +3,10 @@
 import { type Scenario } from "./world/scenario.js";
 
 /**
- * Plays a scenario to its end.
+ * Runs a scenario to its end.
  *
- * @param scenario - what is played
- * @returns what it showed; the same for the same scenario and seed
+ * @param scenario - the scenario, with its seed
+ * @returns the report; deterministic for a scenario and seed
  */
 export function runReplay(scenario: Scenario): ReplayReport {
     const recorder = new FleetRecorder();
--- a/packages/replay/src/scenarioFile.ts
+++ b/packages/replay/src/scenarioFile.ts
@@ -18,7 +18,7 @@
 const factor = z.number().positive().max(1_000);
 const count = z.number().int().min(1).max(2_000);
 
-/** Settings of the placement that a scenario or a variant may change. */
+/** Placement settings that a scenario or a variant may override. */
 export const policySchema = z.strictObject({
     mostAskedAtOnce: z.number().int().min(1).max(16),
     wantedChance: share,
@@ -141,10 +141,10 @@
 const resolvePolicy = createSchemaResolver(policySchema);
 
 /**
- * Checks a scenario and fills in every default.
+ * Validates a scenario file and applies the defaults.
  *
  * @param text - YAML
- * @returns all faults at once, each with its line, or the frozen scenario
+ * @returns the frozen scenario, or all faults with their lines
  */
 export function resolveScenario(text: string): Either<readonly LocatedFault[], Scenario> {
     return checkYaml(text, document =>
@@ -155,10 +155,10 @@
 }
 
 /**
- * Checks settings of the placement for a comparison.
+ * Validates a file of placement settings for a comparison.
  *
  * @param text - YAML
- * @returns all faults at once, each with its line, or the settings
+ * @returns the settings, or all faults with their lines
  */
 export function resolvePolicyFile(text: string): Either<readonly LocatedFault[], Partial<PlacementPolicy>> {
     return checkYaml(text, resolvePolicy).map(dropUndefined);
@@ -169,21 +169,21 @@
     const faults: DocumentFault[] = [];
     for (const [i, { service }] of requests.entries()) {
         if (!serviceNames.has(service)) {
-            faults.push({ path: ["requests", i, "service"], message: `no service ${service}` });
+            faults.push({ path: ["requests", i, "service"], message: `unknown service ${service}` });
         }
     }
     for (const [i, each] of events.entries()) {
         if ("service" in each && each.service !== undefined && !serviceNames.has(each.service)) {
-            faults.push({ path: ["events", i, "service"], message: `no service ${each.service}` });
+            faults.push({ path: ["events", i, "service"], message: `unknown service ${each.service}` });
         }
         if ("from" in each && !zones.includes(each.from)) {
-            faults.push({ path: ["events", i, "from"], message: `no zone ${each.from}` });
+            faults.push({ path: ["events", i, "from"], message: `unknown zone ${each.from}` });
         }
         if ("zone" in each && !zones.includes(each.zone)) {
-            faults.push({ path: ["events", i, "zone"], message: `no zone ${each.zone}` });
+            faults.push({ path: ["events", i, "zone"], message: `unknown zone ${each.zone}` });
         }
         if ("kind" in each && each.kind !== undefined && !requests.some(request => request.name === each.kind)) {
-            faults.push({ path: ["events", i, "kind"], message: `no kind of request ${each.kind}` });
+            faults.push({ path: ["events", i, "kind"], message: `unknown request kind ${each.kind}` });
         }
     }
     return faults;
@@ -242,7 +242,7 @@
     }
 }
 
-/** A setting that is left out must not hide its default. */
+/** Removes undefined settings, which would override the defaults when the objects are merged. */
 function dropUndefined(settings: z.output<typeof policySchema>): Partial<PlacementPolicy> {
     const given: Record<string, number> = {};
     for (const [name, value] of Object.entries(settings) as [string, number | undefined][]) {
--- a/packages/replay/src/world/attempt.ts
+++ b/packages/replay/src/world/attempt.ts
@@ -19,11 +19,11 @@
 type Purpose = "first" | "retry" | "hedge";
 type Place = Extract<SearchStep, { readonly type: "send"; }>;
 
-/** How a try ended for its caller. */
+/** Outcome of an attempt for its caller. */
 export type AttemptOutcome =
     | { readonly type: "answered"; }
     | { readonly type: "refused"; readonly retryAfterMs: number; }
-    /** Nobody can say whether it ran; `mayRepeat` where the caller may try again all the same. */
+    /** The attempt failed, and the request may have run. Only callers of idempotent requests try again. */
     | { readonly type: "failed"; };
 
 interface SendUnderWay {
@@ -32,11 +32,14 @@
     readonly send: ServerSend;
 }
 
-/** How long the first round of probes waits for answers, doubled with each further one, and the last. */
+/** Timeout of the first round of probes. It doubles with each further round, up to the maximum. */
 const firstProbeTimeoutMs = 35;
 const longestProbeTimeoutMs = 150;
 
-/** One try of one caller at one gateway: finds servers, sends, repeats where that is allowed, and ends once. */
+/**
+ * One attempt of a caller at one gateway: searches for servers, sends the request, retries and hedges where allowed,
+ * and ends exactly once.
+ */
 export class Attempt {
     readonly #gateway: SimulatedGateway;
     readonly #caller: SimulatedCaller;
@@ -51,9 +54,9 @@
     #isOver = false;
 
     /**
-     * @param gateway - where it arrives
-     * @param caller - whose try it is
-     * @param onEnd - called once, unless the caller has left before
+     * @param gateway - the gateway that receives the request
+     * @param caller - the caller that sent it
+     * @param onEnd - called once, when the attempt ends
      */
     constructor(gateway: SimulatedGateway, caller: SimulatedCaller, onEnd: (end: AttemptOutcome) => void) {
         this.#gateway = gateway;
@@ -94,7 +97,7 @@
         this.#gateway.dequeueReady();
     }
 
-    /** Its turn has come. */
+    /** The startup queue has released this attempt. */
     onDequeued(): void {
         if (this.#isOver) {
             this.#gateway.onAttemptEnded(this);
@@ -108,7 +111,7 @@
         this.#planHedge();
     }
 
-    /** Waits for the gateway's first reading of the store, or refuses where that is no use. */
+    /** Holds the request until the gateway's first read of the store, or refuses it if that takes too long. */
     #whenRead(run: () => void): void {
         const gateway = this.#gateway;
         if (gateway.firstReadRemainingMs === 0) {
@@ -137,7 +140,7 @@
         });
     }
 
-    /** The gateway lost power: the caller's connection is gone, and so are those to servers. */
+    /** The gateway lost power, which closes the caller's connection and those to servers. */
     onPowerLost(): void {
         if (this.#isOver) {
             return;
@@ -204,7 +207,7 @@
         const gateway = this.#gateway;
         const server = gateway.directory.get(place.server.id);
         if (server === undefined) {
-            throw new Error(`no server ${place.server.id}`);
+            throw new Error(`unknown server ${place.server.id}`);
         }
         this.#tried.add(server.id);
         const underWay: SendUnderWay = {
@@ -325,7 +328,10 @@
         this.#onEnd(end);
     }
 
-    /** A request that may run once only goes on without its caller: cut off, nobody would know whether it ran. */
+    /**
+     * Abandons the sends in flight. The send of a non-idempotent request continues while its caller is waiting, because
+     * after an abort it would be unknown whether the request ran.
+     */
     #abandonSends(): void {
         if (!this.#kind.idempotent && this.#caller.isWaiting(this.#nowMs())) {
             return;
--- a/packages/replay/src/world/callerBehavior.ts
+++ b/packages/replay/src/world/callerBehavior.ts
@@ -1,9 +1,9 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type RequestKind } from "./scenario.js";
 
-/** What a load may decide for itself in place of what its kinds of request say. */
+/** Overrides for the behavior that the request kinds of a scenario define. */
 export interface CallerBehaviorOverrides {
-    /** How many times the usual rate comes at a time. */
+    /** Factor on the usual request rate at a time. */
     readonly rateFactor?: (nowMs: number) => number;
     readonly resolvePatienceMs?: (random: RandomSource, nowMs: number) => number;
     readonly resolvePriority?: (random: RandomSource) => number;
@@ -30,7 +30,7 @@
     readonly zone: string;
 }
 
-/** How callers behave at a moment. Several troubles may overlap; each ends by itself. */
+/** Current behavior of the callers. Several events that change it may overlap, and each ends independently. */
 export class CallerBehavior {
     readonly bursts = new Set<Burst>();
     readonly earlyDepartures = new Set<Leaving>();
@@ -44,7 +44,7 @@
         this.#overrides = overrides;
     }
 
-    /** @returns how many times the usual rate of a kind of request comes */
+    /** @returns factor on the usual rate of a request kind */
     factorOf({ name }: RequestKind, nowMs: number): number {
         let factor = this.#overrides.rateFactor?.(nowMs) ?? 1;
         for (const burst of this.bursts) {
@@ -53,7 +53,7 @@
         return factor;
     }
 
-    /** @returns how long the next caller waits */
+    /** @returns how long the next caller waits for its response, in milliseconds */
     drawPatienceMs(kind: RequestKind, random: RandomSource, nowMs: number): number {
         for (const { share, afterMs } of this.earlyDepartures) {
             if (random.next() < share) {
@@ -63,7 +63,7 @@
         return this.#overrides.resolvePatienceMs?.(random, nowMs) ?? kind.patienceMs;
     }
 
-    /** @returns the tries of an impatient caller, or `undefined` for one that does as it is told */
+    /** @returns number of retries of an impatient caller, or `undefined` for a caller that honors Retry-After */
     drawImpatientTries(random: RandomSource): number | undefined {
         for (const { share, tries } of this.impatience) {
             if (random.next() < share) {
--- a/packages/replay/src/world/callerGenerator.ts
+++ b/packages/replay/src/world/callerGenerator.ts
@@ -4,18 +4,18 @@
 import { type RequestKind, type Scenario } from "./scenario.js";
 import { SimulatedCaller } from "./simulatedCaller.js";
 
-/** Longest time between two looks at the rate, so that a burst begins on time. */
+/** Maximum time between two evaluations of the request rate, so that a burst starts on time. */
 const rateCheckMs = 50;
-/** Makes the load's random source another one than that of the servers. */
+/** Derives a seed for the load that differs from that of the servers. */
 const loadSeedMask = 0x5eed;
 
-/** Makes callers as an open load: they come at their rate whatever became of those before them. */
+/** Generates callers as an open-loop load: they arrive at a given rate, independently of earlier callers' outcomes. */
 export class CallerGenerator {
     readonly behavior: CallerBehavior;
     readonly #scenario: Scenario;
     readonly #events: EventQueue;
     readonly #onArrival: (caller: SimulatedCaller) => void;
-    /** A source of its own, so that variants of the policy meet the same load. */
+    /** Separate random source, so that all policy variants get the same load. */
     readonly #random: RandomSource;
 
     constructor(
@@ -38,7 +38,7 @@
     #plan(kind: RequestKind): void {
         const perMs = kind.perSecond * this.behavior.factorOf(kind, this.#events.nowMs) / 1_000;
         const gapMs = -Math.log(1 - this.#random.next()) / Math.max(perMs, Number.MIN_VALUE);
-        // Arrivals have no memory, so a gap that is too long may be drawn anew with the rate of a later moment.
+        // Exponential gaps are memoryless, so a gap over the maximum may be drawn again later with the current rate.
         if (gapMs > rateCheckMs) {
             this.#events.schedule(rateCheckMs, () => this.#plan(kind));
             return;
--- a/packages/replay/src/world/connectionPool.ts
+++ b/packages/replay/src/world/connectionPool.ts
@@ -1,4 +1,4 @@
-/** Kept connections of one gateway to backend servers, as times of their last use. */
+/** Idle connections of one gateway to backend servers, represented by the times of their last use. */
 export class ConnectionPool {
     readonly #idleSinceMs = new Map<string, number[]>();
     readonly #keptMs: number;
@@ -6,15 +6,15 @@
     #opened = 0;
 
     /**
-     * @param keptMs - how long an idle connection is kept
-     * @param keptPerServer - how many of them to one server
+     * @param keptMs - how long an idle connection is kept, in milliseconds
+     * @param keptPerServer - maximum number of idle connections per server
      */
     constructor(keptMs: number, keptPerServer: number) {
         this.#keptMs = keptMs;
         this.#keptPerServer = keptPerServer;
     }
 
-    /** Connections opened so far. */
+    /** Number of connections opened so far. */
     get opened(): number {
         return this.#opened;
     }
--- a/packages/replay/src/world/eventQueue.ts
+++ b/packages/replay/src/world/eventQueue.ts
@@ -1,24 +1,24 @@
 interface Entry {
     readonly atMs: number;
-    /** Keeps entries of one moment in the order in which they were added. */
+    /** Breaks ties: entries with the same time run in the order in which they were added. */
     readonly sequence: number;
     readonly run: () => void;
 }
 
-/** Events by time: a binary heap, so that long replays of large fleets stay fast. */
+/** Queue of events ordered by time. A binary heap keeps long replays of large fleets fast. */
 export class EventQueue {
     readonly #heap: Entry[] = [];
     #sequence = 0;
     #nowMs = 0;
 
-    /** Time of the event that runs, in milliseconds from the start of the replay. */
+    /** Simulated time, in milliseconds since the start of the replay. */
     get nowMs(): number {
         return this.#nowMs;
     }
 
     /**
-     * @param delayMs - from now on; a negative delay counts as none
-     * @param run - what happens then
+     * @param delayMs - delay from now in milliseconds; a negative delay counts as 0
+     * @param run - the event's callback
      */
     schedule(delayMs: number, run: () => void): void {
         this.#heap.push({ atMs: this.#nowMs + Math.max(0, delayMs), sequence: this.#sequence++, run });
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Runs events up to a time.
+     * Runs all events up to a time.
      *
-     * @param untilMs - end of the run; an event at this very time still runs
-     * @param mostEvents - events after which the run is given up
-     * @returns how many events ran
-     * @throws RangeError when there are more events: something schedules itself without end
+     * @param untilMs - end of the run, inclusive
+     * @param mostEvents - maximum number of events
+     * @returns number of events that ran
+     * @throws RangeError if there are more events, which indicates an event that schedules itself without end
      */
     runUntil(untilMs: number, mostEvents: number): number {
         let count = 0;
--- a/packages/replay/src/world/fleetDirectory.ts
+++ b/packages/replay/src/world/fleetDirectory.ts
@@ -1,7 +1,7 @@
 import { type RegisteredServer, type ServiceRules } from "@galenaglade/fleet-state";
 import { type SimulatedServer } from "./simulatedServer.js";
 
-/** The fleet's backend servers by service, with the availability zones that are out. */
+/** The backend servers of the fleet, and the availability zones that are taken out. */
 export class FleetDirectory {
     readonly #servers: SimulatedServer[] = [];
     readonly #byId = new Map<string, SimulatedServer>();
@@ -9,7 +9,7 @@
     readonly #zonesOut = new Set<string>();
     #usable = new Map<string, readonly RegisteredServer[]>();
 
-    /** @param rules - of all services */
+    /** @param rules - rules of all services */
     constructor(rules: readonly ServiceRules[]) {
         this.#rules = new Map(rules.map(each => [each.name, each]));
     }
@@ -31,7 +31,7 @@
     rulesOf(service: string): ServiceRules {
         const rules = this.#rules.get(service);
         if (rules === undefined) {
-            throw new RangeError(`no service ${service}`);
+            throw new RangeError(`unknown service ${service}`);
         }
         return rules;
     }
@@ -46,12 +46,12 @@
         this.invalidateUsableServers();
     }
 
-    /** A server's registration has changed. */
+    /** Discards the cached lists of usable servers after a change of a registration or a zone. */
     invalidateUsableServers(): void {
         this.#usable = new Map();
     }
 
-    /** @returns servers of a service that may be given new work */
+    /** @returns servers of a service that may receive new requests */
     usable(service: string): readonly RegisteredServer[] {
         const known = this.#usable.get(service);
         if (known !== undefined) {
--- a/packages/replay/src/world/fleetEventScheduler.ts
+++ b/packages/replay/src/world/fleetEventScheduler.ts
@@ -4,12 +4,12 @@
 
 type ActionOf<T extends FleetEventAction["type"]> = Extract<FleetEventAction, { readonly type: T; }>;
 
-/** A replaced server is gone this long after the new one has come. */
+/** Time from the arrival of a replacement until the replaced server goes down. */
 const drainMs = 2_000;
-/** Time from a limit's first naming until gateways must keep it. */
+/** Time from the first advertisement of a limit until gateways must enforce it. */
 const limitSettleMs = 3_000;
 
-/** Carries out what a scenario says is to happen to the fleet. */
+/** Applies the events of a scenario to the fleet at their times. */
 export class FleetEventScheduler {
     readonly #fleet: FleetReplay;
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Every so many of a service's servers, so that all zones have their part. */
+    /** Picks servers at regular intervals, so that all zones are affected equally. */
     #pick(share: number, service: string | undefined): readonly SimulatedServer[] {
         const picked: SimulatedServer[] = [];
         let sum = 0;
--- a/packages/replay/src/world/fleetReplay.ts
+++ b/packages/replay/src/world/fleetReplay.ts
@@ -11,22 +11,24 @@
 import { SimulatedGateway } from "./simulatedGateway.js";
 import { SimulatedServer } from "./simulatedServer.js";
 
-/** Events for each millisecond, gateway and server, beyond which a replay is given up. */
+/**
+ * Maximum number of events per simulated millisecond. More of them indicate an event that schedules itself without end.
+ */
 const mostEventsPerMs = 2_000;
-/** How long a caller waits for a gateway that takes its connection, and how often it tries meanwhile. */
+/** How long a caller tries to connect to a gateway, and the mean delay between two tries. */
 const connectPatienceMs = 1_000;
 const connectRetryMs = 100;
-/** Largest share of the time that it has left for which a refused caller waits until it comes back. */
+/** Maximum wait of a refused caller before its next try, as a share of the time that it has left. */
 const mostWaitShare = 1 / 3;
 
-/** How a fleet is observed and changed while it is replayed. */
+/** Hooks to observe and change the fleet during a replay. */
 export interface ReplayHooks {
-    /** Called at the start, and then each time `everyMs` has passed. */
     readonly callerBehavior?: CallerBehaviorOverrides;
+    /** Called at the start, and then every `everyMs` milliseconds. */
     readonly onTick?: { readonly everyMs: number; readonly run: (fleet: FleetReplay, nowMs: number) => void; };
 }
 
-/** Gateways, backend servers and callers of one scenario, on a clock of their own. */
+/** Simulates the gateways, backend servers and callers of one scenario on a virtual clock. */
 export class FleetReplay {
     readonly scenario: Scenario;
     readonly events = new EventQueue();
@@ -34,9 +36,9 @@
     readonly gateways: readonly SimulatedGateway[];
     readonly callers: SimulatedCaller[] = [];
     readonly callerGenerator: CallerGenerator;
-    /** Tries of all callers. */
+    /** Number of tries of all callers. */
     tries = 0;
-    /** Refusals of gateways. */
+    /** Number of requests that gateways refused. */
     refusals = 0;
     readonly #hooks: ReplayHooks;
     readonly #random: RandomSource;
@@ -67,7 +69,7 @@
         return this.directory.servers;
     }
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end. */
     run(): this {
         const { durationMs } = this.scenario;
         this.callerGenerator.start();
@@ -77,7 +79,7 @@
         return this;
     }
 
-    /** A server joins; it is cold until a time. */
+    /** Adds a server to the fleet, which is cold until the given time. */
     addServer({ name, shape }: ServiceGroup, zone: string, coldUntilMs = -Infinity): SimulatedServer {
         const id = `server-${this.#serverCount++}`;
         const registered: RegisteredServer = {
@@ -101,7 +103,7 @@
         return server;
     }
 
-    /** Restarts a share of the gateways: what they know and have is gone. */
+    /** Restarts a share of the gateways, which lose their state and connections. */
     restartGateways(share: number, downMs: number): void {
         for (const gateway of this.gateways.slice(0, Math.round(this.gateways.length * share))) {
             gateway.restart(downMs);
--- a/packages/replay/src/world/probeServers.ts
+++ b/packages/replay/src/world/probeServers.ts
@@ -4,17 +4,21 @@
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type SimulatedServer } from "./simulatedServer.js";
 
-/** One round of load probes. */
+/** One round of load probes to several servers. */
 export interface ProbeRound {
     readonly gateway: SimulatedGateway;
     readonly service: string;
     readonly servers: readonly RegisteredServer[];
     readonly timeoutMs: number;
-    /** Called once one of them is good, or all have answered or are late. */
+    /** Called once: when a server reports good status, or when all have responded or timed out. */
     readonly onResult: () => void;
 }
 
-/** Probes servers at once, as the edge process does. */
+/**
+ * Probes several servers concurrently, as the edge process does. Timeouts count as failures of the servers only if
+ * another server responded or a single one was probed. Otherwise the gateway itself was slow or disconnected, and all
+ * servers would become suspects at once.
+ */
 export function probeServers(probe: ProbeRound): void {
     const { gateway, service, servers, timeoutMs, onResult } = probe;
     const silent: string[] = [];
--- a/packages/replay/src/world/scenario.ts
+++ b/packages/replay/src/world/scenario.ts
@@ -1,20 +1,20 @@
-/** What a replay plays. All times are milliseconds, rates are a second. */
+/** Scenario of a replay. All times are in milliseconds and all rates per second. */
 import { type PlacementPolicy, type RepeatAllowance } from "@galenaglade/placement";
 import { type ServerShape } from "./simulatedServer.js";
 
-/** Gateways of one size. */
+/** Gateways with the same CPU allocation. */
 export interface GatewayGroup {
     readonly count: number;
-    /** Share of a core that each gets. */
+    /** CPU cores per gateway; may be a fraction. */
     readonly cores: number;
 }
 
-/** Backend servers of one service, spread evenly over the availability zones. */
+/** Backend servers of one service, distributed evenly over the availability zones. */
 export interface ServiceGroup {
     readonly name: string;
     readonly servers: number;
     readonly shape: ServerShape;
-    /** Requests a second that a cold server bears from all gateways together. */
+    /** Maximum rate of requests to a cold server from all gateways together. */
     readonly coldPerSecond: number;
 }
 
@@ -23,51 +23,55 @@
     readonly name: string;
     readonly service: string;
     readonly perSecond: number;
-    /** Mean time of the work on a server that is neither slow nor full; each request's is drawn around it. */
+    /** Mean execution time on a server that is neither slow nor full; that of each request is drawn around it. */
     readonly workMs: number;
-    /** Largest deviation from the mean, as a share of it. */
+    /** Maximum deviation from the mean, as a share of it. */
     readonly workSpread: number;
     readonly objectiveMs: number;
     readonly timeoutMs: number;
-    /** How long its callers wait. */
+    /** How long callers wait for a response. */
     readonly patienceMs: number;
     readonly idempotent: boolean;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Tries of a caller after its first one. */
+    /** Maximum number of retries of a caller. */
     readonly retries: number;
 }
 
-/** What a gateway's event loop and the network take for each step. */
+/** Simulated costs of a gateway's event loop and of the network. */
 export interface Costs {
-    /** Processor time on a whole core: to read a request, for a load probe and its answer, to send, to answer. */
+    /** CPU time on a whole core to read a request. */
     readonly requestMs: number;
+    /** CPU time to send a load probe, and again to read its response. */
     readonly probeMs: number;
+    /** CPU time to send a request to a server. */
     readonly sendMs: number;
+    /** CPU time to process a server's response. */
     readonly answerMs: number;
-    /** Processor time of a start, until callers' requests are taken. */
+    /** CPU time of a process start until the gateway accepts requests. */
     readonly startMs: number;
-    /** Time from there until the store has been read for the first time. */
+    /** Time from then until the first read of the store is complete. */
     readonly firstReadMs: number;
-    /** How many times longer all that takes until the code is compiled, and for how many requests. */
+    /** Factor on all CPU times until the code has been compiled, which takes `coldCodeRequests` requests. */
     readonly coldCodeFactor: number;
     readonly coldCodeRequests: number;
-    /** One way within an availability zone, and into another one. */
+    /** One-way network latency within an availability zone. */
     readonly nearMs: number;
+    /** One-way network latency between availability zones. */
     readonly farMs: number;
-    /** What a new connection takes beyond its round trip. */
+    /** Time to set up a new connection in addition to its round trip. */
     readonly connectMs: number;
 }
 
-/** Something that happens to the fleet at a time. */
+/** An event that affects the fleet at a given time. */
 export type FleetEvent = { readonly atMs: number; } & FleetEventAction;
 
 export type FleetEventAction =
-    /** Requests come faster for a while, of one kind or of all. */
+    /** The request rate of one or all kinds rises for a while. */
     | { readonly type: "burst"; readonly factor: number; readonly forMs: number; readonly kind: string | undefined; }
-    /** Gateways lose power for a while, and start anew. */
+    /** Gateways lose power for a while, and then restart without state. */
     | { readonly type: "restartGateways"; readonly share: number; readonly downMs: number; }
-    /** Servers are replaced by cold ones, one after the other. */
+    /** A rolling release: servers are replaced by cold ones, one after another. */
     | {
         readonly type: "release";
         readonly share: number;
@@ -75,16 +79,16 @@
         readonly coldMs: number;
         readonly service: string | undefined;
     }
-    /** An availability zone gets no new work for a while; its servers are cold when it is back. */
+    /** An availability zone is taken out for a while; its servers are cold when it is back. */
     | { readonly type: "zoneOut"; readonly zone: string; readonly forMs: number; readonly coldMs: number; }
-    /** Servers are gone for a while. */
+    /** Servers are down for a while. */
     | {
         readonly type: "loseServers";
         readonly share: number;
         readonly forMs: number;
         readonly service: string | undefined;
     }
-    /** Servers turn away a share of what reaches them although they have room. */
+    /** Servers reject a share of the requests that reach them, although they have free slots. */
     | {
         readonly type: "turnAway";
         readonly share: number;
@@ -92,7 +96,7 @@
         readonly forMs: number;
         readonly service: string | undefined;
     }
-    /** Servers turn away all that reaches them, and ask each gateway for rest; gateways heed it or go on as before. */
+    /** Servers reject all requests and ask gateways to back off, which gateways do only if `heeded` is set. */
     | {
         readonly type: "restServers";
         readonly share: number;
@@ -101,6 +105,7 @@
         readonly forMs: number;
         readonly service: string | undefined;
     }
+    /** Requests take longer on some servers for a while. */
     | {
         readonly type: "slowServers";
         readonly share: number;
@@ -108,7 +113,7 @@
         readonly forMs: number;
         readonly service: string | undefined;
     }
-    /** Servers name a limit of requests a second from all gateways together. */
+    /** Servers advertise a rate limit for all gateways together. */
     | {
         readonly type: "limitServers";
         readonly share: number;
@@ -116,11 +121,11 @@
         readonly forMs: number;
         readonly service: string | undefined;
     }
-    /** A share of the callers leaves after a time. */
+    /** A share of the callers gives up after a shorter time than usual. */
     | { readonly type: "giveUp"; readonly share: number; readonly afterMs: number; readonly forMs: number; }
-    /** A share of the callers comes back at once whatever it is told, and more often. */
+    /** A share of the callers ignores Retry-After: it retries immediately, up to `tries` times. */
     | { readonly type: "impatience"; readonly share: number; readonly tries: number; readonly forMs: number; }
-    /** A share of one zone's callers uses the gateways of another zone. */
+    /** A share of the callers of one zone uses the gateways of another zone. */
     | {
         readonly type: "moveCallers";
         readonly share: number;
@@ -129,12 +134,12 @@
         readonly forMs: number;
     };
 
-/** A load that is replayed on the decisions, without input or output and on a clock of its own. */
+/** A load, the fleet that serves it, and the events that affect both during the replay. */
 export interface Scenario {
     readonly name: string;
     readonly seed: number;
     readonly durationMs: number;
-    /** Length of a window of the report. */
+    /** Length of one window of the report. */
     readonly windowMs: number;
     readonly zones: readonly string[];
     readonly gateways: readonly GatewayGroup[];
@@ -142,20 +147,20 @@
     readonly requests: readonly RequestKind[];
     readonly costs: Costs;
     readonly repeats: RepeatAllowance;
-    /** Load probes from all gateways together, a server and second. */
+    /** Maximum load probes per server and second from all gateways together. */
     readonly probesPerServerAndSecond: number;
-    /** Largest share of the other gateways that a gateway doesn't know of. */
+    /** Maximum share of the other gateways that are missing from a gateway's membership view. */
     readonly unknownGateways: number;
     readonly events: readonly FleetEvent[];
-    /** Settings of the placement that differ from their defaults. */
+    /** Placement settings that differ from the defaults. */
     readonly policy: Partial<PlacementPolicy>;
-    /** Sends to any server at once and never refuses, in place of the placement's decisions. */
+    /** Sends each request to a random server immediately, without placement decisions or refusals. */
     readonly randomPlacement: boolean;
-    /** Whether a starting gateway holds what comes before its first reading of the store; otherwise it refuses. */
+    /** Whether a starting gateway holds requests until its first read of the store; otherwise it refuses them. */
     readonly holdsAtStart: boolean;
 }
 
-/** Costs of nothing: decisions alone. */
+/** Zero costs, for replays of the placement decisions alone. */
 export const zeroCosts: Costs = Object.freeze({
     requestMs: 0,
     probeMs: 0,
--- a/packages/replay/src/world/serverFinder.ts
+++ b/packages/replay/src/world/serverFinder.ts
@@ -2,13 +2,13 @@
 import { type FleetSnapshot, type SearchStep, scoreServer } from "@galenaglade/placement";
 import { type RandomSource } from "@galenaglade/routing";
 
-/** Finds a server for one request, step by step; `ServerSearch` is the one that is to be proved. */
+/** Finds a server for one request in several steps. The production implementation is `ServerSearch`. */
 export abstract class ServerFinder {
-    /** @param sight - what the gateway believes of the fleet now */
+    /** @param sight - the gateway's current view of the fleet */
     abstract step(sight: FleetSnapshot): SearchStep;
 }
 
-/** Takes any server at once: what a gain of the decisions is measured against. */
+/** Picks a random server immediately. Serves as the baseline for the placement decisions. */
 export class RandomFinder extends ServerFinder {
     readonly #random: RandomSource;
 
--- a/packages/replay/src/world/serverSend.ts
+++ b/packages/replay/src/world/serverSend.ts
@@ -2,18 +2,18 @@
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type ArrivalResult, type ServerJob, type SimulatedServer } from "./simulatedServer.js";
 
-/** What a send tells whoever made it. */
+/** Callbacks of a send. */
 export interface SendCallbacks {
-    /** Whether anybody still waits for it. */
+    /** Whether the response is still needed; checked when the request reaches the server. */
     readonly isNeeded: () => boolean;
     readonly onArrival: () => void;
-    /** @param offer - the server's load, where its answer told it */
+    /** @param offer - the server's status, if its response contained it */
     readonly onEnded: (end: SendEnd, offer: ServerStatus | undefined) => void;
-    /** The server turned the request away and wants rest. */
+    /** The server rejected the request and asked the gateway to back off. */
     readonly onBackoff: (restMs: number) => void;
 }
 
-/** One request on its way from a gateway to a server and back. */
+/** One send of a request from a gateway to a server, up to its response. */
 export class ServerSend {
     readonly #gateway: SimulatedGateway;
     readonly #server: SimulatedServer;
@@ -35,7 +35,7 @@
         });
     }
 
-    /** Nobody waits for it any more: its slot is free. */
+    /** Cancels the request at the server, which frees its slot. */
     abandon(): void {
         if (this.#job !== undefined) {
             this.#server.abandon(this.#job);
@@ -82,12 +82,16 @@
     }
 }
 
-/** @returns time of one way between a gateway and a server, in milliseconds */
+/** @returns one-way network latency between a gateway and a server, in milliseconds */
 export function oneWayLatencyMs({ zone, costs }: SimulatedGateway, { registered }: SimulatedServer): number {
     return registered.availabilityZone === zone ? costs.nearMs : costs.farMs;
 }
 
-/** @returns how long it takes to reach a server, over a kept connection or a new one, in milliseconds */
+/**
+ * Takes an idle connection to a server or opens a new one.
+ *
+ * @returns time until a message sent now reaches the server, in milliseconds
+ */
 export function acquireConnection(gateway: SimulatedGateway, server: SimulatedServer): number {
     const way = oneWayLatencyMs(gateway, server);
     return gateway.connections.acquire(server.id, gateway.events.nowMs) ? 3 * way + gateway.costs.connectMs : way;
--- a/packages/replay/src/world/simulatedCaller.ts
+++ b/packages/replay/src/world/simulatedCaller.ts
@@ -1,16 +1,16 @@
 import { type RequestKind } from "./scenario.js";
 
-/** How a caller's request ended for it. */
+/** Final outcome of a caller's request. */
 export type CallerEnd = "answered" | "refused" | "failed" | "gaveUp";
 
-/** One caller with one request, over all its tries. */
+/** A caller with one request and all its tries. */
 export class SimulatedCaller {
     readonly kind: RequestKind;
     readonly workMs: number;
     readonly arrivedAtMs: number;
-    /** Leaves this long after it arrived. */
+    /** Time from its arrival until the caller gives up, in milliseconds. */
     readonly patienceMs: number;
-    /** Whether it comes back at once whatever it is told. */
+    /** Whether the caller ignores Retry-After and retries immediately. */
     readonly retriesImmediately: boolean;
     readonly maxTries: number;
     readonly zone: string;
@@ -36,17 +36,17 @@
         this.zone = parts.zone;
     }
 
-    /** When it leaves. */
+    /** Time at which the caller gives up, in milliseconds. */
     get givesUpAtMs(): number {
         return this.arrivedAtMs + this.patienceMs;
     }
 
-    /** Whether it had its answer while that was of full use. */
+    /** Whether the caller received its response within the latency objective. */
     get isWithinObjective(): boolean {
         return this.answeredAtMs !== undefined && this.answeredAtMs - this.arrivedAtMs <= this.kind.objectiveMs;
     }
 
-    /** @returns whether it waits for an answer */
+    /** @returns whether the caller is still waiting for a response */
     isWaiting(nowMs: number): boolean {
         return this.end === undefined && nowMs < this.givesUpAtMs;
     }
--- a/packages/replay/src/world/simulatedEventLoop.ts
+++ b/packages/replay/src/world/simulatedEventLoop.ts
@@ -1,6 +1,6 @@
 import { type EventQueue } from "./eventQueue.js";
 
-/** What one event loop can do: one task after the other, on a share of a core. */
+/** Simulates a single-threaded event loop that runs one task at a time on a share of a core. */
 export class SimulatedEventLoop {
     readonly #events: EventQueue;
     readonly #cores: number;
@@ -8,21 +8,21 @@
 
     /**
      * @param events - the replay's clock
-     * @param cores - share of a core that the process gets; one thread can't use more than one
+     * @param cores - cores available to the process; one thread uses at most one
      */
     constructor(events: EventQueue, cores: number) {
         this.#events = events;
         this.#cores = Math.min(1, cores);
     }
 
-    /** How long a task that comes now waits for its turn. */
+    /** How long a task added now would wait before it runs, in milliseconds. */
     get queueDelayMs(): number {
         return Math.max(0, this.#freeAtMs - this.#events.nowMs);
     }
 
     /**
-     * @param costMs - processor time of the task on a whole core
-     * @param run - its outcome, at the end of the task
+     * @param costMs - CPU time of the task on a whole core, in milliseconds
+     * @param run - called when the task ends
      */
     execute(costMs: number, run: () => void): void {
         const beginsAtMs = Math.max(this.#events.nowMs, this.#freeAtMs);
@@ -30,7 +30,7 @@
         this.#events.schedule(this.#freeAtMs - this.#events.nowMs, run);
     }
 
-    /** Forgets what is waiting; the tasks' outcomes must be dropped by whoever planned them. */
+    /** Makes the loop idle. The callbacks of queued tasks still run, so callers must ignore them. */
     restart(): void {
         this.#freeAtMs = this.#events.nowMs;
     }
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -18,11 +18,11 @@
 import { type Costs, type Scenario } from "./scenario.js";
 import { RandomFinder, ServerFinder } from "./serverFinder.js";
 
-/** Idle connections are kept this long, and so many to one server. */
+/** How long idle connections are kept, and the maximum number per server. */
 const keptConnectionMs = 8_000;
 const keptConnections = 4;
 
-/** What a gateway of a replay is made with. */
+/** Settings and dependencies of a simulated gateway. */
 export interface SimulatedGatewayDeps {
     readonly name: string;
     readonly zone: string;
@@ -31,17 +31,19 @@
     readonly events: EventQueue;
     readonly directory: FleetDirectory;
     readonly scenario: Scenario;
-    /** Names of the gateways that it knows of. */
+    /** Names of the gateways in its membership view. */
     readonly knownGateways: () => readonly string[];
-    /** Those of its own zone. */
+    /** Those in its own zone. */
     readonly knownInZone: () => readonly string[];
-    /** All that it knows of by zone. */
+    /** All known gateways by zone. */
     readonly knownByZone: () => ReadonlyMap<string, readonly string[]>;
-    /** Before the replay began, for what grows with the time since a start. */
+    /**
+     * Start time of the process; negative if it runs already when the replay starts, so that budgets have filled up.
+     */
     readonly startedAtMs: number;
 }
 
-/** One gateway of a replay: the real decisions, with a simulated event loop and simulated connections around them. */
+/** A simulated gateway: the production placement decisions on a simulated event loop and simulated connections. */
 export class SimulatedGateway {
     readonly name: string;
     readonly zone: string;
@@ -54,15 +56,15 @@
     placementState: PlacementState;
     repeatBudget: RepeatBudget;
     connections: ConnectionPool;
-    /** Raised with each start: what an earlier life planned no longer happens. */
+    /** Incremented on each restart. Callbacks that an earlier process incarnation scheduled are dropped. */
     incarnation = 0;
-    /** Arrivals at servers beyond the first of each try. */
+    /** Number of arrivals at servers after the first one of each attempt. */
     repeatedArrivals = 0;
     #upAtMs = -Infinity;
     #readAtMs = -Infinity;
-    /** Requests that wait for the first reading of the store. */
+    /** Number of requests held until the first read of the store. */
     heldAtStart = 0;
-    /** Requests of the first seconds of a life, by turns. */
+    /** Queue for the requests of the first seconds after a restart. */
     startupQueue: StartupQueue<Attempt> | undefined;
     #openedBefore = 0;
     #requestsOfLife: number;
@@ -91,12 +93,12 @@
         return this.events.nowMs >= this.#upAtMs;
     }
 
-    /** How long it is until the store has been read for the first time. */
+    /** Time until the first read of the store is complete, in milliseconds. */
     get firstReadRemainingMs(): number {
         return Math.max(0, this.#readAtMs - this.events.nowMs);
     }
 
-    /** Since this life began to take requests. */
+    /** Time since this process incarnation accepts requests, in milliseconds. */
     get sinceStartMs(): number {
         return this.events.nowMs - this.#upAtMs;
     }
@@ -105,17 +107,17 @@
         return this.#parts.scenario.holdsAtStart;
     }
 
-    /** Connections opened to servers in all lives. */
+    /** Number of connections opened to servers by all process incarnations. */
     get connectionsOpened(): number {
         return this.#openedBefore + this.connections.opened;
     }
 
-    /** @returns how many gateways it takes to share an allowance with it */
+    /** @returns number of gateways that it assumes to share a fleet-wide budget with, itself included */
     countKnownGateways(): number {
         return this.#parts.knownGateways().length;
     }
 
-    /** Runs a task on the event loop, unless the process has ended meanwhile. */
+    /** Runs a task on the event loop, unless the process is restarted before it ends. */
     execute(costMs: number, run: () => void): void {
         const { incarnation } = this;
         const { coldCodeFactor, coldCodeRequests } = this.costs;
@@ -127,7 +129,7 @@
         });
     }
 
-    /** Plans something for later, unless the process has ended meanwhile. */
+    /** Schedules a callback, unless the process is restarted before. */
     schedule(delayMs: number, run: () => void): void {
         const { incarnation } = this;
         this.events.schedule(delayMs, () => {
@@ -137,14 +139,14 @@
         });
     }
 
-    /** A caller's request has arrived. */
+    /** Counts a request that arrived from a caller. */
     onRequest(service: string, priority: number): void {
         this.#requestsOfLife++;
         this.repeatBudget.onRequest(service, this.events.nowMs);
         this.placementState.onRequest(service, priority, this.events.nowMs);
     }
 
-    /** Power is away for a while; then a new process starts, with nothing of what it knew. */
+    /** Loses power for `downMs`; then a new process starts without any state. */
     restart(downMs: number): void {
         const cut = [...this.attempts];
         this.attempts.clear();
@@ -167,7 +169,7 @@
         }
     }
 
-    /** Begins with the requests whose turn it is. */
+    /** Starts the requests that the startup queue releases now. */
     dequeueReady(): void {
         const { startupQueue } = this;
         for (const { item } of startupQueue?.takeReady(this.events.nowMs) ?? []) {
@@ -185,7 +187,7 @@
         this.dequeueReady();
     }
 
-    /** @returns what it believes of the servers of a service and of the fleet */
+    /** @returns its current view of the fleet and of the usable servers of a service */
     snapshot(service: string): FleetSnapshot {
         return {
             usable: this.directory.usable(service).filter(server =>
--- a/packages/replay/src/world/simulatedServer.ts
+++ b/packages/replay/src/world/simulatedServer.ts
@@ -3,32 +3,35 @@
 import { type RandomSource } from "@galenaglade/routing";
 import { type EventQueue } from "./eventQueue.js";
 
-/** What the backend servers of one service are like. */
+/** Capacity and performance of the backend servers of one service. */
 export interface ServerShape {
+    /** Maximum number of requests that a server runs concurrently. */
     readonly slots: number;
-    /** Requests that wait at a server, at most. */
+    /** Maximum number of requests that wait for a slot. */
     readonly queue: number;
-    /** Share of the slots from which on work on all of them gets slower, and by how much. */
+    /** Share of busy slots from which on all requests on the server run slower, by `kneeFactor`. */
     readonly kneeShare: number;
     readonly kneeFactor: number;
-    /** Share of the servers that is slow at any moment, by how much, and for how long in turn. */
+    /** Share of the servers that are slow at any time. */
     readonly slowShare: number;
+    /** Factor on the execution time on a slow server. */
     readonly slowFactor: number;
+    /** Mean time until it is drawn again whether the server is slow, in milliseconds. */
     readonly shiftMs: number;
-    /** How much longer work takes on a cold server. */
+    /** Factor on the execution time on a cold server. */
     readonly coldFactor: number;
-    /** Whether a request beyond slots and queue is answered with a refusal or its connection is reset. */
+    /** Whether a request that finds slots and queue full is rejected with a response or by a connection reset. */
     readonly onFull: "refuse" | "reset";
 }
 
-/** One request at a server. */
+/** A request at a server. */
 export interface ServerJob {
-    /** Time that the work takes on a server that is neither slow nor full. */
+    /** Execution time on a server that is neither slow nor full, in milliseconds. */
     readonly workMs: number;
     readonly onDone: () => void;
 }
 
-/** What a server does with a request that reaches it. */
+/** How a server handled the arrival of a request. */
 export type ArrivalResult = "taken" | "refused" | "reset";
 
 interface RunningJob {
@@ -37,38 +40,41 @@
 }
 
 const arrivalWindowMs = 1_000;
-/** Time after an answer with its limit from which on a gateway must keep it. */
+/** Time that a gateway has to apply a limit after it received a response that advertises it. */
 const toldMs = 500;
 
-/** A backend server of a replay: slots, a queue, a knee, and times at which the machine that it shares is busy. */
+/**
+ * A simulated backend server with slots and a queue. Requests run slower when most slots are busy, and in periods in
+ * which other processes use the shared machine.
+ */
 export class SimulatedServer {
     readonly id: string;
     readonly registered: RegisteredServer;
-    /** Share of the requests that it turns away although it has room. */
+    /** Share of the requests that the server rejects although it has free slots. */
     rejectShare = 0;
-    /** How much longer work takes because of a fault. */
+    /** Factor on the execution time because of an injected fault. */
     faultFactor = 1;
-    /** Cold until this time. */
+    /** Time until which the server is cold, in milliseconds. */
     coldUntilMs = -Infinity;
-    /** How long a gateway that it turns away is to leave it alone; `undefined` where it doesn't say. */
+    /** Back-off that rejections ask of the gateway, in milliseconds; `undefined` for none. */
     backoffMs: number | undefined;
-    /** Requests a second that it names as its limit in answers to requests; `undefined` for none. */
+    /** Rate limit that responses advertise, in requests per second; `undefined` for none. */
     limitPerSecond: number | undefined;
-    /** When requests of gateways that it had told reached it, from the time on from which they must keep its limit. */
+    /** Arrival times of requests from gateways that must enforce the advertised limit. */
     readonly limitedArrivalsMs: number[] = [];
-    /** Requests of other gateways in that time. */
+    /** Number of requests from other gateways since the limit must be enforced. */
     arrivalsFromUninformedGateways = 0;
-    /** Until when its limit need not be kept yet. */
+    /** Time from which on the limit must be enforced, in milliseconds. */
     limitEnforcedFromMs = Infinity;
-    /** When each gateway first got an answer with the limit. */
+    /** Time at which each gateway first received a response that advertises the limit. */
     readonly #toldAtMs = new Map<string, number>();
-    /** Whether it answers nothing at all. */
+    /** Whether the server is down: it accepts no connections and answers no probes. */
     isDown = false;
-    /** Whether new work may be sent there. */
+    /** Whether the server is registered, so that gateways may send it new requests. */
     isRegistered = true;
-    /** When requests reached it while it was cold. */
+    /** Arrival times of requests while the server was cold. */
     readonly coldArrivalsMs: number[] = [];
-    /** When its load was probed. */
+    /** Times of load probes. */
     readonly probesAtMs: number[] = [];
     arrivals = 0;
     readonly #events: EventQueue;
@@ -81,10 +87,10 @@
     #turn = 0;
 
     /**
-     * @param registered - its entry in the store
-     * @param shape - what it is like
-     * @param events - the replay's clock
-     * @param random - draws when it is slow
+     * @param registered - the server's registration in the store
+     * @param shape - capacity and performance
+     * @param events - the replay's event queue
+     * @param random - source for slow periods and rejections
      */
     constructor(registered: RegisteredServer, shape: ServerShape, events: EventQueue, random: RandomSource) {
         this.id = registered.id;
@@ -96,25 +102,25 @@
         this.#scheduleShift();
     }
 
-    /** Requests that run here now. */
+    /** Number of requests that are running. */
     get running(): number {
         return this.#running.size;
     }
 
-    /** Load probes so far. */
+    /** Number of load probes so far. */
     get probes(): number {
         return this.probesAtMs.length;
     }
 
-    /** @returns what it says when it is asked for its load */
+    /** @returns the response to a load probe */
     probe(): ServerStatus {
         this.probesAtMs.push(this.#events.nowMs);
         return this.createStatus(false);
     }
 
     /**
-     * @param namesLimit - whether the answer names its limit, if it has one
-     * @returns its load, as it also stands in its answers
+     * @param namesLimit - whether the status contains the advertised limit, if there is one
+     * @returns the current status, as sent with responses
      */
     createStatus(namesLimit: boolean): ServerStatus {
         const { slots } = this.#shape;
@@ -136,12 +142,12 @@
         };
     }
 
-    /** A gateway gets an answer with its limit. */
+    /** Records that a gateway received a response that advertises the limit. */
     onLimitDelivered(gateway: string): void {
         this.#toldAtMs.set(gateway, this.#toldAtMs.get(gateway) ?? this.#events.nowMs);
     }
 
-    /** A request reaches the server. @param gateway - from which */
+    /** Handles the arrival of a request. @param gateway - name of the sending gateway */
     receive(job: ServerJob, gateway = ""): ArrivalResult {
         this.arrivals++;
         if (this.#events.nowMs < this.coldUntilMs) {
@@ -162,7 +168,7 @@
         return "taken";
     }
 
-    /** Nobody waits for a request any more: its slot is free. */
+    /** Cancels a request, which frees its slot or its place in the queue. */
     abandon(job: ServerJob): void {
         const waitingAt = this.#waiting.indexOf(job);
         if (waitingAt >= 0) {
@@ -177,7 +183,7 @@
         }
     }
 
-    /** @returns the most arrivals within one second while it was cold */
+    /** @returns maximum number of arrivals within one second while the server was cold */
     findMaxColdArrivalsPerSecond(): number {
         let most = 0;
         let first = 0;
@@ -207,13 +213,13 @@
         return (this.#isSlow ? this.#shape.slowFactor : 1) * this.faultFactor * cold;
     }
 
-    /** How many times longer than usual the work now takes. */
+    /** @returns factor on the usual execution time now */
     #factor(): number {
         const { slots, kneeShare, kneeFactor } = this.#shape;
         return this.#slowdown() * (this.#running.size >= slots * kneeShare ? kneeFactor : 1);
     }
 
-    /** Work goes on at one speed between changes; each change settles what was done before it. */
+    /** Applies a state change. Speed is constant between changes, so each one first accounts for the work done. */
     #change(apply: () => void): void {
         const doneMs = (this.#events.nowMs - this.#advancedAtMs) / this.#factor();
         for (const running of this.#running) {
