--- a/packages/history/src/__tests__/fleetCheckers.test.ts
+++ b/packages/history/src/__tests__/fleetCheckers.test.ts
@@ -67,15 +67,25 @@
 
 test("query of death: after three crashes and the settling time, reports a fourth arrival at servers", () => {
     const bounds = { crashes: 3, settleMs: 1_000, retries: 3 };
-    const ask = (atMs: number, requestId: string, crashes: boolean): (readonly [number, HistoryEvent])[] => [
+    const createRequest = (atMs: number, requestId: string, crashes: boolean): (readonly [number, HistoryEvent])[] => [
         [atMs, { ...sent(requestId), contentId: "deadly" } as HistoryEvent],
         [atMs, started(requestId)],
         ...(crashes ? [[atMs + 10, { type: "serverCrashed", requestId, server: "s1" }] as const] : []),
     ];
-    const known = [...ask(0, "a", true), ...ask(20, "b", true), ...ask(40, "c", true), ...ask(1_050, "d", true)];
-    const allowed = [...known, ...ask(2_000, "e", true), ...ask(3_000, "f", true), ...ask(4_000, "g", false)];
+    const blocked = [
+        ...createRequest(0, "a", true),
+        ...createRequest(20, "b", true),
+        ...createRequest(40, "c", true),
+        ...createRequest(1_050, "d", true),
+    ];
+    const allowed = [
+        ...blocked,
+        ...createRequest(2_000, "e", true),
+        ...createRequest(3_000, "f", true),
+        ...createRequest(4_000, "g", false),
+    ];
     assert.deepEqual(checkQueryOfDeath(record(...allowed), bounds), []);
-    assert.equal(checkQueryOfDeath(record(...allowed, ...ask(9_000, "h", false)), bounds).length, 1);
+    assert.equal(checkQueryOfDeath(record(...allowed, ...createRequest(9_000, "h", false)), bounds).length, 1);
     const others: (readonly [number, HistoryEvent])[] = [[9_000, sent("i")], [9_000, started("i")]];
     assert.deepEqual(checkQueryOfDeath(record(...allowed, ...others), bounds), []);
 });
--- a/packages/history/src/__tests__/partitionedGatewayChecker.test.ts
+++ b/packages/history/src/__tests__/partitionedGatewayChecker.test.ts
@@ -5,7 +5,7 @@
 const bounds = { settleMs: 3_000, minRelativeShare: 2 / 3, allowedFailures: 10, allowedFailureShare: 1 / 50 };
 
 /** Records a request every 10 ms through a gateway that is partitioned from time 0 on, and through one that isn't. */
-function record(servedWhileCut: (atMs: number) => boolean, untilMs = 6_000): readonly HistoryLine[] {
+function record(servedWhilePartitioned: (atMs: number) => boolean, untilMs = 6_000): readonly HistoryLine[] {
     const lines: HistoryLine[] = [];
     const add = (atMs: number, event: HistoryEvent): void => {
         lines.push({ ...event, atMs, sequence: lines.length, process: "" });
@@ -14,7 +14,7 @@
     for (let atMs = 0; atMs < untilMs; atMs += 10) {
         for (const gateway of ["cut", "other"]) {
             const requestId = `${gateway}-${atMs}`;
-            const isServed = gateway === "other" || servedWhileCut(atMs);
+            const isServed = gateway === "other" || servedWhilePartitioned(atMs);
             add(atMs, {
                 type: "callerSent",
                 requestId,
--- a/packages/history/src/__tests__/requestCheckers.test.ts
+++ b/packages/history/src/__tests__/requestCheckers.test.ts
@@ -68,13 +68,13 @@
 test("at most once: reports a second start of a request, and of an idempotency key under another request id", () => {
     const twice = createHistory(createSent("r1"), createStarted("r1"), createStarted("r1"));
     assert.deepEqual(checkAtMostOnce(twice).map(violation => violation.lines), [[1, 2]]);
-    const twoTries = createHistory(
+    const twoRequests = createHistory(
         createSent("r1", "k"),
         createSent("r2", "k"),
         createStarted("r2", "k"),
         createStarted("r1", "k"),
     );
-    assert.deepEqual(checkAtMostOnce(twoTries).map(violation => violation.lines), [[2, 3]]);
+    assert.deepEqual(checkAtMostOnce(twoRequests).map(violation => violation.lines), [[2, 3]]);
 });
 
 test("didRun: reports `no` for a request that starts before or after the response, and `yes` without a start", () => {
--- a/packages/history/src/__tests__/serverCheckers.test.ts
+++ b/packages/history/src/__tests__/serverCheckers.test.ts
@@ -30,17 +30,21 @@
     };
 }
 
-const turned: HistoryEvent = { type: "serverTurnedCold", server };
-const heard: HistoryEvent = { type: "coldSignHeard", gateway: "g1", server };
-const round = (startedAtMs: number): HistoryEvent => ({ type: "majorityRound", gateway: "g1", startedAtMs });
+const turnedCold: HistoryEvent = { type: "serverTurnedCold", server };
+const coldReported: HistoryEvent = { type: "coldSignHeard", gateway: "g1", server };
+const createMajorityRound = (startedAtMs: number): HistoryEvent => ({
+    type: "majorityRound",
+    gateway: "g1",
+    startedAtMs,
+});
 
 test("cold start: allows the higher limit within the propagation window and the server's own limit afterwards", () => {
     const history = createHistory(
         [0, createStarted(3, false)],
-        [10, turned],
+        [10, turnedCold],
         [20, createStarted(6)],
-        [30, heard],
-        [50, round(40)],
+        [30, coldReported],
+        [50, createMajorityRound(40)],
         [150, createStarted(6)],
         [151, createStarted(1)],
     );
@@ -48,25 +52,37 @@
 });
 
 test("cold start: reports too many requests after the window, within it, and on a server that was never warm", () => {
-    const afterwards = createHistory([10, turned], [30, heard], [50, round(40)], [151, createStarted(2)]);
+    const afterwards = createHistory([10, turnedCold], [30, coldReported], [50, createMajorityRound(40)], [
+        151,
+        createStarted(2),
+    ]);
     assert.equal(checkColdStart(afterwards, bounds).length, 1);
-    const within = createHistory([10, turned], [20, createStarted(7)]);
+    const within = createHistory([10, turnedCold], [20, createStarted(7)]);
     assert.equal(checkColdStart(within, bounds).length, 1);
     const never = createHistory([20, createStarted(2)]);
     assert.equal(checkColdStart(never, bounds).length, 1);
 });
 
 test("cold start: a majority round that began before the gateway learned of the change doesn't end the window", () => {
-    const history = createHistory([10, turned], [30, heard], [50, round(29)], [300, createStarted(6)]);
+    const history = createHistory([10, turnedCold], [30, coldReported], [50, createMajorityRound(29)], [
+        300,
+        createStarted(6),
+    ]);
     assert.deepEqual(checkColdStart(history, bounds), []);
 });
 
 test("leaving: reports a new request once the change has propagated", () => {
     const leaving = { type: "serverLeaving", server } as const;
-    const word = { type: "leavingHeard", gateway: "g1", server } as const;
-    const bad = createHistory([0, leaving], [5, word], [20, round(10)], [121, createStarted(1, false)]);
+    const leavingReceived = { type: "leavingHeard", gateway: "g1", server } as const;
+    const bad = createHistory([0, leaving], [5, leavingReceived], [20, createMajorityRound(10)], [
+        121,
+        createStarted(1, false),
+    ]);
     assert.equal(checkServerLeaving(bad, 100).length, 1);
-    const good = createHistory([0, leaving], [5, word], [20, round(10)], [120, createStarted(1, false)]);
+    const good = createHistory([0, leaving], [5, leavingReceived], [20, createMajorityRound(10)], [
+        120,
+        createStarted(1, false),
+    ]);
     assert.deepEqual(checkServerLeaving(good, 100), []);
 });
 
@@ -81,25 +97,28 @@
 
 test("server limit: reports requests above the limit, summed over gateways that have received it and no others", () => {
     const limitBounds = { factor: 1.5, slack: 1, windowMs: 1_000, settleMs: 100, gatewayGraceMs: 50 };
-    const ask = (atMs: number, requestId: string, gateway: string): (readonly [number, HistoryEvent])[] => [
+    const createRequest = (atMs: number, requestId: string, gateway: string): (readonly [number, HistoryEvent])[] => [
         [atMs, { type: "callerSent", requestId, service: "catalog", idempotent: true, patienceMs: 1, gateway }],
         [atMs, { ...createStarted(1, false), requestId } as HistoryEvent],
     ];
-    const named: (readonly [number, HistoryEvent])[] = [
+    const advertised: (readonly [number, HistoryEvent])[] = [
         [0, { type: "serverLimited", server, perSecond: 1 }],
         [10, { type: "limitPassedOn", gateway: "g1", server }],
         [20, { type: "limitPassedOn", gateway: "g2", server }],
     ];
     const allowed = [
-        ...named,
-        ...ask(110, "a", "g1"),
-        ...ask(120, "b", "g2"),
-        ...ask(130, "c", "g3"),
-        ...ask(140, "d", "g3"),
+        ...advertised,
+        ...createRequest(110, "a", "g1"),
+        ...createRequest(120, "b", "g2"),
+        ...createRequest(130, "c", "g3"),
+        ...createRequest(140, "d", "g3"),
     ];
     assert.deepEqual(checkServerLimit(createHistory(...allowed), limitBounds), []);
-    assert.equal(checkServerLimit(createHistory(...allowed, ...ask(150, "e", "g1")), limitBounds).length, 1);
-    assert.deepEqual(checkServerLimit(createHistory(...allowed, ...ask(1_121, "e", "g1")), limitBounds), []);
+    assert.equal(checkServerLimit(createHistory(...allowed, ...createRequest(150, "e", "g1")), limitBounds).length, 1);
+    assert.deepEqual(checkServerLimit(createHistory(...allowed, ...createRequest(1_121, "e", "g1")), limitBounds), []);
     const ended: readonly [number, HistoryEvent] = [145, { type: "serverLimited", server, perSecond: undefined }];
-    assert.deepEqual(checkServerLimit(createHistory(...allowed, ended, ...ask(150, "e", "g1")), limitBounds), []);
+    assert.deepEqual(
+        checkServerLimit(createHistory(...allowed, ended, ...createRequest(150, "e", "g1")), limitBounds),
+        [],
+    );
 });
--- a/packages/history/src/__tests__/serverResponseMetadataCheckers.test.ts
+++ b/packages/history/src/__tests__/serverResponseMetadataCheckers.test.ts
@@ -18,11 +18,14 @@
 }
 
 test("back-off: reports more than two requests from the same gateway during a back-off", () => {
-    const asked: (readonly [number, HistoryEvent])[] = [[0, createSent("q", "g")], [1, createTurnedAway("q", 3_000)]];
-    const two = createHistory(...asked, [600, createTurnedAway("q")], [700, createTurnedAway("q")]);
+    const backoff: (readonly [number, HistoryEvent])[] = [[0, createSent("q", "g")], [
+        1,
+        createTurnedAway("q", 3_000),
+    ]];
+    const two = createHistory(...backoff, [600, createTurnedAway("q")], [700, createTurnedAway("q")]);
     assert.deepEqual(checkServerBackoff(two, bounds), []);
     const three = createHistory(
-        ...asked,
+        ...backoff,
         [400, createTurnedAway("q")],
         [600, createTurnedAway("q")],
         [700, createTurnedAway("q")],
--- a/packages/history/src/__tests__/workspaceCheckers.test.ts
+++ b/packages/history/src/__tests__/workspaceCheckers.test.ts
@@ -10,9 +10,9 @@
 
 type Timed = readonly [atMs: number, event: HistoryEvent];
 
-const settled = { applyMs: 2_500, isSettled: () => true };
-const unsettled = { ...settled, isSettled: () => false };
-const rates = { windowMs: 5_000, overshoot: 0.1, slack: 20 };
+const synced = { applyMs: 2_500, isSettled: () => true };
+const outOfSync = { ...synced, isSettled: () => false };
+const tolerance = { windowMs: 5_000, overshoot: 0.1, slack: 20 };
 
 function createHistory(...events: readonly Timed[]): readonly HistoryLine[] {
     return events.map(([atMs, event], sequence) => ({ sequence, atMs, process: "run", ...event }));
@@ -40,7 +40,7 @@
     return [atMs, { type: "callerAnswered", requestId, status, ...more }];
 }
 
-function findKeyFaults(bounds: typeof settled, ...events: readonly Timed[]): readonly string[] {
+function findKeyFaults(bounds: typeof synced, ...events: readonly Timed[]): readonly string[] {
     return checkWorkspaceKeys(createHistory(...events), bounds).map(({ invariant }) => invariant);
 }
 
@@ -48,21 +48,21 @@
 
 test("keys: accepts a request that runs for its key's workspace, and one without a key on an open route", () => {
     const history = [...first, sent(100, "r", "n"), ran(110, "r", "north"), sent(120, "o", undefined, true)];
-    assert.deepEqual(findKeyFaults(settled, ...history, ran(130, "o", undefined), answered(140, "o", 200)), []);
+    assert.deepEqual(findKeyFaults(synced, ...history, ran(130, "o", undefined), answered(140, "o", 200)), []);
 });
 
 test("keys: reports a workspace name that is forged, of another workspace or missing", () => {
-    for (const told of ["forged", "south", undefined]) {
-        assert.deepEqual(findKeyFaults(unsettled, ...first, sent(100, "r", "n"), ran(110, "r", told)), [
+    for (const receivedName of ["forged", "south", undefined]) {
+        assert.deepEqual(findKeyFaults(outOfSync, ...first, sent(100, "r", "n"), ran(110, "r", receivedName)), [
             "workspaceName",
         ]);
     }
     const open = [sent(100, "r", undefined, true), ran(110, "r", "forged")];
-    assert.deepEqual(findKeyFaults(unsettled, ...first, ...open), ["workspaceName"]);
+    assert.deepEqual(findKeyFaults(outOfSync, ...first, ...open), ["workspaceName"]);
 });
 
 test("keys: reports a key that reaches a server, even if the server rejects the request", () => {
-    assert.deepEqual(findKeyFaults(settled, ...first, sent(1, "r", "n"), ran(2, "r", "north", true)), ["keyPassedOn"]);
+    assert.deepEqual(findKeyFaults(synced, ...first, sent(1, "r", "n"), ran(2, "r", "north", true)), ["keyPassedOn"]);
     const away: HistoryEvent = {
         type: "serverTurnedAway",
         requestId: "r",
@@ -71,54 +71,54 @@
         cold: false,
         keyPassedOn: true,
     };
-    assert.deepEqual(findKeyFaults(settled, ...first, sent(1, "r", "n"), [2, away]), ["keyPassedOn"]);
+    assert.deepEqual(findKeyFaults(synced, ...first, sent(1, "r", "n"), [2, away]), ["keyPassedOn"]);
 });
 
 test("keys: reports a request that runs with an unknown or no key, even if hosts are out of sync", () => {
     for (const keyId of ["other", undefined]) {
-        assert.deepEqual(findKeyFaults(unsettled, ...first, sent(1, "r", keyId), ran(2, "r", "north")), ["unknownKey"]);
+        assert.deepEqual(findKeyFaults(outOfSync, ...first, sent(1, "r", keyId), ran(2, "r", "north")), ["unknownKey"]);
     }
     // A version that is written after the request ran doesn't make its key known.
     const early = [sent(1, "r", "late"), ran(2, "r", "north"), ...version(3, 2, [{ name: "north", keyIds: ["late"] }])];
-    assert.deepEqual(findKeyFaults(unsettled, ...first, ...early), ["unknownKey"]);
+    assert.deepEqual(findKeyFaults(outOfSync, ...first, ...early), ["unknownKey"]);
 });
 
 test("keys: reports a revoked key only once the version must be in force and hosts are in sync with the store", () => {
     const revoked = [...first, ...version(1_000, 2, [{ name: "south", keyIds: ["s"] }])];
-    assert.deepEqual(findKeyFaults(settled, ...revoked, sent(3_500, "r", "n"), ran(3_600, "r", "north")), []);
+    assert.deepEqual(findKeyFaults(synced, ...revoked, sent(3_500, "r", "n"), ran(3_600, "r", "north")), []);
     const late = [...revoked, sent(3_520, "r", "n"), ran(3_600, "r", "north")];
-    assert.deepEqual(findKeyFaults(settled, ...late), ["revokedKey"]);
-    assert.deepEqual(findKeyFaults(unsettled, ...late), []);
+    assert.deepEqual(findKeyFaults(synced, ...late), ["revokedKey"]);
+    assert.deepEqual(findKeyFaults(outOfSync, ...late), []);
 });
 
 test("keys: a moved key must run for its new workspace once the version must be in force", () => {
     const moved = [...first, ...version(1_000, 2, [{ name: "south", keyIds: ["n", "s"] }])];
-    assert.deepEqual(findKeyFaults(settled, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "south")), []);
-    assert.deepEqual(findKeyFaults(settled, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "north")), [
+    assert.deepEqual(findKeyFaults(synced, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "south")), []);
+    assert.deepEqual(findKeyFaults(synced, ...moved, sent(3_520, "r", "n"), ran(3_600, "r", "north")), [
         "workspaceName",
     ]);
 });
 
 test("keys: reports status 401 if every version that may be in force contains the key", () => {
     const added = [...first, ...version(1_000, 2, [{ name: "north", keyIds: ["n", "new"] }])];
-    assert.deepEqual(findKeyFaults(settled, ...added, sent(3_500, "r", "new"), answered(3_600, "r", 401)), []);
-    assert.deepEqual(findKeyFaults(settled, ...added, sent(3_520, "r", "new"), answered(3_600, "r", 401)), [
+    assert.deepEqual(findKeyFaults(synced, ...added, sent(3_500, "r", "new"), answered(3_600, "r", 401)), []);
+    assert.deepEqual(findKeyFaults(synced, ...added, sent(3_520, "r", "new"), answered(3_600, "r", 401)), [
         "keyDenied",
     ]);
-    assert.deepEqual(findKeyFaults(unsettled, ...added, sent(3_520, "r", "new"), answered(3_600, "r", 401)), []);
-    assert.deepEqual(findKeyFaults(unsettled, ...added, sent(3_520, "r", "n"), answered(3_600, "r", 401)), [
+    assert.deepEqual(findKeyFaults(outOfSync, ...added, sent(3_520, "r", "new"), answered(3_600, "r", 401)), []);
+    assert.deepEqual(findKeyFaults(outOfSync, ...added, sent(3_520, "r", "n"), answered(3_600, "r", 401)), [
         "keyDenied",
     ]);
 });
 
 test("keys: reports status 429 if no version that may be in force limits the workspace", () => {
     const refused = [sent(100, "r", "n"), answered(110, "r", 429)];
-    assert.deepEqual(findKeyFaults(settled, ...first, ...refused), ["limitRefused"]);
-    assert.deepEqual(findKeyFaults(settled, ...version(0, 1, limited(10)), ...refused), []);
+    assert.deepEqual(findKeyFaults(synced, ...first, ...refused), ["limitRefused"]);
+    assert.deepEqual(findKeyFaults(synced, ...version(0, 1, limited(10)), ...refused), []);
 });
 
 /** @returns evenly spaced requests, each of which starts 10 ms after it was sent */
-function load(fromMs: number, count: number, everyMs: number): readonly Timed[] {
+function createLoad(fromMs: number, count: number, everyMs: number): readonly Timed[] {
     return Array.from({ length: count }, (_, i) => fromMs + i * everyMs).flatMap((atMs, i) => [
         sent(atMs, `r${fromMs}-${i}`, "n"),
         ran(atMs + 10, `r${fromMs}-${i}`, "north"),
@@ -129,25 +129,25 @@
     return [{ name: "north", keyIds: ["n"], limit: { perSecond, burst: perSecond } }];
 }
 
-function countLimitFaults(bounds: typeof settled, ...events: readonly Timed[]): number {
-    return checkWorkspaceLimits(createHistory(...events), { ...bounds, ...rates }).length;
+function countLimitFaults(bounds: typeof synced, ...events: readonly Timed[]): number {
+    return checkWorkspaceLimits(createHistory(...events), { ...bounds, ...tolerance }).length;
 }
 
 test("limits: reports one request above (5 * rate + burst) * 1.1 + 20 in 5 s, unless it starts later", () => {
     const ten = version(0, 1, limited(10));
-    assert.equal(countLimitFaults(settled, ...ten, ...load(100, 86, 50)), 0);
-    assert.equal(countLimitFaults(unsettled, ...ten, ...load(100, 87, 50)), 1);
-    const waits = load(100, 87, 50).map(([atMs, event]): Timed =>
+    assert.equal(countLimitFaults(synced, ...ten, ...createLoad(100, 86, 50)), 0);
+    assert.equal(countLimitFaults(outOfSync, ...ten, ...createLoad(100, 87, 50)), 1);
+    const lastStartsLater = createLoad(100, 87, 50).map(([atMs, event]): Timed =>
         event.type === "serverStarted" && event.requestId === "r100-86" ? [6_000, event] : [atMs, event]
     );
-    assert.equal(countLimitFaults(settled, ...ten, ...waits), 0);
+    assert.equal(countLimitFaults(synced, ...ten, ...lastStartsLater), 0);
     // A request that starts twice counts once.
-    assert.equal(countLimitFaults(settled, ...ten, ...load(100, 86, 50), ran(4_500, "r100-0", "north")), 0);
+    assert.equal(countLimitFaults(synced, ...ten, ...createLoad(100, 86, 50), ran(4_500, "r100-0", "north")), 0);
 });
 
 test("limits: a lowered limit applies to windows that start once it is in force", () => {
     const lowered = [...version(0, 1, limited(10)), ...version(1_000, 2, limited(1))];
-    assert.equal(countLimitFaults(settled, ...lowered, ...load(3_400, 60, 1)), 0);
-    assert.equal(countLimitFaults(settled, ...lowered, ...load(3_600, 60, 1)), 1);
-    assert.equal(countLimitFaults(unsettled, ...lowered, ...load(3_600, 60, 1)), 0);
+    assert.equal(countLimitFaults(synced, ...lowered, ...createLoad(3_400, 60, 1)), 0);
+    assert.equal(countLimitFaults(synced, ...lowered, ...createLoad(3_600, 60, 1)), 1);
+    assert.equal(countLimitFaults(outOfSync, ...lowered, ...createLoad(3_600, 60, 1)), 0);
 });
--- a/packages/history/src/atMostOnceChecker.ts
+++ b/packages/history/src/atMostOnceChecker.ts
@@ -22,7 +22,7 @@
         if (line.type !== "serverStarted" || !nonIdempotent.has(line.requestId)) {
             continue;
         }
-        for (const identity of findIdentities(line)) {
+        for (const identity of listIdentities(line)) {
             const first = firstStart.get(identity);
             if (first === undefined) {
                 firstStart.set(identity, line);
@@ -38,7 +38,7 @@
     return violations;
 }
 
-function findIdentities(line: Started): readonly string[] {
+function listIdentities(line: Started): readonly string[] {
     const request = `request ${line.requestId}`;
     return line.idempotencyKey === undefined ? [request] : [request, `idempotency key ${line.idempotencyKey}`];
 }
--- a/packages/history/src/coldRateChecker.ts
+++ b/packages/history/src/coldRateChecker.ts
@@ -1,6 +1,6 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-const oneSecondMs = 1_000;
+const windowMs = 1_000;
 
 /**
  * Checks that all gateways together send no cold backend server more requests per second than allowed. Requests that
@@ -17,7 +17,7 @@
         if ((line.type !== "serverStarted" && line.type !== "serverTurnedAway") || !line.cold) {
             continue;
         }
-        const lines = (recent.get(line.server) ?? []).filter(({ atMs }) => line.atMs - atMs < oneSecondMs);
+        const lines = (recent.get(line.server) ?? []).filter(({ atMs }) => line.atMs - atMs < windowMs);
         lines.push(line);
         recent.set(line.server, lines);
         if (lines.length > limit) {
--- a/packages/history/src/partitionedGatewayChecker.ts
+++ b/packages/history/src/partitionedGatewayChecker.ts
@@ -33,38 +33,38 @@
             line.type === "callerAnswered" && line.whole && isSuccess(line.status) ? line.requestId : []
         ),
     );
-    const cutSinceMs = new Map<string, number>();
-    const cut: Tally = { sent: 0, served: 0 };
+    const partitionedSinceMs = new Map<string, number>();
+    const partitioned: Tally = { sent: 0, served: 0 };
     const others: Tally = { sent: 0, served: 0 };
     const failed: number[] = [];
     for (const line of history) {
         switch (line.type) {
             case "gatewayCutFromServers":
-                cutSinceMs.set(line.gateway, cutSinceMs.get(line.gateway) ?? line.atMs);
+                partitionedSinceMs.set(line.gateway, partitionedSinceMs.get(line.gateway) ?? line.atMs);
                 break;
             case "gatewayLinksRestored":
-                cutSinceMs.delete(line.gateway);
+                partitionedSinceMs.delete(line.gateway);
                 break;
             case "callerSent": {
-                const sinceMs = cutSinceMs.get(line.gateway ?? "");
+                const sinceMs = partitionedSinceMs.get(line.gateway ?? "");
                 const isServed = served.has(line.requestId);
                 if (sinceMs === undefined) {
-                    count(others, isServed && cutSinceMs.size > 0, cutSinceMs.size > 0);
+                    count(others, isServed && partitionedSinceMs.size > 0, partitionedSinceMs.size > 0);
                 }
                 else if (line.atMs >= sinceMs + bounds.settleMs) {
-                    count(cut, isServed, true);
+                    count(partitioned, isServed, true);
                     failed.push(...(isServed ? [] : [line.sequence]));
                 }
             }
         }
     }
-    const allowed = bounds.allowedFailures + bounds.allowedFailureShare * (cut.sent + others.sent);
-    const isFewer = cut.served * others.sent < bounds.minRelativeShare * others.served * cut.sent;
+    const allowed = bounds.allowedFailures + bounds.allowedFailureShare * (partitioned.sent + others.sent);
+    const isFewer = partitioned.served * others.sent < bounds.minRelativeShare * others.served * partitioned.sent;
     if (!isFewer || failed.length <= allowed) {
         return [];
     }
     const detail =
-        `partitioned gateways served ${cut.served} of ${cut.sent}, the others ${others.served} of ${others.sent}`;
+        `partitioned gateways served ${partitioned.served} of ${partitioned.sent}, the others ${others.served} of ${others.sent}`;
     return [{ invariant: "cutGateways", detail, lines: failed }];
 }
 
--- a/packages/history/src/propagationWindow.ts
+++ b/packages/history/src/propagationWindow.ts
@@ -7,7 +7,7 @@
  */
 export class PropagationWindow {
     readonly #contactLimitMs: number;
-    readonly #heardAtMs = new Map<string, number>();
+    readonly #receivedAtMs = new Map<string, number>();
     #endsAtMs = Number.POSITIVE_INFINITY;
 
     /**
@@ -24,12 +24,12 @@
 
     /** Records that a gateway received the change; the earliest receipt counts. */
     onReceived(gateway: string, atMs: number): void {
-        this.#heardAtMs.set(gateway, Math.min(atMs, this.#heardAtMs.get(gateway) ?? atMs));
+        this.#receivedAtMs.set(gateway, Math.min(atMs, this.#receivedAtMs.get(gateway) ?? atMs));
     }
 
     onMajorityRound(line: Extract<HistoryLine, { readonly type: "majorityRound"; }>): void {
-        const heardAtMs = this.#heardAtMs.get(line.gateway);
-        if (heardAtMs !== undefined && line.startedAtMs >= heardAtMs) {
+        const receivedAtMs = this.#receivedAtMs.get(line.gateway);
+        if (receivedAtMs !== undefined && line.startedAtMs >= receivedAtMs) {
             this.#endsAtMs = Math.min(this.#endsAtMs, line.atMs + this.#contactLimitMs);
         }
     }
--- a/packages/history/src/serverLimitChecker.ts
+++ b/packages/history/src/serverLimitChecker.ts
@@ -13,10 +13,10 @@
 }
 
 interface LimitedServer {
-    readonly namedAtMs: number;
+    readonly firstAdvertisedAtMs: number;
     /** Every limit that the server has advertised, with its time; `Infinity` ends the limit. */
     readonly limits: { readonly atMs: number; readonly perSecond: number; }[];
-    readonly toldAtMs: Map<string, number>;
+    readonly receivedAtMs: Map<string, number>;
     readonly arrivals: HistoryLine[];
 }
 
@@ -39,23 +39,23 @@
                 break;
             case "serverLimited": {
                 const server: LimitedServer = servers.get(line.server)
-                    ?? { namedAtMs: line.atMs, limits: [], toldAtMs: new Map(), arrivals: [] };
+                    ?? { firstAdvertisedAtMs: line.atMs, limits: [], receivedAtMs: new Map(), arrivals: [] };
                 servers.set(line.server, server);
                 server.limits.push({ atMs: line.atMs, perSecond: line.perSecond ?? Infinity });
                 break;
             }
             case "limitPassedOn": {
-                const told = servers.get(line.server)?.toldAtMs;
-                told?.set(line.gateway, told.get(line.gateway) ?? line.atMs);
+                const received = servers.get(line.server)?.receivedAtMs;
+                received?.set(line.gateway, received.get(line.gateway) ?? line.atMs);
                 break;
             }
             case "serverStarted":
             case "serverTurnedAway": {
                 const server = servers.get(line.server);
-                const toldAtMs = server?.toldAtMs.get(gatewayOf.get(line.requestId) ?? "") ?? Infinity;
+                const receivedAtMs = server?.receivedAtMs.get(gatewayOf.get(line.requestId) ?? "") ?? Infinity;
                 if (
-                    server === undefined || line.atMs < server.namedAtMs + bounds.settleMs
-                    || line.atMs < toldAtMs + bounds.gatewayGraceMs
+                    server === undefined || line.atMs < server.firstAdvertisedAtMs + bounds.settleMs
+                    || line.atMs < receivedAtMs + bounds.gatewayGraceMs
                 ) {
                     break;
                 }
--- a/packages/history/src/serverResponseMetadataCheckers.ts
+++ b/packages/history/src/serverResponseMetadataCheckers.ts
@@ -8,7 +8,7 @@
     readonly maxRequests: number;
 }
 
-interface Rest {
+interface Backoff {
     readonly fromMs: number;
     readonly untilMs: number;
     readonly arrivals: number[];
@@ -23,30 +23,34 @@
  */
 export function checkServerBackoff(history: readonly HistoryLine[], bounds: ServerBackoffBounds): readonly Violation[] {
     const gatewayOf = new Map<string, string>();
-    const rests = new Map<string, Rest[]>();
+    const backoffs = new Map<string, Backoff[]>();
     const violations: Violation[] = [];
     for (const line of history) {
         if (line.type === "callerSent") {
-            gatewayOf.set(line.requestId, gatewayLifeOf(line));
+            gatewayOf.set(line.requestId, gatewayIncarnationOf(line));
         }
         if (line.type !== "serverStarted" && line.type !== "serverTurnedAway") {
             continue;
         }
         const key = `${line.server} ${gatewayOf.get(line.requestId) ?? ""}`;
-        for (const rest of rests.get(key) ?? []) {
-            if (line.atMs <= rest.fromMs || line.atMs >= rest.untilMs) {
+        for (const backoff of backoffs.get(key) ?? []) {
+            if (line.atMs <= backoff.fromMs || line.atMs >= backoff.untilMs) {
                 continue;
             }
-            rest.arrivals.push(line.sequence);
-            if (rest.arrivals.length > bounds.maxRequests) {
+            backoff.arrivals.push(line.sequence);
+            if (backoff.arrivals.length > bounds.maxRequests) {
                 const detail =
-                    `${key} got ${rest.arrivals.length} requests during a back-off that the server asked for`;
-                violations.push({ invariant: "serverRest", detail, lines: [...rest.arrivals] });
+                    `${key} got ${backoff.arrivals.length} requests during a back-off that the server asked for`;
+                violations.push({ invariant: "serverRest", detail, lines: [...backoff.arrivals] });
             }
         }
         if (line.type === "serverTurnedAway" && line.restMs !== undefined) {
-            const rest = { fromMs: line.atMs + bounds.inFlightGraceMs, untilMs: line.atMs + line.restMs, arrivals: [] };
-            rests.set(key, [...rests.get(key) ?? [], rest]);
+            const backoff = {
+                fromMs: line.atMs + bounds.inFlightGraceMs,
+                untilMs: line.atMs + line.restMs,
+                arrivals: [],
+            };
+            backoffs.set(key, [...backoffs.get(key) ?? [], backoff]);
         }
     }
     return violations;
@@ -62,21 +66,21 @@
  */
 export function checkLeavingRespected(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
     const sent = new Map<string, { readonly gateway: string; readonly atMs: number; }>();
-    const heard = new Map<string, HistoryLine>();
+    const announcements = new Map<string, HistoryLine>();
     const violations: Violation[] = [];
     for (const line of history) {
         if (line.type === "callerSent") {
-            sent.set(line.requestId, { gateway: gatewayLifeOf(line), atMs: line.atMs });
+            sent.set(line.requestId, { gateway: gatewayIncarnationOf(line), atMs: line.atMs });
         }
         if (line.type === "leavingPassedOn") {
-            const key = `${line.server} ${gatewayLifeOf(line)}`;
-            heard.set(key, heard.get(key) ?? line);
+            const key = `${line.server} ${gatewayIncarnationOf(line)}`;
+            announcements.set(key, announcements.get(key) ?? line);
         }
         if (line.type !== "serverStarted" && line.type !== "serverTurnedAway") {
             continue;
         }
         const request = sent.get(line.requestId);
-        const since = heard.get(`${line.server} ${request?.gateway ?? ""}`);
+        const since = announcements.get(`${line.server} ${request?.gateway ?? ""}`);
         if (request !== undefined && since !== undefined && request.atMs > since.atMs + graceMs) {
             violations.push({
                 invariant: "leavingHeeded",
@@ -94,6 +98,8 @@
  * Identifies a gateway's process incarnation, since a restarted gateway has no knowledge of earlier responses. Callers'
  * lines name the incarnation as their `process`.
  */
-function gatewayLifeOf({ process, gateway = "" }: HistoryLine & { readonly gateway?: string | undefined; }): string {
+function gatewayIncarnationOf(
+    { process, gateway = "" }: HistoryLine & { readonly gateway?: string | undefined; },
+): string {
     return `${gateway} ${process}`;
 }
--- a/packages/history/src/workspaceKeyChecker.ts
+++ b/packages/history/src/workspaceKeyChecker.ts
@@ -5,7 +5,7 @@
 type Sent = LineOf<"callerSent">;
 
 /** What a configuration version prescribes for a request: the workspace name sent to the server, or rejection. */
-type Ruling =
+type Admission =
     /** The version has no workspaces: whatever the caller sent is forwarded. */
     | { readonly type: "unchecked"; }
     /** `name` is `undefined` for a request without a known key on an open route. */
@@ -62,33 +62,36 @@
 ): readonly [invariant: string, detail: string] | undefined {
     switch (line.type) {
         case "serverStarted":
-            return findPassedOn(line, request, versions) ?? findWrongRun(line, request, versions);
+            return findForwardedKey(line, request, versions) ?? findWrongRun(line, request, versions);
         case "serverTurnedAway":
-            return findPassedOn(line, request, versions);
+            return findForwardedKey(line, request, versions);
         case "callerAnswered":
-            return findWrongRefusal(line, request, versions);
+            return findWrongRejection(line, request, versions);
         default:
             return undefined;
     }
 }
 
-function findWrongRefusal(
+function findWrongRejection(
     { status, atMs }: LineOf<"callerAnswered">,
     request: Sent,
     versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
     const inForce = versions.inForce(request.atMs, atMs);
-    if (status === unauthenticatedStatus && inForce.every(version => rule(version, request).type !== "rejected")) {
+    if (
+        status === unauthenticatedStatus
+        && inForce.every(version => resolveAdmission(version, request).type !== "rejected")
+    ) {
         return ["keyDenied", "got 401, although every version that may be in force admits it"];
     }
     const hasNoLimit = ({ workspaces }: ConfigurationVersion): boolean =>
-        workspaces !== undefined && findHolder(workspaces, request)?.limit === undefined;
+        workspaces !== undefined && findKeyOwner(workspaces, request)?.limit === undefined;
     return status === overLimitStatus && inForce.every(hasNoLimit)
         ? ["limitRefused", "got 429, although its workspace has no limit in any version that may be in force"]
         : undefined;
 }
 
-function findPassedOn(
+function findForwardedKey(
     { keyPassedOn, server, atMs }: LineOf<"serverStarted" | "serverTurnedAway">,
     request: Sent,
     versions: ConfigurationVersions,
@@ -102,11 +105,11 @@
     request: Sent,
     versions: ConfigurationVersions,
 ): readonly [invariant: string, detail: string] | undefined {
-    const told = workspace === undefined ? "no workspace" : `workspace ${workspace}`;
-    const admits = (version: ConfigurationVersion): boolean => rule(version, request).type !== "rejected";
+    const receivedName = workspace === undefined ? "no workspace" : `workspace ${workspace}`;
+    const admits = (version: ConfigurationVersion): boolean => resolveAdmission(version, request).type !== "rejected";
     const allows = (version: ConfigurationVersion): boolean => {
-        const ruling = rule(version, request);
-        return ruling.type === "unchecked" || (ruling.type === "admitted" && ruling.name === workspace);
+        const admission = resolveAdmission(version, request);
+        return admission.type === "unchecked" || (admission.type === "admitted" && admission.name === workspace);
     };
     const written = versions.writtenUntil(atMs);
     if (!written.some(admits)) {
@@ -117,24 +120,24 @@
         return undefined;
     }
     return inForce.some(admits)
-        ? ["workspaceName", `ran on ${server} for ${told}, which doesn't own its key`]
+        ? ["workspaceName", `ran on ${server} for ${receivedName}, which doesn't own its key`]
         : [
             "revokedKey",
-            `ran on ${server} for ${told}, although version ${inForce[0]?.revision ?? 0} has revoked its key`,
+            `ran on ${server} for ${receivedName}, although version ${inForce[0]?.revision ?? 0} has revoked its key`,
         ];
 }
 
-function findHolder(workspaces: readonly WrittenWorkspace[], { keyId }: Sent): WrittenWorkspace | undefined {
+function findKeyOwner(workspaces: readonly WrittenWorkspace[], { keyId }: Sent): WrittenWorkspace | undefined {
     return workspaces.find(({ keyIds }) => keyId !== undefined && keyIds.includes(keyId));
 }
 
-function rule({ workspaces }: ConfigurationVersion, request: Sent): Ruling {
+function resolveAdmission({ workspaces }: ConfigurationVersion, request: Sent): Admission {
     if (workspaces === undefined) {
         return { type: "unchecked" };
     }
-    const holder = findHolder(workspaces, request);
-    if (holder !== undefined) {
-        return { type: "admitted", name: holder.name };
+    const owner = findKeyOwner(workspaces, request);
+    if (owner !== undefined) {
+        return { type: "admitted", name: owner.name };
     }
     return request.open === true ? { type: "admitted", name: undefined } : { type: "rejected" };
 }
--- a/packages/history/src/workspaceLimitChecker.ts
+++ b/packages/history/src/workspaceLimitChecker.ts
@@ -71,13 +71,13 @@
             continue;
         }
         counted.add(line.requestId);
-        const own = runs.get(line.workspace) ?? [];
-        runs.set(line.workspace, own);
+        const workspaceRuns = runs.get(line.workspace) ?? [];
+        runs.set(line.workspace, workspaceRuns);
         const { sequence, atMs: startedAtMs } = line;
-        own.push({ sentAtMs: sentAtMs.get(line.requestId) ?? startedAtMs, startedAtMs, sequence });
+        workspaceRuns.push({ sentAtMs: sentAtMs.get(line.requestId) ?? startedAtMs, startedAtMs, sequence });
     }
-    for (const own of runs.values()) {
-        own.sort((a, b) => a.sentAtMs - b.sentAtMs);
+    for (const workspaceRuns of runs.values()) {
+        workspaceRuns.sort((a, b) => a.sentAtMs - b.sentAtMs);
     }
     return runs;
 }
--- a/packages/history/src/zoneOutChecker.ts
+++ b/packages/history/src/zoneOutChecker.ts
@@ -15,19 +15,19 @@
  * @returns violations; empty if the invariant held
  */
 export function checkZoneOut(history: readonly HistoryLine[], graceMs: number): readonly Violation[] {
-    const out = new Map<string, ZoneOut>();
+    const zonesOut = new Map<string, ZoneOut>();
     const violations: Violation[] = [];
     for (const line of history) {
         if (line.type === "zoneOutAccepted") {
-            out.set(line.availabilityZone, { atMs: line.atMs, sequence: line.sequence });
+            zonesOut.set(line.availabilityZone, { atMs: line.atMs, sequence: line.sequence });
         }
         if (line.type === "zoneInRequested") {
-            out.delete(line.availabilityZone);
+            zonesOut.delete(line.availabilityZone);
         }
         if (line.type !== "serverStarted") {
             continue;
         }
-        const since = out.get(line.availabilityZone);
+        const since = zonesOut.get(line.availabilityZone);
         if (since !== undefined && line.atMs > since.atMs + graceMs) {
             const lateMs = Math.round(line.atMs - since.atMs);
             violations.push({
--- a/packages/replay/src/__tests__/simulatedServer.test.ts
+++ b/packages/replay/src/__tests__/simulatedServer.test.ts
@@ -34,7 +34,7 @@
 }
 
 /** @returns end times of requests that arrive together, without those that the server rejected */
-function serve(count: number, prepare: (server: SimulatedServer) => void = () => undefined): readonly number[] {
+function runRequests(count: number, prepare: (server: SimulatedServer) => void = () => undefined): readonly number[] {
     const events = new EventQueue();
     const server = createServer(events);
     const done: number[] = [];
@@ -47,13 +47,13 @@
 }
 
 test("requests take their usual time below the knee, and all of them take longer above it", () => {
-    assert.deepEqual(serve(2), [100, 100]);
-    assert.deepEqual(serve(3), [200, 200, 200]);
+    assert.deepEqual(runRequests(2), [100, 100]);
+    assert.deepEqual(runRequests(3), [200, 200, 200]);
 });
 
 test("a request waits if all slots are busy, and its connection is reset if the queue is full", () => {
-    assert.deepEqual(serve(4), [200, 200, 200, 300]);
-    assert.equal(serve(5).length, 4);
+    assert.deepEqual(runRequests(4), [200, 200, 200, 300]);
+    assert.equal(runRequests(5).length, 4);
 });
 
 test("a cold server is slower and counts the requests that reach it", () => {
--- a/packages/replay/src/command.ts
+++ b/packages/replay/src/command.ts
@@ -16,8 +16,8 @@
     --svg FILE          writes a plot of the last seed's report
     --help`;
 
-const badInputExitCode = 2;
-const largestSeed = 0xffff_ffff;
+const invalidInputExitCode = 2;
+const maxSeed = 0xffff_ffff;
 
 /** Files and terminal of a command run. */
 export interface CommandIo {
@@ -47,16 +47,16 @@
         Left: text => {
             const isHelp = text === usage;
             (isHelp ? io.print : io.printError)(`${text}\n`);
-            return isHelp ? 0 : badInputExitCode;
+            return isHelp ? 0 : invalidInputExitCode;
         },
         Right: input => {
-            play(input, io);
+            runAll(input, io);
             return 0;
         },
     });
 }
 
-function play({ scenario, seeds, variant, json, svg }: CommandInput, io: CommandIo): void {
+function runAll({ scenario, seeds, variant, json, svg }: CommandInput, io: CommandIo): void {
     const runs = seeds.map(seed => runVariants({ ...scenario, seed }, variant));
     if (json) {
         io.print(`${JSON.stringify(runs.flat(), undefined, 2)}\n`);
@@ -74,10 +74,10 @@
 }
 
 function runVariants(scenario: Scenario, variant: Partial<PlacementPolicy> | undefined): readonly ReplayReport[] {
-    const plain = runReplay(scenario);
+    const baseline = runReplay(scenario);
     return variant === undefined
-        ? [plain]
-        : [plain, runReplay({ ...scenario, policy: { ...scenario.policy, ...variant } })];
+        ? [baseline]
+        : [baseline, runReplay({ ...scenario, policy: { ...scenario.policy, ...variant } })];
 }
 
 function readInput(args: readonly string[], io: CommandIo): Either<string, CommandInput> {
@@ -132,12 +132,12 @@
     return resolve(text).mapLeft(faults => formatFaults(path, faults));
 }
 
-function readSeeds(text: string | undefined, own: number): Either<string, readonly number[]> {
+function readSeeds(text: string | undefined, defaultSeed: number): Either<string, readonly number[]> {
     if (text === undefined) {
-        return Right([own]);
+        return Right([defaultSeed]);
     }
     const seeds = text.split(",").map(Number);
-    return seeds.every(seed => Number.isInteger(seed) && seed >= 0 && seed <= largestSeed)
+    return seeds.every(seed => Number.isInteger(seed) && seed >= 0 && seed <= maxSeed)
         ? Right(seeds)
-        : Left(`--seeds ${text}: expected integers from 0 to ${largestSeed}`);
+        : Left(`--seeds ${text}: expected integers from 0 to ${maxSeed}`);
 }
--- a/packages/replay/src/report/fleetRecorder.ts
+++ b/packages/replay/src/report/fleetRecorder.ts
@@ -119,19 +119,19 @@
         const windows: ReplayWindow[] = [];
         for (let fromMs = 0; fromMs < durationMs; fromMs += windowMs) {
             const isInside = (atMs: number): boolean => atMs >= fromMs && atMs < fromMs + windowMs;
-            const came = callers.filter(({ arrivedAtMs }) => isInside(arrivedAtMs));
-            const inTime = came.filter(caller => caller.isWithinObjective).length;
-            const answered = came.filter(({ answeredAtMs }) => answeredAtMs !== undefined).length;
-            const refused = came.filter(({ end }) => end === "refused").length;
+            const arrived = callers.filter(({ arrivedAtMs }) => isInside(arrivedAtMs));
+            const inTime = arrived.filter(caller => caller.isWithinObjective).length;
+            const answered = arrived.filter(({ answeredAtMs }) => answeredAtMs !== undefined).length;
+            const refused = arrived.filter(({ end }) => end === "refused").length;
             const samples = this.#slotSamples.filter(({ atMs }) => isInside(atMs));
             const probes = sum(fleet.servers.map(({ probesAtMs }) => probesAtMs.filter(isInside).length));
             windows.push({
                 fromSeconds: fromMs / 1_000,
-                asked: came.length,
+                asked: arrived.length,
                 inTime,
                 late: answered - inTime,
                 refused,
-                failed: came.length - answered - refused,
+                failed: arrived.length - answered - refused,
                 probes: probes / fleet.servers.length / (windowMs / 1_000),
                 slots: sum(samples.map(({ share }) => share)) / Math.max(1, samples.length),
             });
@@ -142,15 +142,15 @@
 
 /** @returns maximum number of the sorted times that lie within one span */
 export function findMaxWithin(timesMs: readonly number[], spanMs: number): number {
-    let most = 0;
+    let max = 0;
     let first = 0;
     for (const [last, atMs] of timesMs.entries()) {
         while (atMs - (timesMs[first] ?? 0) >= spanMs) {
             first++;
         }
-        most = Math.max(most, last - first + 1);
+        max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
 }
 
 function describeKind(name: string, callers: readonly SimulatedCaller[]): RequestKindStats {
--- a/packages/replay/src/report/renderPlot.ts
+++ b/packages/replay/src/report/renderPlot.ts
@@ -4,7 +4,7 @@
     readonly title: string;
     /** Maximum of the scale; `undefined` to use the largest value. */
     readonly top: number | undefined;
-    readonly figureOf: (window: ReplayWindow) => number;
+    readonly valueOf: (window: ReplayWindow) => number;
 }
 
 const width = 760;
@@ -13,10 +13,10 @@
 const colors = ["#1f5fa8", "#c2571a"];
 
 const panels: readonly Panel[] = [
-    { title: "share within objective", top: 1, figureOf: ({ inTime, asked }) => inTime / Math.max(1, asked) },
-    { title: "share refused", top: undefined, figureOf: ({ refused, asked }) => refused / Math.max(1, asked) },
-    { title: "load probes per server and second", top: undefined, figureOf: ({ probes }) => probes },
-    { title: "share of busy slots", top: 1, figureOf: ({ slots }) => slots },
+    { title: "share within objective", top: 1, valueOf: ({ inTime, asked }) => inTime / Math.max(1, asked) },
+    { title: "share refused", top: undefined, valueOf: ({ refused, asked }) => refused / Math.max(1, asked) },
+    { title: "load probes per server and second", top: undefined, valueOf: ({ probes }) => probes },
+    { title: "share of busy slots", top: 1, valueOf: ({ slots }) => slots },
 ];
 
 /**
@@ -40,20 +40,20 @@
     ].join("\n");
 }
 
-function renderPanel({ title, top, figureOf }: Panel, reports: readonly ReplayReport[], y: number): readonly string[] {
-    const all = reports.flatMap(({ windows }) => windows.map(figureOf));
-    const most = top ?? Math.max(Number.EPSILON, ...all);
+function renderPanel({ title, top, valueOf }: Panel, reports: readonly ReplayReport[], y: number): readonly string[] {
+    const all = reports.flatMap(({ windows }) => windows.map(valueOf));
+    const max = top ?? Math.max(Number.EPSILON, ...all);
     const bottom = y + margin.top + panelHeight;
     const right = width - margin.right;
     return [
         `<text x="${margin.left}" y="${y + margin.top - 8}">${title}</text>`,
-        `<text x="8" y="${y + margin.top + 8}">${most.toFixed(2)}</text>`,
+        `<text x="8" y="${y + margin.top + 8}">${max.toFixed(2)}</text>`,
         `<line x1="${margin.left}" y1="${bottom}" x2="${right}" y2="${bottom}" stroke="black"/>`,
         ...reports.map(({ windows }, i) => {
             const last = Math.max(...windows.map(({ fromSeconds }) => fromSeconds), Number.EPSILON);
             const points = windows.map(window => {
                 const x = margin.left + window.fromSeconds / last * (right - margin.left);
-                return `${x.toFixed(1)},${(bottom - figureOf(window) / most * panelHeight).toFixed(1)}`;
+                return `${x.toFixed(1)},${(bottom - valueOf(window) / max * panelHeight).toFixed(1)}`;
             });
             return `<polyline fill="none" stroke="${colors[i] ?? "black"}" stroke-width="2" points="${
                 points.join(" ")
--- a/packages/replay/src/report/renderReport.ts
+++ b/packages/replay/src/report/renderReport.ts
@@ -58,9 +58,9 @@
     return `${renderTable(["seed", ...columns.flatMap(column => [column, "variant"])], rows)}\n`;
 }
 
-function renderTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
-    const widths = head.map((title, i) => Math.max(title.length, ...rows.map(row => (row[i] ?? "").length)));
-    return [head, ...rows]
+function renderTable(header: readonly string[], rows: readonly (readonly string[])[]): string {
+    const widths = header.map((title, i) => Math.max(title.length, ...rows.map(row => (row[i] ?? "").length)));
+    return [header, ...rows]
         .map(row =>
             row.map((cell, i) => i === 0 ? cell.padEnd(widths[i] ?? 0) : cell.padStart(widths[i] ?? 0)).join("  ")
         )
--- a/packages/replay/src/rollout/rolloutSimulation.ts
+++ b/packages/replay/src/rollout/rolloutSimulation.ts
@@ -14,18 +14,19 @@
 const stepMs = 10;
 const tickMs = 250;
 /** Maximum time until a connected gateway receives a change of the store. */
-const hearingMs = 500;
-const startMs = 10_000;
+const maxDeliveryDelayMs = 500;
+/** Time of the rollout order on the virtual clock. */
+const orderAtMs = 10_000;
 
 interface Gateway {
     readonly name: string;
-    life: number;
+    incarnation: number;
     view: FleetView;
     rollouts: GatewayRollouts;
     participant: RolloutParticipant;
     nextTickMs: number;
     downUntilMs: number;
-    cutUntilMs: number;
+    partitionedUntilMs: number;
 }
 
 interface Pending {
@@ -43,12 +44,12 @@
     #pending: Pending[] = [];
     #revision = 1;
     #statusRevision = 0;
-    #storeAwayUntilMs = 0;
+    #storeDownUntilMs = 0;
     #nowMs = 0;
     #sends = 0;
-    #exposed = 0;
-    #afterRollBack = 0;
-    #leftBehind = 0;
+    #newVersionSends = 0;
+    #sendsAfterRollback = 0;
+    #oldVersionInFlightAtCompletion = 0;
     #orderedAtMs = Infinity;
     #lastWriter: Gateway | undefined;
 
@@ -65,15 +66,15 @@
     run(): RolloutSimulationResult {
         const { allowedMs } = this.#scenario;
         const order: RolloutOrder = { service, version: newVersion, allowedMs };
-        this.#at(startMs, () => {
+        this.#schedule(orderAtMs, () => {
             this.#orderedAtMs = this.#nowMs;
             this.#publish({ type: "rolloutOrder", key: "order", order });
             for (const server of this.#servers.all.filter(({ version }) => version === newVersion)) {
                 this.#publish({ type: "server", key: server.id, server });
             }
         });
-        this.#scheduleTrouble();
-        const endMs = startMs + allowedMs + 3_000;
+        this.#scheduleInjectedFault();
+        const endMs = orderAtMs + allowedMs + 3_000;
         for (; this.#nowMs < endMs; this.#nowMs += stepMs) {
             this.#runPending();
             this.#sendRequests();
@@ -83,38 +84,38 @@
         return {
             statuses: this.#statuses.map(({ status }) => status),
             sends: this.#sends,
-            newVersionSends: this.#exposed,
-            sendsAfterRollback: this.#afterRollBack,
-            oldVersionInFlightAtCompletion: this.#leftBehind,
-            endedAtMs: last !== undefined && isFinal(last.status) ? last.atMs - startMs : undefined,
+            newVersionSends: this.#newVersionSends,
+            sendsAfterRollback: this.#sendsAfterRollback,
+            oldVersionInFlightAtCompletion: this.#oldVersionInFlightAtCompletion,
+            endedAtMs: last !== undefined && isFinal(last.status) ? last.atMs - orderAtMs : undefined,
         };
     }
 
-    #scheduleTrouble(): void {
+    #scheduleInjectedFault(): void {
         const { trouble, allowedMs } = this.#scenario;
-        const somewhen = (): number => startMs + this.#random.next() * allowedMs * 0.8;
+        const drawFaultTimeMs = (): number => orderAtMs + this.#random.next() * allowedMs * 0.8;
         switch (trouble) {
             case "deaths":
                 for (const gateway of this.#gateways.filter(() => this.#random.next() < 0.3)) {
-                    this.#at(somewhen(), () => this.#kill(gateway));
+                    this.#schedule(drawFaultTimeMs(), () => this.#kill(gateway));
                 }
                 return;
             case "coordinatorDies":
-                for (let atMs = startMs + 500; atMs < startMs + allowedMs; atMs += 2_000) {
-                    this.#at(atMs, () => this.#killLastWriter());
+                for (let atMs = orderAtMs + 500; atMs < orderAtMs + allowedMs; atMs += 2_000) {
+                    this.#schedule(atMs, () => this.#killLastWriter());
                 }
                 return;
             case "storeAway": {
-                const fromMs = somewhen();
-                this.#at(fromMs, () => {
-                    this.#storeAwayUntilMs = fromMs + 3_000;
+                const fromMs = drawFaultTimeMs();
+                this.#schedule(fromMs, () => {
+                    this.#storeDownUntilMs = fromMs + 3_000;
                 });
                 return;
             }
             case "cuts":
                 for (const gateway of this.#gateways.filter(() => this.#random.next() < 0.3)) {
-                    this.#at(somewhen(), () => {
-                        gateway.cutUntilMs = this.#nowMs + 3_000;
+                    this.#schedule(drawFaultTimeMs(), () => {
+                        gateway.partitionedUntilMs = this.#nowMs + 3_000;
                     });
                 }
                 return;
@@ -132,35 +133,35 @@
     /** Kills a gateway, which restarts after a while without its state. */
     #kill(gateway: Gateway): void {
         gateway.downUntilMs = this.#nowMs + 2_000;
-        this.#at(gateway.downUntilMs, () => {
-            Object.assign(gateway, this.#createGateway(gateway.name, gateway.life + 1));
+        this.#schedule(gateway.downUntilMs, () => {
+            Object.assign(gateway, this.#createGateway(gateway.name, gateway.incarnation + 1));
         });
     }
 
-    #createGateway(name: string, life = 0): Gateway {
+    #createGateway(name: string, incarnation = 0): Gateway {
         const view = new FleetView();
         const rollouts = new GatewayRollouts({
             name,
-            incarnation: String(life),
+            incarnation: String(incarnation),
             view,
             random: this.#random,
             exposureShare: 0.1,
         });
-        view.onFullRead(this.#items(), this.#nowMs);
+        view.onFullRead(this.#createItems(), this.#nowMs);
         view.onStoreContact(this.#nowMs);
         return {
             name,
-            life,
+            incarnation,
             view,
             rollouts,
             participant: new RolloutParticipant({ name, view, rollouts }),
             nextTickMs: this.#nowMs + this.#random.next() * tickMs,
             downUntilMs: 0,
-            cutUntilMs: 0,
+            partitionedUntilMs: 0,
         };
     }
 
-    #items(): readonly StateItem[] {
+    #createItems(): readonly StateItem[] {
         const { allowedMs, gateways } = this.#scenario;
         const isOrdered = this.#nowMs >= this.#orderedAtMs;
         const items: StateItem[] = this.#servers.all
@@ -182,18 +183,18 @@
     #publish(item: StateItem): void {
         this.#revision++;
         for (const gateway of this.#gateways) {
-            const life = gateway.life;
+            const incarnation = gateway.incarnation;
             const deliver = (): void => {
-                if (gateway.life !== life || gateway.downUntilMs > this.#nowMs) {
+                if (gateway.incarnation !== incarnation || gateway.downUntilMs > this.#nowMs) {
                     return;
                 }
-                if (gateway.cutUntilMs > this.#nowMs) {
-                    this.#at(gateway.cutUntilMs + 1, deliver);
+                if (gateway.partitionedUntilMs > this.#nowMs) {
+                    this.#schedule(gateway.partitionedUntilMs + 1, deliver);
                     return;
                 }
                 gateway.view.onChanges({ items: [item], deletedKeys: [] }, this.#nowMs);
             };
-            this.#at(this.#nowMs + this.#random.next() * hearingMs, deliver);
+            this.#schedule(this.#nowMs + this.#random.next() * maxDeliveryDelayMs, deliver);
         }
     }
 
@@ -203,14 +204,14 @@
                 continue;
             }
             gateway.nextTickMs = this.#nowMs + tickMs;
-            if (gateway.cutUntilMs <= this.#nowMs && this.#storeAwayUntilMs <= this.#nowMs) {
+            if (gateway.partitionedUntilMs <= this.#nowMs && this.#storeDownUntilMs <= this.#nowMs) {
                 gateway.view.onStoreContact(this.#nowMs);
             }
-            this.#carryOut(gateway, gateway.participant.tick({ nowMs: this.#nowMs, epochMs: this.#nowMs }));
+            this.#execute(gateway, gateway.participant.tick({ nowMs: this.#nowMs, epochMs: this.#nowMs }));
         }
     }
 
-    #carryOut(gateway: Gateway, commands: readonly RolloutCommand[]): void {
+    #execute(gateway: Gateway, commands: readonly RolloutCommand[]): void {
         for (const command of commands) {
             if (command.type === "report") {
                 this.#report(gateway, command);
@@ -223,15 +224,15 @@
 
     #report(gateway: Gateway, command: RolloutCommand & { readonly type: "report"; }): void {
         const to = this.#gateways.find(({ name }) => name === command.to.name);
-        this.#at(this.#nowMs + 5, () => {
-            const reached = to !== undefined && to.downUntilMs <= this.#nowMs && to.cutUntilMs <= this.#nowMs
-                && gateway.cutUntilMs <= this.#nowMs;
+        this.#schedule(this.#nowMs + 5, () => {
+            const reached = to !== undefined && to.downUntilMs <= this.#nowMs && to.partitionedUntilMs <= this.#nowMs
+                && gateway.partitionedUntilMs <= this.#nowMs;
             const answer = reached
                 ? to.participant.onPeerReport(command.report, { nowMs: this.#nowMs, epochMs: this.#nowMs })
                 : undefined;
-            this.#at(this.#nowMs + (reached ? 5 : 400), () => {
+            this.#schedule(this.#nowMs + (reached ? 5 : 400), () => {
                 const outcome = answer === undefined ? { taken: false } as const : { taken: true, ...answer } as const;
-                this.#carryOut(gateway, gateway.participant.onReportSent(command, outcome, this.#nowMs));
+                this.#execute(gateway, gateway.participant.onReportSent(command, outcome, this.#nowMs));
             });
         });
     }
@@ -240,25 +241,25 @@
         const { trouble } = this.#scenario;
         this.#lastWriter = gateway;
         const { participant } = gateway;
-        const isAway = gateway.cutUntilMs > this.#nowMs || this.#storeAwayUntilMs > this.#nowMs;
-        const answerIsLost = trouble === "lostWrites" && this.#random.next() < 0.5;
+        const isStoreUnreachable = gateway.partitionedUntilMs > this.#nowMs || this.#storeDownUntilMs > this.#nowMs;
+        const isResponseLost = trouble === "lostWrites" && this.#random.next() < 0.5;
         // A write whose response is lost may be committed seconds later, if its expected revision still matches.
-        const delayMs = answerIsLost ? this.#random.next() * 4_000 : 5;
-        if (isAway) {
-            this.#at(this.#nowMs + 400, () => participant.onStatusWritten(service, undefined, this.#nowMs));
+        const delayMs = isResponseLost ? this.#random.next() * 4_000 : 5;
+        if (isStoreUnreachable) {
+            this.#schedule(this.#nowMs + 400, () => participant.onStatusWritten(service, undefined, this.#nowMs));
             return;
         }
-        this.#at(this.#nowMs + delayMs, () => {
+        this.#schedule(this.#nowMs + delayMs, () => {
             const isDone = expectedRevision === this.#statusRevision;
             if (isDone) {
                 this.#onStatus(status);
             }
-            if (!answerIsLost) {
+            if (!isResponseLost) {
                 participant.onStatusWritten(service, isDone ? this.#statusRevision : undefined, this.#nowMs);
             }
         });
-        if (answerIsLost) {
-            this.#at(this.#nowMs + 800, () => participant.onStatusWritten(service, undefined, this.#nowMs));
+        if (isResponseLost) {
+            this.#schedule(this.#nowMs + 800, () => participant.onStatusWritten(service, undefined, this.#nowMs));
         }
     }
 
@@ -267,7 +268,7 @@
         this.#publish({ type: "rolloutStatus", key: "status", status, revision: this.#revision + 1 });
         this.#statusRevision = this.#revision;
         if (status.stage === "completed") {
-            this.#leftBehind += this.#servers.countRunning(oldVersion);
+            this.#oldVersionInFlightAtCompletion += this.#servers.countRunning(oldVersion);
         }
     }
 
@@ -301,7 +302,7 @@
         const isBad = this.#servers.begin(server, route, this.#sinceOrderMs);
         const slow = isBad && this.#scenario.badness === "slow";
         const tookMs = workMs * (slow ? 8 : 0.7 + this.#random.next() * 0.6);
-        this.#at(this.#nowMs + tookMs, () => {
+        this.#schedule(this.#nowMs + tookMs, () => {
             this.#servers.end(server);
             const status = isBad && !slow ? 500 : 200;
             rollouts.onSendEnded(server, route, {
@@ -320,9 +321,9 @@
             this.#sends++;
         }
         if (version === newVersion) {
-            this.#exposed++;
+            this.#newVersionSends++;
             if (last?.status.stage === "rolledBack" && this.#nowMs > last.atMs + 5_000) {
-                this.#afterRollBack++;
+                this.#sendsAfterRollback++;
             }
         }
     }
@@ -331,7 +332,7 @@
         return this.#nowMs - this.#orderedAtMs;
     }
 
-    #at(atMs: number, run: () => void): void {
+    #schedule(atMs: number, run: () => void): void {
         this.#pending.push({ atMs, run });
     }
 
--- a/packages/replay/src/rollout/versionedServers.ts
+++ b/packages/replay/src/rollout/versionedServers.ts
@@ -12,11 +12,11 @@
 const slots = 4;
 const coldMs = 2_000;
 /** Time from the order until a late fault starts. */
-const lateMs = 3_000;
+const lateFaultDelayMs = 3_000;
 /** Share of bad responses of both versions during a shared fault, and its period as shares of the allowed time. */
-const sharedBadShare = 0.3;
-const sharedFromShare = 0.2;
-const sharedToShare = 0.6;
+const sharedFaultBadShare = 0.3;
+const sharedFaultStartShare = 0.2;
+const sharedFaultEndShare = 0.6;
 
 /** The servers of both versions, with the number of requests running on each. */
 export class VersionedServers {
@@ -59,9 +59,9 @@
 
     #isBad({ version }: RegisteredServer, route: string, running: number, sinceOrderMs: number): boolean {
         const { badness, badShare, baselineBadShare, trouble, allowedMs } = this.#scenario;
-        const inTrouble = trouble === "sharedFaults" && sinceOrderMs > allowedMs * sharedFromShare
-            && sinceOrderMs < allowedMs * sharedToShare;
-        if (this.#random.next() < (inTrouble ? sharedBadShare : baselineBadShare)) {
+        const duringSharedFault = trouble === "sharedFaults" && sinceOrderMs > allowedMs * sharedFaultStartShare
+            && sinceOrderMs < allowedMs * sharedFaultEndShare;
+        if (this.#random.next() < (duringSharedFault ? sharedFaultBadShare : baselineBadShare)) {
             return true;
         }
         if (version !== newVersion || this.#random.next() >= badShare) {
@@ -75,7 +75,7 @@
             case "underLoad":
                 return running >= slots / 2;
             case "late":
-                return sinceOrderMs > lateMs;
+                return sinceOrderMs > lateFaultDelayMs;
             default:
                 return true;
         }
--- a/packages/replay/src/world/attempt.ts
+++ b/packages/replay/src/world/attempt.ts
@@ -17,7 +17,7 @@
 import { ServerSend } from "./serverSend.js";
 
 type Purpose = "first" | "retry" | "hedge";
-type Place = Extract<SearchStep, { readonly type: "send"; }>;
+type SendStep = Extract<SearchStep, { readonly type: "send"; }>;
 
 /** Outcome of an attempt for its caller. */
 export type AttemptOutcome =
@@ -26,15 +26,15 @@
     /** The attempt failed, and the request may have run. Only callers of idempotent requests try again. */
     | { readonly type: "failed"; };
 
-interface SendUnderWay {
-    readonly place: Place;
+interface ActiveSend {
+    readonly step: SendStep;
     readonly sentAtMs: number;
     readonly send: ServerSend;
 }
 
 /** Timeout of the first round of probes. It doubles with each further round, up to the maximum. */
 const firstProbeTimeoutMs = 35;
-const longestProbeTimeoutMs = 150;
+const maxProbeTimeoutMs = 150;
 
 /**
  * One attempt of a caller at one gateway: searches for servers, sends the request, retries and hedges where allowed,
@@ -46,8 +46,8 @@
     readonly #onEnd: (end: AttemptOutcome) => void;
     readonly #rules: ServiceRules;
     readonly #arrivedAtMs: number;
-    readonly #tried = new Set<string>();
-    readonly #underWay = new Set<SendUnderWay>();
+    readonly #triedServers = new Set<string>();
+    readonly #activeSends = new Set<ActiveSend>();
     readonly #ends: SendEnd[] = [];
     readonly #patienceMs: number;
     #arrivals = 0;
@@ -71,16 +71,16 @@
         const { events, costs } = this.#gateway;
         const { kind, givesUpAtMs } = this.#caller;
         this.#gateway.attempts.add(this);
-        this.#gateway.schedule(givesUpAtMs - events.nowMs, () => this.#onCallerGone());
-        this.#gateway.schedule(this.#cutoffMs() - events.nowMs, () => this.#onOutOfTime());
+        this.#gateway.schedule(givesUpAtMs - events.nowMs, () => this.#onCallerGaveUp());
+        this.#gateway.schedule(this.#cutoffMs() - events.nowMs, () => this.#onTimeout());
         this.#gateway.execute(costs.requestMs, () =>
-            this.#whenRead(() => {
+            this.#waitForFirstRead(() => {
                 this.#gateway.onRequest(kind.service, kind.priority);
-                this.#whenTurn();
+                this.#enqueueAtStartup();
             }));
     }
 
-    #whenTurn(): void {
+    #enqueueAtStartup(): void {
         const { startupQueue, placementState, events } = this.#gateway;
         if (startupQueue?.isActive(events.nowMs) !== true) {
             this.#begin();
@@ -107,12 +107,12 @@
     }
 
     #begin(): void {
-        this.#place("first");
-        this.#planHedge();
+        this.#startSearch("first");
+        this.#scheduleHedge();
     }
 
     /** Holds the request until the gateway's first read of the store, or refuses it if that takes too long. */
-    #whenRead(run: () => void): void {
+    #waitForFirstRead(run: () => void): void {
         const gateway = this.#gateway;
         if (gateway.firstReadRemainingMs === 0) {
             run();
@@ -162,7 +162,7 @@
         return Math.min(this.#caller.givesUpAtMs, this.#arrivedAtMs + this.#kind.timeoutMs);
     }
 
-    #place(purpose: Purpose): void {
+    #startSearch(purpose: Purpose): void {
         const { objectiveMs, priority } = this.#kind;
         const finder = this.#gateway.createFinder({
             rules: this.#rules,
@@ -170,67 +170,67 @@
             priority: priority,
             arrivedAtMs: this.#arrivedAtMs,
             cutoffMs: this.#cutoffMs(),
-            triedServers: this.#tried,
+            triedServers: this.#triedServers,
             onlyGood: purpose === "hedge",
         });
-        this.#look(finder, purpose);
+        this.#continueSearch(finder, purpose);
     }
 
-    #look(finder: ServerFinder, purpose: Purpose): void {
-        if (this.#isOver || (purpose === "hedge" && this.#underWay.size === 0)) {
+    #continueSearch(finder: ServerFinder, purpose: Purpose): void {
+        if (this.#isOver || (purpose === "hedge" && this.#activeSends.size === 0)) {
             return;
         }
         const step = finder.step(this.#gateway.snapshot(this.#kind.service));
         switch (step.type) {
             case "ask":
-                this.#ask(step.servers, step.round, () => this.#look(finder, purpose));
+                this.#probe(step.servers, step.round, () => this.#continueSearch(finder, purpose));
                 return;
             case "pause":
-                this.#gateway.schedule(step.forMs, () => this.#look(finder, purpose));
+                this.#gateway.schedule(step.forMs, () => this.#continueSearch(finder, purpose));
                 return;
             case "refuse":
-                this.#onNoPlace(purpose, step.reason === "noServer" ? "noServer" : "full");
+                this.#onNoServer(purpose, step.reason === "noServer" ? "noServer" : "full");
                 return;
             case "send":
-                if (purpose !== "hedge" || this.#takeRepeat("hedge")) {
+                if (purpose !== "hedge" || this.#takeRepeatBudget("hedge")) {
                     this.#send(step);
                 }
         }
     }
 
-    #ask(servers: readonly RegisteredServer[], round: number, onKnown: () => void): void {
-        const timeoutMs = Math.min(longestProbeTimeoutMs, firstProbeTimeoutMs * 2 ** round);
-        probeServers({ gateway: this.#gateway, service: this.#kind.service, servers, timeoutMs, onResult: onKnown });
+    #probe(servers: readonly RegisteredServer[], round: number, onResult: () => void): void {
+        const timeoutMs = Math.min(maxProbeTimeoutMs, firstProbeTimeoutMs * 2 ** round);
+        probeServers({ gateway: this.#gateway, service: this.#kind.service, servers, timeoutMs, onResult });
     }
 
-    #send(place: Place): void {
+    #send(step: SendStep): void {
         const gateway = this.#gateway;
-        const server = gateway.directory.get(place.server.id);
+        const server = gateway.directory.get(step.server.id);
         if (server === undefined) {
-            throw new Error(`unknown server ${place.server.id}`);
+            throw new Error(`unknown server ${step.server.id}`);
         }
-        this.#tried.add(server.id);
-        const underWay: SendUnderWay = {
-            place,
+        this.#triedServers.add(server.id);
+        const activeSend: ActiveSend = {
+            step,
             sentAtMs: this.#nowMs(),
             send: new ServerSend(gateway, server, this.#caller.workMs, {
                 isNeeded: () => !this.#isOver,
                 onArrival: () => gateway.repeatedArrivals += this.#arrivals++ > 0 ? 1 : 0,
-                onEnded: (end, offer) => this.#onSendEnded(underWay, end, offer),
-                onBackoff: restMs => gateway.placementState.onBackoff(place.server, restMs, this.#nowMs()),
+                onEnded: (end, status) => this.#onSendEnded(activeSend, end, status),
+                onBackoff: backoffMs => gateway.placementState.onBackoff(step.server, backoffMs, this.#nowMs()),
             }),
         };
-        this.#underWay.add(underWay);
-        underWay.send.start();
+        this.#activeSends.add(activeSend);
+        activeSend.send.start();
         gateway.onAttemptSent(this);
     }
 
-    #onSendEnded(underWay: SendUnderWay, end: SendEnd, offer: ServerStatus | undefined): void {
+    #onSendEnded(activeSend: ActiveSend, end: SendEnd, status: ServerStatus | undefined): void {
         const { placementState, connections } = this.#gateway;
-        const { place, sentAtMs } = underWay;
-        const { server } = place;
+        const { step, sentAtMs } = activeSend;
+        const { server } = step;
         const service = this.#kind.service;
-        if (!this.#underWay.delete(underWay)) {
+        if (!this.#activeSends.delete(activeSend)) {
             return;
         }
         this.#ends.push(end);
@@ -242,13 +242,13 @@
         }
         else if (end.type === "answered") {
             placementState.suspects.onSuccess(server.id);
-            placementState.typicalLatency.onResponse(service, this.#nowMs() - sentAtMs, place.score.latencyFactor);
+            placementState.typicalLatency.onResponse(service, this.#nowMs() - sentAtMs, step.score.latencyFactor);
         }
-        if (offer?.load !== undefined) {
-            placementState.onLoadReport(service, server, offer.load, this.#nowMs());
+        if (status?.load !== undefined) {
+            placementState.onLoadReport(service, server, status.load, this.#nowMs());
         }
-        if (offer?.limit !== undefined) {
-            placementState.onLimit(server, offer.limit, { answered: "request", sentAtMs }, this.#nowMs());
+        if (status?.limit !== undefined) {
+            placementState.onLimit(server, status.limit, { answered: "request", sentAtMs }, this.#nowMs());
         }
         if (this.#isOver) {
             return;
@@ -257,28 +257,28 @@
             this.#finish({ type: "answered" });
             return;
         }
-        this.#tryAgain(end);
+        this.#retryIfAllowed(end);
     }
 
-    #tryAgain(end: SendEnd): void {
+    #retryIfAllowed(end: SendEnd): void {
         const { idempotent } = this.#kind;
-        const mayGoOn = isRetryAllowed({
+        const mayRetry = isRetryAllowed({
             idempotent,
             isBodyReplayable: true,
             maximumRuns: 2,
             ends: this.#ends,
-            inFlight: this.#underWay.size,
+            inFlight: this.#activeSends.size,
         });
         const reachedServer = !(end.type === "notRun" && end.reason === "connectFailed");
-        if (mayGoOn && (!reachedServer || this.#takeRepeat("retry"))) {
-            this.#place("retry");
+        if (mayRetry && (!reachedServer || this.#takeRepeatBudget("retry"))) {
+            this.#startSearch("retry");
             return;
         }
         this.#onAllFailed();
     }
 
     #onAllFailed(): void {
-        if (this.#underWay.size > 0) {
+        if (this.#activeSends.size > 0) {
             return;
         }
         if (this.#ends.every(({ type }) => type === "notRun")) {
@@ -288,7 +288,7 @@
         this.#finish({ type: "failed" });
     }
 
-    #onNoPlace(purpose: Purpose, cause: RefusalCause): void {
+    #onNoServer(purpose: Purpose, cause: RefusalCause): void {
         if (purpose === "first") {
             this.#refuse(cause);
         }
@@ -297,18 +297,18 @@
         }
     }
 
-    #onOutOfTime(): void {
+    #onTimeout(): void {
         if (this.#isOver) {
             return;
         }
-        if (this.#underWay.size === 0 && this.#ends.every(({ type }) => type === "notRun")) {
+        if (this.#activeSends.size === 0 && this.#ends.every(({ type }) => type === "notRun")) {
             this.#refuse("full");
             return;
         }
         this.#finish({ type: "failed" });
     }
 
-    #onCallerGone(): void {
+    #onCallerGaveUp(): void {
         if (!this.#isOver) {
             this.#finish({ type: "failed" });
         }
@@ -336,24 +336,24 @@
         if (!this.#kind.idempotent && this.#caller.isWaiting(this.#nowMs())) {
             return;
         }
-        for (const { send } of this.#underWay) {
+        for (const { send } of this.#activeSends) {
             send.abandon();
         }
     }
 
-    #planHedge(): void {
+    #scheduleHedge(): void {
         if (!this.#kind.idempotent) {
             return;
         }
         const delayMs = this.#kind.objectiveMs * this.#gateway.policy.hedgeAfterShare;
         this.#gateway.schedule(delayMs - (this.#nowMs() - this.#arrivedAtMs), () => {
-            if (!this.#isOver && this.#underWay.size === 1 && this.#ends.length === 0) {
-                this.#place("hedge");
+            if (!this.#isOver && this.#activeSends.size === 1 && this.#ends.length === 0) {
+                this.#startSearch("hedge");
             }
         });
     }
 
-    #takeRepeat(purpose: "retry" | "hedge"): boolean {
+    #takeRepeatBudget(purpose: "retry" | "hedge"): boolean {
         const { repeatBudget } = this.#gateway;
         return repeatBudget.take(this.#kind.service, purpose, this.#gateway.countKnownGateways(), this.#nowMs());
     }
--- a/packages/replay/src/world/callerBehavior.ts
+++ b/packages/replay/src/world/callerBehavior.ts
@@ -14,7 +14,7 @@
     readonly kind: string | undefined;
 }
 
-interface Leaving {
+interface EarlyDeparture {
     readonly share: number;
     readonly afterMs: number;
 }
@@ -33,7 +33,7 @@
 /** Current behavior of the callers. Several events that change it may overlap, and each ends independently. */
 export class CallerBehavior {
     readonly bursts = new Set<Burst>();
-    readonly earlyDepartures = new Set<Leaving>();
+    readonly earlyDepartures = new Set<EarlyDeparture>();
     readonly impatience = new Set<Impatience>();
     readonly moves = new Set<Move>();
     readonly #zones: readonly string[];
@@ -78,12 +78,12 @@
     }
 
     drawZone(random: RandomSource): string {
-        const own = this.#zones[random.nextInt(this.#zones.length)] ?? "";
+        const homeZone = this.#zones[random.nextInt(this.#zones.length)] ?? "";
         for (const { share, from, zone } of this.moves) {
-            if (from === own && random.next() < share) {
+            if (from === homeZone && random.next() < share) {
                 return zone;
             }
         }
-        return own;
+        return homeZone;
     }
 }
--- a/packages/replay/src/world/callerGenerator.ts
+++ b/packages/replay/src/world/callerGenerator.ts
@@ -5,7 +5,7 @@
 import { SimulatedCaller } from "./simulatedCaller.js";
 
 /** Maximum time between two evaluations of the request rate, so that a burst starts on time. */
-const rateCheckMs = 50;
+const maxRateCheckIntervalMs = 50;
 /** Derives a seed for the load that differs from that of the servers. */
 const loadSeedMask = 0x5eed;
 
@@ -32,20 +32,20 @@
     }
 
     start(): void {
-        this.#scenario.requests.forEach(kind => this.#plan(kind));
+        this.#scenario.requests.forEach(kind => this.#scheduleNext(kind));
     }
 
-    #plan(kind: RequestKind): void {
+    #scheduleNext(kind: RequestKind): void {
         const perMs = kind.perSecond * this.behavior.factorOf(kind, this.#events.nowMs) / 1_000;
         const gapMs = -Math.log(1 - this.#random.next()) / Math.max(perMs, Number.MIN_VALUE);
         // Exponential gaps are memoryless, so a gap over the maximum may be drawn again later with the current rate.
-        if (gapMs > rateCheckMs) {
-            this.#events.schedule(rateCheckMs, () => this.#plan(kind));
+        if (gapMs > maxRateCheckIntervalMs) {
+            this.#events.schedule(maxRateCheckIntervalMs, () => this.#scheduleNext(kind));
             return;
         }
         this.#events.schedule(gapMs, () => {
             this.#onArrival(this.#create(kind));
-            this.#plan(kind);
+            this.#scheduleNext(kind);
         });
     }
 
--- a/packages/replay/src/world/connectionPool.ts
+++ b/packages/replay/src/world/connectionPool.ts
@@ -1,17 +1,17 @@
 /** Idle connections of one gateway to backend servers, represented by the times of their last use. */
 export class ConnectionPool {
     readonly #idleSinceMs = new Map<string, number[]>();
-    readonly #keptMs: number;
-    readonly #keptPerServer: number;
+    readonly #idleTimeoutMs: number;
+    readonly #maxIdlePerServer: number;
     #opened = 0;
 
     /**
-     * @param keptMs - how long an idle connection is kept, in milliseconds
-     * @param keptPerServer - maximum number of idle connections per server
+     * @param idleTimeoutMs - how long an idle connection is kept, in milliseconds
+     * @param maxIdlePerServer - maximum number of idle connections per server
      */
-    constructor(keptMs: number, keptPerServer: number) {
-        this.#keptMs = keptMs;
-        this.#keptPerServer = keptPerServer;
+    constructor(idleTimeoutMs: number, maxIdlePerServer: number) {
+        this.#idleTimeoutMs = idleTimeoutMs;
+        this.#maxIdlePerServer = maxIdlePerServer;
     }
 
     /** Number of connections opened so far. */
@@ -23,7 +23,7 @@
     acquire(serverId: string, nowMs: number): boolean {
         const idle = this.#idleSinceMs.get(serverId);
         const last = idle?.pop();
-        if (last !== undefined && nowMs - last <= this.#keptMs) {
+        if (last !== undefined && nowMs - last <= this.#idleTimeoutMs) {
             return false;
         }
         idle?.splice(0);
@@ -34,7 +34,7 @@
     release(serverId: string, nowMs: number): void {
         const idle = this.#idleSinceMs.get(serverId) ?? [];
         this.#idleSinceMs.set(serverId, idle);
-        if (idle.length < this.#keptPerServer) {
+        if (idle.length < this.#maxIdlePerServer) {
             idle.push(nowMs);
         }
     }
--- a/packages/replay/src/world/eventQueue.ts
+++ b/packages/replay/src/world/eventQueue.ts
@@ -29,15 +29,15 @@
      * Runs all events up to a time.
      *
      * @param untilMs - end of the run, inclusive
-     * @param mostEvents - maximum number of events
+     * @param maxEvents - maximum number of events
      * @returns number of events that ran
      * @throws RangeError if there are more events, which indicates an event that schedules itself without end
      */
-    runUntil(untilMs: number, mostEvents: number): number {
+    runUntil(untilMs: number, maxEvents: number): number {
         let count = 0;
         for (let next = this.#heap[0]; next !== undefined && next.atMs <= untilMs; next = this.#heap[0]) {
-            if (++count > mostEvents) {
-                throw new RangeError(`more than ${mostEvents} events by ${this.#nowMs.toFixed(0)} ms`);
+            if (++count > maxEvents) {
+                throw new RangeError(`more than ${maxEvents} events by ${this.#nowMs.toFixed(0)} ms`);
             }
             this.#removeFirst();
             this.#nowMs = next.atMs;
--- a/packages/replay/src/world/fleetDirectory.ts
+++ b/packages/replay/src/world/fleetDirectory.ts
@@ -53,14 +53,14 @@
 
     /** @returns servers of a service that may receive new requests */
     usable(service: string): readonly RegisteredServer[] {
-        const known = this.#usable.get(service);
-        if (known !== undefined) {
-            return known;
+        const cached = this.#usable.get(service);
+        if (cached !== undefined) {
+            return cached;
         }
         const usable: RegisteredServer[] = [];
         for (const { registered, isRegistered } of this.#servers) {
-            const { service: own, availabilityZone } = registered;
-            if (own === service && isRegistered && !this.#zonesOut.has(availabilityZone)) {
+            const { service: serverService, availabilityZone } = registered;
+            if (serverService === service && isRegistered && !this.#zonesOut.has(availabilityZone)) {
                 usable.push(registered);
             }
         }
--- a/packages/replay/src/world/fleetEventScheduler.ts
+++ b/packages/replay/src/world/fleetEventScheduler.ts
@@ -88,9 +88,9 @@
         this.#fleet.events.schedule(delayMs, run);
     }
 
-    #during<T>(forMs: number, troubles: Set<T>, trouble: T): void {
-        troubles.add(trouble);
-        this.#after(forMs, () => troubles.delete(trouble));
+    #during<T>(forMs: number, active: Set<T>, change: T): void {
+        active.add(change);
+        this.#after(forMs, () => active.delete(change));
     }
 
     #release({ share, gapMs, coldMs, service }: ActionOf<"release">): void {
--- a/packages/replay/src/world/fleetReplay.ts
+++ b/packages/replay/src/world/fleetReplay.ts
@@ -14,12 +14,12 @@
 /**
  * Maximum number of events per simulated millisecond. More of them indicate an event that schedules itself without end.
  */
-const mostEventsPerMs = 2_000;
+const maxEventsPerMs = 2_000;
 /** How long a caller tries to connect to a gateway, and the mean delay between two tries. */
-const connectPatienceMs = 1_000;
+const connectTimeoutMs = 1_000;
 const connectRetryMs = 100;
 /** Maximum wait of a refused caller before its next try, as a share of the time that it has left. */
-const mostWaitShare = 1 / 3;
+const maxWaitShare = 1 / 3;
 
 /** Hooks to observe and change the fleet during a replay. */
 export interface ReplayHooks {
@@ -42,7 +42,7 @@
     refusals = 0;
     readonly #hooks: ReplayHooks;
     readonly #random: RandomSource;
-    readonly #troubles: FleetEventScheduler;
+    readonly #eventScheduler: FleetEventScheduler;
     #serverCount = 0;
 
     constructor(scenario: Scenario, hooks: ReplayHooks = {}) {
@@ -62,7 +62,7 @@
             hooks.callerBehavior ?? {},
             caller => this.#onArrival(caller),
         );
-        this.#troubles = new FleetEventScheduler(this);
+        this.#eventScheduler = new FleetEventScheduler(this);
     }
 
     get servers(): readonly SimulatedServer[] {
@@ -73,9 +73,9 @@
     run(): this {
         const { durationMs } = this.scenario;
         this.callerGenerator.start();
-        this.#troubles.scheduleAll();
+        this.#eventScheduler.scheduleAll();
         this.#tick();
-        this.events.runUntil(durationMs, durationMs * mostEventsPerMs);
+        this.events.runUntil(durationMs, durationMs * maxEventsPerMs);
         return this;
     }
 
@@ -121,10 +121,10 @@
         const names = sizes.map((_, i) => `gateway-${i}`);
         return sizes.map((cores, i) => {
             const name = names[i] ?? "";
-            const hidden = this.#random.next() * unknownGateways;
-            const known = hidden === 0
+            const unknownShare = this.#random.next() * unknownGateways;
+            const known = unknownShare === 0
                 ? names
-                : names.filter(other => other === name || this.#random.next() >= hidden);
+                : names.filter(other => other === name || this.#random.next() >= unknownShare);
             const zone = this.#zoneOf(i);
             const knownByZone = this.#groupByZone(known, names);
             const knownInZone = knownByZone.get(zone) ?? [];
@@ -167,7 +167,7 @@
         }
         caller.tries++;
         this.tries++;
-        this.#connect(caller, this.events.nowMs + connectPatienceMs);
+        this.#connect(caller, this.events.nowMs + connectTimeoutMs);
     }
 
     #connect(caller: SimulatedCaller, untilMs: number): void {
@@ -201,13 +201,15 @@
             return;
         }
         this.refusals += end.type === "refused" ? 1 : 0;
-        const mayReturn = end.type === "refused" || caller.kind.idempotent;
-        if (!mayReturn || caller.tries >= caller.maxTries) {
+        const mayRetry = end.type === "refused" || caller.kind.idempotent;
+        if (!mayRetry || caller.tries >= caller.maxTries) {
             caller.end = end.type;
             return;
         }
-        const toldMs = end.type === "refused" ? end.retryAfterMs : 0;
-        const waitMs = caller.retriesImmediately ? 0 : Math.min(toldMs, (caller.givesUpAtMs - nowMs) * mostWaitShare);
+        const retryAfterMs = end.type === "refused" ? end.retryAfterMs : 0;
+        const waitMs = caller.retriesImmediately
+            ? 0
+            : Math.min(retryAfterMs, (caller.givesUpAtMs - nowMs) * maxWaitShare);
         this.events.schedule(waitMs, () => this.#try(caller));
     }
 
--- a/packages/replay/src/world/probeServers.ts
+++ b/packages/replay/src/world/probeServers.ts
@@ -19,48 +19,48 @@
  * another server responded or a single one was probed. Otherwise the gateway itself was slow or disconnected, and all
  * servers would become suspects at once.
  */
-export function probeServers(probe: ProbeRound): void {
-    const { gateway, service, servers, timeoutMs, onResult } = probe;
-    const silent: string[] = [];
+export function probeServers(round: ProbeRound): void {
+    const { gateway, service, servers, timeoutMs, onResult } = round;
+    const unresponsive: string[] = [];
     let answered = 0;
-    let isKnown = false;
-    const onEnded = (id: string, offer: ServerStatus | undefined): void => {
-        if (offer === undefined) {
-            silent.push(id);
+    let isReported = false;
+    const onEnded = (id: string, status: ServerStatus | undefined): void => {
+        if (status === undefined) {
+            unresponsive.push(id);
         }
         else {
             answered++;
         }
-        const allEnded = answered + silent.length === servers.length;
-        if (allEnded && (answered > 0 || silent.length === 1)) {
-            silent.forEach(each => gateway.placementState.onFailure(service, each, gateway.events.nowMs));
+        const allEnded = answered + unresponsive.length === servers.length;
+        if (allEnded && (answered > 0 || unresponsive.length === 1)) {
+            unresponsive.forEach(each => gateway.placementState.onFailure(service, each, gateway.events.nowMs));
         }
-        if (!isKnown && (allEnded || (offer !== undefined && isGoodOffer(offer)))) {
-            isKnown = true;
+        if (!isReported && (allEnded || (status !== undefined && isGoodStatus(status)))) {
+            isReported = true;
             onResult();
         }
     };
     for (const { id } of servers) {
         const server = gateway.directory.get(id);
         if (server !== undefined) {
-            askOne(probe, server, timeoutMs, offer => onEnded(id, offer));
+            probeServer(round, server, timeoutMs, status => onEnded(id, status));
         }
     }
 }
 
-function askOne(
+function probeServer(
     { gateway, service }: ProbeRound,
     server: SimulatedServer,
     timeoutMs: number,
-    onEnded: (offer: ServerStatus | undefined) => void,
+    onEnded: (status: ServerStatus | undefined) => void,
 ): void {
     const { costs, events } = gateway;
-    const askedAtMs = events.nowMs;
+    const sentAtMs = events.nowMs;
     let isOver = false;
-    const end = (offer: ServerStatus | undefined): void => {
+    const end = (status: ServerStatus | undefined): void => {
         if (!isOver) {
             isOver = true;
-            onEnded(offer);
+            onEnded(status);
         }
     };
     gateway.schedule(timeoutMs, () => gateway.execute(0, () => end(undefined)));
@@ -69,22 +69,22 @@
             if (server.isDown) {
                 return;
             }
-            const offer = server.probe();
+            const status = server.probe();
             gateway.schedule(oneWayLatencyMs(gateway, server), () =>
                 gateway.execute(costs.probeMs, () => {
                     if (!isOver) {
                         gateway.connections.release(server.id, events.nowMs);
-                        gateway.placementState.onProbeResponse(service, offer, askedAtMs);
+                        gateway.placementState.onProbeResponse(service, status, sentAtMs);
                     }
-                    end(offer);
+                    end(status);
                 }));
         });
     });
 }
 
-function isGoodOffer(offer: ServerStatus): boolean {
+function isGoodStatus(status: ServerStatus): boolean {
     return isGood(
-        scoreServer(offer, {
+        scoreServer(status, {
             typicalLatencyMs: 0,
             sentSinceReport: 0,
             sameZone: true,
--- a/packages/replay/src/world/serverFinder.ts
+++ b/packages/replay/src/world/serverFinder.ts
@@ -4,8 +4,8 @@
 
 /** Finds a server for one request in several steps. The production implementation is `ServerSearch`. */
 export abstract class ServerFinder {
-    /** @param sight - the gateway's current view of the fleet */
-    abstract step(sight: FleetSnapshot): SearchStep;
+    /** @param snapshot - the gateway's current view of the fleet */
+    abstract step(snapshot: FleetSnapshot): SearchStep;
 }
 
 /** Picks a random server immediately. Serves as the baseline for the placement decisions. */
--- a/packages/replay/src/world/serverSend.ts
+++ b/packages/replay/src/world/serverSend.ts
@@ -7,10 +7,10 @@
     /** Whether the response is still needed; checked when the request reaches the server. */
     readonly isNeeded: () => boolean;
     readonly onArrival: () => void;
-    /** @param offer - the server's status, if its response contained it */
-    readonly onEnded: (end: SendEnd, offer: ServerStatus | undefined) => void;
+    /** @param status - the server's status, if its response contained it */
+    readonly onEnded: (end: SendEnd, status: ServerStatus | undefined) => void;
     /** The server rejected the request and asked the gateway to back off. */
-    readonly onBackoff: (restMs: number) => void;
+    readonly onBackoff: (backoffMs: number) => void;
 }
 
 /** One send of a request from a gateway to a server, up to its response. */
@@ -18,14 +18,14 @@
     readonly #gateway: SimulatedGateway;
     readonly #server: SimulatedServer;
     readonly #workMs: number;
-    readonly #events: SendCallbacks;
+    readonly #callbacks: SendCallbacks;
     #job: ServerJob | undefined;
 
-    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, events: SendCallbacks) {
+    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, callbacks: SendCallbacks) {
         this.#gateway = gateway;
         this.#server = server;
         this.#workMs = workMs;
-        this.#events = events;
+        this.#callbacks = callbacks;
     }
 
     start(): void {
@@ -43,39 +43,39 @@
     }
 
     #arrive(): void {
-        if (!this.#events.isNeeded()) {
+        if (!this.#callbacks.isNeeded()) {
             return;
         }
-        this.#events.onArrival();
+        this.#callbacks.onArrival();
         if (this.#server.isDown) {
-            this.#events.onEnded({ type: "notRun", reason: "connectFailed" }, undefined);
+            this.#callbacks.onEnded({ type: "notRun", reason: "connectFailed" }, undefined);
             return;
         }
         const job: ServerJob = {
             workMs: this.#workMs,
-            onDone: () => this.#passBack({ type: "answered", status: 200 }, this.#server.createStatus(true)),
+            onDone: () => this.#respond({ type: "answered", status: 200 }, this.#server.createStatus(true)),
         };
         const arrival = this.#server.receive(job, this.#gateway.name);
         if (arrival === "taken") {
             this.#job = job;
             return;
         }
-        this.#passBack(resolveEnd(arrival), undefined, this.#server.backoffMs);
+        this.#respond(resolveEnd(arrival), undefined, this.#server.backoffMs);
     }
 
-    #passBack(end: SendEnd, offer: ServerStatus | undefined, restMs?: number): void {
+    #respond(end: SendEnd, status: ServerStatus | undefined, backoffMs?: number): void {
         const gateway = this.#gateway;
         gateway.schedule(
             oneWayLatencyMs(gateway, this.#server),
             () => {
-                if (offer?.limit?.type === "named") {
+                if (status?.limit?.type === "named") {
                     this.#server.onLimitDelivered(gateway.name);
                 }
                 gateway.execute(gateway.costs.answerMs, () => {
-                    if (restMs !== undefined) {
-                        this.#events.onBackoff(restMs);
+                    if (backoffMs !== undefined) {
+                        this.#callbacks.onBackoff(backoffMs);
                     }
-                    this.#events.onEnded(end, offer);
+                    this.#callbacks.onEnded(end, status);
                 });
             },
         );
@@ -93,8 +93,10 @@
  * @returns time until a message sent now reaches the server, in milliseconds
  */
 export function acquireConnection(gateway: SimulatedGateway, server: SimulatedServer): number {
-    const way = oneWayLatencyMs(gateway, server);
-    return gateway.connections.acquire(server.id, gateway.events.nowMs) ? 3 * way + gateway.costs.connectMs : way;
+    const latencyMs = oneWayLatencyMs(gateway, server);
+    return gateway.connections.acquire(server.id, gateway.events.nowMs)
+        ? 3 * latencyMs + gateway.costs.connectMs
+        : latencyMs;
 }
 
 function resolveEnd(arrival: Exclude<ArrivalResult, "taken">): SendEnd {
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -19,8 +19,8 @@
 import { RandomFinder, ServerFinder } from "./serverFinder.js";
 
 /** How long idle connections are kept, and the maximum number per server. */
-const keptConnectionMs = 8_000;
-const keptConnections = 4;
+const connectionIdleTimeoutMs = 8_000;
+const maxIdleConnectionsPerServer = 4;
 
 /** Settings and dependencies of a simulated gateway. */
 export interface SimulatedGatewayDeps {
@@ -61,32 +61,32 @@
     /** Number of arrivals at servers after the first one of each attempt. */
     repeatedArrivals = 0;
     #upAtMs = -Infinity;
-    #readAtMs = -Infinity;
+    #firstReadAtMs = -Infinity;
     /** Number of requests held until the first read of the store. */
     heldAtStart = 0;
     /** Queue for the requests of the first seconds after a restart. */
     startupQueue: StartupQueue<Attempt> | undefined;
-    #openedBefore = 0;
-    #requestsOfLife: number;
-    readonly #parts: SimulatedGatewayDeps;
-
-    constructor(parts: SimulatedGatewayDeps) {
-        this.#parts = parts;
-        this.name = parts.name;
-        this.zone = parts.zone;
-        this.events = parts.events;
-        this.directory = parts.directory;
-        this.eventLoop = new SimulatedEventLoop(parts.events, parts.cores);
-        this.policy = resolvePlacementPolicy(parts.scenario.policy);
-        this.random = createRandomSource(parts.seed);
-        this.#requestsOfLife = parts.scenario.costs.coldCodeRequests;
-        this.placementState = this.#createBoard(parts.startedAtMs);
-        this.repeatBudget = new RepeatBudget(parts.scenario.repeats, parts.startedAtMs);
-        this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
+    #connectionsOpenedBefore = 0;
+    #requestsSinceStart: number;
+    readonly #deps: SimulatedGatewayDeps;
+
+    constructor(deps: SimulatedGatewayDeps) {
+        this.#deps = deps;
+        this.name = deps.name;
+        this.zone = deps.zone;
+        this.events = deps.events;
+        this.directory = deps.directory;
+        this.eventLoop = new SimulatedEventLoop(deps.events, deps.cores);
+        this.policy = resolvePlacementPolicy(deps.scenario.policy);
+        this.random = createRandomSource(deps.seed);
+        this.#requestsSinceStart = deps.scenario.costs.coldCodeRequests;
+        this.placementState = this.#createPlacementState(deps.startedAtMs);
+        this.repeatBudget = new RepeatBudget(deps.scenario.repeats, deps.startedAtMs);
+        this.connections = new ConnectionPool(connectionIdleTimeoutMs, maxIdleConnectionsPerServer);
     }
 
     get costs(): Costs {
-        return this.#parts.scenario.costs;
+        return this.#deps.scenario.costs;
     }
 
     get isUp(): boolean {
@@ -95,7 +95,7 @@
 
     /** Time until the first read of the store is complete, in milliseconds. */
     get firstReadRemainingMs(): number {
-        return Math.max(0, this.#readAtMs - this.events.nowMs);
+        return Math.max(0, this.#firstReadAtMs - this.events.nowMs);
     }
 
     /** Time since this process incarnation accepts requests, in milliseconds. */
@@ -104,24 +104,24 @@
     }
 
     get holdsAtStart(): boolean {
-        return this.#parts.scenario.holdsAtStart;
+        return this.#deps.scenario.holdsAtStart;
     }
 
     /** Number of connections opened to servers by all process incarnations. */
     get connectionsOpened(): number {
-        return this.#openedBefore + this.connections.opened;
+        return this.#connectionsOpenedBefore + this.connections.opened;
     }
 
     /** @returns number of gateways that it assumes to share a fleet-wide budget with, itself included */
     countKnownGateways(): number {
-        return this.#parts.knownGateways().length;
+        return this.#deps.knownGateways().length;
     }
 
     /** Runs a task on the event loop, unless the process is restarted before it ends. */
     execute(costMs: number, run: () => void): void {
         const { incarnation } = this;
         const { coldCodeFactor, coldCodeRequests } = this.costs;
-        const factor = this.#requestsOfLife < coldCodeRequests ? coldCodeFactor : 1;
+        const factor = this.#requestsSinceStart < coldCodeRequests ? coldCodeFactor : 1;
         this.eventLoop.execute(costMs * factor, () => {
             if (incarnation === this.incarnation) {
                 run();
@@ -141,30 +141,30 @@
 
     /** Counts a request that arrived from a caller. */
     onRequest(service: string, priority: number): void {
-        this.#requestsOfLife++;
+        this.#requestsSinceStart++;
         this.repeatBudget.onRequest(service, this.events.nowMs);
         this.placementState.onRequest(service, priority, this.events.nowMs);
     }
 
     /** Loses power for `downMs`; then a new process starts without any state. */
     restart(downMs: number): void {
-        const cut = [...this.attempts];
+        const interrupted = [...this.attempts];
         this.attempts.clear();
         this.incarnation++;
-        this.#openedBefore += this.connections.opened;
+        this.#connectionsOpenedBefore += this.connections.opened;
         this.eventLoop.restart();
         const { startMs, firstReadMs } = this.costs;
         const startedAtMs = this.events.nowMs + downMs;
-        this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#parts.cores);
-        this.#readAtMs = this.#upAtMs + firstReadMs;
+        this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#deps.cores);
+        this.#firstReadAtMs = this.#upAtMs + firstReadMs;
         this.heldAtStart = 0;
         this.startupQueue = new StartupQueue(startedAtMs);
-        this.#requestsOfLife = 0;
-        this.placementState = this.#createBoard(startedAtMs);
-        this.repeatBudget = new RepeatBudget(this.#parts.scenario.repeats, startedAtMs);
-        this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
+        this.#requestsSinceStart = 0;
+        this.placementState = this.#createPlacementState(startedAtMs);
+        this.repeatBudget = new RepeatBudget(this.#deps.scenario.repeats, startedAtMs);
+        this.connections = new ConnectionPool(connectionIdleTimeoutMs, maxIdleConnectionsPerServer);
         this.schedule(downMs + startupQueueMs, () => this.dequeueReady());
-        for (const attempt of cut) {
+        for (const attempt of interrupted) {
             attempt.onPowerLost();
         }
     }
@@ -193,22 +193,22 @@
             usable: this.directory.usable(service).filter(server =>
                 this.placementState.exclusionOf(server, this.events.nowMs) === undefined
             ),
-            gateways: this.#parts.knownGateways(),
-            zoneGateways: this.#parts.knownInZone(),
-            gatewaysByZone: this.#parts.knownByZone(),
+            gateways: this.#deps.knownGateways(),
+            zoneGateways: this.#deps.knownInZone(),
+            gatewaysByZone: this.#deps.knownByZone(),
             sinceStoreContactMs: 0,
             nowMs: this.events.nowMs,
         };
     }
 
     createFinder(input: SearchInput): ServerFinder {
-        return this.#parts.scenario.randomPlacement
+        return this.#deps.scenario.randomPlacement
             ? new RandomFinder(this.random)
             : new SearchFinder(this.placementState, input);
     }
 
-    #createBoard(startedAtMs: number): PlacementState {
-        const { name, zone, scenario } = this.#parts;
+    #createPlacementState(startedAtMs: number): PlacementState {
+        const { name, zone, scenario } = this.#deps;
         return new PlacementState({
             name,
             availabilityZone: zone,
@@ -228,7 +228,7 @@
         this.#search = new ServerSearch(board, input);
     }
 
-    override step(sight: FleetSnapshot): ReturnType<ServerSearch["step"]> {
-        return this.#search.step(sight);
+    override step(snapshot: FleetSnapshot): ReturnType<ServerSearch["step"]> {
+        return this.#search.step(snapshot);
     }
 }
--- a/packages/replay/src/world/simulatedServer.ts
+++ b/packages/replay/src/world/simulatedServer.ts
@@ -41,7 +41,7 @@
 
 const arrivalWindowMs = 1_000;
 /** Time that a gateway has to apply a limit after it received a response that advertises it. */
-const toldMs = 500;
+const limitGraceMs = 500;
 
 /**
  * A simulated backend server with slots and a queue. Requests run slower when most slots are busy, and in periods in
@@ -67,7 +67,7 @@
     /** Time from which on the limit must be enforced, in milliseconds. */
     limitEnforcedFromMs = Infinity;
     /** Time at which each gateway first received a response that advertises the limit. */
-    readonly #toldAtMs = new Map<string, number>();
+    readonly #limitReceivedAtMs = new Map<string, number>();
     /** Whether the server is down: it accepts no connections and answers no probes. */
     isDown = false;
     /** Whether the server is registered, so that gateways may send it new requests. */
@@ -84,7 +84,7 @@
     readonly #waiting: ServerJob[] = [];
     #isSlow: boolean;
     #advancedAtMs = 0;
-    #turn = 0;
+    #schedulingGeneration = 0;
 
     /**
      * @param registered - the server's registration in the store
@@ -119,10 +119,10 @@
     }
 
     /**
-     * @param namesLimit - whether the status contains the advertised limit, if there is one
+     * @param includeLimit - whether the status contains the advertised limit, if there is one
      * @returns the current status, as sent with responses
      */
-    createStatus(namesLimit: boolean): ServerStatus {
+    createStatus(includeLimit: boolean): ServerStatus {
         const { slots } = this.#shape;
         return {
             serverId: this.id,
@@ -136,7 +136,7 @@
             slots,
             healthy: true,
             coldRemainingMs: Math.max(0, this.coldUntilMs - this.#events.nowMs),
-            limit: namesLimit && this.limitPerSecond !== undefined
+            limit: includeLimit && this.limitPerSecond !== undefined
                 ? { type: "named", perSecond: this.limitPerSecond }
                 : { type: "none" },
         };
@@ -144,7 +144,7 @@
 
     /** Records that a gateway received a response that advertises the limit. */
     onLimitDelivered(gateway: string): void {
-        this.#toldAtMs.set(gateway, this.#toldAtMs.get(gateway) ?? this.#events.nowMs);
+        this.#limitReceivedAtMs.set(gateway, this.#limitReceivedAtMs.get(gateway) ?? this.#events.nowMs);
     }
 
     /** Handles the arrival of a request. @param gateway - name of the sending gateway */
@@ -153,7 +153,7 @@
         if (this.#events.nowMs < this.coldUntilMs) {
             this.coldArrivalsMs.push(this.#events.nowMs);
         }
-        this.#countLimited(gateway);
+        this.#recordLimitedArrival(gateway);
         if (this.#random.next() < this.rejectShare) {
             return "refused";
         }
@@ -185,23 +185,23 @@
 
     /** @returns maximum number of arrivals within one second while the server was cold */
     findMaxColdArrivalsPerSecond(): number {
-        let most = 0;
+        let max = 0;
         let first = 0;
         for (const [last, atMs] of this.coldArrivalsMs.entries()) {
             while (atMs - (this.coldArrivalsMs[first] ?? 0) >= arrivalWindowMs) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
-    #countLimited(gateway: string): void {
+    #recordLimitedArrival(gateway: string): void {
         const { nowMs } = this.#events;
         if (this.limitPerSecond === undefined || nowMs < this.limitEnforcedFromMs) {
             return;
         }
-        if ((this.#toldAtMs.get(gateway) ?? Infinity) <= nowMs - toldMs) {
+        if ((this.#limitReceivedAtMs.get(gateway) ?? Infinity) <= nowMs - limitGraceMs) {
             this.limitedArrivalsMs.push(nowMs);
             return;
         }
@@ -214,14 +214,14 @@
     }
 
     /** @returns factor on the usual execution time now */
-    #factor(): number {
+    #executionTimeFactor(): number {
         const { slots, kneeShare, kneeFactor } = this.#shape;
         return this.#slowdown() * (this.#running.size >= slots * kneeShare ? kneeFactor : 1);
     }
 
     /** Applies a state change. Speed is constant between changes, so each one first accounts for the work done. */
     #change(apply: () => void): void {
-        const doneMs = (this.#events.nowMs - this.#advancedAtMs) / this.#factor();
+        const doneMs = (this.#events.nowMs - this.#advancedAtMs) / this.#executionTimeFactor();
         for (const running of this.#running) {
             running.remainingMs -= doneMs;
         }
@@ -238,7 +238,7 @@
     }
 
     #scheduleNextEnd(): void {
-        const turn = ++this.#turn;
+        const generation = ++this.#schedulingGeneration;
         let next: RunningJob | undefined;
         for (const running of this.#running) {
             if (next === undefined || running.remainingMs < next.remainingMs) {
@@ -249,8 +249,8 @@
             return;
         }
         const ended = next;
-        this.#events.schedule(ended.remainingMs * this.#factor(), () => {
-            if (turn === this.#turn) {
+        this.#events.schedule(ended.remainingMs * this.#executionTimeFactor(), () => {
+            if (generation === this.#schedulingGeneration) {
                 this.#change(() => this.#running.delete(ended));
                 ended.job.onDone();
             }
