--- a/packages/history/src/__tests__/fleetCheckers.test.ts
+++ b/packages/history/src/__tests__/fleetCheckers.test.ts
@@ -72,14 +72,14 @@
         [atMs, started(requestId)],
         ...(crashes ? [[atMs + 10, { type: "serverCrashed", requestId, server: "s1" }] as const] : []),
     ];
-    const blocked = [
+    const untilBlocked = [
         ...createRequest(0, "a", true),
         ...createRequest(20, "b", true),
         ...createRequest(40, "c", true),
         ...createRequest(1_050, "d", true),
     ];
     const allowed = [
-        ...blocked,
+        ...untilBlocked,
         ...createRequest(2_000, "e", true),
         ...createRequest(3_000, "f", true),
         ...createRequest(4_000, "g", false),
--- a/packages/history/src/__tests__/serverCheckers.test.ts
+++ b/packages/history/src/__tests__/serverCheckers.test.ts
@@ -32,7 +32,7 @@
 
 const turnedCold: HistoryEvent = { type: "serverTurnedCold", server };
 const coldReported: HistoryEvent = { type: "coldSignHeard", gateway: "g1", server };
-const createMajorityRound = (startedAtMs: number): HistoryEvent => ({
+const majorityRound = (startedAtMs: number): HistoryEvent => ({
     type: "majorityRound",
     gateway: "g1",
     startedAtMs,
@@ -44,7 +44,7 @@
         [10, turnedCold],
         [20, createStarted(6)],
         [30, coldReported],
-        [50, createMajorityRound(40)],
+        [50, majorityRound(40)],
         [150, createStarted(6)],
         [151, createStarted(1)],
     );
@@ -52,7 +52,7 @@
 });
 
 test("cold start: reports too many requests after the window, within it, and on a server that was never warm", () => {
-    const afterwards = createHistory([10, turnedCold], [30, coldReported], [50, createMajorityRound(40)], [
+    const afterwards = createHistory([10, turnedCold], [30, coldReported], [50, majorityRound(40)], [
         151,
         createStarted(2),
     ]);
@@ -64,7 +64,7 @@
 });
 
 test("cold start: a majority round that began before the gateway learned of the change doesn't end the window", () => {
-    const history = createHistory([10, turnedCold], [30, coldReported], [50, createMajorityRound(29)], [
+    const history = createHistory([10, turnedCold], [30, coldReported], [50, majorityRound(29)], [
         300,
         createStarted(6),
     ]);
@@ -74,12 +74,12 @@
 test("leaving: reports a new request once the change has propagated", () => {
     const leaving = { type: "serverLeaving", server } as const;
     const leavingReceived = { type: "leavingHeard", gateway: "g1", server } as const;
-    const bad = createHistory([0, leaving], [5, leavingReceived], [20, createMajorityRound(10)], [
+    const bad = createHistory([0, leaving], [5, leavingReceived], [20, majorityRound(10)], [
         121,
         createStarted(1, false),
     ]);
     assert.equal(checkServerLeaving(bad, 100).length, 1);
-    const good = createHistory([0, leaving], [5, leavingReceived], [20, createMajorityRound(10)], [
+    const good = createHistory([0, leaving], [5, leavingReceived], [20, majorityRound(10)], [
         120,
         createStarted(1, false),
     ]);
--- a/packages/history/src/configurationChecker.ts
+++ b/packages/history/src/configurationChecker.ts
@@ -17,8 +17,7 @@
         if (line.type === "workSent" && line.revision < accepted.revision) {
             violations.push({
                 invariant: "configurationInForce",
-                detail:
-                    `${line.process} sent a request under revision ${line.revision}, ${accepted.revision} was accepted`,
+                detail: `${line.process} sent a request under ${line.revision} after ${accepted.revision} was accepted`,
                 lines: [accepted.sequence, line.sequence],
             });
         }
@@ -47,7 +46,8 @@
         if (!inOrder) {
             violations.push({
                 invariant: "configurationNeverReverts",
-                detail: `${line.process}: ${line.type} with revision ${line.revision}, ${before.revision} was applied`,
+                detail:
+                    `${line.process}: ${line.type} with revision ${line.revision} after ${before.revision} was applied`,
                 lines: [before.sequence, line.sequence],
             });
         }
--- a/packages/history/src/partitionedGatewayChecker.ts
+++ b/packages/history/src/partitionedGatewayChecker.ts
@@ -64,7 +64,7 @@
         return [];
     }
     const detail =
-        `partitioned gateways served ${partitioned.served} of ${partitioned.sent}, the others ${others.served} of ${others.sent}`;
+        `partitioned gateways served ${partitioned.served} of ${partitioned.sent}, others ${others.served} of ${others.sent}`;
     return [{ invariant: "cutGateways", detail, lines: failed }];
 }
 
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -37,9 +37,7 @@
     readonly knownInZone: () => readonly string[];
     /** All known gateways by zone. */
     readonly knownByZone: () => ReadonlyMap<string, readonly string[]>;
-    /**
-     * Start time of the process; negative if it runs already when the replay starts, so that budgets have filled up.
-     */
+    /** Start time of the process; negative to start it before the replay, so that its budgets have filled up. */
     readonly startedAtMs: number;
 }
 
