--- a/packages/history/src/partitionedGatewayChecker.ts
+++ b/packages/history/src/partitionedGatewayChecker.ts
@@ -1,12 +1,12 @@
 import { type HistoryLine, type Violation } from "./events.js";
 
-/** What callers of gateways that are cut off from all backend servers may lose. */
+/** Failures allowed for callers of gateways that are partitioned from all backend servers. */
 export interface PartitionedGatewayBounds {
-    /** From the beginning of a cut until it counts, in milliseconds. */
+    /** Time from the start of a partition until failures count, in milliseconds. */
     readonly settleMs: number;
-    /** Requests served there, as a part of the share that the other gateways serve in the same time, at least. */
+    /** Minimum success rate through partitioned gateways, as a share of the other gateways' rate in the same time. */
     readonly minRelativeShare: number;
-    /** Requests that may fail there in any case: so many, and so large a part of all that are sent in the same time. */
+    /** Failures that are always allowed: this number plus `allowedFailureShare` of all requests in the same time. */
     readonly allowedFailures: number;
     readonly allowedFailureShare: number;
 }
@@ -17,12 +17,12 @@
 }
 
 /**
- * Checks that callers whose gateway is cut off from all backend servers are served like the callers of the others. Each request counts as
- * a first try.
+ * Checks that callers of gateways that are partitioned from all backend servers are served about as well as callers of
+ * the other gateways. Each request counts as a first try.
  *
- * @param history - every line of a run, in the order of its times; callers' requests name their gateways
- * @param bounds - what callers may lose
- * @returns what was found against it; empty where the invariant held
+ * @param history - every line of a run, ordered by time; `callerSent` lines must have a gateway
+ * @param bounds - the failures allowed
+ * @returns violations; empty if the invariant held
  */
 export function checkPartitionedGateways(
     history: readonly HistoryLine[],
@@ -33,38 +33,38 @@
             line.type === "callerAnswered" && line.whole && isSuccess(line.status) ? line.requestId : []
         ),
     );
-    const cutSinceMs = new Map<string, number>();
-    const cut: Tally = { sent: 0, served: 0 };
+    const partitionedSinceMs = new Map<string, number>();
+    const partitioned: Tally = { sent: 0, served: 0 };
     const others: Tally = { sent: 0, served: 0 };
     const failed: number[] = [];
     for (const line of history) {
         switch (line.type) {
             case "gatewayCutFromServers":
-                cutSinceMs.set(line.gateway, cutSinceMs.get(line.gateway) ?? line.atMs);
+                partitionedSinceMs.set(line.gateway, partitionedSinceMs.get(line.gateway) ?? line.atMs);
                 break;
             case "gatewayLinksRestored":
-                cutSinceMs.delete(line.gateway);
+                partitionedSinceMs.delete(line.gateway);
                 break;
             case "callerSent": {
-                const sinceMs = cutSinceMs.get(line.gateway ?? "");
+                const sinceMs = partitionedSinceMs.get(line.gateway ?? "");
                 const isServed = served.has(line.requestId);
                 if (sinceMs === undefined) {
-                    count(others, isServed && cutSinceMs.size > 0, cutSinceMs.size > 0);
+                    count(others, isServed && partitionedSinceMs.size > 0, partitionedSinceMs.size > 0);
                 }
                 else if (line.atMs >= sinceMs + bounds.settleMs) {
-                    count(cut, isServed, true);
+                    count(partitioned, isServed, true);
                     failed.push(...(isServed ? [] : [line.sequence]));
                 }
             }
         }
     }
-    const allowed = bounds.allowedFailures + bounds.allowedFailureShare * (cut.sent + others.sent);
-    const isFewer = cut.served * others.sent < bounds.minRelativeShare * others.served * cut.sent;
+    const allowed = bounds.allowedFailures + bounds.allowedFailureShare * (partitioned.sent + others.sent);
+    const isFewer = partitioned.served * others.sent < bounds.minRelativeShare * others.served * partitioned.sent;
     if (!isFewer || failed.length <= allowed) {
         return [];
     }
     const detail =
-        `gateways without links to servers served ${cut.served} of ${cut.sent} requests, the others ${others.served} of ${others.sent}`;
+        `partitioned gateways served ${partitioned.served} of ${partitioned.sent}, others ${others.served} of ${others.sent}`;
     return [{ invariant: "cutGateways", detail, lines: failed }];
 }
 
--- a/packages/replay/src/command.ts
+++ b/packages/replay/src/command.ts
@@ -10,16 +10,16 @@
 import { type Scenario } from "./world/scenario.js";
 
 const usage = `usage: npm run replay -- SCENARIO.yaml [options]
-    --seeds A,B         seeds in place of the scenario's own
-    --compare FILE      plays each seed again with these settings of the placement (YAML)
-    --json              prints reports as JSON
-    --svg FILE          draws the last seed's report
+    --seeds A,B         seeds to use instead of the scenario's own
+    --compare FILE      runs each seed a second time with these placement settings (YAML)
+    --json              prints the reports as JSON
+    --svg FILE          writes a plot of the last seed's report
     --help`;
 
-const badInputExitCode = 2;
-const largestSeed = 0xffff_ffff;
+const invalidInputExitCode = 2;
+const maxSeed = 0xffff_ffff;
 
-/** Where a run of the command reads and writes. */
+/** Files and terminal of a command run. */
 export interface CommandIo {
     readonly readFile: (path: string) => string;
     readonly writeFile: (path: string, text: string) => void;
@@ -38,25 +38,25 @@
 /**
  * Runs the replay command.
  *
- * @param args - the command line without node and script
+ * @param args - command-line arguments, without the Node executable and the script
  * @param io - files and terminal
- * @returns the exit code: 0, or 2 where the input is faulty
+ * @returns exit code: 0, or 2 for invalid input
  */
 export function runCommand(args: readonly string[], io: CommandIo): number {
     return readInput(args, io).caseOf({
         Left: text => {
             const isHelp = text === usage;
             (isHelp ? io.print : io.printError)(`${text}\n`);
-            return isHelp ? 0 : badInputExitCode;
+            return isHelp ? 0 : invalidInputExitCode;
         },
         Right: input => {
-            play(input, io);
+            runAll(input, io);
             return 0;
         },
     });
 }
 
-function play({ scenario, seeds, variant, json, svg }: CommandInput, io: CommandIo): void {
+function runAll({ scenario, seeds, variant, json, svg }: CommandInput, io: CommandIo): void {
     const runs = seeds.map(seed => runVariants({ ...scenario, seed }, variant));
     if (json) {
         io.print(`${JSON.stringify(runs.flat(), undefined, 2)}\n`);
@@ -74,10 +74,10 @@
 }
 
 function runVariants(scenario: Scenario, variant: Partial<PlacementPolicy> | undefined): readonly ReplayReport[] {
-    const plain = runReplay(scenario);
+    const baseline = runReplay(scenario);
     return variant === undefined
-        ? [plain]
-        : [plain, runReplay({ ...scenario, policy: { ...scenario.policy, ...variant } })];
+        ? [baseline]
+        : [baseline, runReplay({ ...scenario, policy: { ...scenario.policy, ...variant } })];
 }
 
 function readInput(args: readonly string[], io: CommandIo): Either<string, CommandInput> {
@@ -104,7 +104,7 @@
         return Left(usage);
     }
     if (path === undefined || others.length > 0) {
-        return Left(`one scenario is expected\n${usage}`);
+        return Left(`expected one scenario file\n${usage}`);
     }
     const { compare, json, svg } = values;
     return readChecked(path, resolveScenario, io).chain(scenario =>
@@ -132,12 +132,12 @@
     return resolve(text).mapLeft(faults => formatFaults(path, faults));
 }
 
-function readSeeds(text: string | undefined, own: number): Either<string, readonly number[]> {
+function readSeeds(text: string | undefined, defaultSeed: number): Either<string, readonly number[]> {
     if (text === undefined) {
-        return Right([own]);
+        return Right([defaultSeed]);
     }
     const seeds = text.split(",").map(Number);
-    return seeds.every(seed => Number.isInteger(seed) && seed >= 0 && seed <= largestSeed)
+    return seeds.every(seed => Number.isInteger(seed) && seed >= 0 && seed <= maxSeed)
         ? Right(seeds)
-        : Left(`--seeds ${text}: whole numbers from 0 to ${largestSeed} are expected`);
+        : Left(`--seeds ${text}: expected integers from 0 to ${maxSeed}`);
 }
--- a/packages/replay/src/world/fleetReplay.ts
+++ b/packages/replay/src/world/fleetReplay.ts
@@ -11,22 +11,24 @@
 import { SimulatedGateway } from "./simulatedGateway.js";
 import { SimulatedServer } from "./simulatedServer.js";
 
-/** Events for each millisecond, gateway and server, beyond which a replay is given up. */
-const mostEventsPerMs = 2_000;
-/** How long a caller waits for a gateway that takes its connection, and how often it tries meanwhile. */
-const connectPatienceMs = 1_000;
+/**
+ * Maximum number of events per simulated millisecond. More of them indicate an event that schedules itself without end.
+ */
+const maxEventsPerMs = 2_000;
+/** How long a caller tries to connect to a gateway, and the mean delay between two tries. */
+const connectTimeoutMs = 1_000;
 const connectRetryMs = 100;
-/** Largest share of the time that it has left for which a refused caller waits until it comes back. */
-const mostWaitShare = 1 / 3;
+/** Maximum wait of a refused caller before its next try, as a share of the time that it has left. */
+const maxWaitShare = 1 / 3;
 
-/** How a fleet is observed and changed while it is replayed. */
+/** Hooks to observe and change the fleet during a replay. */
 export interface ReplayHooks {
-    /** Called at the start, and then each time `everyMs` has passed. */
     readonly callerBehavior?: CallerBehaviorOverrides;
+    /** Called at the start, and then every `everyMs` milliseconds. */
     readonly onTick?: { readonly everyMs: number; readonly run: (fleet: FleetReplay, nowMs: number) => void; };
 }
 
-/** Gateways, backend servers and callers of one scenario, on a clock of their own. */
+/** Simulates the gateways, backend servers and callers of one scenario on a virtual clock. */
 export class FleetReplay {
     readonly scenario: Scenario;
     readonly events = new EventQueue();
@@ -34,13 +36,13 @@
     readonly gateways: readonly SimulatedGateway[];
     readonly callers: SimulatedCaller[] = [];
     readonly callerGenerator: CallerGenerator;
-    /** Tries of all callers. */
+    /** Number of tries of all callers. */
     tries = 0;
-    /** Refusals of gateways. */
+    /** Number of requests that gateways refused. */
     refusals = 0;
     readonly #hooks: ReplayHooks;
     readonly #random: RandomSource;
-    readonly #troubles: FleetEventScheduler;
+    readonly #eventScheduler: FleetEventScheduler;
     #serverCount = 0;
 
     constructor(scenario: Scenario, hooks: ReplayHooks = {}) {
@@ -60,24 +62,24 @@
             hooks.callerBehavior ?? {},
             caller => this.#onArrival(caller),
         );
-        this.#troubles = new FleetEventScheduler(this);
+        this.#eventScheduler = new FleetEventScheduler(this);
     }
 
     get servers(): readonly SimulatedServer[] {
         return this.directory.servers;
     }
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end. */
     run(): this {
         const { durationMs } = this.scenario;
         this.callerGenerator.start();
-        this.#troubles.scheduleAll();
+        this.#eventScheduler.scheduleAll();
         this.#tick();
-        this.events.runUntil(durationMs, durationMs * mostEventsPerMs);
+        this.events.runUntil(durationMs, durationMs * maxEventsPerMs);
         return this;
     }
 
-    /** A server joins; it is cold until a time. */
+    /** Adds a server to the fleet, which is cold until the given time. */
     addServer({ name, shape }: ServiceGroup, zone: string, coldUntilMs = -Infinity): SimulatedServer {
         const id = `server-${this.#serverCount++}`;
         const registered: RegisteredServer = {
@@ -101,7 +103,7 @@
         return server;
     }
 
-    /** Restarts a share of the gateways: what they know and have is gone. */
+    /** Restarts a share of the gateways, which lose their state and connections. */
     restartGateways(share: number, downMs: number): void {
         for (const gateway of this.gateways.slice(0, Math.round(this.gateways.length * share))) {
             gateway.restart(downMs);
@@ -119,10 +121,10 @@
         const names = sizes.map((_, i) => `gateway-${i}`);
         return sizes.map((cores, i) => {
             const name = names[i] ?? "";
-            const hidden = this.#random.next() * unknownGateways;
-            const known = hidden === 0
+            const unknownShare = this.#random.next() * unknownGateways;
+            const known = unknownShare === 0
                 ? names
-                : names.filter(other => other === name || this.#random.next() >= hidden);
+                : names.filter(other => other === name || this.#random.next() >= unknownShare);
             const zone = this.#zoneOf(i);
             const knownByZone = this.#groupByZone(known, names);
             const knownInZone = knownByZone.get(zone) ?? [];
@@ -165,7 +167,7 @@
         }
         caller.tries++;
         this.tries++;
-        this.#connect(caller, this.events.nowMs + connectPatienceMs);
+        this.#connect(caller, this.events.nowMs + connectTimeoutMs);
     }
 
     #connect(caller: SimulatedCaller, untilMs: number): void {
@@ -199,13 +201,15 @@
             return;
         }
         this.refusals += end.type === "refused" ? 1 : 0;
-        const mayReturn = end.type === "refused" || caller.kind.idempotent;
-        if (!mayReturn || caller.tries >= caller.maxTries) {
+        const mayRetry = end.type === "refused" || caller.kind.idempotent;
+        if (!mayRetry || caller.tries >= caller.maxTries) {
             caller.end = end.type;
             return;
         }
-        const toldMs = end.type === "refused" ? end.retryAfterMs : 0;
-        const waitMs = caller.retriesImmediately ? 0 : Math.min(toldMs, (caller.givesUpAtMs - nowMs) * mostWaitShare);
+        const retryAfterMs = end.type === "refused" ? end.retryAfterMs : 0;
+        const waitMs = caller.retriesImmediately
+            ? 0
+            : Math.min(retryAfterMs, (caller.givesUpAtMs - nowMs) * maxWaitShare);
         this.events.schedule(waitMs, () => this.#try(caller));
     }
 
--- a/packages/replay/src/world/serverSend.ts
+++ b/packages/replay/src/world/serverSend.ts
@@ -2,30 +2,30 @@
 import { type SimulatedGateway } from "./simulatedGateway.js";
 import { type ArrivalResult, type ServerJob, type SimulatedServer } from "./simulatedServer.js";
 
-/** What a send tells whoever made it. */
+/** Callbacks of a send. */
 export interface SendCallbacks {
-    /** Whether anybody still waits for it. */
+    /** Whether the response is still needed; checked when the request reaches the server. */
     readonly isNeeded: () => boolean;
     readonly onArrival: () => void;
-    /** @param offer - the server's load, where its answer told it */
-    readonly onEnded: (end: SendEnd, offer: ServerStatus | undefined) => void;
-    /** The server turned the request away and wants rest. */
-    readonly onBackoff: (restMs: number) => void;
+    /** @param status - the server's status, if its response contained it */
+    readonly onEnded: (end: SendEnd, status: ServerStatus | undefined) => void;
+    /** The server rejected the request and asked the gateway to back off. */
+    readonly onBackoff: (backoffMs: number) => void;
 }
 
-/** One request on its way from a gateway to a server and back. */
+/** One send of a request from a gateway to a server, up to its response. */
 export class ServerSend {
     readonly #gateway: SimulatedGateway;
     readonly #server: SimulatedServer;
     readonly #workMs: number;
-    readonly #events: SendCallbacks;
+    readonly #callbacks: SendCallbacks;
     #job: ServerJob | undefined;
 
-    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, events: SendCallbacks) {
+    constructor(gateway: SimulatedGateway, server: SimulatedServer, workMs: number, callbacks: SendCallbacks) {
         this.#gateway = gateway;
         this.#server = server;
         this.#workMs = workMs;
-        this.#events = events;
+        this.#callbacks = callbacks;
     }
 
     start(): void {
@@ -35,7 +35,7 @@
         });
     }
 
-    /** Nobody waits for it any more: its slot is free. */
+    /** Cancels the request at the server, which frees its slot. */
     abandon(): void {
         if (this.#job !== undefined) {
             this.#server.abandon(this.#job);
@@ -43,54 +43,60 @@
     }
 
     #arrive(): void {
-        if (!this.#events.isNeeded()) {
+        if (!this.#callbacks.isNeeded()) {
             return;
         }
-        this.#events.onArrival();
+        this.#callbacks.onArrival();
         if (this.#server.isDown) {
-            this.#events.onEnded({ type: "notRun", reason: "connectFailed" }, undefined);
+            this.#callbacks.onEnded({ type: "notRun", reason: "connectFailed" }, undefined);
             return;
         }
         const job: ServerJob = {
             workMs: this.#workMs,
-            onDone: () => this.#passBack({ type: "answered", status: 200 }, this.#server.createStatus(true)),
+            onDone: () => this.#respond({ type: "answered", status: 200 }, this.#server.createStatus(true)),
         };
         const arrival = this.#server.receive(job, this.#gateway.name);
         if (arrival === "taken") {
             this.#job = job;
             return;
         }
-        this.#passBack(resolveEnd(arrival), undefined, this.#server.backoffMs);
+        this.#respond(resolveEnd(arrival), undefined, this.#server.backoffMs);
     }
 
-    #passBack(end: SendEnd, offer: ServerStatus | undefined, restMs?: number): void {
+    #respond(end: SendEnd, status: ServerStatus | undefined, backoffMs?: number): void {
         const gateway = this.#gateway;
         gateway.schedule(
             oneWayLatencyMs(gateway, this.#server),
             () => {
-                if (offer?.limit?.type === "named") {
+                if (status?.limit?.type === "named") {
                     this.#server.onLimitDelivered(gateway.name);
                 }
                 gateway.execute(gateway.costs.answerMs, () => {
-                    if (restMs !== undefined) {
-                        this.#events.onBackoff(restMs);
+                    if (backoffMs !== undefined) {
+                        this.#callbacks.onBackoff(backoffMs);
                     }
-                    this.#events.onEnded(end, offer);
+                    this.#callbacks.onEnded(end, status);
                 });
             },
         );
     }
 }
 
-/** @returns time of one way between a gateway and a server, in milliseconds */
+/** @returns one-way network latency between a gateway and a server, in milliseconds */
 export function oneWayLatencyMs({ zone, costs }: SimulatedGateway, { registered }: SimulatedServer): number {
     return registered.availabilityZone === zone ? costs.nearMs : costs.farMs;
 }
 
-/** @returns how long it takes to reach a server, over a kept connection or a new one, in milliseconds */
+/**
+ * Takes an idle connection to a server or opens a new one.
+ *
+ * @returns time until a message sent now reaches the server, in milliseconds
+ */
 export function acquireConnection(gateway: SimulatedGateway, server: SimulatedServer): number {
-    const way = oneWayLatencyMs(gateway, server);
-    return gateway.connections.acquire(server.id, gateway.events.nowMs) ? 3 * way + gateway.costs.connectMs : way;
+    const latencyMs = oneWayLatencyMs(gateway, server);
+    return gateway.connections.acquire(server.id, gateway.events.nowMs)
+        ? 3 * latencyMs + gateway.costs.connectMs
+        : latencyMs;
 }
 
 function resolveEnd(arrival: Exclude<ArrivalResult, "taken">): SendEnd {
--- a/packages/replay/src/world/simulatedGateway.ts
+++ b/packages/replay/src/world/simulatedGateway.ts
@@ -18,11 +18,11 @@
 import { type Costs, type Scenario } from "./scenario.js";
 import { RandomFinder, ServerFinder } from "./serverFinder.js";
 
-/** Idle connections are kept this long, and so many to one server. */
-const keptConnectionMs = 8_000;
-const keptConnections = 4;
+/** How long idle connections are kept, and the maximum number per server. */
+const connectionIdleTimeoutMs = 8_000;
+const maxIdleConnectionsPerServer = 4;
 
-/** What a gateway of a replay is made with. */
+/** Settings and dependencies of a simulated gateway. */
 export interface SimulatedGatewayDeps {
     readonly name: string;
     readonly zone: string;
@@ -31,17 +31,17 @@
     readonly events: EventQueue;
     readonly directory: FleetDirectory;
     readonly scenario: Scenario;
-    /** Names of the gateways that it knows of. */
+    /** Names of the gateways in its membership view. */
     readonly knownGateways: () => readonly string[];
-    /** Those of its own zone. */
+    /** Those in its own zone. */
     readonly knownInZone: () => readonly string[];
-    /** All that it knows of by zone. */
+    /** All known gateways by zone. */
     readonly knownByZone: () => ReadonlyMap<string, readonly string[]>;
-    /** Before the replay began, for what grows with the time since a start. */
+    /** Start time of the process; negative to start it before the replay, so that its budgets have filled up. */
     readonly startedAtMs: number;
 }
 
-/** One gateway of a replay: the real decisions, with a simulated event loop and simulated connections around them. */
+/** A simulated gateway: the production placement decisions on a simulated event loop and simulated connections. */
 export class SimulatedGateway {
     readonly name: string;
     readonly zone: string;
@@ -54,72 +54,72 @@
     placementState: PlacementState;
     repeatBudget: RepeatBudget;
     connections: ConnectionPool;
-    /** Raised with each start: what an earlier life planned no longer happens. */
+    /** Incremented on each restart. Callbacks that an earlier process incarnation scheduled are dropped. */
     incarnation = 0;
-    /** Arrivals at servers beyond the first of each try. */
+    /** Number of arrivals at servers after the first one of each attempt. */
     repeatedArrivals = 0;
     #upAtMs = -Infinity;
-    #readAtMs = -Infinity;
-    /** Requests that wait for the first reading of the store. */
+    #firstReadAtMs = -Infinity;
+    /** Number of requests held until the first read of the store. */
     heldAtStart = 0;
-    /** Requests of the first seconds of a life, by turns. */
+    /** Queue for the requests of the first seconds after a restart. */
     startupQueue: StartupQueue<Attempt> | undefined;
-    #openedBefore = 0;
-    #requestsOfLife: number;
-    readonly #parts: SimulatedGatewayDeps;
-
-    constructor(parts: SimulatedGatewayDeps) {
-        this.#parts = parts;
-        this.name = parts.name;
-        this.zone = parts.zone;
-        this.events = parts.events;
-        this.directory = parts.directory;
-        this.eventLoop = new SimulatedEventLoop(parts.events, parts.cores);
-        this.policy = resolvePlacementPolicy(parts.scenario.policy);
-        this.random = createRandomSource(parts.seed);
-        this.#requestsOfLife = parts.scenario.costs.coldCodeRequests;
-        this.placementState = this.#createBoard(parts.startedAtMs);
-        this.repeatBudget = new RepeatBudget(parts.scenario.repeats, parts.startedAtMs);
-        this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
+    #connectionsOpenedBefore = 0;
+    #requestsSinceStart: number;
+    readonly #deps: SimulatedGatewayDeps;
+
+    constructor(deps: SimulatedGatewayDeps) {
+        this.#deps = deps;
+        this.name = deps.name;
+        this.zone = deps.zone;
+        this.events = deps.events;
+        this.directory = deps.directory;
+        this.eventLoop = new SimulatedEventLoop(deps.events, deps.cores);
+        this.policy = resolvePlacementPolicy(deps.scenario.policy);
+        this.random = createRandomSource(deps.seed);
+        this.#requestsSinceStart = deps.scenario.costs.coldCodeRequests;
+        this.placementState = this.#createPlacementState(deps.startedAtMs);
+        this.repeatBudget = new RepeatBudget(deps.scenario.repeats, deps.startedAtMs);
+        this.connections = new ConnectionPool(connectionIdleTimeoutMs, maxIdleConnectionsPerServer);
     }
 
     get costs(): Costs {
-        return this.#parts.scenario.costs;
+        return this.#deps.scenario.costs;
     }
 
     get isUp(): boolean {
         return this.events.nowMs >= this.#upAtMs;
     }
 
-    /** How long it is until the store has been read for the first time. */
+    /** Time until the first read of the store is complete, in milliseconds. */
     get firstReadRemainingMs(): number {
-        return Math.max(0, this.#readAtMs - this.events.nowMs);
+        return Math.max(0, this.#firstReadAtMs - this.events.nowMs);
     }
 
-    /** Since this life began to take requests. */
+    /** Time since this process incarnation accepts requests, in milliseconds. */
     get sinceStartMs(): number {
         return this.events.nowMs - this.#upAtMs;
     }
 
     get holdsAtStart(): boolean {
-        return this.#parts.scenario.holdsAtStart;
+        return this.#deps.scenario.holdsAtStart;
     }
 
-    /** Connections opened to servers in all lives. */
+    /** Number of connections opened to servers by all process incarnations. */
     get connectionsOpened(): number {
-        return this.#openedBefore + this.connections.opened;
+        return this.#connectionsOpenedBefore + this.connections.opened;
     }
 
-    /** @returns how many gateways it takes to share an allowance with it */
+    /** @returns number of gateways that it assumes to share a fleet-wide budget with, itself included */
     countKnownGateways(): number {
-        return this.#parts.knownGateways().length;
+        return this.#deps.knownGateways().length;
     }
 
-    /** Runs a task on the event loop, unless the process has ended meanwhile. */
+    /** Runs a task on the event loop, unless the process is restarted before it ends. */
     execute(costMs: number, run: () => void): void {
         const { incarnation } = this;
         const { coldCodeFactor, coldCodeRequests } = this.costs;
-        const factor = this.#requestsOfLife < coldCodeRequests ? coldCodeFactor : 1;
+        const factor = this.#requestsSinceStart < coldCodeRequests ? coldCodeFactor : 1;
         this.eventLoop.execute(costMs * factor, () => {
             if (incarnation === this.incarnation) {
                 run();
@@ -127,7 +127,7 @@
         });
     }
 
-    /** Plans something for later, unless the process has ended meanwhile. */
+    /** Schedules a callback, unless the process is restarted before. */
     schedule(delayMs: number, run: () => void): void {
         const { incarnation } = this;
         this.events.schedule(delayMs, () => {
@@ -137,37 +137,37 @@
         });
     }
 
-    /** A caller's request has arrived. */
+    /** Counts a request that arrived from a caller. */
     onRequest(service: string, priority: number): void {
-        this.#requestsOfLife++;
+        this.#requestsSinceStart++;
         this.repeatBudget.onRequest(service, this.events.nowMs);
         this.placementState.onRequest(service, priority, this.events.nowMs);
     }
 
-    /** Power is away for a while; then a new process starts, with nothing of what it knew. */
+    /** Loses power for `downMs`; then a new process starts without any state. */
     restart(downMs: number): void {
-        const cut = [...this.attempts];
+        const interrupted = [...this.attempts];
         this.attempts.clear();
         this.incarnation++;
-        this.#openedBefore += this.connections.opened;
+        this.#connectionsOpenedBefore += this.connections.opened;
         this.eventLoop.restart();
         const { startMs, firstReadMs } = this.costs;
         const startedAtMs = this.events.nowMs + downMs;
-        this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#parts.cores);
-        this.#readAtMs = this.#upAtMs + firstReadMs;
+        this.#upAtMs = startedAtMs + startMs / Math.min(1, this.#deps.cores);
+        this.#firstReadAtMs = this.#upAtMs + firstReadMs;
         this.heldAtStart = 0;
         this.startupQueue = new StartupQueue(startedAtMs);
-        this.#requestsOfLife = 0;
-        this.placementState = this.#createBoard(startedAtMs);
-        this.repeatBudget = new RepeatBudget(this.#parts.scenario.repeats, startedAtMs);
-        this.connections = new ConnectionPool(keptConnectionMs, keptConnections);
+        this.#requestsSinceStart = 0;
+        this.placementState = this.#createPlacementState(startedAtMs);
+        this.repeatBudget = new RepeatBudget(this.#deps.scenario.repeats, startedAtMs);
+        this.connections = new ConnectionPool(connectionIdleTimeoutMs, maxIdleConnectionsPerServer);
         this.schedule(downMs + startupQueueMs, () => this.dequeueReady());
-        for (const attempt of cut) {
+        for (const attempt of interrupted) {
             attempt.onPowerLost();
         }
     }
 
-    /** Begins with the requests whose turn it is. */
+    /** Starts the requests that the startup queue releases now. */
     dequeueReady(): void {
         const { startupQueue } = this;
         for (const { item } of startupQueue?.takeReady(this.events.nowMs) ?? []) {
@@ -185,28 +185,28 @@
         this.dequeueReady();
     }
 
-    /** @returns what it believes of the servers of a service and of the fleet */
+    /** @returns its current view of the fleet and of the usable servers of a service */
     snapshot(service: string): FleetSnapshot {
         return {
             usable: this.directory.usable(service).filter(server =>
                 this.placementState.exclusionOf(server, this.events.nowMs) === undefined
             ),
-            gateways: this.#parts.knownGateways(),
-            zoneGateways: this.#parts.knownInZone(),
-            gatewaysByZone: this.#parts.knownByZone(),
+            gateways: this.#deps.knownGateways(),
+            zoneGateways: this.#deps.knownInZone(),
+            gatewaysByZone: this.#deps.knownByZone(),
             sinceStoreContactMs: 0,
             nowMs: this.events.nowMs,
         };
     }
 
     createFinder(input: SearchInput): ServerFinder {
-        return this.#parts.scenario.randomPlacement
+        return this.#deps.scenario.randomPlacement
             ? new RandomFinder(this.random)
             : new SearchFinder(this.placementState, input);
     }
 
-    #createBoard(startedAtMs: number): PlacementState {
-        const { name, zone, scenario } = this.#parts;
+    #createPlacementState(startedAtMs: number): PlacementState {
+        const { name, zone, scenario } = this.#deps;
         return new PlacementState({
             name,
             availabilityZone: zone,
@@ -226,7 +226,7 @@
         this.#search = new ServerSearch(board, input);
     }
 
-    override step(sight: FleetSnapshot): ReturnType<ServerSearch["step"]> {
-        return this.#search.step(sight);
+    override step(snapshot: FleetSnapshot): ReturnType<ServerSearch["step"]> {
+        return this.#search.step(snapshot);
     }
 }
