--- a/packages/admin/src/__tests__/adminServer.test.ts
+++ b/packages/admin/src/__tests__/adminServer.test.ts
@@ -11,7 +11,7 @@
 import { AdminServer, type AdminServerOptions, ChangeSignal, OperatorCalls, StandingFeed } from "../index.js";
 import { declared, FakeCoordinator, FakeHostList, fleetKey } from "./fakeFleet.js";
 
-/** Announces a change when the test says so. */
+/** Signals a change when triggered by the test. */
 class ManualSignal extends ChangeSignal {
     announce: () => void = () => undefined;
 
@@ -99,7 +99,7 @@
     return socket;
 }
 
-/** Sends bytes and reads until the server closes. */
+/** Sends bytes and reads until the server closes the connection. */
 async function exchange(t: TestContext, port: number, bytes: string): Promise<string> {
     const socket = await openSocket(t, port);
     let answer = "";
@@ -117,7 +117,7 @@
 }
 
 for (const protocol of protocols) {
-    test(`answers by ${protocol} on the one port`, async t => {
+    test(`serves ${protocol} on the shared port`, async t => {
         const { url, coordinator } = await start(t);
         const operator = createOperator(t, protocol, url);
         const { standing } = await operator.takeZoneOut({ name: "a", changeId: "x" });
@@ -127,7 +127,7 @@
         assert.deepEqual(configuration, toConfigurationMessage(coordinator.present.configuration));
     });
 
-    test(`tells by ${protocol} why a call failed`, async t => {
+    test(`returns failure details over ${protocol}`, async t => {
         const { url } = await start(t);
         const operator = createOperator(t, protocol, url);
         const stale = { expectedRevision: 0, changeId: "x", configuration: toConfigurationMessage(declared) };
@@ -137,7 +137,7 @@
         assert.deepEqual([failure?.kind, failure?.presentRevision], ["revisionConflict", 1]);
     });
 
-    test(`refuses a stranger's call by ${protocol}`, async t => {
+    test(`refuses an unauthenticated call over ${protocol}`, async t => {
         const { url, coordinator } = await start(t);
         for (const key of ["", "wrong", `${fleetKey}0`]) {
             const stranger = createOperator(t, protocol, url, key);
@@ -148,7 +148,7 @@
         assert.equal(coordinator.present.revision, 1);
     });
 
-    test(`refuses an oversized message by ${protocol}, and serves on`, async t => {
+    test(`refuses an oversized message over ${protocol} and keeps serving`, async t => {
         const { url } = await start(t);
         const operator = createOperator(t, protocol, url);
         const changeId = "x".repeat(200_000);
@@ -156,9 +156,9 @@
         assert.equal(await codeOf(operator.getStanding({})), "answered");
     });
 
-    test(`a planned stop lets a call by ${protocol} finish`, async t => {
-        // The host is told to stop while a zone change waits to be in force. Its answer must still come whole: cut
-        // off, the operator wouldn't know whether the zone is out. New calls are refused, so that the stop ends.
+    test(`a planned stop lets a call over ${protocol} finish`, async t => {
+        // A planned stop begins while a zone change waits to come into force. Its response must still be complete, as
+        // the operator otherwise wouldn't know whether the zone is out. New calls are refused, so that the stop ends.
         const { url, coordinator, server } = await start(t);
         const operator = createOperator(t, protocol, url);
         let finish: () => void = () => undefined;
@@ -179,7 +179,7 @@
         await stopped;
     });
 
-    test(`watches changes by ${protocol} until the planned stop`, async t => {
+    test(`watches changes over ${protocol} until a planned stop`, async t => {
         const { url, server, signal } = await start(t);
         const operator = createOperator(t, protocol, url);
         const revisions: (number | undefined)[] = [];
@@ -200,10 +200,9 @@
     });
 }
 
-test("a stop doesn't cut an answer that its reader takes slowly", async t => {
-    // An operator reads a large configuration and pauses. The answer is handed to the connection whole, then the host
-    // is told to stop. Node takes such a connection for idle, since the response has ended, and would destroy it with
-    // half of the answer still in its buffer.
+test("a planned stop doesn't truncate a response that is read slowly", async t => {
+    // A client pauses while it reads a large response. The response has ended, but part of it is still in the socket's
+    // buffer when the stop begins. Node treats such a connection as idle and would destroy it.
     const { coordinator, port, server } = await start(t);
     const zones = Array.from(
         { length: 200_000 },
@@ -214,7 +213,7 @@
     const socket = await openSocket(t, port);
     socket.pause();
     socket.write(createPost("GetConfiguration", "{}"));
-    // The first bytes have arrived when the answer is out of the handler's hands.
+    // The handler has finished its response before the first bytes arrive.
     await once(socket, "readable");
     const stopped = server.stop();
     const chunks: Buffer[] = [];
@@ -228,7 +227,7 @@
     await stopped;
 });
 
-test("the stop ends when its time is up, whatever is in flight", async t => {
+test("a planned stop ends after the drain timeout, whatever is in flight", async t => {
     const { url, coordinator, server } = await start(t, { drainMs: 50 });
     const waiting = new Promise<void>(reached => {
         coordinator.beforeStep = () => {
@@ -242,9 +241,9 @@
     assert.notEqual(await call, "answered");
 });
 
-test("malformed bytes harm nobody else", async t => {
-    // Strangers send what is no HTTP, half an HTTP/2 preface, a TLS hello, a request without a host, one whose host
-    // makes no URL. An error event or exception that nobody takes would end the process, and all operators' calls.
+test("malformed bytes don't affect other clients", async t => {
+    // Clients send bytes that aren't HTTP, part of an HTTP/2 preface, a TLS hello, a request without a host, and one
+    // with an invalid host. An unhandled error event or exception would end the process and all operators' calls.
     const { port, url } = await start(t, { requestTimeoutMs: 200 });
     assert.match(await exchange(t, port, "\x16\x03\x01\x02\x00\x01\x00\x01"), /400 Bad Request/);
     assert.match(await exchange(t, port, "no http\r\n\r\n"), /400 Bad Request/);
@@ -255,7 +254,7 @@
     assert.match(await exchange(t, port, `POST ${path("GetStanding")} HTTP/1.1\r\nhost: a b\r\n${keyed}`), /400 Bad/);
     const reset = await openSocket(t, port);
     reset.write("PRI");
-    // By the answer to this call, the server has accepted the connection before it.
+    // When this call is answered, the server has accepted the connection before it.
     assert.equal(await codeOf(createOperator(t, "gRPC", url).getStanding({})), "answered");
     reset.resetAndDestroy();
     for (const protocol of protocols) {
@@ -275,9 +274,9 @@
     assert.equal(await codeOf(createOperator(t, "gRPC", url).getStanding({})), "answered");
 });
 
-test("strangers' silent connections are closed, so that operators get in", async t => {
-    // Strangers open all connections that the server holds and say nothing, or start HTTP/2 and make no call. Without
-    // a limit they would stay, and every operator's connection would be closed as it comes.
+test("unauthenticated connections are closed, so that operators can connect", async t => {
+    // Unauthenticated clients open all connections that the server allows and send nothing, or start HTTP/2 without a
+    // call. Without a time limit they would stay, and operators' connections would be closed on arrival.
     const { port, url } = await start(t, { maximumConnections: 4, requestTimeoutMs: 200 });
     const preface = Buffer.from("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0", "latin1");
     const sockets: Socket[] = [];
@@ -293,13 +292,13 @@
     assert.equal(await codeOf(createOperator(t, "gRPC", url).getStanding({})), "answered");
 });
 
-test("a body that never ends is given up", async t => {
+test("a request whose body never ends is aborted", async t => {
     const { port } = await start(t, { requestTimeoutMs: 200 });
     const unfinished = createPost("GetStanding", "{}").replace("content-length: 2", "content-length: 9");
     assert.doesNotMatch(await exchange(t, port, unfinished), /200 OK/);
 });
 
-test("refuses more watches than are allowed, and frees the place of one that ends", async t => {
+test("limits concurrent watches, and allows another once one has ended", async t => {
     const { url } = await start(t);
     const operator = createOperator(t, "Connect over HTTP/2", url);
     const watchOnce = async (abort: AbortController) => {
@@ -313,12 +312,12 @@
     assert.equal(await codeOf(watchOnce(others)), Code.ResourceExhausted);
     first.abort();
     while (await codeOf(watchOnce(others)) === Code.ResourceExhausted) {
-        // The server hears of the end a moment later.
+        // The server notices the end of the watch with a delay.
     }
     others.abort();
 });
 
-test("a watcher hears why the standing can't be learnt, and the watch goes on", async t => {
+test("a watcher is sent the failure to read the standing, and the watch continues", async t => {
     const { url, coordinator, signal } = await start(t);
     const seen: (string | undefined)[] = [];
     for await (const { event } of createOperator(t, "gRPC", url).watchChanges({})) {
@@ -333,7 +332,7 @@
     assert.deepEqual(seen, ["standing", "out of order", "standing"]);
 });
 
-test("logs each change with its outcome, and nothing of the key", async t => {
+test("logs each change with its result, and never the fleet key", async t => {
     const lines: string[] = [];
     const logger = createLogger({ process: "admin", level: "info", json: true, write: line => lines.push(line) });
     const { url } = await start(t, { logger });
@@ -367,9 +366,9 @@
     assert.ok(!lines.join("").includes(fleetKey));
 });
 
-test("no bytes of a stranger end the process", async t => {
-    // Strangers send anything: noise, HTTP/2 frames that make no sense after a right preface, requests cut short. Each
-    // connection is over in a moment, and operators' calls are answered as before. Seeds that fail are printed.
+test("no bytes from an unauthenticated client end the process", async t => {
+    // Unauthenticated clients send random bytes, invalid HTTP/2 frames after a valid preface, and truncated requests.
+    // Each connection is closed soon, and operators' calls are still answered. Failing seeds are printed.
     const { port, url } = await start(t, { requestTimeoutMs: 50, maximumConnections: 100 });
     const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     const request = createPost("TakeZoneOut", "{}").replace(fleetKey, "wrong");
--- a/packages/admin/src/__tests__/changeSignal.test.ts
+++ b/packages/admin/src/__tests__/changeSignal.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { StoreChangeSignal } from "../index.js";
 
-/** Answers lists and watches as the test says, and remembers from where it was watched. */
+/** Answers lists and watches as set by the test, and records the start revisions of watches. */
 class FakeWatchStore extends KeyValueStore {
     readonly watchedAfter: number[] = [];
     revision = 7;
@@ -29,9 +29,9 @@
 const down = createFailure("storeUnavailable", "down");
 const unused = createFailure("internal", "not used here");
 
-test("watches on from what it has seen, also after the store was down", async () => {
-    // The store goes down while an operator watches, and a change is made by the time that it is back. Were the watch
-    // to start anew from the store's present revision, the watcher would hear of it only with the next refresh.
+test("a watch resumes from the last seen revision after a store outage", async () => {
+    // The store is unavailable during a watch, and a change is made by the time it recovers. If the watch restarted
+    // from the store's current revision, it would miss that change until the next refresh.
     const store = new FakeWatchStore();
     const signal = new StoreChangeSignal(store, "configuration/head");
     const { signal: never } = new AbortController();
--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -11,7 +11,7 @@
 
 export const fleetKey = "0123456789abcdef0123456789abcdef";
 
-/** Two availability zones and one service with a server in each. */
+/** Two availability zones and one service with a backend server in each. */
 export const declared: ConfigurationInput = {
     availabilityZones: [{ name: "a" }, { name: "b" }],
     services: [{
@@ -31,18 +31,18 @@
 
 const gateway = { name: "entry-1", incarnation: "1", availabilityZone: "a", peerAddress: "10.0.0.9:7400" };
 
-/** Orders changes as the store does, in memory; what a test may switch or hold is public. */
+/** Stores changes in memory, with the store's revision checks. Tests control it by its public fields. */
 export class FakeCoordinator extends ChangeCoordinator {
     /** Every change that took effect, oldest first. */
     readonly history: ConfigurationRevision[];
     inForce = true;
-    /** Names of gateways that an operator vouched for. */
+    /** Names of gateways that were removed by an operator. */
     readonly forgotten: string[] = [];
     /** Called when a change takes effect. */
     onStored: (stored: ConfigurationRevision) => void = () => undefined;
-    /** Changes whose write takes effect and whose answer is lost, from the next one on. */
+    /** Number of upcoming changes whose write takes effect but whose response is lost. */
     responsesToLose = 0;
-    /** Awaited before each step, so that a test decides what happens in which order. */
+    /** Awaited before each step, so that a test can control the order of steps. */
     beforeStep: (step: string) => Promise<void> = () => Promise.resolve();
 
     constructor(history: readonly ConfigurationRevision[] = [firstRevision]) {
@@ -103,7 +103,7 @@
     }
 }
 
-/** A host list that a test writes. */
+/** A host list that is set by the test. */
 export class FakeHostList extends HostList {
     hosts: readonly HostEntry[] = [];
     isDown = false;
--- a/packages/admin/src/__tests__/operatorCalls.test.ts
+++ b/packages/admin/src/__tests__/operatorCalls.test.ts
@@ -20,10 +20,10 @@
 });
 const statesOf = (cfg: Configuration) => cfg.availabilityZones.map(({ state }) => state);
 
-test("two operators' zone changes at the same moment both take effect", async () => {
-    // Two operators take zones a and b out in the same second. Both calls read revision 1 before either writes; the
-    // store lets one write through. The other must read again and go on top: answered with a conflict, its operator
-    // would believe that the zone could not be taken out; written over, the first zone would get work again.
+test("concurrent zone changes of two operators both take effect", async () => {
+    // Two operators take zones a and b out concurrently. Both calls read revision 1, and the store accepts only one
+    // write. The other call must read again and reapply its change. A conflict would tell its operator that the zone
+    // can't be taken out, and overwriting the first change would bring the first zone back in.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     const answers = await Promise.all([
@@ -38,10 +38,10 @@
     ]);
 });
 
-test("whatever the order of steps, each zone change takes effect once and alone", async () => {
-    // Several operators change zones at once, each through another host, some answers are lost and the call is sent
-    // again with its id. A lost update would show as a revision that undoes another's change, a repeated one as a
-    // second revision of the same call.
+test("in any order of steps, each zone change takes effect once and changes nothing else", async () => {
+    // Several operators change zones concurrently through different hosts. Some responses are lost, and those calls are
+    // retried with the same change id. A lost update would show as a revision that reverts another call's change, and a
+    // repeated update as a second revision of the same call.
     const operators = fc.array(fc.record({ name: fc.constantFrom("a", "b"), state: fc.constantFrom("in", "out") }), {
         minLength: 2,
         maxLength: 5,
@@ -73,7 +73,7 @@
     await fc.assert(run, { numRuns: 200, includeErrorInReport: true });
 });
 
-test("a stale configuration gets a conflict with the present revision, and nothing is merged", async () => {
+test("a stale configuration is refused with the current revision, and nothing is merged", async () => {
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     await calls.changeZone(zone("a", "out", "zone"));
@@ -84,9 +84,9 @@
     assert.equal(coordinator.present.revision, 2);
 });
 
-test("a call whose answer was lost is recognised when it is sent again", async () => {
-    // The store takes the write and its answer is lost. The operator's command sends the call again with the same id;
-    // by then the present revision is 2 and the expected one still 1. It must get the first answer, not a conflict.
+test("a retry of a call whose response was lost is recognised", async () => {
+    // The write takes effect but its response is lost, and the command retries the call with the same change id. By
+    // then the current revision is 2, not the expected 1. The retry must get the first call's result, not a conflict.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     coordinator.responsesToLose = 1;
@@ -98,9 +98,9 @@
     assert.equal(coordinator.history.length, 2);
 });
 
-test("a zone call sent again late doesn't undo what came after it", async () => {
-    // Operator one takes zone a out and the answer is lost; operator two brings it back; operator one's command then
-    // sends its call again. Done a second time, it would take out a zone that operators believe in.
+test("a late retry of a zone change doesn't undo a later change", async () => {
+    // Operator one takes zone a out, and the response is lost. Operator two brings the zone back in. Then operator
+    // one's command retries its call. Executing it again would take out a zone that operators expect to be in.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     coordinator.responsesToLose = 1;
@@ -111,9 +111,9 @@
     assert.deepEqual(statesOf(coordinator.present.configuration), ["in", "in"]);
 });
 
-test("the same id on another call is not taken for the first one sent again", async () => {
-    // A script uses one id for the call that takes a zone out and the call that brings it back. Recognised by its id
-    // alone, the second would be answered as done, and the zone would stay out without anyone knowing.
+test("another call with the same change id is not treated as a retry of the first", async () => {
+    // A script uses one change id to take a zone out and to bring it back in. If calls were recognised by the id alone,
+    // the second would be reported as done while the zone stays out.
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     await calls.changeZone(zone("a", "out", "nightly"));
@@ -121,7 +121,7 @@
     assert.deepEqual(statesOf(coordinator.present.configuration), ["in", "in"]);
 });
 
-test("a zone change with an expected revision isn't put on top of another", async () => {
+test("a zone change with an expected revision isn't reapplied after a conflict", async () => {
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     await calls.changeZone(zone("b", "out", "other"));
@@ -130,7 +130,7 @@
     assert.deepEqual([failure.kind, presentRevision], ["revisionConflict", 2]);
 });
 
-test("gives up on a zone change that others always overtake", async () => {
+test("a zone change that always conflicts fails after a limited number of attempts", async () => {
     const coordinator = new FakeCoordinator();
     let changes = 0;
     coordinator.beforeStep = step => {
@@ -145,7 +145,7 @@
     assert.ok(changes > 1);
 });
 
-test("applying a file that says no state keeps a zone out, and says so", async () => {
+test("applying a file without zone states keeps a zone out and reports it", async () => {
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     await calls.changeZone(zone("a", "out", "zone"));
@@ -155,7 +155,7 @@
     assert.deepEqual(statesOf(coordinator.present.configuration), ["out", "in"]);
 });
 
-test("names the services that a zone change leaves without servers", async () => {
+test("reports the services that a zone change leaves without backend servers", async () => {
     const calls = createCalls(new FakeCoordinator());
     const first = (await calls.changeZone(zone("a", "out", "one"))).unsafeCoerce();
     assert.deepEqual(first.unservedServices, []);
@@ -163,7 +163,7 @@
     assert.deepEqual(second.unservedServices, ["tables"]);
 });
 
-test("refuses bad input with every fault", async () => {
+test("refuses invalid input and reports every fault", async () => {
     const coordinator = new FakeCoordinator();
     const calls = createCalls(coordinator);
     const kindOf = async (change: Parameters<OperatorCalls["applyConfiguration"]>[0]) =>
--- a/packages/admin/src/adminProcess.ts
+++ b/packages/admin/src/adminProcess.ts
@@ -10,10 +10,10 @@
 import { StandingFeed } from "./standingFeed.js";
 
 /**
- * Puts an operators' server together from its settings.
+ * Creates the admin process from its settings.
  *
- * @param settings - checked settings
- * @returns the process's parts, not started
+ * @param settings - validated settings
+ * @returns the program, not started
  */
 export function createAdminProcess(settings: ResolvedAdminSettings): Program {
     const logger = createLogger({ process: "admin", level: settings.logging.level });
--- a/packages/admin/src/adminServer.ts
+++ b/packages/admin/src/adminServer.ts
@@ -29,26 +29,26 @@
 } from "./rejectRequest.js";
 import { type StandingFeed } from "./standingFeed.js";
 
-/** How an {@link AdminServer} is made. */
+/** Options and dependencies of an {@link AdminServer}. */
 export interface AdminServerOptions {
     readonly calls: OperatorCalls;
     readonly feed: StandingFeed;
     readonly fleetKey: Secret;
-    /** Size of one call's message in bytes. */
+    /** Maximum size of a call's message in bytes. */
     readonly maximumMessageBytes: number;
-    /** Connections held at once; more are closed as they come. */
+    /** Maximum open connections; further ones are closed on arrival. */
     readonly maximumConnections: number;
-    /** Time for the calls in flight to finish when the server stops, in milliseconds. */
+    /** Maximum time to wait for calls in flight when the server stops, in milliseconds. */
     readonly drainMs: number;
-    /** Gets a line for each call; without one, nothing is logged. */
+    /** Logs each call; without a logger, calls aren't logged. */
     readonly logger?: Logger | undefined;
-    /** Time in which a request must have arrived, in milliseconds. */
+    /** Time within which a request must have arrived completely, in milliseconds. */
     readonly requestTimeoutMs?: number | undefined;
 }
 
 type Handler = (req: ServerRequest, res: ServerResponse) => void;
 
-/** Serves the operators' calls by gRPC and Connect over HTTP/2, and by Connect over HTTP/1.1, on one port. */
+/** Serves the operators' API over gRPC and Connect (HTTP/1.1 and HTTP/2) on a single port. */
 export class AdminServer {
     readonly #options: AdminServerOptions;
     readonly #requestTimeoutMs: number;
@@ -68,7 +68,7 @@
             readMaxBytes: options.maximumMessageBytes,
             maxTimeoutMs: maximumCallTimeoutMs,
             shutdownSignal: this.#shutdown.signal,
-            // A misspelt field would otherwise be dropped in silence, an expected revision for instance.
+            // By default, a misspelt field such as an expected revision would be silently ignored.
             jsonOptions: { ignoreUnknownFields: false },
         });
         this.#listener = createServer({ allowHalfOpen: true }, socket => void this.#accept(socket));
@@ -76,12 +76,12 @@
     }
 
     /**
-     * Starts to take calls.
+     * Starts accepting calls.
      *
-     * @param address - IP number
-     * @param port - port; 0 lets the system choose
-     * @returns the port
-     * @throws what the system says, such as that the port is taken
+     * @param address - IP address
+     * @param port - port; with 0 the system picks a free one
+     * @returns the bound port
+     * @throws the system's error, for example if the port is in use
      */
     async listen(address: string, port: number): Promise<number> {
         this.#listener.listen(port, address);
@@ -89,7 +89,7 @@
         return (this.#listener.address() as AddressInfo).port;
     }
 
-    /** Takes no new calls, ends watches, and closes when the calls in flight have finished or the time is up. */
+    /** Refuses new calls, ends watches, and closes once calls in flight have ended or the drain timeout has passed. */
     async stop(): Promise<void> {
         const closed = once(this.#listener, "close");
         this.#listener.close();
@@ -104,8 +104,8 @@
     }
 
     async #accept(socket: Socket): Promise<void> {
-        // A connection that something in between has forgotten stays silent for good; probes by the system find that
-        // out, also while a watch has nothing to say.
+        // A half-open connection, for example after a middlebox dropped its state, reports no error. TCP keep-alive
+        // detects it, also while a watch has no events to send.
         socket.setKeepAlive(true, tcpKeepAliveIdleMs);
         const connection = new Connection(socket, this.#requestTimeoutMs);
         this.#connections.add(connection);
@@ -142,7 +142,7 @@
     }
 
     #handle(req: ServerRequest, res: ServerResponse, connection: Connection): void {
-        // Checked before the body is read, so that a stranger can't make the server hold large messages.
+        // Checked before the body is read, so that unauthenticated clients can't make the server buffer large messages.
         if (!this.#authorization.accepts(req.headers.authorization)) {
             rejectRequest(req, res, "unauthenticated", "authorization: expected `Bearer` and the fleet's key");
             return;
@@ -159,12 +159,12 @@
             this.#handleCall(req, res);
         }
         catch (err) {
-            // The adapter throws on a request whose authority makes no URL; uncaught, it would end the process.
+            // The adapter throws if the request's authority is no valid URL host. Uncaught, this would end the process.
             rejectRequest(req, res, "badRequest", err instanceof Error ? err.message : String(err));
         }
     }
 
-    /** A body that never ends would hold its call, and a planned stop, for ever. */
+    /** Limits the time to receive a body: an endless body would keep its call open and block a planned stop. */
     #limitBody(req: ServerRequest, res: ServerResponse): void {
         const limit = setTimeout(() => abortRequest(req), this.#requestTimeoutMs);
         req.once("end", () => clearTimeout(limit));
--- a/packages/admin/src/authorization.ts
+++ b/packages/admin/src/authorization.ts
@@ -5,7 +5,7 @@
     return createHash("sha256").update(text).digest();
 }
 
-/** Checks that a call carries the fleet's key. */
+/** Authenticates calls by the fleet key. */
 export class Authorization {
     readonly #expected: Buffer;
 
@@ -14,11 +14,11 @@
     }
 
     /**
-     * Compares in constant time. A comparison that ends at the first wrong byte lets a stranger find the key byte by
-     * byte from the time that refusals take; comparing hashes of equal length gives neither length nor prefix away.
+     * Compares in constant time. A comparison that ends at the first wrong byte would let an attacker find the key byte
+     * by byte from response times. Comparing hashes of equal length reveals neither the key's length nor a prefix.
      *
      * @param header - the request's `authorization` header
-     * @returns whether it carries the key
+     * @returns whether it contains the fleet key
      */
     accepts(header: string | undefined): boolean {
         return timingSafeEqual(hash(header ?? ""), this.#expected);
--- a/packages/admin/src/backendServerObserver.ts
+++ b/packages/admin/src/backendServerObserver.ts
@@ -2,23 +2,23 @@
 import { type FleetObserver, type ServerObservations } from "@galenaglade/peers";
 import { type Either } from "purify-ts";
 
-/** What the gateways know of the backend servers. */
+/** The gateways' observations of the backend servers. */
 export interface GatewayObservations {
     readonly answered: readonly ServerObservations[];
-    /** Names of the registered gateways that gave no usable answer. */
+    /** Names of the registered gateways that sent no usable response. */
     readonly unanswered: readonly string[];
 }
 
-/** Asks the gateways what they know of the backend servers. */
+/** Collects the gateways' observations of the backend servers. */
 export abstract class BackendServerObserver {
     /**
-     * @param service - only this service's servers; all where `undefined`
-     * @returns what the gateways that answered know, and which didn't; or why none could be asked
+     * @param service - limits the result to this service's servers; `undefined` for all
+     * @returns the observations, with the names of gateways that didn't respond; or why no gateway could be queried
      */
     abstract observe(service: string | undefined): Promise<Either<Failure, GatewayObservations>>;
 }
 
-/** Asks all registered gateways by their peer ports. */
+/** Queries all registered gateways on their peer ports. */
 export class PeerServerObserver extends BackendServerObserver {
     readonly #fleet: FleetObserver;
 
--- a/packages/admin/src/callFailure.ts
+++ b/packages/admin/src/callFailure.ts
@@ -3,16 +3,16 @@
 import { createFailure, type DidRun, type ErrorKind, type Failure, resolveFailure } from "@galenaglade/errors";
 import { DidRun as DidRunEnum, FailureSchema } from "@galenaglade/schema";
 
-/** Why an operator's call failed, with what only operators are told. */
+/** Failure of an operator's call, with details for operators only. */
 export interface CallFailure {
     readonly failure: Failure;
-    /** With `revisionConflict`: the revision that is present, where it could be read. */
+    /** With `revisionConflict`: the current revision, if it could be read. */
     readonly presentRevision?: number | undefined;
-    /** With `configurationInvalid`: everything that is wrong. */
+    /** With `configurationInvalid`: all faults found. */
     readonly faults?: readonly DocumentFault[] | undefined;
 }
 
-/** The table from error kind to the code of the Connect and gRPC protocols. */
+/** Maps error kinds to the status codes of the Connect and gRPC protocols. */
 export const connectCodes: Readonly<Record<ErrorKind, Code>> = Object.freeze({
     badRequest: Code.InvalidArgument,
     headersTooLarge: Code.ResourceExhausted,
@@ -55,20 +55,20 @@
 };
 
 /**
- * Makes a call's failure where there is nothing to say but the failure itself.
+ * Wraps a failure that has no details for operators.
  *
- * @param failure - what failed
- * @returns the failure as a call's
+ * @param failure - the failure
+ * @returns the call's failure
  */
 export function toCallFailure(failure: Failure): CallFailure {
     return { failure };
 }
 
 /**
- * Makes the failure for a configuration that is not valid.
+ * Creates the failure for an invalid configuration.
  *
- * @param faults - everything that is wrong
- * @returns the failure
+ * @param faults - all faults found
+ * @returns the call's failure, with kind `configurationInvalid`
  */
 export function createInvalidConfigurationFailure(faults: readonly DocumentFault[]): CallFailure {
     const lines = faults.map(fault => `${formatPath(fault.path)}: ${fault.message}`);
@@ -76,10 +76,10 @@
 }
 
 /**
- * Makes the message that tells an operator of a failure.
+ * Converts a failure to the API's Failure message.
  *
- * @param callFailure - the failure
- * @returns what a Failure message is made from
+ * @param callFailure - the call's failure
+ * @returns initial values of a Failure message
  */
 export function toFailureInit({ failure, presentRevision, faults }: CallFailure) {
     const { kind, detail, didRun, retryAfterSeconds } = resolveFailure(failure);
@@ -94,10 +94,10 @@
 }
 
 /**
- * Makes the error that ends a call.
+ * Converts a failure to the error that ends a Connect or gRPC call.
  *
- * @param callFailure - the failure
- * @returns an error with the Failure message among its details
+ * @param callFailure - the call's failure
+ * @returns an error with the Failure message in its details
  */
 export function toConnectError(callFailure: CallFailure): ConnectError {
     const { kind, detail } = callFailure.failure;
--- a/packages/admin/src/callLog.ts
+++ b/packages/admin/src/callLog.ts
@@ -3,7 +3,7 @@
 import { type OperatorService, type Standing } from "@galenaglade/schema";
 import { type LogFields, type Logger } from "@galenaglade/telemetry";
 
-/** Calls that change something; they are logged at `info`, the others at `debug`. */
+/** Calls that change state. They are logged at `info` or `warn`, all others at `debug`. */
 const changes: ReadonlySet<string> = new Set<keyof typeof OperatorService.method>([
     "applyConfiguration",
     "takeZoneOut",
@@ -12,11 +12,11 @@
 ]);
 
 /**
- * Logs every call when it ends. Nobody watches at night: what operators changed, and whether it came into force, has to
- * be found in the morning.
+ * Creates an interceptor that logs every call when it ends, so that operators' changes, and whether they came into
+ * force, can be reconstructed later.
  *
- * @param logger - the process's log
- * @returns an interceptor for the server's calls
+ * @param logger - the process's logger
+ * @returns the interceptor
  */
 export function createCallLog(logger: Logger): Interceptor {
     return next => async req => {
@@ -40,14 +40,14 @@
     };
 }
 
-/** What requests of changes have, and others may. */
+/** Fields of requests that change state; other requests may have some of them. */
 interface ChangeFields {
     readonly name?: string;
     readonly changeId?: string;
     readonly expectedRevision?: number;
 }
 
-/** What responses to changes have, and others may. */
+/** Field of responses to changes of the configuration; other responses may have it too. */
 interface StandingField {
     readonly standing?: Standing;
 }
--- a/packages/admin/src/changeId.ts
+++ b/packages/admin/src/changeId.ts
@@ -7,15 +7,15 @@
 const digestLength = 12;
 
 /**
- * Makes the id under which a call's change is stored: the operator's id, and a digest of what the call asks.
+ * Creates the id under which a change is stored: the operator's change id and a digest of the call's content.
  *
- * The failure: a script uses the same id for two calls, such as taking a zone out and bringing it in. The second would
- * be taken for the first sent again, and be answered as done without having been done. With the digest a call is only
- * recognised by its own id and content, so that a repeated call still is, and a different one isn't.
+ * Without the digest, a script that uses one id for two calls, such as taking a zone out and bringing it in, would have
+ * its second call treated as a retry of the first and reported as done without taking effect. With the digest, only a
+ * call with the same id and the same content counts as a retry.
  *
- * @param changeId - as the operator sent it
+ * @param changeId - the operator's change id
  * @param call - name of the call
- * @param content - all that the call asks, as JSON can say it
+ * @param content - all parameters of the call that define the change, as JSON
  * @returns the id to store, or `badRequest`
  */
 export function createStoredChangeId(changeId: string, call: string, content: unknown): Either<Failure, string> {
@@ -27,10 +27,10 @@
 }
 
 /**
- * Finds the operator's part of a stored change id.
+ * Extracts the operator's change id from a stored change id.
  *
- * @param storedChangeId - what {@link createStoredChangeId} made
- * @returns what the operator sent
+ * @param storedChangeId - result of {@link createStoredChangeId}
+ * @returns the change id as the operator sent it
  */
 export function parseOperatorChangeId(storedChangeId: string): string {
     return storedChangeId.split(separator, 1)[0] ?? "";
--- a/packages/admin/src/changeSignal.ts
+++ b/packages/admin/src/changeSignal.ts
@@ -2,13 +2,13 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { watchRefreshPeriodMs, watchRetryDelayMs } from "./constants.js";
 
-/** Tells when the configuration may have changed. */
+/** Signals that the configuration may have changed. */
 export abstract class ChangeSignal {
-    /** Resolves when something may have changed, or some time has passed; early where `signal` is aborted. */
+    /** Resolves after a possible change or a refresh period, or early if `signal` is aborted. */
     abstract wait(signal: AbortSignal): Promise<void>;
 }
 
-/** Waits at the store, one call at a time for the whole process. */
+/** Watches the store, with at most one open call for the whole process. */
 export class StoreChangeSignal extends ChangeSignal {
     readonly #store: KeyValueStore;
     readonly #prefix: string;
@@ -16,7 +16,7 @@
 
     /**
      * @param store - the platform's key-value service
-     * @param prefix - keys whose changes matter
+     * @param prefix - prefix of the watched keys
      */
     constructor(store: KeyValueStore, prefix: string) {
         super();
@@ -28,7 +28,7 @@
         if (this.#afterRevision === undefined) {
             const listed = await this.#store.list(this.#prefix);
             this.#afterRevision = listed.map(({ revision }) => revision).toMaybe().extract();
-            // What changed before the list was read has to be looked at, so the first wait is none.
+            // Changes before this list aren't covered by the watch, so the first wait returns at once.
             await sleepUnlessAborted(listed.isLeft() ? watchRetryDelayMs : 0, signal);
             return;
         }
@@ -47,16 +47,16 @@
 }
 
 /**
- * Waits.
+ * Sleeps, or returns early if aborted.
  *
- * @param ms - how long, in milliseconds
- * @param signal - ends the wait early
+ * @param ms - duration in milliseconds
+ * @param signal - ends the sleep early
  */
 export async function sleepUnlessAborted(ms: number, signal: AbortSignal): Promise<void> {
     try {
         await pause(ms, undefined, { signal });
     }
     catch {
-        // Aborted: the one who waits looks at the signal.
+        // Aborted: callers check the signal.
     }
 }
--- a/packages/admin/src/connection.ts
+++ b/packages/admin/src/connection.ts
@@ -1,7 +1,7 @@
 import { type ServerHttp2Session } from "node:http2";
 import { type Socket } from "node:net";
 
-/** One connection to the operators' port, from its first byte on. */
+/** One client connection to the operators' port. */
 export class Connection {
     readonly #socket: Socket;
     readonly #strangerLimit: NodeJS.Timeout;
@@ -10,12 +10,12 @@
     #closing = false;
 
     /**
-     * Strangers who open connections and say nothing, or nothing with a key, would use up all that are held at once
-     * and lock operators out; one that trickles its bytes would outlast any limit on silence. So each connection is
-     * destroyed after a fixed time unless a call with the key has come by then.
+     * Destroys the connection unless an authenticated call arrives in time. Otherwise, unauthenticated clients could
+     * use up all connections and lock operators out. An idle timeout wouldn't suffice, because a client can keep a
+     * connection active by sending a byte at a time.
      *
      * @param socket - the connection
-     * @param strangerLimitMs - that time in milliseconds
+     * @param strangerLimitMs - time within which an authenticated call must arrive, in milliseconds
      */
     constructor(socket: Socket, strangerLimitMs: number) {
         this.#socket = socket;
@@ -23,7 +23,7 @@
         socket.once("close", () => clearTimeout(this.#strangerLimit));
     }
 
-    /** Says that the connection speaks HTTP/2. */
+    /** Sets the session of an HTTP/2 connection. */
     setSession(session: ServerHttp2Session): void {
         this.#session = session;
         if (this.#closing) {
@@ -31,13 +31,13 @@
         }
     }
 
-    /** A call with the key begins. */
+    /** Called when an authenticated call starts. */
     onCallStarted(): void {
         clearTimeout(this.#strangerLimit);
         this.#inFlight++;
     }
 
-    /** A call's answer is out. */
+    /** Called when a call's response has been sent completely. */
     onCallEnded(): void {
         this.#inFlight--;
         if (this.#closing) {
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Closes as soon as the calls in flight are answered. Node's own closing of idle connections takes one for idle
-     * whose answer is still in the socket's buffer, and cuts it short; here an answer counts until it is out.
+     * Closes once all calls in flight are answered. Node's `closeIdleConnections` treats a connection as idle while its
+     * response is still in the socket's buffer, and truncates it; here a call counts until its response is sent.
      */
     close(): void {
         this.#closing = true;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Closes at once, whatever is in flight. */
+    /** Closes immediately, aborting calls in flight. */
     destroy(): void {
         this.#socket.destroy();
     }
--- a/packages/admin/src/constants.ts
+++ b/packages/admin/src/constants.ts
@@ -1,29 +1,29 @@
-/** How often a zone change is tried again when other changes keep getting in first. */
+/** Maximum attempts of a zone change that conflicts with concurrent changes. */
 export const maxZoneChangeAttempts = 16;
 
-/** Largest configuration that is taken, as JSON: the store's value of one megabyte less room for what stands beside it. */
+/** Maximum configuration size as JSON, in bytes: the store's limit of 1 MiB per value, less room for metadata. */
 export const maximumConfigurationBytes = 1_000_000;
 
-/** Time in which a new connection must have brought a call with the key, and a call its whole message. */
+/** Time within which a new connection must carry an authenticated call, and a call its complete message. */
 export const requestTimeoutMs = 10_000;
 
-/** Time after which a connection without calls is closed. */
+/** Idle timeout of connections without calls. */
 export const idleTimeoutMs = 60_000;
 
-/** Calls at the same time on one HTTP/2 connection. */
+/** Maximum concurrent calls on one HTTP/2 connection. */
 export const maximumStreamsPerConnection = 32;
 
-/** Size of a request's headers. */
+/** Maximum size of a request's headers, in bytes. */
 export const maximumHeaderBytes = 16_384;
 
-/** Longest deadline that a caller may ask for; a watch has none. */
+/** Maximum timeout that a client may request for a call. A watch has no timeout. */
 export const maximumCallTimeoutMs = 3_600_000;
 
-/** How long a watcher's view may lag when the store announces nothing: a watch can go silent for good. */
+/** Maximum staleness of a watcher's view if the store reports no change: a store watch can stall without an error. */
 export const watchRefreshPeriodMs = 10_000;
 
-/** How soon a standing that is not in force, or could not be read, is looked at again. */
+/** Delay before a standing that isn't in force or couldn't be read is read again. */
 export const watchRetryDelayMs = 1_000;
 
-/** Silence after which the system probes a connection. */
+/** Idle time before the kernel sends the first TCP keep-alive probe. */
 export const tcpKeepAliveIdleMs = 30_000;
--- a/packages/admin/src/index.ts
+++ b/packages/admin/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' server. */
+/** Server of the operators' API. */
 export { createAdminProcess } from "./adminProcess.js";
 export { AdminServer, type AdminServerOptions } from "./adminServer.js";
 export { BackendServerObserver, type GatewayObservations } from "./backendServerObserver.js";
--- a/packages/admin/src/operatorCalls.ts
+++ b/packages/admin/src/operatorCalls.ts
@@ -20,33 +20,33 @@
 import { maximumConfigurationBytes, maxZoneChangeAttempts } from "./constants.js";
 import { findHostState, type StandingInit, toHostInits, toStandingInit } from "./standingMessages.js";
 
-/** What the calls are answered from. */
+/** Options and dependencies of {@link OperatorCalls}. */
 export interface OperatorCallsOptions {
     readonly coordinator: ChangeCoordinator;
     readonly hosts: HostList;
-    /** Without one, backend servers are listed as declared, with no observations. */
+    /** If `undefined`, backend servers are listed as declared, without observations. */
     readonly observer?: BackendServerObserver | undefined;
-    /** How long a change waits until it is in force, in milliseconds. */
+    /** Maximum time that a call waits for its change to come into force, in milliseconds. */
     readonly acceptWaitMs: number;
 }
 
-/** An operator's change of one availability zone. */
+/** An operator's change of an availability zone's state. */
 export interface ZoneChange {
     readonly name: string;
     readonly state: ZoneState;
     readonly changeId: string;
-    /** Where absent, the change goes on top of whatever is present. */
+    /** If `undefined`, the change is applied to whatever revision is current. */
     readonly expectedRevision: number | undefined;
 }
 
-/** An operator's new configuration. */
+/** An operator's replacement of the configuration. */
 export interface ConfigurationChange {
     readonly changeId: string;
     readonly expectedRevision: number | undefined;
     readonly configuration: ConfigurationInput | undefined;
 }
 
-/** A declared backend server with what gateways know of it. */
+/** A declared backend server with the gateways' observations of it. */
 export interface ListedServer {
     readonly service: string;
     readonly server: Configuration["services"][number]["backendServers"][number];
@@ -55,28 +55,28 @@
     readonly observations: readonly GatewayObservation[];
 }
 
-/** What one gateway knows of one backend server. */
+/** One gateway's observation of one backend server. */
 export interface GatewayObservation extends ServerObservation {
     /** Name of the gateway's host. */
     readonly gateway: string;
 }
 
-/** The declared backend servers with what gateways know of them. */
+/** The declared backend servers with the gateways' observations. */
 export interface ServerList {
-    /** The revision that declares them. */
+    /** The configuration revision that declares them. */
     readonly revision: number;
     readonly servers: readonly ListedServer[];
-    /** Names of the registered gateways that gave no usable answer. */
+    /** Names of the registered gateways that sent no usable response. */
     readonly unanswered: readonly string[];
-    /** Observations that gateways left out for size. */
+    /** Number of observations that gateways omitted to limit message sizes. */
     readonly omitted: number;
-    /** Why no gateway could be asked. */
+    /** Why no gateway could be queried. */
     readonly observationFailure: Failure | undefined;
 }
 
 type Answer<T> = Promise<Either<CallFailure, T>>;
 
-/** The operators' calls, whatever protocol brings them. Keeps nothing: any instance in the fleet can answer any call. */
+/** Protocol-independent implementation of the operators' API. Stateless, so any instance can serve any call. */
 export class OperatorCalls {
     readonly #options: OperatorCallsOptions;
 
@@ -88,7 +88,7 @@
      * Replaces the configuration.
      *
      * @param change - the change; its expected revision is required
-     * @returns how far the change has come
+     * @returns the standing of the change on the gateways
      */
     async applyConfiguration(change: ConfigurationChange): Answer<StandingInit> {
         const { changeId, expectedRevision, configuration } = change;
@@ -119,12 +119,12 @@
     /**
      * Takes an availability zone out or brings it in.
      *
-     * Two operators' zone changes at the same moment must both take effect, and the store lets one write through. The
-     * other reads again and puts its own change on top, under the same change id, so that a write of its own whose
-     * answer was lost is recognised and not done twice.
+     * Concurrent zone changes must all take effect, but the store accepts only one of two conflicting writes. The other
+     * call reads again and reapplies its change on the new revision, under the same change id, so that an earlier write
+     * of its own whose response was lost is recognised and not repeated.
      *
      * @param change - the change
-     * @returns how far it has come
+     * @returns the standing of the change on the gateways
      */
     async changeZone(change: ZoneChange): Answer<StandingInit> {
         const storedId = createStoredChangeId(change.changeId, "zone", [change.name, change.state]);
@@ -151,8 +151,8 @@
             return Left(present.extract());
         }
         const { revision, configuration } = present.unsafeCoerce();
-        // Written also where the zone is in that state already: the write makes a repeated call recognisable, and
-        // the answer waits until the state is in force.
+        // Written even if the zone is already in that state: the write makes a retry of this call recognisable, and
+        // the response waits until the state is in force.
         const next = setZoneState(configuration, change.name, change.state);
         if (next.isLeft()) {
             return Left(next.extract());
@@ -161,9 +161,9 @@
     }
 
     /**
-     * Reads the present configuration.
+     * Reads the current configuration.
      *
-     * @returns the configuration; revision 0 where none was ever written
+     * @returns the configuration; revision 0 if none was ever written
      */
     async getConfiguration(): Answer<ConfigurationRevision> {
         const present = await this.#options.coordinator.read();
@@ -171,9 +171,9 @@
     }
 
     /**
-     * Says how far the present configuration has come.
+     * Reads the standing of the current configuration.
      *
-     * @returns how far
+     * @returns its standing on the gateways
      */
     async getStanding(): Answer<StandingInit> {
         const acceptance = await this.#options.coordinator.standing();
@@ -186,7 +186,7 @@
     /**
      * Lists hosts with the gateways on them.
      *
-     * @returns what Host messages are made from
+     * @returns initial values of Host messages
      */
     async listHosts(): Answer<ReturnType<typeof toHostInits>> {
         const [hosts, acceptance] = await Promise.all([
@@ -200,8 +200,8 @@
     /**
      * Lists the declared backend servers.
      *
-     * @param serviceName - only this service's; all where empty
-     * @returns the servers with what gateways know of them; `notFound` where the service isn't declared
+     * @param serviceName - limits the list to this service; empty for all services
+     * @returns the servers with the gateways' observations; `notFound` if the service isn't declared
      */
     async listBackendServers(serviceName: string): Answer<ServerList> {
         const present = await this.#options.coordinator.read();
@@ -213,7 +213,7 @@
         if (serviceName !== "" && services.length === 0) {
             return Left(toCallFailure(createFailure("notFound", `service ${serviceName} is not declared`)));
         }
-        // Neither is worth failing the call for: what is declared is said in any case, and that the rest is lacking.
+        // A failure of either doesn't fail the call: the declared servers are listed anyway, with the gaps indicated.
         const [observed, listed] = await Promise.all([
             this.#options.observer?.observe(serviceName === "" ? undefined : serviceName) ?? Right(nobodyAsked),
             this.#options.hosts.list(),
@@ -243,10 +243,10 @@
     }
 
     /**
-     * Takes an operator's word that the gateway of a lost host runs no more.
+     * Removes the gateway of a lost host, on the operator's confirmation that it no longer runs.
      *
      * @param name - name of the host
-     * @returns nothing; `badRequest` where the gateway lives, `notFound` where the fleet knows none of the name
+     * @returns nothing; `badRequest` if the gateway is alive, `notFound` if no gateway has this name
      */
     async forgetHost(name: string): Answer<void> {
         if (name === "") {
@@ -265,7 +265,7 @@
         return this.#options.coordinator.apply(req, this.#options.acceptWaitMs);
     }
 
-    /** Adds what the configuration of that revision says; nothing where it has been replaced or can't be read. */
+    /** Adds details from the configuration of that revision, unless it has been replaced or can't be read. */
     async #toStanding(acceptance: Acceptance): Promise<StandingInit> {
         const present = await this.#options.coordinator.read();
         const { revision, configuration } = present.orDefault({ revision: -1, changeId: "", configuration: noZones });
@@ -285,7 +285,7 @@
 
 const nobodyAsked: GatewayObservations = { answered: [], unanswered: [] };
 
-/** Gateways' words are kept side by side: where they differ, that is what an operator looks for. */
+/** Keeps the observations of different gateways separate, since operators look for differences between them. */
 function groupByServer(
     answered: GatewayObservations["answered"],
 ): ReadonlyMap<ServerId, readonly GatewayObservation[]> {
--- a/packages/admin/src/operatorRoutes.ts
+++ b/packages/admin/src/operatorRoutes.ts
@@ -16,11 +16,11 @@
 import { type StandingEvent, type StandingFeed } from "./standingFeed.js";
 
 /**
- * Connects the calls of the schema file to what answers them.
+ * Creates the routes of the operators' API.
  *
- * @param calls - answers the calls
- * @param feed - answers WatchChanges
- * @returns routes for a Connect router
+ * @param calls - implements all calls but WatchChanges
+ * @param feed - provides the events of WatchChanges
+ * @returns a function that registers the routes with a Connect router
  */
 export function createOperatorRoutes(calls: OperatorCalls, feed: StandingFeed): (router: ConnectRouter) => void {
     return router => {
@@ -78,8 +78,8 @@
     for await (const event of feed.watch(signal)) {
         yield toWatchInit(event);
     }
-    // The watch ends with the caller's call or with this process; a watcher must be able to tell the latter from an
-    // end that means that nothing more will change.
+    // The watch ends when the client cancels it or this process stops. Throwing lets the client distinguish a stop from
+    // the regular end of a stream.
     signal.throwIfAborted();
 }
 
--- a/packages/admin/src/protocolDetection.ts
+++ b/packages/admin/src/protocolDetection.ts
@@ -1,13 +1,13 @@
 import { type Socket } from "node:net";
 
-/** Every HTTP/2 connection begins with these bytes, and no HTTP/1.1 request can. */
+/** The HTTP/2 connection preface (RFC 9113, section 3.4). No valid HTTP/1.1 request starts with it. */
 const http2Preface = Buffer.from("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "latin1");
 
 /**
- * Finds out from a connection's first bytes which protocol it speaks, and leaves the bytes to be read again.
+ * Detects a connection's protocol from its first bytes, and puts the bytes back to be read again.
  *
  * @param socket - a new connection
- * @returns the protocol, or `closed` where the connection ended before it could be told
+ * @returns the protocol, or `closed` if the connection ended before it could be detected
  */
 export function detectProtocol(socket: Socket): Promise<"http1" | "http2" | "closed"> {
     return new Promise(resolve => {
@@ -32,7 +32,7 @@
             socket.unshift(head);
             finish(isPreface ? "http2" : "http1");
         };
-        // A stranger's reset comes as an error event, which ends the process where nobody listens.
+        // A connection reset emits an error event, which would end the process if it were unhandled.
         socket.on("error", () => socket.destroy());
         socket.on("close", onClose);
         socket.on("readable", onReadable);
--- a/packages/admin/src/rejectRequest.ts
+++ b/packages/admin/src/rejectRequest.ts
@@ -10,13 +10,13 @@
 export type ServerResponse = Http1ServerResponse | Http2ServerResponse;
 
 /**
- * Refuses a request before any of its body is read, with the status and the error of the Connect protocol; clients of
- * gRPC read the status.
+ * Rejects a request before its body is read, with the HTTP status and error body of the Connect protocol. gRPC clients
+ * derive their status code from the HTTP status.
  *
  * @param req - the request
  * @param res - its response
- * @param kind - why
- * @param detail - for a person
+ * @param kind - error kind
+ * @param detail - human-readable explanation
  */
 export function rejectRequest(req: ServerRequest, res: ServerResponse, kind: ErrorKind, detail: string): void {
     const { status, retryAfterSeconds } = resolveFailure(createFailure(kind, detail));
@@ -44,22 +44,22 @@
 }
 
 /**
- * Ends the request too once its answer is out, where not all of its body was read. Its sender may otherwise wait for
- * room to send the rest, and never read the answer, and its call, and a planned stop, stay open.
+ * Discards the unread rest of a request's body once the response is sent. Otherwise the client may wait for flow
+ * control to send the rest and never read the response, which keeps the call open and blocks a planned stop.
  *
- * @param req - a request that is about to be answered
+ * @param req - the request, before its response is sent
  * @param res - its response
  */
 export function discardRequestBody(req: ServerRequest, res: ServerResponse): void {
     if (!("stream" in req)) {
-        // Whoever stops reading early would destroy the connection, and the answer with it; closing it with bytes
-        // unread resets it, which may lose the answer too. So the rest is read and dropped.
+        // By default, leaving the iteration early destroys the connection and the response with it. Closing it with
+        // unread bytes sends a reset, which may lose the response too. So the rest of the body is read and discarded.
         req[Symbol.asyncIterator] = () => req.iterator({ destroyOnReturn: false });
         res.once("finish", () => req.resume());
         return;
     }
     const { stream } = req;
-    // After the trailers, since a reset drops what has not been framed by then.
+    // Deferred until the trailers are sent, since a reset drops data that hasn't been framed yet.
     stream.once("wantTrailers", () => setImmediate(() => dropRestOfStream(stream)));
 }
 
@@ -68,13 +68,13 @@
         return;
     }
     stream.close(constants.NGHTTP2_NO_ERROR);
-    // What has arrived has to be read, or the stream stays open; the request object would pause it.
+    // Received data must be consumed or the stream stays open. The request object's listeners would pause the stream.
     stream.removeAllListeners("data");
     stream.resume();
 }
 
 /**
- * Gives a request up whose body doesn't end.
+ * Aborts a request whose body doesn't end.
  *
  * @param req - the request
  */
--- a/packages/admin/src/standingFeed.ts
+++ b/packages/admin/src/standingFeed.ts
@@ -5,18 +5,18 @@
 import { watchRetryDelayMs } from "./constants.js";
 import { type StandingInit } from "./standingMessages.js";
 
-/** A standing, or why it can't be learnt now. */
+/** A standing, or why it can't be read. */
 export type StandingEvent = Either<CallFailure, StandingInit>;
 
-/** A watcher holds at most one event: a slow one misses what was between, and never makes a queue grow. */
+/** Buffers only the newest event: a slow watcher skips intermediate events instead of building up a queue. */
 interface Watcher {
     pending: StandingEvent | undefined;
     wake: () => void;
 }
 
 /**
- * Reads the standing once for all watchers of the process, and only while there is one: however many operators watch,
- * the store and the gateways are asked by one reader.
+ * Reads the standing on behalf of all watchers of the process, and only while there are any, so that the load on the
+ * store and the gateways doesn't grow with the number of watchers.
  */
 export class StandingFeed {
     readonly #read: () => Promise<StandingEvent>;
@@ -28,8 +28,8 @@
 
     /**
      * @param read - reads the standing
-     * @param changes - tells when to read again
-     * @param maximumWatchers - watchers at once
+     * @param changes - signals when to read again
+     * @param maximumWatchers - maximum number of concurrent watchers
      */
     constructor(read: () => Promise<StandingEvent>, changes: ChangeSignal, maximumWatchers: number) {
         this.#read = read;
@@ -37,16 +37,16 @@
         this.#maximumWatchers = maximumWatchers;
     }
 
-    /** Whether another watcher may come. */
+    /** Whether the maximum number of watchers is reached. */
     get isFull(): boolean {
         return this.#watchers.size >= this.#maximumWatchers;
     }
 
     /**
-     * Gives the present standing, and the newest whenever it has changed.
+     * Yields the current standing, and the newest one after each change.
      *
      * @param signal - ends the watch
-     * @returns standings until the signal is aborted
+     * @returns standings, until the signal is aborted
      */
     async *watch(signal: AbortSignal): AsyncGenerator<StandingEvent> {
         const watcher: Watcher = { pending: this.#last, wake: () => undefined };
@@ -93,7 +93,7 @@
         while (!signal.aborted) {
             const event = await this.#readSafely();
             this.#publish(event, signal);
-            // A change that isn't in force yet comes into force without any change in the store.
+            // A change comes into force without a further change in the store, so it is polled until then.
             const settled = event.map(({ inForce }) => inForce).orDefault(false);
             await (settled ? this.#changes.wait(signal) : sleepUnlessAborted(watchRetryDelayMs, signal));
         }
@@ -104,15 +104,15 @@
             return await this.#read();
         }
         catch (err) {
-            // One reader serves every watcher: were it to end on an unforeseen error, all of them would hear nothing
-            // more and take that for no change.
+            // The reader serves all watchers. If an unexpected error ended it, they would get no more events and assume
+            // that nothing changes.
             const detail = err instanceof Error ? err.message : String(err);
             return Left(toCallFailure(createFailure("internal", detail)));
         }
     }
 
     #publish(event: StandingEvent, signal: AbortSignal): void {
-        // A reader that was stopped while it read has been replaced by one that knows better.
+        // The reader was stopped during the read. A newer reader may have published since.
         if (signal.aborted) {
             return;
         }
--- a/packages/admin/src/standingMessages.ts
+++ b/packages/admin/src/standingMessages.ts
@@ -17,11 +17,11 @@
 };
 
 /**
- * Makes the message that says how far a change has come.
+ * Converts the acceptance of a revision to the API's Standing message.
  *
- * @param acceptance - how far it has come
- * @param cfg - the configuration of that revision; `undefined` where a later one is present already
- * @returns what a Standing message is made from
+ * @param acceptance - which gateways have the revision in force
+ * @param cfg - the configuration of that revision; `undefined` if it has been replaced or can't be read
+ * @returns initial values of a Standing message
  */
 export function toStandingInit(acceptance: Acceptance, cfg: Configuration | undefined) {
     const zonesOut = cfg?.availabilityZones.filter(zone => zone.state === "out").map(zone => zone.name) ?? [];
@@ -35,7 +35,7 @@
     };
 }
 
-/** What a Standing message is made from. */
+/** Initial values of a Standing message. */
 export type StandingInit = ReturnType<typeof toStandingInit>;
 
 function toGatewayStandingInit(standing: GatewayStanding) {
@@ -48,11 +48,11 @@
 }
 
 /**
- * Finds the state of the host at an address.
+ * Finds the state of the host with an address.
  *
- * @param hosts - the platform's list, which lags
- * @param address - IP number
- * @returns its state; unspecified where several hosts have the address
+ * @param hosts - the platform's host list, which may be outdated
+ * @param address - IP address
+ * @returns the host's state; unspecified if several hosts have the address
  */
 export function findHostState(hosts: readonly HostEntry[], address: string): HostState {
     const [host, ...others] = hosts.filter(candidate => candidate.address === address);
@@ -65,9 +65,9 @@
 /**
  * Joins the platform's hosts with the gateways that run on them.
  *
- * @param hosts - the platform's list, which lags
+ * @param hosts - the platform's host list, which may be outdated
  * @param gateways - the registered gateways
- * @returns what Host messages are made from; a gateway whose host isn't listed comes last
+ * @returns initial values of Host messages; gateways whose hosts aren't listed come last
  */
 export function toHostInits(hosts: readonly HostEntry[], gateways: readonly GatewayStanding[]) {
     const byName = new Map(gateways.map(standing => [standing.gateway.name, standing]));
--- a/packages/gateway/src/__tests__/attempt.test.ts
+++ b/packages/gateway/src/__tests__/attempt.test.ts
@@ -7,7 +7,7 @@
 import { type AttemptResult, runAttempt } from "../requests/attempt.js";
 import { RequestBody } from "@galenaglade/http-parts";
 
-/** A dispatcher that does with the handler what the test says, and counts what the handler aborts. */
+/** A dispatcher whose events are triggered by the test. Records which requests the handler aborts. */
 class ScriptedDispatcher extends Dispatcher {
     readonly aborted: string[] = [];
     handler: Dispatcher.DispatchHandler | undefined;
@@ -68,9 +68,9 @@
     });
 }
 
-// The HTTP client puts a request back into its queue when a connection closes for a reason of its own, and would
-// write it again on the next connection. A return that was begun once must not leave a second time.
-test("a request that the client would write again is not written", async () => {
+// For some causes of a closed connection, undici puts the request back into its queue and writes it again on the next
+// connection. A non-idempotent request that was started must not be written a second time.
+test("a request that the HTTP client would write again is not written", async () => {
     const dispatcher = new ScriptedDispatcher();
     const result = send(dispatcher, new AbortController().signal);
     dispatcher.start("first");
@@ -80,8 +80,8 @@
     assert.deepEqual((await result).outcome.didRun, "unknown");
 });
 
-// The caller's patience ends while the connection is being opened, and it is told that its return did not run. When
-// the connection opens after all, writing the return would make that untrue.
+// The caller's deadline passes while the connection is being opened, and the result says that the request did not run.
+// Writing the request once the connection opens would make that result wrong.
 test("a request given up before its connection opened is not written afterwards", async () => {
     const dispatcher = new ScriptedDispatcher();
     const patience = new AbortController();
--- a/packages/gateway/src/__tests__/badInput.test.ts
+++ b/packages/gateway/src/__tests__/badInput.test.ts
@@ -17,11 +17,11 @@
 
 interface Door {
     readonly url: string;
-    /** Requests that were understood. */
+    /** Number of requests that were parsed and handled. */
     readonly handled: () => number;
 }
 
-/** The callers' port alone, with a handler that answers what it understands. */
+/** Starts only the callers' server, with a handler that answers every parsed request. */
 async function openDoor(t: TestContext, more: Partial<CallerServerOptions> = {}): Promise<Door> {
     let handled = 0;
     const server = createCallerServer({ ...limits, ...more }, (req, res) => {
@@ -62,10 +62,10 @@
     ["headers beyond their limit", `GET / HTTP/1.1\r\nhost: a\r\nx: ${"y".repeat(8_192)}\r\n\r\n`, /^HTTP\/1\.1 431 /],
 ];
 
-// A caller sends what can't be read. It is told why on its own connection, which ends; a caller who comes at the same
-// time on another connection is served as ever.
+// A malformed request gets an error response and its connection is closed, while a concurrent request on another
+// connection is served.
 for (const [what, bytes, expected] of malformed) {
-    test(`${what} is refused with its reason and hurts nobody else`, async t => {
+    test(`${what} is refused with its reason and doesn't affect other callers`, async t => {
         const { url } = await openDoor(t);
         const [told, served] = await Promise.all([sendRawRequest(url, bytes), isServed(url)]);
         assert.match(told.text, expected);
@@ -74,12 +74,12 @@
             assert.match(told.text, /application\/problem\+json/);
         }
         assert.ok(served);
-        assert.ok(await isServed(url), "the port goes on");
+        assert.ok(await isServed(url), "the port still serves callers");
     });
 }
 
-// A caller sends its headers a byte at a time, to hold its connection for good. It is told so after the time that a
-// request may take, and its connection ends.
+// A client that doesn't complete its headers would hold its connection indefinitely (slowloris). After the request
+// timeout it gets an error response and its connection is closed.
 test("a request that is sent too slowly is refused", async t => {
     const { url, handled } = await openDoor(t);
     const told = await sendRawRequest(url, "GET / HTTP/1.1\r\nhost: a\r\nx-slow: ");
@@ -88,8 +88,8 @@
     assert.equal(handled(), 0);
 });
 
-// Somebody opens connections and holds them. Those over the limit are told so at once; those that were there first are
-// served on, and when they leave there is room again.
+// Clients open connections up to the limit and hold them. Further connections are refused at once, open ones are still
+// served, and new ones are accepted once the others have closed.
 test("connections over the limit are refused, and the others served", async t => {
     const { url } = await openDoor(t, { maximumConnections: 5, requestTimeoutMs: 60_000 });
     const held: Socket[] = [];
@@ -114,9 +114,9 @@
     }
 });
 
-// While an answer is on its way, the same connection brings bytes that can't be read. A refusal written now would land
-// inside that answer, and its caller would take the refusal's bytes for its own table. The connection is cut instead.
-test("a refusal never lands inside an answer that is under way", async t => {
+// Malformed bytes arrive on a connection while a response is being sent on it. An error response written at that point
+// would become part of the first response's body, so the connection is closed instead.
+test("an error response is never written into a response that is being sent", async t => {
     let finish = (): void => undefined;
     const server = createCallerServer(limits, (_req, res) => {
         res.writeHead(200, { "content-length": "10" });
--- a/packages/gateway/src/__tests__/coldStart.test.ts
+++ b/packages/gateway/src/__tests__/coldStart.test.ts
@@ -30,7 +30,7 @@
     }
 }
 
-/** A cold backend server that counts what it is given, and is warm after five answers. */
+/** A cold backend server that records its concurrency while cold, and is warm after five responses. */
 class ColdBackend {
     inFlight = 0;
     mostWhileCold = 0;
@@ -50,7 +50,7 @@
     };
 }
 
-/** Waits as a balancer does before it sends callers: until the gateway has had contact with its peers. */
+/** Waits until the gateway is ready, which requires contact with its peers. */
 async function becomeReady(operationsUrl: string): Promise<void> {
     while ((await fetch(`${operationsUrl}/readyz`)).status !== 200) {
         await sleep(10);
@@ -73,9 +73,9 @@
     return gateways.map(({ url }) => url);
 }
 
-// Callers of two gateways come at once while the only backend server is cold and bears one request. Each gateway alone
-// would send one, and both would wait for a permit that no timer brings them if waiting requests weren't offered again.
-test("two gateways together give a cold server one request at a time, and every caller its answer", async t => {
+// Two gateways get requests while the only backend server is cold and takes one request at a time. Uncoordinated, each
+// gateway would send one. Queued requests must be offered again periodically, or they would wait for a permit forever.
+test("two gateways together send a cold server one request at a time, and every caller gets its response", async t => {
     const backend = new ColdBackend();
     const port = await startBackend(t, backend.listener);
     const source = new FixedSource();
@@ -86,7 +86,7 @@
     assert.equal(backend.mostWhileCold, 1);
 });
 
-/** Peers of whom none can be reached. */
+/** Peers that are all unreachable. */
 class LostPeers extends ColdStartPeers {
     override roster(): { readonly version: number; readonly members: readonly string[]; } {
         return { version: 1, members: ["gateway-1/1", "gateway-2/1", "gateway-3/1"] };
@@ -98,9 +98,9 @@
     }
 }
 
-// A gateway is cut off from its peers, so that it may not send to any backend server. Its callers, who would wait all
-// night, are refused at once and told when to come back, and the balancer sees that it isn't ready.
-test("a gateway without contact refuses at once instead of holding its callers", async t => {
+// A gateway without contact to its peers may not send to any backend server. Its callers, whose deadlines may be hours
+// away, are refused at once with a Retry-After header, and the gateway reports that it isn't ready.
+test("a gateway without peer contact refuses requests at once instead of queueing them", async t => {
     let reached = 0;
     const port = await startBackend(t, (_, res) => {
         reached++;
--- a/packages/gateway/src/__tests__/engineStore.ts
+++ b/packages/gateway/src/__tests__/engineStore.ts
@@ -10,15 +10,15 @@
 import { KeyValueEngine } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 
-/** The platform's store in the test's own process; what claims don't use is not there. */
+/** An in-process store that supports only the calls that idempotency key claims make. */
 export class EngineStore extends KeyValueStore {
     isDown = false;
     calls = 0;
-    /** Calls take effect once this is settled. */
+    /** Calls take effect once this promise is settled. */
     ready: Promise<void> = Promise.resolve();
     readonly #engine: KeyValueEngine;
 
-    /** @param engine - shared by the stores of several gateways */
+    /** @param engine - data of the store; pass the same engine to share it between gateways */
     constructor(engine = new KeyValueEngine()) {
         super();
         this.#engine = engine;
--- a/packages/gateway/src/__tests__/gateway.test.ts
+++ b/packages/gateway/src/__tests__/gateway.test.ts
@@ -4,12 +4,12 @@
 import { request } from "undici";
 import { describeService, FixedSource, startBackend, startGateway } from "./testGateway.js";
 
-/** Slots of a backend server where the configuration says nothing. */
+/** Default number of slots of a backend server. */
 const slots = 3;
-/** Most requests that wait for a slot of one service. */
+/** Maximum number of queued requests per service. */
 const queueLength = 64;
 
-test("a request reaches its backend server with its deadline, and its answer comes back whole", async t => {
+test("a request reaches its backend server with its deadline, and its response is returned complete", async t => {
     let seen: Record<string, unknown> = {};
     const port = await startBackend(t, (req, res) => {
         seen = req.headers;
@@ -46,8 +46,8 @@
 });
 
 test("a gateway whose configuration is not fresh refuses new work and is not ready", async t => {
-    // The caller sees 503 with the time to come back, at once. The gateway had a configuration, then lost touch: it
-    // can't know whether an availability zone was taken out since, so it sends nothing.
+    // The gateway's configuration has become stale, so an availability zone may have been taken out since. It sends no
+    // requests and answers at once with 503 and a Retry-After header.
     let reached = 0;
     const port = await startBackend(t, (_req, res) => {
         reached++;
@@ -69,7 +69,7 @@
 });
 
 test("a planned stop lets the request in flight finish", async t => {
-    // The caller's request is running when the stop begins: it gets its whole answer, and only then the stop ends.
+    // A request is in flight when the planned stop begins. Its caller gets the complete response before the stop ends.
     let finish = (): void => undefined;
     let noteArrival = (): void => undefined;
     const arrived = new Promise<void>(resolve => {
@@ -96,9 +96,9 @@
     await stop;
 });
 
-// The balancer still sends callers to a host whose planned stop has begun. They are served, and told with the answer
-// that their connection ends: a kept one would be cut at the end of the stop, perhaps under the next request.
-test("answers given during a planned stop end their connections", async t => {
+// During a planned stop, the load balancer still sends callers for a while. Their responses close the connection: one
+// kept alive would be closed at the end of the stop, possibly during the next request.
+test("responses during a planned stop close their connections", async t => {
     const answers: (() => void)[] = [];
     let noteArrival = (): void => undefined;
     const arrived = new Promise<void>(resolve => {
@@ -123,9 +123,9 @@
     await stop;
 });
 
-// Every slot is taken by long work, and as many callers as the queue holds wait and then hang up. Their places are free
-// at once: the next caller, who would otherwise be refused until their patience ended, waits and is served.
-test("callers that hang up in the queue leave it", async t => {
+// All slots are busy and the queue is full of requests whose callers disconnect. Their places become free at once.
+// Otherwise, new requests would be refused until the deadlines of the disconnected ones.
+test("requests of disconnected callers are removed from the queue", async t => {
     const held: (() => void)[] = [];
     const port = await startBackend(t, (_req, res) => {
         held.push(() => res.end("whole"));
@@ -157,11 +157,11 @@
 
 interface Asked {
     readonly asked: ReturnType<typeof request>;
-    /** The kind of the refusal; `undefined` where the request waits. */
+    /** The problem type if the request was refused; `undefined` if it is queued. */
     readonly refusal: unknown;
 }
 
-/** Asks anew, giving up what came before, until the answer that comes at once, or none, is as wanted. */
+/** Sends a request until its immediate response, or the lack of one, matches; aborts those that don't match. */
 async function askUntil(
     url: string,
     isWanted: (answer: Awaited<ReturnType<typeof request>> | undefined) => boolean,
--- a/packages/gateway/src/__tests__/headers.test.ts
+++ b/packages/gateway/src/__tests__/headers.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { resolveResponseHeaders, resolveForwardHeaders } from "../requests/headers.js";
 
-test("headers of the caller's connection, and those that only the gateway may set, are not passed on", () => {
+test("a caller's hop-by-hop headers, and headers that only the gateway may set, are not forwarded", () => {
     const raw = [
         ...["Connection", "keep-alive, X-Private"],
         ...["X-Private", "1"],
@@ -19,7 +19,7 @@
     ]);
 });
 
-test("what backend servers say to the gateway does not reach callers", () => {
+test("headers from backend servers to the gateway do not reach callers", () => {
     const raw = ["X-Backend-In-Flight", "2", "X-Galenaglade-Did-Run", "no", "ETag", "7"];
     assert.deepEqual(resolveResponseHeaders(raw), ["etag", "7"]);
 });
--- a/packages/gateway/src/__tests__/localStore.ts
+++ b/packages/gateway/src/__tests__/localStore.ts
@@ -3,7 +3,7 @@
 import { KeyValueEngine } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 
-/** The store in the test's own process. */
+/** An in-process store without lists and watches. */
 export class LocalStore extends KeyValueStore {
     readonly #engine = new KeyValueEngine();
     readonly #now: () => number;
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -18,7 +18,7 @@
 const seed = 20_261_203;
 const patienceMs = 1_000;
 const operations = 120;
-/** Wide limit on the operations that are begun where too little has run. */
+/** Generous limit on the operations that are started while too few requests have run. */
 const mostOperations = operations * 10;
 const triesEach = 4;
 const faultMs = 100;
@@ -80,7 +80,7 @@
     return { platform, backends, histories, callers: new MemoryHistoryRecorder("callers"), urls, agent };
 }
 
-/** One try, recorded as its caller sees it. */
+/** Sends one attempt and records what its caller observes. */
 async function sendTry(
     world: World,
     url: string,
@@ -143,7 +143,7 @@
     }
 }
 
-/** A caller that tries on, through any gateway and sometimes through two at once, until it has its answer. */
+/** Retries an operation through random gateways, sometimes through two at once, until it gets a response. */
 async function runOperation(world: World, random: RandomSource, name: string): Promise<void> {
     const key = random.next() < 0.7 ? `key-${name}` : undefined;
     const workMs = random.nextInt(40);
@@ -175,14 +175,15 @@
     }
 }
 
-// Returns and reads go through three gateways, each try through any of them, some through two at once. Meanwhile
-// backend servers cut, shed, fall silent and restart, and the store loses answers, lags, slows and refuses.
-test("under faults of servers and store, no return runs twice and no caller is told or given what isn't so", async t => {
+// Idempotent and keyed non-idempotent requests go through three gateways, with retries through any of them and some
+// attempts through two at once. Meanwhile backend servers cut connections, shed load, stall and restart, and the store
+// loses responses, returns stale data, slows down and refuses calls.
+test("under faults, no keyed request runs twice and no caller gets wrong data or a wrong did-run value", async t => {
     const world = await startWorld(t);
     const random = createRandomSource(seed);
     const running: Promise<void>[] = [];
     const all = (async () => {
-        // A busy machine gets less of each operation done before its tries are over, so more of them are begun there.
+        // On a busy machine fewer attempts of each operation run, so more operations are started.
         for (let i = 0; i < operations || (!hasRunEnough(world) && i < mostOperations); i++) {
             running.push(runOperation(world, random, `op-${i}`));
             await setTimeout(random.nextInt(40));
@@ -199,13 +200,13 @@
     assert.ok(history.filter(line => line.type === "serverStarted").length > operations / 2, "too little ran");
 });
 
-/** Whether servers have run enough for the checks to mean something. */
+/** Whether servers have run enough requests for the checks to be meaningful. */
 function hasRunEnough(world: World): boolean {
     const lines = world.histories.flatMap(history => history.lines);
     return lines.filter(line => line.type === "serverStarted").length > operations / 2;
 }
 
-/** What the run consisted of, for whoever reads its figures. */
+/** Counts the events of a run by kind, for the test's diagnostics. */
 function countKinds(history: readonly HistoryLine[]): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const line of history) {
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -17,7 +17,7 @@
 } from "@galenaglade/stand-ins";
 import { describeService, FixedSource, startGateway, type TestGateway } from "./testGateway.js";
 
-/** Retries that a service has saved up when nothing has failed yet. */
+/** Initial number of retries in a service's retry budget. */
 const savedRetries = 20;
 const didRunHeader = "x-galenaglade-did-run";
 
@@ -63,9 +63,9 @@
     req.socket.destroy();
 };
 
-// A payroll office files a return. The backend server reads it and its connection breaks before an answer. It may
-// have run, so the caller is told "unknown", and neither this backend server nor the other one gets it again.
-test("a return whose connection closes is handed over once and told as unknown", async t => {
+// A non-idempotent request is read by a backend server, whose connection closes before a response. The request may have
+// run, so its did-run value is "unknown" and it is not retried on any server.
+test("a non-idempotent request whose connection closes is sent once and reported as unknown", async t => {
     const one = await startRawBackend(t, close);
     const other = await startRawBackend(t, close);
     const { url } = await startWith(t, [one, other]);
@@ -74,9 +74,9 @@
     assert.equal(one.requests.length + other.requests.length, 1);
 });
 
-// The backend server closes its kept connection just as the next deposit is written to it. On a shared connection
-// the deposit would be unknown for no reason; on one of its own there is nothing that could be closing.
-test("a deposit does not go over a connection that may be closing", async t => {
+// The backend server closes a keep-alive connection just as the next request is written to it. On a pooled connection,
+// it would be unknown whether a non-idempotent request ran; on a new connection, this race can't occur.
+test("a non-idempotent request is not sent on a connection that may be closing", async t => {
     const backend = await startRawBackend(t, req => req.requestNumber > 1 ? close(req) : answer(req));
     const { url } = await startWith(t, [backend]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
@@ -85,9 +85,9 @@
     assert.equal(backend.requests.length, 2);
 });
 
-// A backend server under load says that it shed the deposit before running it; another takes it. Where all shed, the
-// shopper is told truthfully that nothing ran, and when to come back.
-test("a deposit that was shed before running goes elsewhere, or is refused truthfully", async t => {
+// An overloaded backend server reports that it shed a request before running it, so another server can take it. If all
+// servers shed it, the response says that it did not run and when to retry.
+test("a non-idempotent request that was shed before running is retried, or refused as not run", async t => {
     const full = await startRawBackend(t, shed);
     const free = await startRawBackend(t, answer);
     const mixed = await startWith(t, [full, free]);
@@ -99,9 +99,9 @@
     assert.deepEqual([told.status, told.didRun, told.retryAfter], [503, "no", "1"]);
 });
 
-// Whether the body came whole, in chunks or too large to hold, it reaches the backend server as it was; a chunked one
-// that outgrows the declared limit is refused before anything is sent.
-test("a body is passed on as it was sent, and held to its limit", async t => {
+// A body reaches the backend server unchanged, whether it has a declared length, is chunked or is too large to buffer.
+// A chunked body that exceeds the buffer limit is refused before anything is sent.
+test("a body is forwarded unchanged, and refused beyond its limit", async t => {
     const large = 1_500_000;
     const backend = await startRawBackend(t, req => req.socket.write(renderRawResponse(String(req.body.length))));
     const source = new FixedSource();
@@ -130,9 +130,9 @@
     assert.equal(backend.requests.length, before);
 });
 
-// A table read is lost with its connection, tried elsewhere and shed there. The first try may have run, so "no",
-// which is what the last try alone would say, would be untrue.
-test("a refusal speaks of every try of a request, not of the last one", async t => {
+// A read fails when its connection closes, is retried on another server and shed there. The first attempt may have run,
+// so the did-run value of the last attempt alone, "no", would be wrong.
+test("the did-run value of a refusal covers every attempt, not only the last one", async t => {
     let lost = 0;
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : shed(req);
     const one = await startRawBackend(t, loseFirst);
@@ -143,7 +143,7 @@
     assert.equal(one.requests.length + other.requests.length, 2);
 });
 
-test("a table read whose connection closes is tried elsewhere", async t => {
+test("a read whose connection closes is retried on another server", async t => {
     let lost = 0;
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : answer(req);
     const backends = [await startRawBackend(t, loseFirst), await startRawBackend(t, loseFirst)];
@@ -152,9 +152,9 @@
     assert.deepEqual([told.status, told.body], [200, "GET /tables"]);
 });
 
-// Every backend server closes whatever it reads. Were each read tried three times, the servers in trouble would get
-// three times their load just then; the retry budget lets through what it had saved, and nothing was earned since.
-test("retries stay within their budget while everything fails", async t => {
+// All backend servers fail all requests. Retrying each one up to the maximum of three attempts would triple the load
+// on failing servers. The retry budget allows only its initial balance, since no request succeeds.
+test("retries stay within their budget while all requests fail", async t => {
     const backends = [
         await startRawBackend(t, close),
         await startRawBackend(t, close),
@@ -170,10 +170,10 @@
     assert.equal(sent, reads + savedRetries);
 });
 
-// The backend server's connection ends early: one byte short of its declared length, before its last chunk, or with
-// nothing that declares an end. The union's negotiator must not take what came for the whole table, so the caller's
-// connection is reset, also for a caller of HTTP/1.0, who takes the end of the connection for the end of the answer.
-test("an answer that is cut resets the caller's connection", async t => {
+// A backend server's connection closes early: one byte short of the declared length, before the last chunk, or without
+// any framing that marks the end. The caller must not treat the partial data as complete, so its connection is reset.
+// This matters most for HTTP/1.0, where closing the connection marks the end of the response.
+test("a truncated response resets the caller's connection", async t => {
     const cuts = [
         "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123456789",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\n123456789\r\n",
@@ -193,9 +193,9 @@
     }
 });
 
-// A researcher's extract is larger than any buffer on the way, and the researcher reads it slower than the backend
-// server sends it. The gateway holds the backend server back rather than the extract in its memory, and loses nothing.
-test("a large answer comes whole to a slow caller", async t => {
+// A response is larger than all buffers on its path, and its caller reads more slowly than the backend server sends.
+// The gateway must apply backpressure instead of buffering the response in memory, and must not lose any bytes.
+test("a large response reaches a slow caller complete", async t => {
     const part = "0123456789".repeat(100_000);
     const parts = 40;
     const length = part.length * parts;
@@ -225,7 +225,7 @@
     assert.ok(takenWhenAllWasSent > length / 2, `all was sent when ${takenWhenAllWasSent} bytes were taken`);
 });
 
-test("answers without a body are whole", async t => {
+test("responses without a body are complete", async t => {
     const backend = await startRawBackend(t, req => {
         req.socket.write(
             req.method === "HEAD"
@@ -242,10 +242,10 @@
     assert.deepEqual([head.statusCode, head.headers["content-length"], await head.body.text()], [200, "10", ""]);
 });
 
-// The first caller's patience ends, and it has its refusal at once. Its answer comes when the next caller is already
-// waiting for its own. On a connection used again, the next caller would get the first one's table. So the connection
-// is destroyed with the first caller's refusal, which also tells the backend server to stop.
-test("a late answer is nobody's", { timeout: 30_000 }, async t => {
+// A request times out and its caller gets an error at once. The late response arrives while the next request waits for
+// its own; on a reused connection, the next caller would get the first caller's data. So the connection is destroyed at
+// the timeout, which also signals the backend server to stop.
+test("a late response is not delivered to the next caller", { timeout: 30_000 }, async t => {
     let late: RawRequest | undefined;
     const backend = await startRawBackend(t, req => {
         if (req.path === "/tables/late") {
@@ -267,10 +267,10 @@
     assert.deepEqual(backend.requests.map(req => req.connection), [1, 2]);
 });
 
-// A kept connection goes silent: something on the way has lost track of it, and what is sent there arrives nowhere.
-// The backend server answers on others meanwhile. The shopper's read must not wait out its patience on the silent
-// one; it goes again on a new connection, to the same backend server, which is the only one and not to blame.
-test("a read on a silent connection is answered on another", async t => {
+// A keep-alive connection becomes half-open: a middlebox has dropped its state, and whatever is sent on it is lost. The
+// backend server still responds on other connections. The read must not wait until its deadline. It is retried on a new
+// connection to the same server, which is the only one and not at fault.
+test("a read on a stalled connection is retried on another connection", async t => {
     const backend = await startRawBackend(t, req => {
         if (req.connection !== 1 || req.requestNumber === 1) {
             answer(req);
@@ -292,10 +292,10 @@
     assert.notEqual(backend.requests.at(-1)?.connection, 1);
 });
 
-// A backend server works long and honestly on one read while it answers others, which looks like a silent connection. The
-// gateway has no retry left to spend. Were the read given up all the same, its caller would be refused an answer that was
-// about to come; so it goes on, and is sent once.
-test("a slow read is not given up where no other try can follow", { timeout: 30_000 }, async t => {
+// A backend server takes long for one read while it responds to others, which looks like a stalled connection. The
+// retry budget is exhausted, so abandoning the read would fail a request that is about to succeed. It must continue and
+// be sent only once.
+test("a slow read is not abandoned if the retry budget allows no retry", { timeout: 30_000 }, async t => {
     let slow: RawRequest | undefined;
     const backend = await startRawBackend(t, req => {
         if (req.path === "/tables/drain") {
@@ -325,8 +325,8 @@
     assert.equal(backend.requests.filter(req => req.path === "/tables/slow").length, 1);
 });
 
-// What allowed a request to be sent is over by the time its connection is open: the process was paused, and lost
-// touch. Nothing may be handed over then, and since nothing was, "it did not run" is true.
+// The configuration becomes stale between the grant and the opened connection, for example because the process was
+// suspended. The request must not be sent then, and so is reported as not run.
 test("a request whose permission ends before its first byte is not sent", async t => {
     const backend = await startRawBackend(t, answer);
     const source = new (class extends FixedSource {
@@ -341,8 +341,8 @@
     assert.equal(backend.requests.length, 0);
 });
 
-// A shopper's client asks again through another gateway while the first deposit runs, and once more after it.
-test("a deposit sent through two gateways under one key runs once", async t => {
+// A client retries a request through another gateway while the first attempt still runs, and again after it has ended.
+test("a request sent through two gateways with one idempotency key runs once", async t => {
     let running: RawRequest | undefined;
     let noteRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
@@ -368,9 +368,9 @@
     assert.equal(backend.requests.length, 1);
 });
 
-// The caller hangs up while its return is being taken in. Cut off, nobody would ever know whether it ran; left to
-// finish, the next try is told that it did.
-test("a return goes on when its caller hangs up, and its end is there for the next try", async t => {
+// The caller disconnects while its non-idempotent request runs. If the request were aborted, nobody could tell whether
+// it ran. It continues instead, and the next attempt with the same key learns that it ran.
+test("a non-idempotent request continues when its caller disconnects, and its result is recorded", async t => {
     let running: RawRequest | undefined;
     let noteRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
@@ -404,9 +404,9 @@
     assert.equal(backend.requests.length, 1);
 });
 
-// The shopper cancels while the key of the deposit is still being claimed. Nothing has left the gateway, so nothing
-// may leave it any more: the deposit is not wanted, and a next try must find its key free.
-test("a deposit whose caller is gone before it was sent is not sent", async t => {
+// The caller disconnects while the idempotency key is still being claimed. The request must not be sent afterwards, and
+// the key must be free for a later attempt.
+test("a non-idempotent request whose caller disconnects before it is sent is not sent", async t => {
     const backend = await startRawBackend(t, answer);
     const store = new EngineStore();
     let release = (): void => undefined;
@@ -430,9 +430,9 @@
     assert.equal(backend.requests.filter(req => req.path === "/tables").length, 1);
 });
 
-// The gateway is told to stop while it runs a return. The return finishes, its caller has the answer, and the end is
-// recorded in the store, slow as it is, before the gateway is gone: else the next try would be told "unknown".
-test("a planned stop waits until the end of a return is recorded", async t => {
+// A planned stop begins while a non-idempotent request runs. The caller gets its response, and the result is recorded
+// in the slow store before the stop ends. Otherwise the next attempt would be answered with "unknown".
+test("a planned stop waits until the result of a non-idempotent request is recorded", async t => {
     let running: RawRequest | undefined;
     let noteRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
--- a/packages/gateway/src/__tests__/serverObservations.test.ts
+++ b/packages/gateway/src/__tests__/serverObservations.test.ts
@@ -18,7 +18,7 @@
     ],
 }).unsafeCoerce();
 
-test("every declared server is described, with the age of its own word", () => {
+test("every declared server is described, with the age of its last load report", () => {
     const board = new ServerLoadTracker();
     board.onSent("tables/two");
     board.onReport("tables/two", { inFlight: 4 }, 1_000);
--- a/packages/gateway/src/__tests__/testGateway.ts
+++ b/packages/gateway/src/__tests__/testGateway.ts
@@ -11,7 +11,7 @@
 import { type ServerGate } from "../requests/serverGate.js";
 import { RequestClaims } from "../requests/requestClaims.js";
 
-/** A configuration source that the test sets. */
+/** A configuration source that is controlled by the test. */
 export class FixedSource implements ConfigurationSource {
     fresh = true;
     #revised: ConfigurationRevision | undefined;
@@ -36,7 +36,7 @@
     }
 }
 
-/** Starts a backend server on a free port, which ends with the test. */
+/** Starts a backend server on a free port and stops it after the test. @returns the port */
 export async function startBackend(t: TestContext, listener: RequestListener): Promise<number> {
     const server: Server = createServer(listener);
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
@@ -47,7 +47,7 @@
     return (server.address() as AddressInfo).port;
 }
 
-/** One service `tables` on the given ports, all in availability zone `north`. */
+/** Describes a service `tables` with backend servers on the given ports, all in availability zone `north`. */
 export function describeService(ports: readonly number[], patienceMs = 5_000): ConfigurationInput {
     return {
         availabilityZones: [{ name: "north" }],
@@ -66,14 +66,14 @@
     };
 }
 
-/** A gateway under test with its address. */
+/** A gateway under test with its URLs. */
 export interface TestGateway {
     readonly gateway: Gateway;
     readonly url: string;
     readonly operationsUrl: string;
 }
 
-/** Starts a gateway on free ports, which ends with the test. */
+/** Starts a gateway on free ports and stops it after the test. */
 export async function startGateway(
     t: TestContext,
     source: ConfigurationSource,
--- a/packages/gateway/src/backends/backendConnections.ts
+++ b/packages/gateway/src/backends/backendConnections.ts
@@ -13,23 +13,23 @@
     readonly pool: Pool;
 }
 
-/** What one attempt is sent over. */
+/** A connection or connection pool that one attempt is sent on. */
 export interface BackendConnection {
     readonly dispatcher: Dispatcher;
-    /** Call once the attempt has ended. */
+    /** Must be called once the attempt has ended. */
     release(): void;
 }
 
-/** Connections to backend servers, a pool each. One request at a time goes over a connection. */
+/** Connections to backend servers, one pool per server. A connection carries one request at a time (no pipelining). */
 export class BackendConnections {
     readonly #held = new Map<ServerId, Held>();
     readonly #fresh = new Set<Client>();
 
     /**
-     * Finds a connection for one attempt.
+     * Provides a connection for one attempt.
      *
      * @param target - the backend server
-     * @param own - whether to open one for this attempt alone, or to take one that others used before
+     * @param own - whether to open a new connection for this attempt alone, rather than use the pool
      */
     open(target: Target, own: boolean): BackendConnection {
         if (!own) {
@@ -44,7 +44,7 @@
         return { dispatcher: client, release };
     }
 
-    /** @returns the pool for a backend server, opened when first asked for */
+    /** @returns the pool for a backend server, created on first use */
     #poolOf(target: Target): Pool {
         const origin = originOf(target);
         const held = this.#held.get(target.serverId);
@@ -59,7 +59,7 @@
         return pool;
     }
 
-    /** Lets go of backend servers that the configuration no longer names; what is in flight there finishes. */
+    /** Closes the pools of backend servers that are no longer configured, after their requests in flight have ended. */
     retain(table: ServiceTable): void {
         const named = new Set<ServerId>();
         for (const route of table.routes) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Closes every connection once nothing is in flight on it. */
+    /** Closes every connection once its requests in flight have finished. */
     async close(): Promise<void> {
         const open = [...[...this.#held.values()].map(held => held.pool), ...this.#fresh];
         this.#held.clear();
@@ -89,10 +89,11 @@
 
 const connectionOptions = {
     pipelining: 1,
-    // A connection that was lost track of gives no error; unasked, a night's extract would wait on it until morning.
+    // A half-open connection, for example after a middlebox dropped its state, reports no error. Without keep-alive
+    // probes, a request with a deadline of hours would wait on it until that deadline.
     connect: { timeout: connectTimeoutMs, keepAlive: true, keepAliveInitialDelay: tcpKeepAliveIdleMs },
     keepAliveTimeout: idleConnectionTimeoutMs,
-    // Each request has a deadline of its own; undici's timers would end long extracts.
+    // Each request has its own deadline; undici's timeouts would abort long downloads.
     headersTimeout: 0,
     bodyTimeout: 0,
 };
--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -9,7 +9,7 @@
 import { type ServiceTable } from "../requests/serviceTable.js";
 import { type RequestTelemetry } from "../telemetry/requestTelemetry.js";
 
-/** What the handler works with. */
+/** Dependencies of {@link CallerHandler}. */
 export interface CallerHandlerDeps {
     readonly clock: Clock;
     readonly forwarder: Forwarder;
@@ -19,7 +19,7 @@
     readonly mayTakeNewWork: () => boolean;
 }
 
-/** Takes each caller's request from its arrival to its one final answer. */
+/** Handles callers' requests, each from its arrival to its single final response. */
 export class CallerHandler {
     readonly #parts: CallerHandlerDeps;
     readonly #answers = new Set<ServerResponse>();
@@ -32,8 +32,8 @@
     }
 
     /**
-     * From now on each answer ends its caller's connection. A kept one would be cut at the end of the stop, perhaps just
-     * as its caller sends the next request on it, who then couldn't know whether that ran.
+     * Closes callers' connections with the next response. A connection kept alive would be closed at the end of the
+     * planned stop, possibly while its caller sends a request on it and then can't know whether that request ran.
      */
     beginDrain(): void {
         this.#leaving = true;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** From now on new requests are refused. @returns once the last request in flight has its answer */
+    /** Refuses new requests. @returns once the last request in flight is answered */
     stop(): Promise<void> {
         this.#stopping = true;
         if (this.#answers.size === 0) {
@@ -108,9 +108,10 @@
         const abort = new AbortController();
         const remainingMs = request.deadlineMs - this.#parts.clock.monotonicMs();
         const timer = setTimeout(() => abort.abort(), Math.max(0, remainingMs));
-        // A caller that is gone wants no answer: the backend server's slot is worth more to the others. A non-idempotent
-        // request goes on: cut off, nobody would ever know whether it ran, and the caller's next try learns its end.
-        // After a whole answer there is nothing to abort, and an abort is dear (it builds an exception with its stack).
+        // When the caller disconnects, an idempotent request is aborted to free the backend server's slot. A
+        // non-idempotent request continues: if it were aborted, nobody could tell whether it ran, whereas a retry by
+        // the caller now gets its recorded result. After a complete response there is nothing to abort, and aborting is
+        // expensive because it creates an exception with a stack trace.
         res.once("close", () => {
             if (request.idempotent && !res.writableFinished) {
                 abort.abort();
@@ -129,7 +130,7 @@
     }
 
     #refuse(req: IncomingMessage, res: ServerResponse, failure: Failure, span: Span): void {
-        // An unread body would be taken for the next request's head, so the connection ends unless all was read.
+        // The rest of an unread body would be parsed as the next request, so the connection is closed in that case.
         writeFailure(res, failure, traceIdOf(span), this.#leaving || !req.complete);
     }
 
--- a/packages/gateway/src/coldStart/attemptEnd.ts
+++ b/packages/gateway/src/coldStart/attemptEnd.ts
@@ -2,8 +2,8 @@
 import { type AttemptResult } from "../requests/attempt.js";
 
 /**
- * @param result - what came of a try
- * @returns what it means for the backend server's cold start
+ * @param result - result of an attempt
+ * @returns the result as the cold-start gate needs it
  */
 export function resolveAttemptEnd(result: AttemptResult): AttemptEnd {
     const { outcome, failure, metadata } = result;
@@ -22,7 +22,7 @@
         case "backendShed":
             return "shed";
         case "connectFailed":
-            // Refused by this gateway itself in the turn of the first byte, it says nothing of the server.
+            // If this gateway cancelled the attempt before the first byte, the result is no evidence about the server.
             return failure.kind === "connectFailed" ? "refused" : "cancelled";
         case "patienceSpent":
             return "cancelled";
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -18,15 +18,15 @@
 import { gateHeartbeatPeriodMs, gateCheckPeriodMs } from "./constants.js";
 import { runStoreCommand } from "./storeCalls.js";
 
-/** The other gateways, as cold start needs them. */
+/** Access to the other gateways for coordinating cold starts. */
 export abstract class ColdStartPeers {
-    /** @returns who counts now, as `name/incarnation`, this gateway included */
+    /** @returns the current members as `name/incarnation`, including this gateway */
     abstract roster(): GatewayRoster;
-    /** Sends a word to every peer. @returns one promise for each, with its answer */
+    /** Sends a heartbeat to every peer. @returns one promise for each peer's reply */
     abstract exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
 }
 
-/** What the shell works with. */
+/** Dependencies of {@link ColdStartGate}. */
 export interface ColdStartGateDeps {
     /** `name/incarnation` of this gateway. */
     readonly self: string;
@@ -35,7 +35,10 @@
     readonly peers: ColdStartPeers;
 }
 
-/** Feeds the gate of cold start and asks it, for the scheduler. */
+/**
+ * Limits what cold and leaving backend servers are sent. Runs the timers, store commands and heartbeats of the permit
+ * gate, which makes the decisions.
+ */
 export class ColdStartGate extends ServerGate {
     readonly #parts: ColdStartGateDeps;
     readonly #gate: PermitGate;
@@ -48,7 +51,7 @@
         this.#gate = createServerGate(parts.self);
     }
 
-    /** The decisions themselves, for whoever learns of servers by other ways. */
+    /** The permit gate, which holds the state of each backend server. */
     get permitGate(): PermitGate {
         return this.#gate;
     }
@@ -62,7 +65,7 @@
         this.#round();
     }
 
-    /** Gives the permits up at once, where the store answers; they lapse otherwise. To be called when nothing is sent. */
+    /** Releases the permits; if the store is unreachable, they expire. Must be called when no request is in flight. */
     override async stop(): Promise<void> {
         clearInterval(this.#tickTimer);
         clearInterval(this.#roundTimer);
@@ -72,12 +75,12 @@
         }
     }
 
-    /** Takes the servers of a newer configuration. */
+    /** Applies the backend servers of a newer configuration. */
     override onConfiguration(revised: ConfigurationRevision): void {
         this.#gate.onServers(resolveGatedServers(revised.configuration), this.#now());
     }
 
-    /** Takes a peer's word. @returns the answer to it */
+    /** Handles a peer's heartbeat. @returns the reply */
     onHeartbeat(word: ColdStartWord): ColdStartWord {
         return this.#gate.onHeartbeat(word, this.#now());
     }
@@ -105,7 +108,7 @@
     override onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void {
         this.#gate.onEnd(grant.target.serverId, grant.id, end, nowMs);
         if (this.#gate.takeUrgentSignals(nowMs).length > 0) {
-            // A word carries every signal: a server found cold or leaving is told to all at once.
+            // A heartbeat carries every signal, so an extra round reports a cold or leaving server to all peers.
             this.#round();
         }
     }
--- a/packages/gateway/src/coldStart/constants.ts
+++ b/packages/gateway/src/coldStart/constants.ts
@@ -1,5 +1,5 @@
-/** How often the gate's calls of the store are made, and waiting requests offered to servers that have opened. */
+/** How often the gate's store commands are run and queued requests are offered to servers that now accept requests. */
 export const gateCheckPeriodMs = 100;
 
-/** How often peers are asked for their word; several rounds fit into the time for which contact counts. */
+/** How often heartbeats are exchanged with peers. Several rounds fit into the time for which peer contact counts. */
 export const gateHeartbeatPeriodMs = 500;
--- a/packages/gateway/src/coldStart/fleetPeers.ts
+++ b/packages/gateway/src/coldStart/fleetPeers.ts
@@ -5,11 +5,11 @@
 import { type Either } from "purify-ts";
 import { ColdStartPeers } from "./coldStartGate.js";
 
-/** The fleet's roster and peer calls, as cold start needs them. */
+/** Provides the fleet's roster and peer calls for coordinating cold starts. */
 export class FleetColdStartPeers extends ColdStartPeers {
     readonly #fleet: FleetMembership;
 
-    /** @param fleet - this gateway's part in it */
+    /** @param fleet - this gateway's membership in the fleet */
     constructor(fleet: FleetMembership) {
         super();
         this.#fleet = fleet;
@@ -32,7 +32,7 @@
     }
 }
 
-/** @returns the name of one life of a gateway's process: `name/incarnation` */
+/** @returns the id of one incarnation of a gateway's process: `name/incarnation` */
 export function formatIncarnationId({ name, incarnation }: Pick<GatewayIdentity, "name" | "incarnation">): string {
     return `${name}/${incarnation}`;
 }
--- a/packages/gateway/src/coldStart/storeCalls.ts
+++ b/packages/gateway/src/coldStart/storeCalls.ts
@@ -4,11 +4,11 @@
 import { type Either } from "purify-ts";
 
 /**
- * Makes a call that a decision library asked for.
+ * Runs a store command of the permit gate.
  *
  * @param store - the platform's store
- * @param command - the call
- * @returns how it ended; never fails
+ * @param command - the command
+ * @returns the outcome; failures are part of it, the promise never rejects
  */
 export async function runStoreCommand(store: KeyValueStore, command: StoreCommand): Promise<StoreOutcome> {
     switch (command.type) {
--- a/packages/gateway/src/configurationSource.ts
+++ b/packages/gateway/src/configurationSource.ts
@@ -1,11 +1,11 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 
-/** Where the gateway's configuration comes from, with its word on whether that is fresh enough. */
+/** Provides the gateway's configuration and decides whether it is fresh enough for new work. */
 export interface ConfigurationSource {
-    /** @returns the newest configuration held, or `undefined` where none was ever heard of */
+    /** @returns the newest known configuration, or `undefined` if none has been received yet */
     current(): ConfigurationRevision | undefined;
-    /** Whether new work may be taken under {@link current}; costs little, and is asked right before every send. */
+    /** Whether new requests may be sent under {@link current}. Must be cheap: it is called right before every send. */
     mayTakeNewWork(): boolean;
-    /** Calls back with every newer configuration. */
+    /** Registers a callback for every newer configuration. */
     onConfiguration(callback: (revised: ConfigurationRevision) => void): void;
 }
--- a/packages/gateway/src/constants.ts
+++ b/packages/gateway/src/constants.ts
@@ -1,56 +1,56 @@
-/** Header to backend servers with what is left of the caller's patience, in milliseconds. */
+/** Request header that gives a backend server the time until the caller's deadline, in milliseconds. */
 export const deadlineHeader = "x-deadline-ms";
 
-/** Header by which a backend server says how many requests it has in flight. */
+/** Response header in which a backend server reports how many requests it has in flight. */
 export const backendInFlightHeader = "x-backend-in-flight";
 
-/** Every header with this prefix is between backend servers and the gateway; callers never see it. */
+/** Headers with this prefix are exchanged between backend servers and the gateway only, and never sent to callers. */
 export const backendHeaderPrefix = "x-backend-";
 
-/** Time to open a connection to a backend server; they take about 1 ms, so that a second means it is gone. */
+/** Timeout for connecting to a backend server. Connecting takes about 1 ms; after a second the server is gone. */
 export const connectTimeoutMs = 1_000;
 
-/** An idle connection to a backend server is closed after this long, before most servers close it themselves. */
+/** Idle connections to backend servers are closed after this time, before most servers would close them. */
 export const idleConnectionTimeoutMs = 4_000;
 
-/** Idle time after which the system asks the other end of a connection whether it is there; then ten times, a second apart. */
+/** Idle time before the kernel sends the first TCP keep-alive probe; ten probes follow, one second apart. */
 export const tcpKeepAliveIdleMs = 5_000;
 
-/** A request whose caller waits longer than this gets a connection of its own, opened for it. */
+/** Requests whose caller waits longer than this are sent on a newly opened connection of their own. */
 export const dedicatedConnectionPatienceMs = 10_000;
 
-/** Connections that one gateway holds to one backend server: 15 gateways share about 200. */
+/** Maximum connections from one gateway to one backend server: 15 gateways share about 200. */
 export const maxConnectionsPerServer = 12;
 
-/** Largest body that is read before anything is sent; a larger one is streamed and sent once. */
+/** Largest request body that is buffered before sending. A larger one is streamed and its request is sent only once. */
 export const maxBufferedBodyBytes = 1_048_576;
 
-/** How often claims that wait for the platform's store are looked at. */
+/** How often pending claims of idempotency keys are checked for timeouts and retries. */
 export const claimCheckPeriodMs = 50;
 
-/** When to come back after a connection was lost, for whoever may safely send the request again. */
+/** `Retry-After` for a lost connection, sent to callers that may safely send the request again. */
 export const connectionLossRetryAfterSeconds = 1;
 
-/** Tries of one request, the first included. */
+/** Maximum attempts per request, including the first. */
 export const maxAttempts = 3;
 
-/** Expected time of a request before any was measured. */
+/** Expected service time of a request before any was measured. */
 export const initialServiceTimeMs = 5;
 
-/** Weight of the newest request in the average time of a service's requests. */
+/** Weight of the newest sample in a service's moving average of service times. */
 export const serviceTimeEwmaWeight = 0.1;
 
-/** The routing policy that goes where nothing else is said. */
+/** Routing policy that is used unless another one is named. */
 export const defaultRoutingPolicy = "expectedInFlight";
 
-/** How often own in-flight counts are handed to the fleet's heartbeats. */
+/** How often this gateway's in-flight counts are passed to the heartbeats. */
 export const loadPublishPeriodMs = 250;
 
-/** Share of traces begun here that are recorded; a caller's own decision goes before it. */
+/** Sampling ratio of traces that start at this gateway. A sampling decision from the caller takes precedence. */
 export const traceSampleRatio = 0.001;
 
-/** How long a caller's idle connection is kept: balancers let go of theirs after a minute at the latest. */
+/** Idle timeout of callers' connections: longer than that of load balancers, which is at most a minute. */
 export const callerKeepAliveMs = 75_000;
 
-/** Share of the requests that go to a cold server first, where this gateway may warm one up. */
+/** Probability that a request goes to a cold backend server when this gateway holds the permit to warm one up. */
 export const warmUpProbability = 0.25;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,20 +22,20 @@
 import { createServiceTable, type ServiceTable } from "./requests/serviceTable.js";
 import { RequestTelemetry } from "./telemetry/requestTelemetry.js";
 
-/** What a gateway is told and given. */
+/** Options and dependencies of a gateway. */
 export interface GatewayOptions {
     readonly availabilityZone: string;
     readonly callers: ListenAddress & Omit<CallerServerOptions, "keepAliveMs">;
     readonly operations: ListenAddress;
     readonly stopping: {
-        /** Time that the platform's balancer needs to notice that this host is not ready. */
+        /** Time that the platform's load balancer needs to detect that this host is not ready, in milliseconds. */
         readonly balancerWaitMs: number;
-        /** Longest wait for requests in flight. */
+        /** Maximum time to wait for requests in flight, in milliseconds. */
         readonly drainMs: number;
     };
     readonly configurationSource: ConfigurationSource;
     readonly policy: RoutingPolicy;
-    /** Seed of the routing's random numbers. */
+    /** Seed of the random numbers for routing. */
     readonly seed: number;
     readonly logger: Logger;
     readonly metrics: Metrics;
@@ -43,22 +43,22 @@
     readonly clock?: Clock;
     readonly gate?: ServerGate;
     readonly board?: ServerLoadTracker;
-    /** Claims of idempotency keys; without them, requests that carry one are refused. */
+    /** Claims idempotency keys. Without it, non-idempotent requests that carry a key are refused. */
     readonly claims?: RequestClaims;
 }
 
 /** A running gateway. */
 export interface Gateway {
-    /** Opens the ports. @returns where they listen */
+    /** Opens the ports. @returns the ports that were bound */
     start(): Promise<{ readonly callersPort: number; readonly operationsPort: number; }>;
-    /** Planned stop: cuts no request in flight. @returns once every one has its answer, or the longest wait is over */
+    /** Performs a planned stop. @returns once all requests in flight are answered, or the drain timeout has passed */
     stop(): Promise<void>;
 }
 
 /**
- * Makes a gateway: callers' requests in, backend servers' answers out.
+ * Creates a gateway, which forwards callers' requests to backend servers and returns the responses.
  *
- * @param parts - what it is told and given
+ * @param parts - options and dependencies
  * @returns a gateway that is not started yet
  */
 export function createGateway(parts: GatewayOptions): Gateway {
@@ -71,8 +71,8 @@
     let stopping = false;
     let stopped: Promise<void> | undefined;
 
-    // A gate that is out of touch lets nothing through. Held until its patience ended, a request would get its refusal
-    // late and be lost to the other gateways; so it is refused at once, and the balancer is told.
+    // Without peer contact the gate admits no request. A request that waited for contact could time out here while
+    // another gateway could serve it, so it is refused at once and this host reports that it is not ready.
     const mayTakeNewWork = (): boolean =>
         parts.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
     const scheduler = new Scheduler({
@@ -126,7 +126,7 @@
     const stop = async (): Promise<void> => {
         stopping = true;
         handler.beginDrain();
-        // Callers that the balancer still sends are served, not refused, until it has noticed.
+        // The load balancer sends new callers until it detects that this host is not ready; they are still served.
         await sleep(parts.stopping.balancerWaitMs);
         const idle = handler.stop();
         callers.close();
@@ -134,7 +134,7 @@
         await waitAtMost(idle, parts.stopping.drainMs);
         callers.closeAllConnections();
         await waitAtMost(connections.close(), parts.stopping.drainMs);
-        // The permits go with the lease, and nothing may be sent under them after it: so the last request comes first.
+        // Stopping the gate revokes the lease that its permits depend on, so all requests must have ended before.
         await waitAtMost(gate.stop(), parts.stopping.drainMs);
         if (parts.claims !== undefined) {
             await waitAtMost(parts.claims.whenIdle(), parts.stopping.drainMs);
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -16,11 +16,11 @@
 import { RequestClaims } from "./requests/requestClaims.js";
 
 /**
- * Puts a gateway together from its settings.
+ * Creates the gateway process from its settings.
  *
- * @param settings - checked settings
- * @param policyName - routing policy; others than the default are for comparing them
- * @returns the process's parts, not started
+ * @param settings - validated settings
+ * @param policyName - name of the routing policy; values other than the default serve to compare policies
+ * @returns the program, not started
  */
 export function createGatewayProcess(
     settings: ResolvedGatewaySettings,
@@ -97,7 +97,7 @@
     };
 }
 
-/** Tells peers what this gateway has in flight, and takes their word on what they have. */
+/** Exchanges in-flight counts with peers. @returns a function that stops publishing this gateway's counts */
 function shareLoads(fleet: FleetMembership, board: ServerLoadTracker): () => void {
     fleet.onLoads((loads, from) => {
         for (const load of loads) {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The data path: callers' requests in, backend servers' answers out. */
+/** The data path: forwards callers' requests to backend servers and returns the responses. */
 export { type ConfigurationSource } from "./configurationSource.js";
 export { createGateway, type Gateway, type GatewayOptions } from "./gateway.js";
 export { createGatewayProcess } from "./gatewayProcess.js";
--- a/packages/gateway/src/operations/operationsServer.ts
+++ b/packages/gateway/src/operations/operationsServer.ts
@@ -1,17 +1,17 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 
-/** What the operations port tells the platform and operators. */
+/** Dependencies of the operations server, which the platform and operators query. */
 export interface OperationsDeps {
-    /** Whether the balancer should send callers here; a reason where not. */
+    /** Whether the load balancer should send callers to this host, with the reason if not. */
     readonly readiness: () => { readonly ready: boolean; readonly reason: string; };
     readonly renderMetrics: () => Promise<string>;
 }
 
 /**
- * Makes the server for health (`/healthz`), readiness (`/readyz`) and metrics (`/metrics`).
+ * Creates the server for health (`/healthz`), readiness (`/readyz`) and metrics (`/metrics`).
  *
- * @param parts - where the answers come from
- * @returns a server that doesn't listen yet
+ * @param parts - dependencies
+ * @returns a server that is not listening yet
  */
 export function createOperationsServer(parts: OperationsDeps): Server {
     return createServer({ requestTimeout: 5_000, maxHeaderSize: 8_192 }, (req, res) => {
--- a/packages/gateway/src/operations/serverObservations.ts
+++ b/packages/gateway/src/operations/serverObservations.ts
@@ -2,20 +2,20 @@
 import { type ServerObservation } from "@galenaglade/peers";
 import { createServerId, type ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 
-/** What a gateway's word on its backend servers is made from. */
+/** Sources of a gateway's observations of its backend servers. */
 export interface ObservationSources {
     readonly configuration: ConfigurationRevision | undefined;
     readonly board: ServerLoadTracker;
-    /** The state that the gateway holds a server to be in; `undefined` where it doesn't know. */
+    /** The state of a server as this gateway knows it; `undefined` if unknown. */
     readonly stateOf: (serverId: ServerId) => ServerObservation["state"];
 }
 
 /**
- * Describes the declared backend servers as this gateway knows them.
+ * Describes the declared backend servers as observed by this gateway.
  *
- * @param sources - what it knows
- * @param service - only this service's; all where `undefined`
- * @param nowMs - the present monotonic time
+ * @param sources - configuration, loads and states that this gateway holds
+ * @param service - limits the result to this service; `undefined` for all services
+ * @param nowMs - current monotonic time, in milliseconds
  * @returns one observation for each declared server
  */
 export function describeServers(
--- a/packages/gateway/src/requests/attempt.ts
+++ b/packages/gateway/src/requests/attempt.ts
@@ -21,54 +21,54 @@
 import { type CallerRequest } from "./callerRequest.js";
 import { resolveResponseHeaders } from "./headers.js";
 
-/** Finds out whether an attempt's connection has gone silent. */
+/** Detects that an attempt's connection no longer delivers anything. */
 export interface StallCheck {
-    /** Time in milliseconds after which to ask, and ask again. */
+    /** @returns the delay before the next check, in milliseconds */
     checkDelayMs(): number;
     isStalled(): boolean;
 }
 
-/** One try of one request on one backend server. */
+/** Input of one attempt to send a request to a backend server. */
 export interface AttemptInput {
     readonly request: CallerRequest;
     readonly serverId: ServerId;
-    /** Where the request is handed over; a connection of its own for a non-idempotent one. */
+    /** Sends the request. For a non-idempotent request, a connection that is opened for it alone. */
     readonly dispatcher: Dispatcher;
     readonly body: RequestBody;
     readonly res: ServerResponse;
     readonly headers: string[];
-    /** Aborted when the caller gives up. */
+    /** Aborted when the caller's deadline passes, and for an idempotent request when the caller disconnects. */
     readonly signal: AbortSignal;
-    /** What the attempts before this one may have done. */
+    /** Whether an earlier attempt may have run the request. */
     readonly previousDidRun: DidRun;
-    /** Asked in the same turn in which the first byte is given to the connection. */
+    /** Called in the turn in which the first byte is written. @returns why the request must not be sent, if so */
     readonly checkBeforeSend: () => Failure | undefined;
-    /** Asked while no head has come; absent where the attempt is left alone until its caller gives up. */
+    /** Run until the response headers arrive; `undefined` if the attempt may take until the caller's deadline. */
     readonly stallCheck: StallCheck | undefined;
-    /** Called when the answer's head comes. */
+    /** Called when the response headers arrive. */
     readonly onHead: () => void;
-    /** Called with what the answer's head says of the backend server's load. */
+    /** Called with the number of requests in flight that the backend server reports in its response headers. */
     readonly onLoadReport: (inFlight: number) => void;
 }
 
-/** What came of a try. */
+/** Result of an attempt. */
 export interface AttemptResult {
     readonly outcome: AttemptOutcome;
     readonly status: number | undefined;
     readonly headLatencyMs: number | undefined;
-    /** What the backend server said of itself in the answer's head. */
+    /** The backend server's own metadata from the response headers. */
     readonly metadata: AnswerSigns;
-    /** Whether it was given up for its connection, which went silent. */
+    /** Whether the attempt was abandoned because its connection stalled. */
     readonly stalled: boolean;
-    /** Why the caller has no whole answer from this try; `undefined` where it has. */
+    /** Why the caller got no complete response from this attempt; `undefined` if it got one. */
     readonly failure: Failure | undefined;
 }
 
 /**
- * Sends a request to a backend server and streams its answer to the caller.
+ * Sends a request to a backend server and streams the response to the caller.
  *
- * @param input - the request, and where it goes
- * @returns what came of it, as soon as that is known; never fails
+ * @param input - the request and its destination
+ * @returns the result, as soon as it is known; the promise never rejects
  */
 export function runAttempt(input: AttemptInput): Promise<AttemptResult> {
     return new Promise(resolve => {
@@ -78,13 +78,13 @@
             path: input.request.url,
             headers: input.headers,
             body: input.body.open(),
-            // Without it undici takes GET and HEAD alone for repeatable, and lets nothing else share a connection.
+            // By default undici treats only GET and HEAD as idempotent, and lets no other method share a connection.
             idempotent: input.request.idempotent,
         }, handler);
     });
 }
 
-/** Follows one try on its connection, and passes its answer on. */
+/** Tracks one attempt on its connection and streams the response to the caller. */
 class AttemptHandler implements Dispatcher.DispatchHandler {
     readonly #input: AttemptInput;
     readonly #resolve: (result: AttemptResult) => void;
@@ -106,12 +106,12 @@
         input.signal.addEventListener("abort", this.#onAbort, { once: true });
     }
 
-    /** Called in the turn in which the request is written, right before its first byte. */
+    /** Called in the event loop turn in which the request is written, right before its first byte. */
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.#controller = controller;
         if (this.#settled || this.#attempt.handedOver) {
-            // Given up while it waited for its connection, or about to be written a second time: either way the
-            // request must not leave, since what was said of it already would become untrue.
+            // The attempt was abandoned while it waited for its connection, or undici is about to write the request a
+            // second time. Sending it now would contradict the result that was already reported.
             controller.abort(createAbort("the request is not sent any more"));
             return;
         }
@@ -171,8 +171,8 @@
     }
 
     /**
-     * The caller's patience has ended: its final answer is due now, whatever the backend server does. The connection
-     * has an answer outstanding, which would be the next caller's if it were used again, so it is destroyed with it.
+     * Ends the attempt without waiting for the backend server, as the caller's deadline has passed. The connection is
+     * destroyed: on a reused connection, the late response would be taken for the next request's.
      */
     #abandon(detail = "the caller's patience ended"): void {
         const controller = this.#controller;
@@ -180,7 +180,7 @@
         controller?.abort(createAbort(detail));
     }
 
-    /** One connection may have gone silent for good while the server answers on others: it alone is given up. */
+    /** Abandons the attempt if its connection stalls while the server responds on other connections. */
     #awaitHead(): void {
         const { stallCheck } = this.#input;
         if (stallCheck === undefined) {
@@ -231,15 +231,15 @@
         this.#input.signal.removeEventListener("abort", this.#onAbort);
         this.#advance({ type: "ended", end });
         const resolved = resolveAttempt(this.#attempt);
-        // What forbids the send now would forbid the next one too.
+        // The reason for which this gateway didn't send the request holds for a retry too.
         const outcome = this.#refusal === undefined ? resolved : { ...resolved, mayRetry: false };
         const { res } = this.#input;
         if (outcome.failure === undefined) {
             res.end();
         }
         else if (res.headersSent) {
-            // Half an answer that ends like a whole one reads as a shorter table, or a smaller catalog. Resetting the
-            // connection is the one way left to say that it is not whole.
+            // A truncated response that ends normally looks complete, only with less data. Once the headers are sent,
+            // resetting the connection is the only way to signal the error.
             resetCallerConnection(res);
         }
         this.#resolve({
@@ -260,7 +260,7 @@
     }
 }
 
-/** Header values are bytes; read in any other way than the one in which they are written, some would change. */
+/** Header values are bytes: decoded as latin1, as they are encoded when written, so that no byte changes. */
 function readRawHeaders(raw: Dispatcher.DispatchController["rawHeaders"]): RawHeaders {
     if (!Array.isArray(raw)) {
         return [];
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -4,7 +4,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type ServiceRoute, type ServiceTable } from "./serviceTable.js";
 
-/** What the gateway reads from a request's head. */
+/** Request line and headers of a caller's request. */
 export interface RequestHead {
     readonly method: string;
     /** Path and query as sent. */
@@ -12,7 +12,7 @@
     readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
 }
 
-/** A caller's request, understood. */
+/** A caller's request, parsed and matched to a service. */
 export interface CallerRequest {
     readonly id: number;
     readonly method: string;
@@ -20,17 +20,17 @@
     readonly route: ServiceRoute;
     readonly callerKind: string;
     readonly arrivedAtMs: number;
-    /** When the caller's patience ends, on the monotonic clock. */
+    /** The caller's deadline, on the monotonic clock. */
     readonly deadlineMs: number;
-    /** Whether running it twice does no harm. */
+    /** Whether the request may run more than once without harm. */
     readonly idempotent: boolean;
-    /** The caller's `Idempotency-Key`, where it sent one. */
+    /** The caller's `Idempotency-Key`, if it sent one. */
     readonly idempotencyKey: string | undefined;
-    /** Bytes of the body; `undefined` where it is sent in chunks. */
+    /** Size of the body in bytes; `undefined` with chunked transfer encoding. */
     readonly bodyBytes: number | undefined;
 }
 
-/** When a request arrived, on both clocks. */
+/** Arrival time of a request, on the monotonic and the wall clock. */
 export interface Arrival {
     readonly monotonicMs: number;
     readonly epochMs: number;
@@ -39,12 +39,12 @@
 let lastId = 0;
 
 /**
- * Understands a request's head.
+ * Parses a request's head and matches it to a service.
  *
- * @param head - as received
- * @param table - the services in force
- * @param arrival - when it arrived
- * @returns the request, or why it can't be taken
+ * @param head - method, URL and headers as received
+ * @param table - services of the current configuration
+ * @param arrival - arrival time
+ * @returns the request, or why it is refused
  */
 export function resolveCallerRequest(
     head: RequestHead,
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -22,18 +22,18 @@
 import { resolveAttemptEnd } from "../coldStart/attemptEnd.js";
 import { type Scheduler } from "./scheduler.js";
 
-/** A request with its two ends. */
+/** A caller's request with its HTTP request and response objects. */
 export interface Exchange {
     readonly request: CallerRequest;
     readonly req: IncomingMessage;
     readonly res: ServerResponse;
     /** The caller's span. */
     readonly span: Span;
-    /** Aborted when the caller's patience ends, and for an idempotent request when the caller goes away. */
+    /** Aborted when the caller's deadline passes, and for an idempotent request when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
-/** What the forwarder works with. */
+/** Dependencies of {@link Forwarder}. */
 export interface ForwarderDeps {
     readonly clock: Clock;
     readonly scheduler: Scheduler;
@@ -42,18 +42,18 @@
     readonly telemetry: RequestTelemetry;
     /** Whether this gateway's configuration is fresh enough for new work. */
     readonly mayTakeNewWork: () => boolean;
-    /** Absent where there is no store; requests with an idempotency key are then refused. */
+    /** `undefined` without a store; non-idempotent requests with an idempotency key are then refused. */
     readonly claims: RequestClaims | undefined;
 }
 
-/** How a request ended, over all its tries. */
+/** Result of a request over all its attempts. */
 interface RequestEnd {
     readonly failure: Failure | undefined;
     readonly outcomes: readonly AttemptOutcome[];
     readonly status: number | undefined;
 }
 
-/** Takes a request to a backend server, and to another where the first try may be repeated. */
+/** Forwards a request to a backend server and retries it on another one if that is safe. */
 export class Forwarder {
     readonly #parts: ForwarderDeps;
     readonly #stalls = new StallJudge();
@@ -63,8 +63,8 @@
     }
 
     /**
-     * @param exchange - the request with its two ends
-     * @returns the failure to answer with, or `undefined` once the caller has its answer
+     * @param exchange - the request to forward
+     * @returns the failure to send to the caller, or `undefined` if the caller has got a response
      */
     async forward(exchange: Exchange): Promise<Failure | undefined> {
         const { request, req, signal } = exchange;
@@ -88,7 +88,7 @@
         if (claim !== undefined) {
             this.#parts.claims?.end(claim, { didRun, status: end.status });
         }
-        // The failure is the last try's; what is said of the request having run is every try's.
+        // The failure is that of the last attempt, but whether the request may have run depends on all attempts.
         return end.failure === undefined
             ? undefined
             : { ...end.failure, didRun, ...findTimeToComeBack(request, end.failure) };
@@ -127,7 +127,7 @@
             }
             const grant = await scheduler.acquire(request, failedOn, signal);
             if (grant.isLeft()) {
-                // What an earlier try did goes before what this one could not begin.
+                // The failure of an earlier attempt takes precedence over the failure to start this one.
                 last ??= grant.extract();
                 break;
             }
@@ -139,7 +139,7 @@
             if (last === undefined || !result.outcome.mayRetry || !body.isReplayable) {
                 return { failure: last, outcomes, status: result.status };
             }
-            // A connection that went silent says nothing against its backend server.
+            // A stalled connection is no evidence against its backend server, so the server stays eligible.
             if (!result.stalled) {
                 failedOn.add(granted.target.serverId);
             }
@@ -175,7 +175,7 @@
             serverId,
             sentAtMs: clock.monotonicMs(),
         };
-        // A connection that was opened for this request hasn't had the time to be lost track of.
+        // A newly opened connection hasn't been idle, so it can't have become half-open.
         const mayStall = request.idempotent && body.isReplayable && !own;
         const result = await runAttempt({
             request,
@@ -206,8 +206,8 @@
     }
 
     /**
-     * Slow work can't be told from a silent connection for sure. Given up without another try, it would end in a refusal
-     * of a request that was about to be answered; so the other try is paid for first, and without it this one goes on.
+     * A slow request can't be distinguished reliably from a stalled connection. Abandoning it without a retry would
+     * fail a request that may be about to succeed, so the attempt is abandoned only if the retry budget allows a retry.
      */
     #watchStall(request: CallerRequest, awaited: AwaitedHead): StallCheck {
         const { clock, scheduler } = this.#parts;
@@ -218,8 +218,9 @@
     }
 
     /**
-     * Between the grant and the first byte lies a connection to be opened, and perhaps a pause of the whole process:
-     * what allowed the request then may be over. Asked in the turn of the first byte, nothing can come in between.
+     * Repeats the checks of the grant right before the first byte. A connection may have been opened since, and the
+     * process may have been suspended, so the grant may be outdated. Running this in the same event loop turn as the
+     * first write leaves no gap.
      */
     #findRefusal({ request, res }: Exchange, grant: Grant, claim: HeldClaim | undefined): Failure | undefined {
         if (res.destroyed) {
@@ -244,7 +245,10 @@
     }
 }
 
-/** Whoever may safely ask again is told when, also where the table can't, since it knows no request. */
+/**
+ * Adds a `Retry-After` for requests that are safe to repeat, also for error kinds without one in the failure table,
+ * which doesn't know the request.
+ */
 function findTimeToComeBack(request: CallerRequest, failure: Failure): Pick<Failure, "retryAfterSeconds"> {
     const { retryAfterSeconds } = resolveFailure(failure);
     const maySendAgain = request.idempotent || request.idempotencyKey !== undefined;
@@ -252,17 +256,17 @@
 }
 
 /**
- * A server may close an idle connection just as a request is written to it, and then nobody can say whether the
- * request ran; or the connection may have gone silent since it was used. Neither can be said of a connection that is
- * opened for the request. That costs about a millisecond, so it is for those to whom the doubt would cost more: a
- * non-idempotent request, one whose caller waits long, and a second try.
+ * Decides whether a request is sent on a new connection. A pooled connection may be closed by the server just as the
+ * request is written, so that nobody can tell whether the request ran, or it may have become half-open while idle. A
+ * new connection has neither problem but costs about a millisecond. It is used where a failure costs more: for
+ * non-idempotent requests, requests with a long timeout, and retries.
  */
 function needsOwnConnection(request: CallerRequest, before: readonly AttemptOutcome[]): boolean {
     const patienceMs = request.deadlineMs - request.arrivedAtMs;
     return !request.idempotent || patienceMs > dedicatedConnectionPatienceMs || before.length > 0;
 }
 
-/** @returns the trace id that a caller may quote, or `undefined` where there is none */
+/** @returns the trace id to report to the caller, or `undefined` if the span has no valid context */
 export function traceIdOf(span: Span): string | undefined {
     const { traceId } = span.spanContext();
     return trace.isSpanContextValid(span.spanContext()) ? traceId : undefined;
--- a/packages/gateway/src/requests/grant.ts
+++ b/packages/gateway/src/requests/grant.ts
@@ -1,21 +1,21 @@
 import { type AttemptEnd } from "@galenaglade/cold-start";
 import { type Target } from "./serviceTable.js";
 
-/** Leave to send one request to one backend server; its slot is counted as taken until `Scheduler.release`. */
+/** Permission to send one request to one backend server. It occupies a slot until `Scheduler.release` is called. */
 export interface Grant {
     /** Unique within this process. */
     readonly id: string;
     readonly target: Target;
     readonly grantedAtMs: number;
-    /** The configuration revision under which the backend server was chosen. */
+    /** Configuration revision by which the backend server was selected. */
     readonly revision: number;
 }
 
-/** How a granted request ended. */
+/** Result of a granted request. */
 export interface GrantEnd {
-    /** Time to the answer's head; `undefined` where none came. */
+    /** Time until the response headers, in milliseconds; `undefined` without a complete response. */
     readonly latencyMs: number | undefined;
     readonly succeeded: boolean;
-    /** What the gate is told. */
+    /** Result of the attempt for the server gate. */
     readonly attempt: AttemptEnd;
 }
--- a/packages/gateway/src/requests/headers.ts
+++ b/packages/gateway/src/requests/headers.ts
@@ -2,15 +2,15 @@
 import { didRunHeader } from "@galenaglade/at-most-once";
 import { backendHeaderPrefix, deadlineHeader } from "../constants.js";
 
-/** Headers that only the gateway may set towards backend servers. */
+/** Headers to backend servers that only the gateway may set; a caller's own are removed. */
 const setByGateway: ReadonlySet<string> = new Set([deadlineHeader, didRunHeader, "traceparent", "tracestate"]);
 
 /**
- * Headers for the backend server.
+ * Builds the headers of a request to a backend server.
  *
- * @param raw - as the caller sent them
- * @param added - what the gateway says itself
- * @returns names and values in turn
+ * @param raw - the caller's headers
+ * @param added - headers that the gateway itself sets, by name
+ * @returns a flat list of alternating names and values
  */
 export function resolveForwardHeaders(raw: RawHeaders, added: Readonly<Record<string, string>>): string[] {
     const kept = filterEndToEndHeaders(raw, name => setByGateway.has(name) || name.startsWith(backendHeaderPrefix));
@@ -21,10 +21,10 @@
 }
 
 /**
- * Headers for the caller.
+ * Builds the headers of a response to a caller.
  *
- * @param raw - as the backend server sent them
- * @returns names and values in turn
+ * @param raw - the backend server's headers
+ * @returns a flat list of alternating names and values
  */
 export function resolveResponseHeaders(raw: RawHeaders): string[] {
     return filterEndToEndHeaders(raw, name => name.startsWith(backendHeaderPrefix) || name === didRunHeader);
--- a/packages/gateway/src/requests/requestClaims.ts
+++ b/packages/gateway/src/requests/requestClaims.ts
@@ -14,25 +14,25 @@
 import { claimCheckPeriodMs } from "../constants.js";
 import { type CallerRequest } from "./callerRequest.js";
 
-/** What claims are made with. */
+/** Dependencies of {@link RequestClaims}. */
 export interface RequestClaimsDeps {
     readonly store: KeyValueStore;
-    /** Name and incarnation of this gateway. */
+    /** This gateway's id as `name/incarnation`, stored as the holder of its claims. */
     readonly holder: string;
     readonly clock: Clock;
 }
 
-/** Leave to send one non-idempotent request under its idempotency key. */
+/** A claimed idempotency key, which allows one non-idempotent request to be sent. */
 export interface HeldClaim {
     readonly nonce: string;
-    /** Asked in the same turn in which the request is handed over. */
+    /** Must be called in the same event loop turn as the request is sent. */
     mayStillSend(): boolean;
 }
 
 type Settle = (result: Either<Failure, HeldClaim>) => void;
 type StoreCommand = Extract<ClaimCommand, { readonly callId: number; }>;
 
-/** Claims callers' idempotency keys in the platform's store before their requests are sent. */
+/** Claims callers' idempotency keys in the platform's store before requests are sent. */
 export class RequestClaims {
     readonly #parts: RequestClaimsDeps;
     readonly #batcher: ClaimBatcher;
@@ -40,18 +40,18 @@
     #timer: NodeJS.Timeout | undefined;
     #onIdle: (() => void) | undefined;
 
-    /** @param parts - the store stays the maker's to close */
+    /** @param parts - dependencies; the caller stays responsible for closing the store */
     constructor(parts: RequestClaimsDeps) {
         this.#parts = parts;
         this.#batcher = new ClaimBatcher(parts.holder);
     }
 
     /**
-     * Claims a request's key.
+     * Claims a request's idempotency key.
      *
      * @param request - a non-idempotent request
-     * @param idempotencyKey - its caller's key
-     * @param body - its body
+     * @param idempotencyKey - the key that the caller sent
+     * @param body - the request's body
      * @returns the claim, or why the request must not be sent
      */
     claim(request: CallerRequest, idempotencyKey: string, body: RequestBody): Promise<Either<Failure, HeldClaim>> {
@@ -68,13 +68,13 @@
         });
     }
 
-    /** Records how a claimed request ended; goes on trying while the store is down. */
+    /** Records the result of a claimed request in the store. Retries while the store is unavailable. */
     end(claim: HeldClaim, end: ClaimEnd): void {
         this.#startTicking();
         this.#run(this.#batcher.end(claim.nonce, end, this.#now()));
     }
 
-    /** @returns once every end is recorded, for the planned stop */
+    /** @returns once every result is recorded; used by the planned stop */
     whenIdle(): Promise<void> {
         if (this.#batcher.isIdle) {
             return Promise.resolve();
@@ -84,7 +84,7 @@
         });
     }
 
-    /** Ends its timer; what is not recorded by now stays unknown. */
+    /** Stops the timer. Results that are not recorded by then stay unknown. */
     stop(): void {
         clearInterval(this.#timer);
         this.#timer = undefined;
@@ -154,12 +154,12 @@
     return found === undefined ? undefined : { value: found.value, revision: found.modifiedRevision };
 }
 
-/** The parts are set apart by a byte that none of them holds. */
+/** Hashes the parts, separated by a NUL byte, which occurs in none of them. */
 function digest(...parts: readonly string[]): string {
     return createHash("sha256").update(parts.join("\0")).digest("hex").slice(0, 32);
 }
 
-/** A body that is streamed is not known when the claim is made; its declared length stands for it. */
+/** A streamed body isn't known when the key is claimed, so its declared length is used in its place. */
 function createFingerprint(request: CallerRequest, body: RequestBody): string {
     const content = body.buffered === undefined
         ? String(request.bodyBytes)
--- a/packages/gateway/src/requests/responseFraming.ts
+++ b/packages/gateway/src/requests/responseFraming.ts
@@ -4,12 +4,12 @@
 const notModified = 304;
 
 /**
- * Finds how an answer's end is marked (RFC 9112, section 6.3).
+ * Determines how the end of a response's body is delimited (RFC 9112, section 6.3).
  *
- * @param method - of the request
- * @param status - of the answer
- * @param find - looks a header up by its lower-case name
- * @returns the framing
+ * @param method - the request's method
+ * @param status - the response's status code
+ * @param find - looks up a response header by its lower-case name
+ * @returns the body's framing
  */
 export function resolveFraming(method: string, status: number, find: (name: string) => string | undefined): Framing {
     if (method === "HEAD" || status === noContent || status === notModified) {
--- a/packages/gateway/src/requests/scheduler.ts
+++ b/packages/gateway/src/requests/scheduler.ts
@@ -21,7 +21,7 @@
     readonly settle: (result: Either<Failure, Grant>) => void;
 }
 
-/** What outlives revisions of the configuration for one service. */
+/** State of one service that is kept across configuration revisions. */
 class ServiceState {
     readonly queue = new WaitQueue();
     readonly retryBudget = new RetryBudget();
@@ -29,7 +29,7 @@
     serviceTimeMs = initialServiceTimeMs;
 }
 
-/** What the scheduler works with. */
+/** Dependencies of {@link Scheduler}. */
 export interface SchedulerDeps {
     readonly clock: Clock;
     readonly board: ServerLoadTracker;
@@ -37,13 +37,13 @@
     readonly random: RandomSource;
     readonly gate: ServerGate;
     readonly availabilityZone: string;
-    /** The services in force. */
+    /** The services of the current configuration. */
     readonly table: () => ServiceTable | undefined;
-    /** Whether this gateway's configuration is fresh enough for new work; asked in the same turn as a grant is made. */
+    /** Whether this gateway's configuration is fresh enough for new work. Called in the turn that makes a grant. */
     readonly mayTakeNewWork: () => boolean;
 }
 
-/** Gives requests leave to go to a backend server, at once or from a short queue. */
+/** Assigns requests to backend servers, immediately or from a short queue. */
 export class Scheduler {
     readonly #parts: SchedulerDeps;
     readonly #services = new Map<string, ServiceState>();
@@ -54,12 +54,12 @@
     }
 
     /**
-     * Finds a backend server for a request, or refuses at once what would not be served within its patience.
+     * Selects a backend server for a request, or refuses it at once if it would not be served before its deadline.
      *
      * @param request - the request
-     * @param excluded - backend servers that already failed it
-     * @param signal - aborted when its caller's patience ends, or its caller is gone
-     * @returns leave to send it, or the refusal that is its final answer
+     * @param excluded - backend servers on which the request has already failed
+     * @param signal - aborted when the caller's deadline passes, or the caller of an idempotent request disconnects
+     * @returns a grant to send the request, or the failure to report to the caller
      */
     acquire(
         request: CallerRequest,
@@ -88,7 +88,7 @@
         return this.#wait(state, request, excluded, signal);
     }
 
-    /** Ends a grant and hands the slot to whoever waits. */
+    /** Ends a grant and gives its slot to the next queued request. */
     release(request: CallerRequest, grant: Grant, end: GrantEnd): void {
         const { board, clock } = this.#parts;
         const now = clock.monotonicMs();
@@ -103,17 +103,17 @@
         this.#drain(state);
     }
 
-    /** @returns whether a granted request may still be handed over, in this turn */
+    /** @returns whether a granted request may still be sent in this event loop turn */
     mayStillSend(grant: Grant): boolean {
         return this.#parts.gate.mayStillSend(grant, this.#parts.clock.monotonicMs());
     }
 
-    /** @returns whether the service's retry budget allows one more try; it is paid for when it does */
+    /** Takes one retry from the service's retry budget. @returns whether the budget allowed it */
     tryAcquireRetry(request: CallerRequest): boolean {
         return this.#stateOf(request.route.service.name).retryBudget.tryTake();
     }
 
-    /** Routes anew whatever waits: the configuration, the freshness or a backend server's state has changed. */
+    /** Routes queued requests again after the configuration, its freshness or a backend server's state has changed. */
     dispatchQueued(): void {
         for (const state of this.#services.values()) {
             this.#drain(state);
@@ -127,8 +127,8 @@
         signal: AbortSignal,
     ): Promise<Either<Failure, Grant>> {
         return new Promise(resolve => {
-            // A caller that hung up would keep its place until its patience ended, all night for an extract, and a queue
-            // full of such places would refuse everybody else.
+            // Requests of disconnected callers are removed from the queue. Otherwise they would keep their places until
+            // their deadlines, which can be hours away, and a queue full of them would refuse all other requests.
             const giveUp = (): void => {
                 state.queue.remove(request.id);
                 settle(Left(createFailure("patienceSpent", "no slot came free in time")));
@@ -159,14 +159,13 @@
         }
     }
 
-    /** @returns a grant, a final refusal, or `undefined` where every backend server is full just now */
+    /** @returns a grant, a final failure, or `undefined` if no backend server can take the request now */
     #tryGrant(
         request: CallerRequest,
         excluded: ReadonlySet<ServerId>,
         nowMs: number,
     ): Either<Failure, Grant> | undefined {
-        // A process that was stopped and continued comes by here first: it has to find out that its configuration is
-        // stale before it sends, not with its next timer.
+        // A process that was suspended and resumed may run this before any timer, so staleness is checked here.
         if (!this.#parts.mayTakeNewWork()) {
             return Left(createFailure("notFresh", "the configuration can't be shown to be current"));
         }
@@ -191,15 +190,16 @@
     }
 
     /**
-     * While this gateway may warm a server up, no other may. Left to a policy that prefers others, at little load one in
-     * the own availability zone, the server would stay cold for as long as the permit is kept.
+     * Prefers cold backend servers for a share of the requests. While this gateway holds the permit to warm up a
+     * server, no other gateway may. The policy alone might keep preferring other servers, such as those in the local
+     * availability zone at low load, so that the server would stay cold for as long as the permit is held.
      */
     #preferCold(candidates: readonly Candidate[]): readonly Candidate[] {
         const cold = candidates.filter(candidate => this.#parts.gate.isCold(candidate));
         return cold.length > 0 && this.#parts.random.next() < warmUpProbability ? cold : candidates;
     }
 
-    /** What waited through a change of the configuration goes by the new one. */
+    /** Looks up the route again if the configuration has changed since the request arrived. */
     #presentRoute(request: CallerRequest): ServiceRoute | undefined {
         const table = this.#parts.table();
         if (table === undefined || table.revision === request.route.revision) {
--- a/packages/gateway/src/requests/serverGate.ts
+++ b/packages/gateway/src/requests/serverGate.ts
@@ -3,33 +3,33 @@
 import { type Grant } from "./grant.js";
 import { type Target } from "./serviceTable.js";
 
-/** Says whether a backend server may get a request now, beyond the configuration's word. */
+/** Decides whether a configured backend server may be sent a request now. */
 export abstract class ServerGate {
     /**
      * @param target - the backend server
-     * @param nowMs - the present time
-     * @param deadlineMs - when the request's caller gives up
+     * @param nowMs - current time on the monotonic clock, in milliseconds
+     * @param deadlineMs - the caller's deadline on the same clock
      */
     abstract maySend(target: Target, nowMs: number, deadlineMs: number): boolean;
 
-    /** Whether anything may be sent at all, now or in a moment; if not, requests are refused instead of held. */
+    /** Whether peer contact allows requests at all, now or shortly. If not, requests are refused instead of queued. */
     abstract hasPeerContact(nowMs: number): boolean;
-    /** Whether a backend server is cold, so that what it gets is its warm-up. */
+    /** Whether a backend server is cold, so that requests to it serve to warm it up. */
     abstract isCold(target: Pick<Target, "serverId">): boolean;
-    /** Told when leave has been given, in the same turn as {@link maySend} was asked. */
+    /** Called when a grant is made, in the same event loop turn as {@link maySend}. */
     abstract onGranted(grant: Grant, deadlineMs: number): void;
-    /** Asked in the turn of the first byte, for leave may be over by then. */
+    /** Called in the turn of the first byte, since the permission of {@link maySend} may have expired by then. */
     abstract mayStillSend(grant: Grant, nowMs: number): boolean;
-    /** Told how a granted request ended. */
+    /** Called when a granted request has ended. */
     abstract onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void;
-    /** Takes the backend servers of a newer configuration. */
+    /** Applies the backend servers of a newer configuration. */
     abstract onConfiguration(revised: ConfigurationRevision): void;
-    /** @param reconsider - to be called when requests that wait may find a backend server that has opened */
+    /** @param reconsider - called when queued requests may now be allowed on some backend server */
     abstract start(reconsider: () => void): void;
     abstract stop(): Promise<void>;
 }
 
-/** Lets everything through; what the configuration names may be sent to. */
+/** Allows requests to all configured backend servers. */
 export class AllowAllGate extends ServerGate {
     override maySend(): boolean {
         return true;
--- a/packages/gateway/src/requests/serviceTable.ts
+++ b/packages/gateway/src/requests/serviceTable.ts
@@ -7,22 +7,22 @@
 import { createServerId, type ServerId } from "@galenaglade/routing";
 import findMyWay from "find-my-way";
 
-/** A backend server with its name over the whole configuration. */
+/** A backend server with its id, which is unique in the configuration. */
 export interface Target {
     readonly serverId: ServerId;
     readonly server: BackendServer;
 }
 
-/** A service as one revision of the configuration declares it. */
+/** A service as declared by one configuration revision. */
 export interface ServiceRoute {
     readonly revision: number;
     readonly configuration: Configuration;
     readonly service: Service;
-    /** Backend servers that may get new work: those whose availability zone is not taken out. */
+    /** Backend servers that may be sent new requests: those whose availability zone isn't taken out. */
     readonly targets: readonly Target[];
 }
 
-/** Finds the service that a request asks for, under one revision of the configuration. */
+/** Routing table of one configuration revision: maps requests to services. */
 export interface ServiceTable {
     readonly revision: number;
     readonly routes: readonly ServiceRoute[];
@@ -37,10 +37,11 @@
 const method = "GET";
 
 /**
- * Builds the table for a revision. It is built once for each revision, so that a request costs one look-up.
+ * Builds the routing table of a configuration revision. Built once per revision, so that each request costs only a
+ * look-up.
  *
  * @param revised - the configuration
- * @returns the table, which never changes
+ * @returns the table, which is immutable
  */
 export function createServiceTable(revised: ConfigurationRevision): ServiceTable {
     const routes = revised.configuration.services.map(service => createRoute(revised, service));
@@ -81,7 +82,7 @@
     const prefix = route.service.pathPrefix.replace(/\/+$/, "");
     const ignore = (): void => undefined;
     for (const pattern of prefix === "" ? ["/*"] : [prefix, `${prefix}/*`]) {
-        // Two services with the same authority and prefix: the first declared goes, as a person reading would expect.
+        // If two services have the same authority and prefix, the one declared first wins.
         if (!router.hasRoute(method, pattern)) {
             router.on(method, pattern, ignore, route);
         }
--- a/packages/gateway/src/telemetry/requestTelemetry.ts
+++ b/packages/gateway/src/telemetry/requestTelemetry.ts
@@ -24,17 +24,17 @@
     },
 };
 
-/** How a caller's request ended, for the metrics. */
+/** Result of a caller's request, as recorded in metrics. */
 export interface RequestMetrics {
     readonly method: string;
     readonly service: string;
     readonly status: number;
-    /** The error kind; `undefined` for an answer from a backend server. */
+    /** The error kind; `undefined` if the response came from a backend server. */
     readonly errorKind: string | undefined;
     readonly durationMs: number;
 }
 
-/** Spans and metrics of the request path, by OpenTelemetry's semantic names for HTTP. */
+/** Spans and metrics of requests, named by OpenTelemetry's semantic conventions for HTTP. */
 export class RequestTelemetry {
     readonly #tracing: Tracing;
     readonly #duration: Histogram;
@@ -48,7 +48,7 @@
         this.#refused = metrics.meter.createCounter("galenaglade.requests.failed");
     }
 
-    /** @returns the context that a caller's headers carry */
+    /** @returns the trace context of a caller's headers */
     extract(headers: IncomingHttpHeaders): Context {
         return this.#tracing.propagator.extract(ROOT_CONTEXT, headers, headerGetter);
     }
@@ -58,7 +58,7 @@
         return this.#tracing.tracer.startSpan(name, { kind }, context);
     }
 
-    /** @returns the headers that carry a span on to the next hop */
+    /** @returns headers that propagate a span's context to the next hop */
     propagationHeaders(span: Span): Readonly<Record<string, string>> {
         const carrier: Record<string, string> = {};
         this.#tracing.propagator.inject(trace.setSpan(ROOT_CONTEXT, span), carrier, headerSetter);
