--- a/packages/admin/src/__tests__/adminServer.test.ts
+++ b/packages/admin/src/__tests__/adminServer.test.ts
@@ -23,7 +23,7 @@
     }
 }
 
-interface Running {
+interface TestServer {
     readonly coordinator: FakeCoordinator;
     readonly signal: ManualSignal;
     readonly server: AdminServer;
@@ -31,7 +31,7 @@
     readonly url: string;
 }
 
-async function start(t: TestContext, options: Partial<AdminServerOptions> = {}): Promise<Running> {
+async function start(t: TestContext, options: Partial<AdminServerOptions> = {}): Promise<TestServer> {
     const coordinator = new FakeCoordinator();
     const signal = new ManualSignal();
     const calls = new OperatorCalls({ coordinator, hosts: new FakeHostList(), acceptWaitMs: 1_000 });
@@ -140,10 +140,10 @@
     test(`refuses an unauthenticated call over ${protocol}`, async t => {
         const { url, coordinator } = await start(t);
         for (const key of ["", "wrong", `${fleetKey}0`]) {
-            const stranger = createOperator(t, protocol, url, key);
-            assert.equal(await codeOf(stranger.takeZoneOut({ name: "a", changeId: "x" })), Code.Unauthenticated);
+            const unauthenticated = createOperator(t, protocol, url, key);
+            assert.equal(await codeOf(unauthenticated.takeZoneOut({ name: "a", changeId: "x" })), Code.Unauthenticated);
             const changeId = "x".repeat(200_000);
-            assert.equal(await codeOf(stranger.takeZoneOut({ name: "a", changeId })), Code.Unauthenticated);
+            assert.equal(await codeOf(unauthenticated.takeZoneOut({ name: "a", changeId })), Code.Unauthenticated);
         }
         assert.equal(coordinator.present.revision, 1);
     });
@@ -172,8 +172,8 @@
         const call = operator.takeZoneOut({ name: "a", changeId: "x" });
         await waiting;
         const stopped = server.stop();
-        const late = createOperator(t, protocol, url);
-        assert.equal(await codeOf(late.getStanding({})), Code.Unavailable);
+        const lateOperator = createOperator(t, protocol, url);
+        assert.equal(await codeOf(lateOperator.getStanding({})), Code.Unavailable);
         finish();
         assert.equal((await call).standing?.revision, 2);
         await stopped;
@@ -249,14 +249,20 @@
     assert.match(await exchange(t, port, "no http\r\n\r\n"), /400 Bad Request/);
     assert.equal(await exchange(t, port, "PRI * HT"), "");
     await exchange(t, port, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\nno frame at all, but long enough to be read as one");
-    const keyed = `authorization: Bearer ${fleetKey}\r\n\r\n`;
-    assert.match(await exchange(t, port, `POST ${path("GetStanding")} HTTP/1.0\r\n${keyed}`), /400 Bad Request/);
-    assert.match(await exchange(t, port, `POST ${path("GetStanding")} HTTP/1.1\r\nhost: a b\r\n${keyed}`), /400 Bad/);
-    const reset = await openSocket(t, port);
-    reset.write("PRI");
+    const authorization = `authorization: Bearer ${fleetKey}\r\n\r\n`;
+    assert.match(
+        await exchange(t, port, `POST ${path("GetStanding")} HTTP/1.0\r\n${authorization}`),
+        /400 Bad Request/,
+    );
+    assert.match(
+        await exchange(t, port, `POST ${path("GetStanding")} HTTP/1.1\r\nhost: a b\r\n${authorization}`),
+        /400 Bad/,
+    );
+    const resetSocket = await openSocket(t, port);
+    resetSocket.write("PRI");
     // When this call is answered, the server has accepted the connection before it.
     assert.equal(await codeOf(createOperator(t, "gRPC", url).getStanding({})), "answered");
-    reset.resetAndDestroy();
+    resetSocket.resetAndDestroy();
     for (const protocol of protocols) {
         assert.equal(await codeOf(createOperator(t, protocol, url).getStanding({})), "answered");
     }
@@ -301,17 +307,17 @@
 test("limits concurrent watches, and allows another once one has ended", async t => {
     const { url } = await start(t);
     const operator = createOperator(t, "Connect over HTTP/2", url);
-    const watchOnce = async (abort: AbortController) => {
+    const openWatch = async (abort: AbortController) => {
         const { done } = await operator.watchChanges({}, { signal: abort.signal })[Symbol.asyncIterator]().next();
         assert.equal(done, false);
     };
     const first = new AbortController();
     const others = new AbortController();
-    await watchOnce(first);
-    await watchOnce(others);
-    assert.equal(await codeOf(watchOnce(others)), Code.ResourceExhausted);
+    await openWatch(first);
+    await openWatch(others);
+    assert.equal(await codeOf(openWatch(others)), Code.ResourceExhausted);
     first.abort();
-    while (await codeOf(watchOnce(others)) === Code.ResourceExhausted) {
+    while (await codeOf(openWatch(others)) === Code.ResourceExhausted) {
         // The server notices the end of the watch with a delay.
     }
     others.abort();
@@ -322,8 +328,8 @@
     const seen: (string | undefined)[] = [];
     for await (const { event } of createOperator(t, "gRPC", url).watchChanges({})) {
         seen.push(event.case === "failure" ? event.value.detail : event.case);
-        const broken = seen.length === 1;
-        coordinator.beforeStep = () => broken ? Promise.reject(new Error("out of order")) : Promise.resolve();
+        const shouldFail = seen.length === 1;
+        coordinator.beforeStep = () => shouldFail ? Promise.reject(new Error("out of order")) : Promise.resolve();
         signal.announce();
         if (seen.length === 3) {
             break;
--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -62,16 +62,16 @@
 
     override async apply(req: ChangeRequest): Promise<Either<Failure, Acceptance>> {
         await this.beforeStep("apply");
-        const before = this.history.find(change => change.changeId === req.changeId);
-        if (before === undefined && req.expectedRevision !== this.present.revision) {
+        const previous = this.history.find(change => change.changeId === req.changeId);
+        if (previous === undefined && req.expectedRevision !== this.present.revision) {
             return Left(createFailure("revisionConflict", "another revision is present"));
         }
-        const written = before ?? {
+        const written = previous ?? {
             revision: this.present.revision + 1,
             changeId: req.changeId,
             configuration: req.configuration,
         };
-        if (before === undefined) {
+        if (previous === undefined) {
             this.history.push(written);
             this.onStored(written);
         }
@@ -80,12 +80,12 @@
             return Left(createFailure("storeOutcomeUnknown", "the store did not say"));
         }
         await this.beforeStep("answer");
-        return Right(this.#accept(written));
+        return Right(this.#createAcceptance(written));
     }
 
     override async standing(): Promise<Either<Failure, Acceptance>> {
         await this.beforeStep("standing");
-        return Right(this.#accept(this.present));
+        return Right(this.#createAcceptance(this.present));
     }
 
     override forget(name: string): Promise<Either<Failure, void>> {
@@ -96,7 +96,7 @@
         return Promise.resolve(Right(undefined));
     }
 
-    #accept({ revision, changeId }: ConfigurationRevision): Acceptance {
+    #createAcceptance({ revision, changeId }: ConfigurationRevision): Acceptance {
         const state = this.inForce ? "inForce" : "behind";
         const held = this.inForce ? revision : revision - 1;
         return { revision, changeId, inForce: this.inForce, gateways: [{ gateway, state, revision: held }] };
--- a/packages/admin/src/adminServer.ts
+++ b/packages/admin/src/adminServer.ts
@@ -95,12 +95,12 @@
         this.#listener.close();
         this.#shutdown.abort(new ConnectError("this host is shutting down", Code.Unavailable));
         this.#connections.forEach(connection => connection.close());
-        const deadline = setTimeout(
+        const drainTimer = setTimeout(
             () => this.#connections.forEach(connection => connection.destroy()),
             this.#options.drainMs,
         );
         await closed;
-        clearTimeout(deadline);
+        clearTimeout(drainTimer);
     }
 
     async #accept(socket: Socket): Promise<void> {
@@ -166,8 +166,8 @@
 
     /** Limits the time to receive a body: an endless body would keep its call open and block a planned stop. */
     #limitBody(req: ServerRequest, res: ServerResponse): void {
-        const limit = setTimeout(() => abortRequest(req), this.#requestTimeoutMs);
-        req.once("end", () => clearTimeout(limit));
-        res.once("close", () => clearTimeout(limit));
+        const timer = setTimeout(() => abortRequest(req), this.#requestTimeoutMs);
+        req.once("end", () => clearTimeout(timer));
+        res.once("close", () => clearTimeout(timer));
     }
 }
--- a/packages/admin/src/callLog.ts
+++ b/packages/admin/src/callLog.ts
@@ -4,7 +4,7 @@
 import { type LogFields, type Logger } from "@galenaglade/telemetry";
 
 /** Calls that change state. They are logged at `info` or `warn`, all others at `debug`. */
-const changes: ReadonlySet<string> = new Set<keyof typeof OperatorService.method>([
+const stateChangingCalls: ReadonlySet<string> = new Set<keyof typeof OperatorService.method>([
     "applyConfiguration",
     "takeZoneOut",
     "bringZoneIn",
@@ -20,7 +20,8 @@
  */
 export function createCallLog(logger: Logger): Interceptor {
     return next => async req => {
-        const level = (ifChange: "info" | "warn") => changes.has(req.method.localName) ? ifChange : "debug";
+        const level = (changeLevel: "info" | "warn") =>
+            stateChangingCalls.has(req.method.localName) ? changeLevel : "debug";
         const request = {
             call: req.method.name,
             ...(req.stream ? {} : describeRequest(req.method.localName, req.message as ChangeFields)),
--- a/packages/admin/src/connection.ts
+++ b/packages/admin/src/connection.ts
@@ -4,7 +4,7 @@
 /** One client connection to the operators' port. */
 export class Connection {
     readonly #socket: Socket;
-    readonly #strangerLimit: NodeJS.Timeout;
+    readonly #authenticationTimer: NodeJS.Timeout;
     #session: ServerHttp2Session | undefined;
     #inFlight = 0;
     #closing = false;
@@ -15,12 +15,12 @@
      * connection active by sending a byte at a time.
      *
      * @param socket - the connection
-     * @param strangerLimitMs - time within which an authenticated call must arrive, in milliseconds
+     * @param authenticationTimeoutMs - time within which an authenticated call must arrive, in milliseconds
      */
-    constructor(socket: Socket, strangerLimitMs: number) {
+    constructor(socket: Socket, authenticationTimeoutMs: number) {
         this.#socket = socket;
-        this.#strangerLimit = setTimeout(() => socket.destroy(), strangerLimitMs);
-        socket.once("close", () => clearTimeout(this.#strangerLimit));
+        this.#authenticationTimer = setTimeout(() => socket.destroy(), authenticationTimeoutMs);
+        socket.once("close", () => clearTimeout(this.#authenticationTimer));
     }
 
     /** Sets the session of an HTTP/2 connection. */
@@ -33,7 +33,7 @@
 
     /** Called when an authenticated call starts. */
     onCallStarted(): void {
-        clearTimeout(this.#strangerLimit);
+        clearTimeout(this.#authenticationTimer);
         this.#inFlight++;
     }
 
--- a/packages/admin/src/operatorCalls.ts
+++ b/packages/admin/src/operatorCalls.ts
@@ -100,18 +100,18 @@
         if (storedId.isLeft()) {
             return Left(toCallFailure(storedId.extract()));
         }
-        const present = await this.#options.coordinator.read();
-        if (present.isLeft()) {
-            return Left(toCallFailure(present.extract()));
+        const current = await this.#options.coordinator.read();
+        if (current.isLeft()) {
+            return Left(toCallFailure(current.extract()));
         }
-        const resolved = resolveOver(configuration, present.unsafeCoerce());
+        const resolved = resolveWithCurrentZones(configuration, current.unsafeCoerce());
         if (resolved.isLeft()) {
             return Left(resolved.extract());
         }
         const next = resolved.unsafeCoerce();
         const applied = await this.#apply(storedId.unsafeCoerce(), expectedRevision, next);
         if (applied.isLeft()) {
-            return Left(await this.#explain(applied.extract()));
+            return Left(await this.#toCallFailure(applied.extract()));
         }
         return Right(await this.#toStanding(applied.unsafeCoerce()));
     }
@@ -133,24 +133,24 @@
         }
         let lastFailure: Failure | undefined;
         for (let i = 0; i < maxZoneChangeAttempts; i++) {
-            const tried = await this.#tryZoneChange(change, storedId.unsafeCoerce());
-            if (tried.isRight()) {
-                return Right(await this.#toStanding(tried.unsafeCoerce()));
+            const attempt = await this.#tryZoneChange(change, storedId.unsafeCoerce());
+            if (attempt.isRight()) {
+                return Right(await this.#toStanding(attempt.unsafeCoerce()));
             }
-            lastFailure = tried.extract() as Failure;
+            lastFailure = attempt.extract() as Failure;
             if (lastFailure.kind !== "revisionConflict" || change.expectedRevision !== undefined) {
                 break;
             }
         }
-        return Left(await this.#explain(lastFailure ?? createFailure("internal", "no try was made")));
+        return Left(await this.#toCallFailure(lastFailure ?? createFailure("internal", "no try was made")));
     }
 
     async #tryZoneChange(change: ZoneChange, storedId: string): Promise<Either<Failure, Acceptance>> {
-        const present = await this.#options.coordinator.read();
-        if (present.isLeft()) {
-            return Left(present.extract());
+        const current = await this.#options.coordinator.read();
+        if (current.isLeft()) {
+            return Left(current.extract());
         }
-        const { revision, configuration } = present.unsafeCoerce();
+        const { revision, configuration } = current.unsafeCoerce();
         // Written even if the zone is already in that state: the write makes a retry of this call recognisable, and
         // the response waits until the state is in force.
         const next = setZoneState(configuration, change.name, change.state);
@@ -166,8 +166,8 @@
      * @returns the configuration; revision 0 if none was ever written
      */
     async getConfiguration(): Answer<ConfigurationRevision> {
-        const present = await this.#options.coordinator.read();
-        return present.mapLeft(toCallFailure);
+        const current = await this.#options.coordinator.read();
+        return current.mapLeft(toCallFailure);
     }
 
     /**
@@ -204,31 +204,31 @@
      * @returns the servers with the gateways' observations; `notFound` if the service isn't declared
      */
     async listBackendServers(serviceName: string): Answer<ServerList> {
-        const present = await this.#options.coordinator.read();
-        if (present.isLeft()) {
-            return Left(toCallFailure(present.extract()));
+        const current = await this.#options.coordinator.read();
+        if (current.isLeft()) {
+            return Left(toCallFailure(current.extract()));
         }
-        const { revision, configuration } = present.unsafeCoerce();
+        const { revision, configuration } = current.unsafeCoerce();
         const services = configuration.services.filter(service => serviceName === "" || service.name === serviceName);
         if (serviceName !== "" && services.length === 0) {
             return Left(toCallFailure(createFailure("notFound", `service ${serviceName} is not declared`)));
         }
         // A failure of either doesn't fail the call: the declared servers are listed anyway, with the gaps indicated.
         const [observed, listed] = await Promise.all([
-            this.#options.observer?.observe(serviceName === "" ? undefined : serviceName) ?? Right(nobodyAsked),
+            this.#options.observer?.observe(serviceName === "" ? undefined : serviceName) ?? Right(noObservations),
             this.#options.hosts.list(),
         ]);
-        const { answered, unanswered } = observed.orDefault(nobodyAsked);
+        const { answered, unanswered } = observed.orDefault(noObservations);
         const observations = groupByServer(answered);
         const hosts = listed.toMaybe().extract();
-        const out = new Set(
+        const zonesOut = new Set(
             configuration.availabilityZones.filter(zone => zone.state === "out").map(({ name }) => name),
         );
         const servers = services.flatMap(service =>
             service.backendServers.map((server): ListedServer => ({
                 service: service.name,
                 server,
-                zoneState: out.has(server.availabilityZone) ? "out" : "in",
+                zoneState: zonesOut.has(server.availabilityZone) ? "out" : "in",
                 hostState: hosts === undefined ? HostState.UNSPECIFIED : findHostState(hosts, server.address),
                 observations: observations.get(createServerId(service.name, server.name)) ?? [],
             }))
@@ -267,23 +267,23 @@
 
     /** Adds details from the configuration of that revision, unless it has been replaced or can't be read. */
     async #toStanding(acceptance: Acceptance): Promise<StandingInit> {
-        const present = await this.#options.coordinator.read();
-        const { revision, configuration } = present.orDefault({ revision: -1, changeId: "", configuration: noZones });
+        const current = await this.#options.coordinator.read();
+        const { revision, configuration } = current.orDefault({ revision: -1, changeId: "", configuration: noZones });
         return toStandingInit(acceptance, revision === acceptance.revision ? configuration : undefined);
     }
 
-    async #explain(failure: Failure): Promise<CallFailure> {
+    async #toCallFailure(failure: Failure): Promise<CallFailure> {
         if (failure.kind !== "revisionConflict") {
             return { failure };
         }
-        const present = await this.#options.coordinator.read();
-        return { failure, presentRevision: present.map(({ revision }) => revision).toMaybe().extract() };
+        const current = await this.#options.coordinator.read();
+        return { failure, presentRevision: current.map(({ revision }) => revision).toMaybe().extract() };
     }
 }
 
 const noZones: Configuration = { timeZone: "UTC", callerKindHeader: "", availabilityZones: [], services: [] };
 
-const nobodyAsked: GatewayObservations = { answered: [], unanswered: [] };
+const noObservations: GatewayObservations = { answered: [], unanswered: [] };
 
 /** Keeps the observations of different gateways separate, since operators look for differences between them. */
 function groupByServer(
@@ -300,11 +300,11 @@
     return groups;
 }
 
-function resolveOver(
+function resolveWithCurrentZones(
     declared: ConfigurationInput,
-    present: ConfigurationRevision,
+    current: ConfigurationRevision,
 ): Either<CallFailure, Configuration> {
-    const resolved = resolveConfiguration(keepZoneStates(declared, present.configuration))
+    const resolved = resolveConfiguration(keepZoneStates(declared, current.configuration))
         .mapLeft(createInvalidConfigurationFailure);
     return resolved.chain(cfg => {
         const bytes = Buffer.byteLength(JSON.stringify(cfg));
--- a/packages/admin/src/operatorRoutes.ts
+++ b/packages/admin/src/operatorRoutes.ts
@@ -111,12 +111,12 @@
         backendServer: server,
         zoneState: toZoneStateEnum(zoneState),
         hostState,
-        observations: observations.map(seen => ({
-            gateway: seen.gateway,
-            state: seen.state === undefined ? BackendServerState.UNSPECIFIED : serverStates[seen.state],
-            inFlight: seen.ownInFlight,
-            reportedInFlight: seen.reportedInFlight,
-            reportedAgeMs: seen.reportedAgeMs,
+        observations: observations.map(observation => ({
+            gateway: observation.gateway,
+            state: observation.state === undefined ? BackendServerState.UNSPECIFIED : serverStates[observation.state],
+            inFlight: observation.ownInFlight,
+            reportedInFlight: observation.reportedInFlight,
+            reportedAgeMs: observation.reportedAgeMs,
         })),
     };
 }
--- a/packages/admin/src/standingFeed.ts
+++ b/packages/admin/src/standingFeed.ts
@@ -68,7 +68,7 @@
         finally {
             signal.removeEventListener("abort", onAbort);
             this.#watchers.delete(watcher);
-            this.#stopWhenUnwatched();
+            this.#stopIfUnwatched();
         }
     }
 
@@ -77,10 +77,10 @@
             return;
         }
         this.#reading = new AbortController();
-        void this.#run(this.#reading.signal);
+        void this.#readLoop(this.#reading.signal);
     }
 
-    #stopWhenUnwatched(): void {
+    #stopIfUnwatched(): void {
         if (this.#watchers.size > 0) {
             return;
         }
@@ -89,13 +89,13 @@
         this.#last = undefined;
     }
 
-    async #run(signal: AbortSignal): Promise<void> {
+    async #readLoop(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             const event = await this.#readSafely();
             this.#publish(event, signal);
             // A change comes into force without a further change in the store, so it is polled until then.
-            const settled = event.map(({ inForce }) => inForce).orDefault(false);
-            await (settled ? this.#changes.wait(signal) : sleepUnlessAborted(watchRetryDelayMs, signal));
+            const isInForce = event.map(({ inForce }) => inForce).orDefault(false);
+            await (isInForce ? this.#changes.wait(signal) : sleepUnlessAborted(watchRetryDelayMs, signal));
         }
     }
 
--- a/packages/gateway/src/__tests__/badInput.test.ts
+++ b/packages/gateway/src/__tests__/badInput.test.ts
@@ -15,16 +15,16 @@
 };
 const didRun = /x-galenaglade-did-run: no/;
 
-interface Door {
+interface CallerPort {
     readonly url: string;
     /** Number of requests that were parsed and handled. */
     readonly handled: () => number;
 }
 
 /** Starts only the callers' server, with a handler that answers every parsed request. */
-async function openDoor(t: TestContext, more: Partial<CallerServerOptions> = {}): Promise<Door> {
+async function startCallerServer(t: TestContext, overrides: Partial<CallerServerOptions> = {}): Promise<CallerPort> {
     let handled = 0;
-    const server = createCallerServer({ ...limits, ...more }, (req, res) => {
+    const server = createCallerServer({ ...limits, ...overrides }, (req, res) => {
         handled++;
         req.resume();
         req.once("end", () => res.end("understood"));
@@ -66,12 +66,12 @@
 // connection is served.
 for (const [what, bytes, expected] of malformed) {
     test(`${what} is refused with its reason and doesn't affect other callers`, async t => {
-        const { url } = await openDoor(t);
-        const [told, served] = await Promise.all([sendRawRequest(url, bytes), isServed(url)]);
-        assert.match(told.text, expected);
-        if (told.text !== "") {
-            assert.match(told.text, didRun);
-            assert.match(told.text, /application\/problem\+json/);
+        const { url } = await startCallerServer(t);
+        const [refusal, served] = await Promise.all([sendRawRequest(url, bytes), isServed(url)]);
+        assert.match(refusal.text, expected);
+        if (refusal.text !== "") {
+            assert.match(refusal.text, didRun);
+            assert.match(refusal.text, /application\/problem\+json/);
         }
         assert.ok(served);
         assert.ok(await isServed(url), "the port still serves callers");
@@ -81,17 +81,17 @@
 // A client that doesn't complete its headers would hold its connection indefinitely (slowloris). After the request
 // timeout it gets an error response and its connection is closed.
 test("a request that is sent too slowly is refused", async t => {
-    const { url, handled } = await openDoor(t);
-    const told = await sendRawRequest(url, "GET / HTTP/1.1\r\nhost: a\r\nx-slow: ");
-    assert.match(told.text, /^HTTP\/1\.1 408 /);
-    assert.match(told.text, didRun);
+    const { url, handled } = await startCallerServer(t);
+    const refusal = await sendRawRequest(url, "GET / HTTP/1.1\r\nhost: a\r\nx-slow: ");
+    assert.match(refusal.text, /^HTTP\/1\.1 408 /);
+    assert.match(refusal.text, didRun);
     assert.equal(handled(), 0);
 });
 
 // Clients open connections up to the limit and hold them. Further connections are refused at once, open ones are still
 // served, and new ones are accepted once the others have closed.
 test("connections over the limit are refused, and the others served", async t => {
-    const { url } = await openDoor(t, { maximumConnections: 5, requestTimeoutMs: 60_000 });
+    const { url } = await startCallerServer(t, { maximumConnections: 5, requestTimeoutMs: 60_000 });
     const held: Socket[] = [];
     for (let i = 0; i < 5; i++) {
         const socket = connect(Number(new URL(url).port), "127.0.0.1");
--- a/packages/gateway/src/__tests__/coldStart.test.ts
+++ b/packages/gateway/src/__tests__/coldStart.test.ts
@@ -10,48 +10,48 @@
 import { LocalStore } from "./localStore.js";
 import { describeService, FixedSource, startBackend, startGateway, type TestGateway } from "./testGateway.js";
 
-class LocalPeers extends ColdStartPeers {
-    readonly #shells: Map<string, ColdStartGate>;
+class InProcessPeers extends ColdStartPeers {
+    readonly #gates: Map<string, ColdStartGate>;
     readonly #self: string;
 
-    constructor(self: string, shells: Map<string, ColdStartGate>) {
+    constructor(self: string, gates: Map<string, ColdStartGate>) {
         super();
         this.#self = self;
-        this.#shells = shells;
+        this.#gates = gates;
     }
 
     override roster(): { readonly version: number; readonly members: readonly string[]; } {
-        return { version: 1, members: [...this.#shells.keys()] };
+        return { version: 1, members: [...this.#gates.keys()] };
     }
 
-    override exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
-        const peers = [...this.#shells].filter(([name]) => name !== this.#self);
-        return peers.map(([, shell]) => Promise.resolve(Right(shell.onHeartbeat(word))));
+    override exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+        const peers = [...this.#gates].filter(([name]) => name !== this.#self);
+        return peers.map(([, gate]) => Promise.resolve(Right(gate.onHeartbeat(heartbeat))));
     }
 }
 
 /** A cold backend server that records its concurrency while cold, and is warm after five responses. */
 class ColdBackend {
     inFlight = 0;
-    mostWhileCold = 0;
-    answers = 0;
+    maxInFlightWhileCold = 0;
+    responseCount = 0;
     readonly listener: RequestListener = (_, res) => {
         this.inFlight++;
-        if (this.answers < 5) {
-            this.mostWhileCold = Math.max(this.mostWhileCold, this.inFlight);
+        if (this.responseCount < 5) {
+            this.maxInFlightWhileCold = Math.max(this.maxInFlightWhileCold, this.inFlight);
         }
         setTimeout(() => {
             this.inFlight--;
-            this.answers++;
-            res.setHeader(signHeaders.state, this.answers < 5 ? "cold" : "warm");
-            res.setHeader(signHeaders.bears, this.answers < 5 ? "1" : "3");
+            this.responseCount++;
+            res.setHeader(signHeaders.state, this.responseCount < 5 ? "cold" : "warm");
+            res.setHeader(signHeaders.bears, this.responseCount < 5 ? "1" : "3");
             res.end("ok");
         }, 20);
     };
 }
 
 /** Waits until the gateway is ready, which requires contact with its peers. */
-async function becomeReady(operationsUrl: string): Promise<void> {
+async function waitUntilReady(operationsUrl: string): Promise<void> {
     while ((await fetch(`${operationsUrl}/readyz`)).status !== 200) {
         await sleep(10);
     }
@@ -59,16 +59,16 @@
 
 async function startTwoGateways(t: TestContext, source: FixedSource): Promise<readonly string[]> {
     const store = new LocalStore();
-    const shells = new Map<string, ColdStartGate>();
+    const gates = new Map<string, ColdStartGate>();
     const gateways: TestGateway[] = [];
     for (const self of ["g1/1", "g2/1"]) {
-        shells.set(self, new ColdStartGate({ self, clock: systemClock, store, peers: new LocalPeers(self, shells) }));
+        gates.set(self, new ColdStartGate({ self, clock: systemClock, store, peers: new InProcessPeers(self, gates) }));
     }
-    for (const gate of shells.values()) {
+    for (const gate of gates.values()) {
         gateways.push(await startGateway(t, source, undefined, gate));
     }
     for (const { operationsUrl } of gateways) {
-        await becomeReady(operationsUrl);
+        await waitUntilReady(operationsUrl);
     }
     return gateways.map(({ url }) => url);
 }
@@ -81,20 +81,20 @@
     const source = new FixedSource();
     source.apply(1, describeService([port], 30_000));
     const urls = await startTwoGateways(t, source);
-    const asked = Array.from({ length: 12 }, (_, i) => fetch(`${urls[i % 2]}/tables/x`).then(res => res.status));
-    assert.deepEqual(new Set(await Promise.all(asked)), new Set([200]));
-    assert.equal(backend.mostWhileCold, 1);
+    const statuses = Array.from({ length: 12 }, (_, i) => fetch(`${urls[i % 2]}/tables/x`).then(res => res.status));
+    assert.deepEqual(new Set(await Promise.all(statuses)), new Set([200]));
+    assert.equal(backend.maxInFlightWhileCold, 1);
 });
 
 /** Peers that are all unreachable. */
-class LostPeers extends ColdStartPeers {
+class UnreachablePeers extends ColdStartPeers {
     override roster(): { readonly version: number; readonly members: readonly string[]; } {
         return { version: 1, members: ["gateway-1/1", "gateway-2/1", "gateway-3/1"] };
     }
 
     override exchange(): readonly Promise<Either<Failure, ColdStartWord>>[] {
-        const lost = Left(createFailure("peerUnreachable", "cut off"));
-        return [Promise.resolve(lost), Promise.resolve(lost)];
+        const unreachable = Left(createFailure("peerUnreachable", "cut off"));
+        return [Promise.resolve(unreachable), Promise.resolve(unreachable)];
     }
 }
 
@@ -108,8 +108,8 @@
     });
     const source = new FixedSource();
     source.apply(1, describeService([port], 86_400_000));
-    const parts = { self: "gateway-1/1", clock: systemClock, store: new LocalStore(), peers: new LostPeers() };
-    const { url, operationsUrl } = await startGateway(t, source, undefined, new ColdStartGate(parts));
+    const deps = { self: "gateway-1/1", clock: systemClock, store: new LocalStore(), peers: new UnreachablePeers() };
+    const { url, operationsUrl } = await startGateway(t, source, undefined, new ColdStartGate(deps));
     const answer = await fetch(`${url}/tables`);
     assert.deepEqual([answer.status, answer.headers.get("retry-after")], [503, "2"]);
     assert.equal(answer.headers.get("x-galenaglade-did-run"), "no");
--- a/packages/gateway/src/__tests__/gateway.test.ts
+++ b/packages/gateway/src/__tests__/gateway.test.ts
@@ -71,13 +71,13 @@
 test("a planned stop lets the request in flight finish", async t => {
     // A request is in flight when the planned stop begins. Its caller gets the complete response before the stop ends.
     let finish = (): void => undefined;
-    let noteArrival = (): void => undefined;
+    let signalArrival = (): void => undefined;
     const arrived = new Promise<void>(resolve => {
-        noteArrival = resolve;
+        signalArrival = resolve;
     });
     const port = await startBackend(t, (_req, res) => {
         finish = () => res.end("whole");
-        noteArrival();
+        signalArrival();
     });
     const source = new FixedSource();
     source.apply(1, describeService([port]));
@@ -100,13 +100,13 @@
 // kept alive would be closed at the end of the stop, possibly during the next request.
 test("responses during a planned stop close their connections", async t => {
     const answers: (() => void)[] = [];
-    let noteArrival = (): void => undefined;
+    let signalArrival = (): void => undefined;
     const arrived = new Promise<void>(resolve => {
-        noteArrival = resolve;
+        signalArrival = resolve;
     });
     const port = await startBackend(t, (_req, res) => {
         answers.push(() => res.end("whole"));
-        noteArrival();
+        signalArrival();
     });
     const source = new FixedSource();
     source.apply(1, describeService([port]));
@@ -139,11 +139,11 @@
     }
     const abort = new AbortController();
     const queued = Array.from({ length: queueLength }, () => request(`${url}/tables`, { signal: abort.signal }));
-    const full = await askUntil(url, answer => answer !== undefined);
+    const full = await sendUntil(url, res => res !== undefined);
     assert.equal(full.refusal, "urn:galenaglade:error:overloaded");
     abort.abort();
     await Promise.allSettled(queued);
-    const next = await askUntil(url, answer => answer === undefined);
+    const next = await sendUntil(url, res => res === undefined);
     for (const finish of held) {
         finish();
     }
@@ -152,29 +152,29 @@
         await setImmediate();
     }
     held.at(-1)?.();
-    assert.equal((await next.asked).statusCode, 200);
+    assert.equal((await next.response).statusCode, 200);
 });
 
-interface Asked {
-    readonly asked: ReturnType<typeof request>;
+interface SentRequest {
+    readonly response: ReturnType<typeof request>;
     /** The problem type if the request was refused; `undefined` if it is queued. */
     readonly refusal: unknown;
 }
 
 /** Sends a request until its immediate response, or the lack of one, matches; aborts those that don't match. */
-async function askUntil(
+async function sendUntil(
     url: string,
-    isWanted: (answer: Awaited<ReturnType<typeof request>> | undefined) => boolean,
-): Promise<Asked> {
+    matches: (res: Awaited<ReturnType<typeof request>> | undefined) => boolean,
+): Promise<SentRequest> {
     for (;;) {
         const abort = new AbortController();
-        const asked = request(`${url}/tables`, { signal: abort.signal });
-        const answer = await Promise.race([asked, setTimeout(200, undefined)]);
-        const problem = await answer?.body.json() as Record<string, unknown> | undefined;
-        if (isWanted(answer)) {
-            return { asked, refusal: problem?.["type"] };
+        const response = request(`${url}/tables`, { signal: abort.signal });
+        const immediate = await Promise.race([response, setTimeout(200, undefined)]);
+        const problem = await immediate?.body.json() as Record<string, unknown> | undefined;
+        if (matches(immediate)) {
+            return { response, refusal: problem?.["type"] };
         }
         abort.abort();
-        await asked.catch(() => undefined);
+        await response.catch(() => undefined);
     }
 }
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -19,8 +19,8 @@
 const patienceMs = 1_000;
 const operations = 120;
 /** Generous limit on the operations that are started while too few requests have run. */
-const mostOperations = operations * 10;
-const triesEach = 4;
+const maxOperations = operations * 10;
+const attemptsPerOperation = 4;
 const faultMs = 100;
 
 const backendFaults = [
@@ -42,7 +42,7 @@
     {},
 ] as const;
 
-interface World {
+interface TestFleet {
     readonly platform: PlatformServer;
     readonly backends: readonly BackendServer[];
     readonly histories: readonly MemoryHistoryRecorder[];
@@ -51,7 +51,7 @@
     readonly agent: Agent;
 }
 
-async function startWorld(t: TestContext): Promise<World> {
+async function startFleet(t: TestContext): Promise<TestFleet> {
     const platform = await PlatformServer.start();
     t.after(() => platform.stop());
     const histories: MemoryHistoryRecorder[] = [];
@@ -81,14 +81,14 @@
 }
 
 /** Sends one attempt and records what its caller observes. */
-async function sendTry(
-    world: World,
+async function sendAttempt(
+    fleet: TestFleet,
     url: string,
     what: { readonly requestId: string; readonly key: string | undefined; readonly workMs: number; },
 ): Promise<RequestOutcome> {
     const { requestId, key, workMs } = what;
     const idempotent = key === undefined;
-    world.callers.record({
+    fleet.callers.record({
         type: "callerSent",
         requestId,
         service: "tables",
@@ -96,16 +96,16 @@
         idempotencyKey: key,
         patienceMs,
     });
-    const outcome = await exchange(world, url, requestId, {
+    const outcome = await exchange(fleet, url, requestId, {
         [backendHeaders.requestId]: requestId,
         [backendHeaders.workMs]: String(workMs),
         ...(key === undefined ? {} : { [backendHeaders.idempotencyKey]: key }),
     }, idempotent ? "GET" : "POST");
     if (outcome.type === "cutOff") {
-        world.callers.record({ type: "callerCutOff", requestId });
+        fleet.callers.record({ type: "callerCutOff", requestId });
     }
     else if (outcome.type === "whole" || outcome.type === "wrong" || outcome.type === "refused") {
-        world.callers.record({
+        fleet.callers.record({
             type: "callerAnswered",
             requestId,
             status: outcome.status,
@@ -118,7 +118,7 @@
 }
 
 async function exchange(
-    world: World,
+    fleet: TestFleet,
     url: string,
     requestId: string,
     headers: Readonly<Record<string, string>>,
@@ -128,7 +128,7 @@
         const res = await request(`${url}/tables`, {
             method,
             headers,
-            dispatcher: world.agent,
+            dispatcher: fleet.agent,
             ...(method === "POST" ? { body: "wages" } : {}),
         });
         return classifyResponse(requestId, {
@@ -144,14 +144,14 @@
 }
 
 /** Retries an operation through random gateways, sometimes through two at once, until it gets a response. */
-async function runOperation(world: World, random: RandomSource, name: string): Promise<void> {
+async function runOperation(fleet: TestFleet, random: RandomSource, name: string): Promise<void> {
     const key = random.next() < 0.7 ? `key-${name}` : undefined;
     const workMs = random.nextInt(40);
-    for (let attempt = 0; attempt < triesEach; attempt++) {
+    for (let attempt = 0; attempt < attemptsPerOperation; attempt++) {
         const sent = random.next() < 0.2 ? 2 : 1;
         const tries = Array.from({ length: sent }, (_, i) => {
-            const url = world.urls[random.nextInt(world.urls.length)] ?? "";
-            return sendTry(world, url, { requestId: `${name}-${attempt}-${i}`, key, workMs });
+            const url = fleet.urls[random.nextInt(fleet.urls.length)] ?? "";
+            return sendAttempt(fleet, url, { requestId: `${name}-${attempt}-${i}`, key, workMs });
         });
         const outcomes = await Promise.all(tries);
         if (outcomes.some(outcome => outcome.type === "whole")) {
@@ -161,16 +161,16 @@
     }
 }
 
-async function changeFaults(world: World, random: RandomSource, until: Promise<unknown>): Promise<void> {
-    const over = new AbortController();
-    void until.finally(() => over.abort());
-    while (!over.signal.aborted) {
-        const faulty = random.nextInt(world.backends.length);
-        for (const backend of world.backends) {
+async function injectFaults(fleet: TestFleet, random: RandomSource, until: Promise<unknown>): Promise<void> {
+    const stopped = new AbortController();
+    void until.finally(() => stopped.abort());
+    while (!stopped.signal.aborted) {
+        const faultyIndex = random.nextInt(fleet.backends.length);
+        for (const backend of fleet.backends) {
             backend.setFaults({});
         }
-        world.backends[faulty]?.setFaults(backendFaults[random.nextInt(backendFaults.length)] ?? {});
-        world.platform.setFaults(platformFaults[random.nextInt(platformFaults.length)] ?? {});
+        fleet.backends[faultyIndex]?.setFaults(backendFaults[random.nextInt(backendFaults.length)] ?? {});
+        fleet.platform.setFaults(platformFaults[random.nextInt(platformFaults.length)] ?? {});
         await setTimeout(faultMs);
     }
 }
@@ -179,35 +179,35 @@
 // attempts through two at once. Meanwhile backend servers cut connections, shed load, stall and restart, and the store
 // loses responses, returns stale data, slows down and refuses calls.
 test("under faults, no keyed request runs twice and no caller gets wrong data or a wrong did-run value", async t => {
-    const world = await startWorld(t);
+    const fleet = await startFleet(t);
     const random = createRandomSource(seed);
     const running: Promise<void>[] = [];
     const all = (async () => {
         // On a busy machine fewer attempts of each operation run, so more operations are started.
-        for (let i = 0; i < operations || (!hasRunEnough(world) && i < mostOperations); i++) {
-            running.push(runOperation(world, random, `op-${i}`));
+        for (let i = 0; i < operations || (!haveEnoughRun(fleet) && i < maxOperations); i++) {
+            running.push(runOperation(fleet, random, `op-${i}`));
             await setTimeout(random.nextInt(40));
         }
         await Promise.all(running);
     })();
-    await changeFaults(world, random, all);
+    await injectFaults(fleet, random, all);
     await all;
-    const lines: readonly HistoryLine[] = [world.callers, ...world.histories].flatMap(history => history.lines);
+    const lines: readonly HistoryLine[] = [fleet.callers, ...fleet.histories].flatMap(history => history.lines);
     const history = lines.toSorted((a, b) => a.atMs - b.atMs).map((line, sequence) => ({ ...line, sequence }));
-    t.diagnostic(JSON.stringify(countKinds(history)));
+    t.diagnostic(JSON.stringify(countEvents(history)));
     const found = [checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity].flatMap(check => check(history));
     assert.deepEqual(found, [], `seed ${seed}`);
     assert.ok(history.filter(line => line.type === "serverStarted").length > operations / 2, "too little ran");
 });
 
 /** Whether servers have run enough requests for the checks to be meaningful. */
-function hasRunEnough(world: World): boolean {
-    const lines = world.histories.flatMap(history => history.lines);
+function haveEnoughRun(fleet: TestFleet): boolean {
+    const lines = fleet.histories.flatMap(history => history.lines);
     return lines.filter(line => line.type === "serverStarted").length > operations / 2;
 }
 
 /** Counts the events of a run by kind, for the test's diagnostics. */
-function countKinds(history: readonly HistoryLine[]): Readonly<Record<string, number>> {
+function countEvents(history: readonly HistoryLine[]): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const line of history) {
         const kind = line.type === "callerAnswered" ? `${line.type} ${line.status} ${line.didRun ?? ""}` : line.type;
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -18,10 +18,10 @@
 import { describeService, FixedSource, startGateway, type TestGateway } from "./testGateway.js";
 
 /** Initial number of retries in a service's retry budget. */
-const savedRetries = 20;
+const initialRetries = 20;
 const didRunHeader = "x-galenaglade-did-run";
 
-async function startWith(
+async function startGatewayWith(
     t: TestContext,
     backends: readonly RawBackend[],
     more: { readonly patienceMs?: number; readonly store?: EngineStore; readonly source?: FixedSource; } = {},
@@ -31,14 +31,14 @@
     return await startGateway(t, source, more.store);
 }
 
-interface Told {
+interface TestResponse {
     readonly status: number;
     readonly didRun: unknown;
     readonly retryAfter: unknown;
     readonly body: string;
 }
 
-async function send(url: string, method: "GET" | "POST" = "GET", idempotencyKey?: string): Promise<Told> {
+async function send(url: string, method: "GET" | "POST" = "GET", idempotencyKey?: string): Promise<TestResponse> {
     const answer = await request(url, {
         method,
         ...(method === "POST" ? { body: "wages" } : {}),
@@ -68,9 +68,9 @@
 test("a non-idempotent request whose connection closes is sent once and reported as unknown", async t => {
     const one = await startRawBackend(t, close);
     const other = await startRawBackend(t, close);
-    const { url } = await startWith(t, [one, other]);
-    const told = await send(`${url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun], [502, "unknown"]);
+    const { url } = await startGatewayWith(t, [one, other]);
+    const res = await send(`${url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun], [502, "unknown"]);
     assert.equal(one.requests.length + other.requests.length, 1);
 });
 
@@ -78,7 +78,7 @@
 // it would be unknown whether a non-idempotent request ran; on a new connection, this race can't occur.
 test("a non-idempotent request is not sent on a connection that may be closing", async t => {
     const backend = await startRawBackend(t, req => req.requestNumber > 1 ? close(req) : answer(req));
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
     const second = await send(`${url}/tables`, "POST");
     assert.deepEqual([second.status, second.didRun], [200, "yes"]);
@@ -90,13 +90,13 @@
 test("a non-idempotent request that was shed before running is retried, or refused as not run", async t => {
     const full = await startRawBackend(t, shed);
     const free = await startRawBackend(t, answer);
-    const mixed = await startWith(t, [full, free]);
+    const mixed = await startGatewayWith(t, [full, free]);
     for (let i = 0; i < 4; i++) {
         assert.equal((await send(`${mixed.url}/tables`, "POST")).status, 200);
     }
-    const all = await startWith(t, [full]);
-    const told = await send(`${all.url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun, told.retryAfter], [503, "no", "1"]);
+    const all = await startGatewayWith(t, [full]);
+    const res = await send(`${all.url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun, res.retryAfter], [503, "no", "1"]);
 });
 
 // A body reaches the backend server unchanged, whether it has a declared length, is chunked or is too large to buffer.
@@ -137,9 +137,9 @@
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : shed(req);
     const one = await startRawBackend(t, loseFirst);
     const other = await startRawBackend(t, loseFirst);
-    const { url } = await startWith(t, [one, other]);
-    const told = await send(`${url}/tables`);
-    assert.deepEqual([told.status, told.didRun], [503, "unknown"]);
+    const { url } = await startGatewayWith(t, [one, other]);
+    const res = await send(`${url}/tables`);
+    assert.deepEqual([res.status, res.didRun], [503, "unknown"]);
     assert.equal(one.requests.length + other.requests.length, 2);
 });
 
@@ -147,9 +147,9 @@
     let lost = 0;
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : answer(req);
     const backends = [await startRawBackend(t, loseFirst), await startRawBackend(t, loseFirst)];
-    const { url } = await startWith(t, backends);
-    const told = await send(`${url}/tables`);
-    assert.deepEqual([told.status, told.body], [200, "GET /tables"]);
+    const { url } = await startGatewayWith(t, backends);
+    const res = await send(`${url}/tables`);
+    assert.deepEqual([res.status, res.body], [200, "GET /tables"]);
 });
 
 // All backend servers fail all requests. Retrying each one up to the maximum of three attempts would triple the load
@@ -160,14 +160,14 @@
         await startRawBackend(t, close),
         await startRawBackend(t, close),
     ];
-    const { url } = await startWith(t, backends);
+    const { url } = await startGatewayWith(t, backends);
     const reads = 60;
     for (let i = 0; i < reads; i++) {
-        const told = await send(`${url}/tables`);
-        assert.deepEqual([told.status, told.didRun, told.retryAfter], [502, "unknown", "1"]);
+        const res = await send(`${url}/tables`);
+        assert.deepEqual([res.status, res.didRun, res.retryAfter], [502, "unknown", "1"]);
     }
     const sent = backends.reduce((sum, backend) => sum + backend.requests.length, 0);
-    assert.equal(sent, reads + savedRetries);
+    assert.equal(sent, reads + initialRetries);
 });
 
 // A backend server's connection closes early: one byte short of the declared length, before the last chunk, or without
@@ -182,7 +182,7 @@
     ];
     for (const cut of cuts) {
         const backend = await startRawBackend(t, req => req.socket.end(cut));
-        const { url } = await startWith(t, [backend]);
+        const { url } = await startGatewayWith(t, [backend]);
         for (const version of ["1.0", "1.1"]) {
             const seen = await sendRawRequest(
                 url,
@@ -212,7 +212,7 @@
         };
         sendParts(parts);
     });
-    const { url } = await startWith(t, [backend], { patienceMs: 60_000 });
+    const { url } = await startGatewayWith(t, [backend], { patienceMs: 60_000 });
     const answered = await request(`${url}/tables`);
     let wrong = 0;
     for await (const chunk of answered.body as AsyncIterable<Buffer>) {
@@ -233,7 +233,7 @@
                 : `HTTP/1.1 ${req.path.slice(-3)} Empty\r\n\r\n`,
         );
     });
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     for (const status of [204, 304]) {
         const answered = await request(`${url}/tables/${status}`);
         assert.deepEqual([answered.statusCode, await answered.body.text()], [status, ""]);
@@ -255,7 +255,7 @@
         late?.socket.write(renderRawResponse("the late answer"));
         void setTimeout(20).then(() => answer(req));
     });
-    const { url } = await startWith(t, [backend], { patienceMs: 200 });
+    const { url } = await startGatewayWith(t, [backend], { patienceMs: 200 });
     const first = await send(`${url}/tables/late`);
     assert.deepEqual([first.status, first.didRun, first.retryAfter], [504, "unknown", "1"]);
     assert.ok(late);
@@ -276,7 +276,7 @@
             answer(req);
         }
     });
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     await send(`${url}/tables/first`);
     const silent = send(`${url}/tables/silent`);
     while (backend.requests.length < 2) {
@@ -308,11 +308,11 @@
             answer(req);
         }
     });
-    const { url } = await startWith(t, [backend]);
-    for (let i = 0; i < savedRetries; i++) {
+    const { url } = await startGatewayWith(t, [backend]);
+    for (let i = 0; i < initialRetries; i++) {
         await send(`${url}/tables/drain`);
     }
-    const told = send(`${url}/tables/slow`);
+    const res = send(`${url}/tables/slow`);
     while (slow === undefined) {
         await setImmediate();
     }
@@ -321,7 +321,7 @@
     }
     await setTimeout(2 * stallMinimumMs);
     answer(slow);
-    assert.equal((await told).status, 200);
+    assert.equal((await res).status, 200);
     assert.equal(backend.requests.filter(req => req.path === "/tables/slow").length, 1);
 });
 
@@ -335,26 +335,26 @@
             return ++this.asked <= 2;
         }
     })();
-    const { url } = await startWith(t, [backend], { source });
-    const told = await send(`${url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun, told.retryAfter], [503, "no", "2"]);
+    const { url } = await startGatewayWith(t, [backend], { source });
+    const res = await send(`${url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun, res.retryAfter], [503, "no", "2"]);
     assert.equal(backend.requests.length, 0);
 });
 
 // A client retries a request through another gateway while the first attempt still runs, and again after it has ended.
 test("a request sent through two gateways with one idempotency key runs once", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
     const store = new EngineStore();
-    const one = await startWith(t, [backend], { store });
-    const other = await startWith(t, [backend], { store });
+    const one = await startGatewayWith(t, [backend], { store });
+    const other = await startGatewayWith(t, [backend], { store });
     const first = send(`${one.url}/tables`, "POST", "ring-7");
     await started;
     const during = await send(`${other.url}/tables`, "POST", "ring-7");
@@ -372,15 +372,15 @@
 // it ran. It continues instead, and the next attempt with the same key learns that it ran.
 test("a non-idempotent request continues when its caller disconnects, and its result is recorded", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
-    const { url } = await startWith(t, [backend], { store: new EngineStore() });
+    const { url } = await startGatewayWith(t, [backend], { store: new EngineStore() });
     const hangUp = new AbortController();
     const first = request(`${url}/tables`, {
         method: "POST",
@@ -413,7 +413,7 @@
     store.ready = new Promise(resolve => {
         release = resolve;
     });
-    const { url } = await startWith(t, [backend], { store });
+    const { url } = await startGatewayWith(t, [backend], { store });
     const client = connect(Number(new URL(url).port), "127.0.0.1");
     client.write("POST /tables HTTP/1.1\r\nhost: a\r\nidempotency-key: ring-8\r\ncontent-length: 5\r\n\r\nwages");
     while (store.calls === 0) {
@@ -434,18 +434,18 @@
 // in the slow store before the stop ends. Otherwise the next attempt would be answered with "unknown".
 test("a planned stop waits until the result of a non-idempotent request is recorded", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
     const engine = new KeyValueEngine();
     const store = new EngineStore(engine);
-    const one = await startWith(t, [backend], { store });
-    const other = await startWith(t, [backend], { store: new EngineStore(engine) });
+    const one = await startGatewayWith(t, [backend], { store });
+    const other = await startGatewayWith(t, [backend], { store: new EngineStore(engine) });
     const first = send(`${one.url}/tables`, "POST", "return-8");
     await started;
     const stopped = one.gateway.stop();
@@ -462,7 +462,7 @@
     const backend = await startRawBackend(t, answer);
     const store = new EngineStore();
     store.isDown = true;
-    const { url } = await startWith(t, [backend], { store });
+    const { url } = await startGatewayWith(t, [backend], { store });
     const keyed = await send(`${url}/tables`, "POST", "ring-7");
     assert.deepEqual([keyed.status, keyed.didRun, keyed.retryAfter], [503, "no", "5"]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
--- a/packages/gateway/src/backends/backendConnections.ts
+++ b/packages/gateway/src/backends/backendConnections.ts
@@ -8,7 +8,7 @@
 } from "../constants.js";
 import { type ServiceTable, type Target } from "../requests/serviceTable.js";
 
-interface Held {
+interface PoolEntry {
     readonly origin: string;
     readonly pool: Pool;
 }
@@ -22,67 +22,67 @@
 
 /** Connections to backend servers, one pool per server. A connection carries one request at a time (no pipelining). */
 export class BackendConnections {
-    readonly #held = new Map<ServerId, Held>();
-    readonly #fresh = new Set<Client>();
+    readonly #pools = new Map<ServerId, PoolEntry>();
+    readonly #dedicatedClients = new Set<Client>();
 
     /**
      * Provides a connection for one attempt.
      *
      * @param target - the backend server
-     * @param own - whether to open a new connection for this attempt alone, rather than use the pool
+     * @param dedicated - whether to open a new connection for this attempt alone, rather than use the pool
      */
-    open(target: Target, own: boolean): BackendConnection {
-        if (!own) {
-            return { dispatcher: this.#poolOf(target), release: () => undefined };
+    open(target: Target, dedicated: boolean): BackendConnection {
+        if (!dedicated) {
+            return { dispatcher: this.#getPool(target), release: () => undefined };
         }
-        const client = new Client(originOf(target), connectionOptions);
-        this.#fresh.add(client);
+        const client = new Client(formatOrigin(target), connectionOptions);
+        this.#dedicatedClients.add(client);
         const release = (): void => {
-            this.#fresh.delete(client);
+            this.#dedicatedClients.delete(client);
             client.close().catch(() => undefined);
         };
         return { dispatcher: client, release };
     }
 
     /** @returns the pool for a backend server, created on first use */
-    #poolOf(target: Target): Pool {
-        const origin = originOf(target);
-        const held = this.#held.get(target.serverId);
-        if (held?.origin === origin) {
-            return held.pool;
+    #getPool(target: Target): Pool {
+        const origin = formatOrigin(target);
+        const entry = this.#pools.get(target.serverId);
+        if (entry?.origin === origin) {
+            return entry.pool;
         }
-        if (held !== undefined) {
-            this.#closeGently(held.pool);
+        if (entry !== undefined) {
+            this.#closeWhenIdle(entry.pool);
         }
         const pool = createPool(origin);
-        this.#held.set(target.serverId, { origin, pool });
+        this.#pools.set(target.serverId, { origin, pool });
         return pool;
     }
 
     /** Closes the pools of backend servers that are no longer configured, after their requests in flight have ended. */
     retain(table: ServiceTable): void {
-        const named = new Set<ServerId>();
+        const configured = new Set<ServerId>();
         for (const route of table.routes) {
             for (const server of route.service.backendServers) {
-                named.add(createServerId(route.service.name, server.name));
+                configured.add(createServerId(route.service.name, server.name));
             }
         }
-        for (const [serverId, held] of this.#held) {
-            if (!named.has(serverId)) {
-                this.#held.delete(serverId);
-                this.#closeGently(held.pool);
+        for (const [serverId, entry] of this.#pools) {
+            if (!configured.has(serverId)) {
+                this.#pools.delete(serverId);
+                this.#closeWhenIdle(entry.pool);
             }
         }
     }
 
     /** Closes every connection once its requests in flight have finished. */
     async close(): Promise<void> {
-        const open = [...[...this.#held.values()].map(held => held.pool), ...this.#fresh];
-        this.#held.clear();
-        await Promise.all(open.map(dispatcher => dispatcher.close()));
+        const dispatchers = [...[...this.#pools.values()].map(entry => entry.pool), ...this.#dedicatedClients];
+        this.#pools.clear();
+        await Promise.all(dispatchers.map(dispatcher => dispatcher.close()));
     }
 
-    #closeGently(pool: Pool): void {
+    #closeWhenIdle(pool: Pool): void {
         pool.close().catch(() => undefined);
     }
 }
@@ -102,7 +102,7 @@
     return new Pool(origin, { ...connectionOptions, connections: maxConnectionsPerServer });
 }
 
-function originOf(target: Target): string {
+function formatOrigin(target: Target): string {
     const { address, port } = target.server;
     return address.includes(":") ? `http://[${address}]:${port}` : `http://${address}:${port}`;
 }
--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -21,14 +21,14 @@
 
 /** Handles callers' requests, each from its arrival to its single final response. */
 export class CallerHandler {
-    readonly #parts: CallerHandlerDeps;
-    readonly #answers = new Set<ServerResponse>();
-    #leaving = false;
+    readonly #deps: CallerHandlerDeps;
+    readonly #responses = new Set<ServerResponse>();
+    #draining = false;
     #stopping = false;
     #onIdle: (() => void) | undefined;
 
-    constructor(parts: CallerHandlerDeps) {
-        this.#parts = parts;
+    constructor(deps: CallerHandlerDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -36,8 +36,8 @@
      * planned stop, possibly while its caller sends a request on it and then can't know whether that request ran.
      */
     beginDrain(): void {
-        this.#leaving = true;
-        for (const res of this.#answers) {
+        this.#draining = true;
+        for (const res of this.#responses) {
             res.shouldKeepAlive = false;
         }
     }
@@ -45,7 +45,7 @@
     /** Refuses new requests. @returns once the last request in flight is answered */
     stop(): Promise<void> {
         this.#stopping = true;
-        if (this.#answers.size === 0) {
+        if (this.#responses.size === 0) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
@@ -55,39 +55,39 @@
 
     /** Handles one request; never throws. */
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { telemetry, clock } = this.#parts;
+        const { telemetry, clock } = this.#deps;
         const arrivedAtMs = clock.monotonicMs();
         const span = telemetry.startSpan(req.method ?? "GET", SpanKind.SERVER, telemetry.extract(req.headers));
-        this.#answers.add(res);
-        if (this.#leaving) {
+        this.#responses.add(res);
+        if (this.#draining) {
             res.shouldKeepAlive = false;
         }
         telemetry.onRequestStarted();
         let failure: Failure | undefined;
         let request: CallerRequest | undefined;
         res.once("close", () => {
-            this.#ended(req, res, span, request, failure, arrivedAtMs);
+            this.#onRequestEnded(req, res, span, request, failure, arrivedAtMs);
         });
-        const understood = this.#understand(req, arrivedAtMs);
-        understood.caseOf({
-            Left: refused => {
-                failure = refused;
-                this.#refuse(req, res, refused, span);
+        const parsed = this.#parseRequest(req, arrivedAtMs);
+        parsed.caseOf({
+            Left: refusal => {
+                failure = refusal;
+                this.#refuse(req, res, refusal, span);
             },
-            Right: resolved => {
-                request = resolved;
-                void this.#forward(resolved, req, res, span).then(failed => {
-                    failure = failed;
-                    if (failed !== undefined) {
-                        this.#refuse(req, res, failed, span);
+            Right: parsedRequest => {
+                request = parsedRequest;
+                void this.#forward(parsedRequest, req, res, span).then(forwardFailure => {
+                    failure = forwardFailure;
+                    if (forwardFailure !== undefined) {
+                        this.#refuse(req, res, forwardFailure, span);
                     }
                 });
             },
         });
     }
 
-    #understand(req: IncomingMessage, arrivedAtMs: number): Either<Failure, CallerRequest> {
-        const { clock, table, mayTakeNewWork } = this.#parts;
+    #parseRequest(req: IncomingMessage, arrivedAtMs: number): Either<Failure, CallerRequest> {
+        const { clock, table, mayTakeNewWork } = this.#deps;
         const services = table();
         if (this.#stopping) {
             return Left(createFailure("stopping", "this host takes no new work"));
@@ -106,7 +106,7 @@
         span: Span,
     ): Promise<Failure | undefined> {
         const abort = new AbortController();
-        const remainingMs = request.deadlineMs - this.#parts.clock.monotonicMs();
+        const remainingMs = request.deadlineMs - this.#deps.clock.monotonicMs();
         const timer = setTimeout(() => abort.abort(), Math.max(0, remainingMs));
         // When the caller disconnects, an idempotent request is aborted to free the backend server's slot. A
         // non-idempotent request continues: if it were aborted, nobody could tell whether it ran, whereas a retry by
@@ -118,10 +118,10 @@
             }
         });
         try {
-            return await this.#parts.forwarder.forward({ request, req, res, span, signal: abort.signal });
+            return await this.#deps.forwarder.forward({ request, req, res, span, signal: abort.signal });
         }
         catch (err) {
-            this.#parts.logger.error("request failed unexpectedly", { error: String(err), traceId: traceIdOf(span) });
+            this.#deps.logger.error("request failed unexpectedly", { error: String(err), traceId: traceIdOf(span) });
             return createFailure("internal", "unexpected failure");
         }
         finally {
@@ -131,10 +131,10 @@
 
     #refuse(req: IncomingMessage, res: ServerResponse, failure: Failure, span: Span): void {
         // The rest of an unread body would be parsed as the next request, so the connection is closed in that case.
-        writeFailure(res, failure, traceIdOf(span), this.#leaving || !req.complete);
+        writeFailure(res, failure, traceIdOf(span), this.#draining || !req.complete);
     }
 
-    #ended(
+    #onRequestEnded(
         req: IncomingMessage,
         res: ServerResponse,
         span: Span,
@@ -142,7 +142,7 @@
         failure: Failure | undefined,
         arrivedAtMs: number,
     ): void {
-        const { telemetry, clock, logger } = this.#parts;
+        const { telemetry, clock, logger } = this.#deps;
         const service = request?.route.service.name ?? "";
         const durationMs = clock.monotonicMs() - arrivedAtMs;
         const status = failure === undefined ? res.statusCode : resolveFailure(failure).status;
@@ -162,8 +162,8 @@
                 traceId,
             });
         }
-        this.#answers.delete(res);
-        if (this.#answers.size === 0) {
+        this.#responses.delete(res);
+        if (this.#responses.size === 0) {
             this.#onIdle?.();
         }
     }
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -23,7 +23,7 @@
     /** @returns the current members as `name/incarnation`, including this gateway */
     abstract roster(): GatewayRoster;
     /** Sends a heartbeat to every peer. @returns one promise for each peer's reply */
-    abstract exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
+    abstract exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
 }
 
 /** Dependencies of {@link ColdStartGate}. */
@@ -40,104 +40,104 @@
  * gate, which makes the decisions.
  */
 export class ColdStartGate extends ServerGate {
-    readonly #parts: ColdStartGateDeps;
-    readonly #gate: PermitGate;
-    #tickTimer: NodeJS.Timeout | undefined;
-    #roundTimer: NodeJS.Timeout | undefined;
+    readonly #deps: ColdStartGateDeps;
+    readonly #permitGate: PermitGate;
+    #storeTimer: NodeJS.Timeout | undefined;
+    #heartbeatTimer: NodeJS.Timeout | undefined;
 
-    constructor(parts: ColdStartGateDeps) {
+    constructor(deps: ColdStartGateDeps) {
         super();
-        this.#parts = parts;
-        this.#gate = createServerGate(parts.self);
+        this.#deps = deps;
+        this.#permitGate = createServerGate(deps.self);
     }
 
     /** The permit gate, which holds the state of each backend server. */
     get permitGate(): PermitGate {
-        return this.#gate;
+        return this.#permitGate;
     }
 
     override start(reconsider: () => void): void {
-        this.#tickTimer = setInterval(() => {
-            this.#tick();
+        this.#storeTimer = setInterval(() => {
+            this.#runStoreCommands();
             reconsider();
         }, gateCheckPeriodMs);
-        this.#roundTimer = setInterval(() => this.#round(), gateHeartbeatPeriodMs);
-        this.#round();
+        this.#heartbeatTimer = setInterval(() => this.#exchangeHeartbeats(), gateHeartbeatPeriodMs);
+        this.#exchangeHeartbeats();
     }
 
     /** Releases the permits; if the store is unreachable, they expire. Must be called when no request is in flight. */
     override async stop(): Promise<void> {
-        clearInterval(this.#tickTimer);
-        clearInterval(this.#roundTimer);
-        const { leaseId } = this.#gate;
+        clearInterval(this.#storeTimer);
+        clearInterval(this.#heartbeatTimer);
+        const { leaseId } = this.#permitGate;
         if (leaseId !== undefined) {
-            await this.#parts.store.revokeLease(leaseId);
+            await this.#deps.store.revokeLease(leaseId);
         }
     }
 
     /** Applies the backend servers of a newer configuration. */
     override onConfiguration(revised: ConfigurationRevision): void {
-        this.#gate.onServers(resolveGatedServers(revised.configuration), this.#now());
+        this.#permitGate.onServers(resolveGatedServers(revised.configuration), this.#now());
     }
 
     /** Handles a peer's heartbeat. @returns the reply */
-    onHeartbeat(word: ColdStartWord): ColdStartWord {
-        return this.#gate.onHeartbeat(word, this.#now());
+    onHeartbeat(heartbeat: ColdStartWord): ColdStartWord {
+        return this.#permitGate.onHeartbeat(heartbeat, this.#now());
     }
 
     override maySend(target: Target, nowMs: number, deadlineMs: number): boolean {
-        return this.#gate.maySend(target.serverId, nowMs, deadlineMs) === "yes";
+        return this.#permitGate.maySend(target.serverId, nowMs, deadlineMs) === "yes";
     }
 
     override hasPeerContact(nowMs: number): boolean {
-        return this.#gate.isInTouch(nowMs);
+        return this.#permitGate.isInTouch(nowMs);
     }
 
     override isCold(target: Pick<Target, "serverId">): boolean {
-        return this.#gate.stateOf(target.serverId) === "cold";
+        return this.#permitGate.stateOf(target.serverId) === "cold";
     }
 
     override onGranted(grant: Grant, deadlineMs: number): void {
-        this.#gate.onSent(grant.target.serverId, grant.id, grant.grantedAtMs, deadlineMs);
+        this.#permitGate.onSent(grant.target.serverId, grant.id, grant.grantedAtMs, deadlineMs);
     }
 
     override mayStillSend(grant: Grant, nowMs: number): boolean {
-        return this.#gate.mayStillSend(grant.target.serverId, grant.id, nowMs);
+        return this.#permitGate.mayStillSend(grant.target.serverId, grant.id, nowMs);
     }
 
     override onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void {
-        this.#gate.onEnd(grant.target.serverId, grant.id, end, nowMs);
-        if (this.#gate.takeUrgentSignals(nowMs).length > 0) {
+        this.#permitGate.onEnd(grant.target.serverId, grant.id, end, nowMs);
+        if (this.#permitGate.takeUrgentSignals(nowMs).length > 0) {
             // A heartbeat carries every signal, so an extra round reports a cold or leaving server to all peers.
-            this.#round();
+            this.#exchangeHeartbeats();
         }
     }
 
     #now(): number {
-        return this.#parts.clock.monotonicMs();
+        return this.#deps.clock.monotonicMs();
     }
 
-    #tick(): void {
-        for (const command of this.#gate.tick(this.#now())) {
+    #runStoreCommands(): void {
+        for (const command of this.#permitGate.tick(this.#now())) {
             const askedAtMs = this.#now();
-            void runStoreCommand(this.#parts.store, command).then(outcome => {
-                this.#gate.onStoreReply({ command, askedAtMs, outcome }, this.#now());
+            void runStoreCommand(this.#deps.store, command).then(outcome => {
+                this.#permitGate.onStoreReply({ command, askedAtMs, outcome }, this.#now());
             });
         }
     }
 
-    #round(): void {
-        const { peers } = this.#parts;
-        this.#gate.onRoster(peers.roster(), this.#now());
+    #exchangeHeartbeats(): void {
+        const { peers } = this.#deps;
+        this.#permitGate.onRoster(peers.roster(), this.#now());
         const startedAtMs = this.#now();
-        const word = this.#gate.beginRound(startedAtMs);
+        const heartbeat = this.#permitGate.beginRound(startedAtMs);
         const answers: ColdStartWord[] = [];
-        this.#gate.onRound({ startedAtMs, answers }, startedAtMs);
-        for (const asked of peers.exchange(word)) {
-            void asked.then(answer => {
-                answer.ifRight(said => {
-                    answers.push(said);
-                    this.#gate.onRound({ startedAtMs, answers }, this.#now());
+        this.#permitGate.onRound({ startedAtMs, answers }, startedAtMs);
+        for (const reply of peers.exchange(heartbeat)) {
+            void reply.then(result => {
+                result.ifRight(peerHeartbeat => {
+                    answers.push(peerHeartbeat);
+                    this.#permitGate.onRound({ startedAtMs, answers }, this.#now());
                 });
             });
         }
@@ -145,23 +145,25 @@
 }
 
 function resolveGatedServers(cfg: Configuration): readonly GatedServer[] {
-    const zonesIn = new Set(cfg.availabilityZones.filter(zone => zone.state === "in").map(zone => zone.name));
+    const activeZones = new Set(cfg.availabilityZones.filter(zone => zone.state === "in").map(zone => zone.name));
     return cfg.services.flatMap(service => {
         const longestPatienceMs = Math.max(...service.patience.map(rule => rule.patienceMs));
-        return service.backendServers.map(server => resolveGatedServer(service, server, zonesIn, longestPatienceMs));
+        return service.backendServers.map(server =>
+            resolveGatedServer(service, server, activeZones, longestPatienceMs)
+        );
     });
 }
 
 function resolveGatedServer(
     service: Service,
     server: Service["backendServers"][number],
-    zonesIn: ReadonlySet<string>,
+    activeZones: ReadonlySet<string>,
     longestPatienceMs: number,
 ): GatedServer {
     const { concurrency, answersToWarm, idleMs } = service.coldStart;
     return {
         serverId: createServerId(service.name, server.name),
         limits: { concurrency, answersToWarm, idleMs, slots: server.slots, longestPatienceMs },
-        isIn: zonesIn.has(server.availabilityZone),
+        isIn: activeZones.has(server.availabilityZone),
     };
 }
--- a/packages/gateway/src/coldStart/fleetPeers.ts
+++ b/packages/gateway/src/coldStart/fleetPeers.ts
@@ -27,8 +27,8 @@
         };
     }
 
-    override exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
-        return this.#fleet.exchangeColdStart(word);
+    override exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+        return this.#fleet.exchangeColdStart(heartbeat);
     }
 }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -58,15 +58,15 @@
 /**
  * Creates a gateway, which forwards callers' requests to backend servers and returns the responses.
  *
- * @param parts - options and dependencies
+ * @param options - options and dependencies
  * @returns a gateway that is not started yet
  */
-export function createGateway(parts: GatewayOptions): Gateway {
-    const clock = parts.clock ?? systemClock;
-    const board = parts.board ?? new ServerLoadTracker();
+export function createGateway(options: GatewayOptions): Gateway {
+    const clock = options.clock ?? systemClock;
+    const board = options.board ?? new ServerLoadTracker();
     const connections = new BackendConnections();
-    const telemetry = new RequestTelemetry(parts.tracing, parts.metrics);
-    const gate = parts.gate ?? new AllowAllGate();
+    const telemetry = new RequestTelemetry(options.tracing, options.metrics);
+    const gate = options.gate ?? new AllowAllGate();
     let table: ServiceTable | undefined;
     let stopping = false;
     let stopped: Promise<void> | undefined;
@@ -74,14 +74,14 @@
     // Without peer contact the gate admits no request. A request that waited for contact could time out here while
     // another gateway could serve it, so it is refused at once and this host reports that it is not ready.
     const mayTakeNewWork = (): boolean =>
-        parts.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
+        options.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
     const scheduler = new Scheduler({
         clock,
         board,
-        policy: parts.policy,
-        random: createRandomSource(parts.seed),
+        policy: options.policy,
+        random: createRandomSource(options.seed),
         gate,
-        availabilityZone: parts.availabilityZone,
+        availabilityZone: options.availabilityZone,
         table: () => table,
         mayTakeNewWork,
     });
@@ -92,27 +92,27 @@
         connections,
         telemetry,
         mayTakeNewWork,
-        claims: parts.claims,
+        claims: options.claims,
     });
     const handler = new CallerHandler({
         clock,
         forwarder,
         telemetry,
-        logger: parts.logger,
+        logger: options.logger,
         table: () => table,
         mayTakeNewWork,
     });
-    const callers = createCallerServer(
-        { ...parts.callers, keepAliveMs: callerKeepAliveMs },
+    const callerServer = createCallerServer(
+        { ...options.callers, keepAliveMs: callerKeepAliveMs },
         (req, res) => handler.handle(req, res),
     );
-    const operations = createOperationsServer({
+    const operationsServer = createOperationsServer({
         readiness: () => resolveReadiness(stopping, table, mayTakeNewWork()),
-        renderMetrics: () => parts.metrics.render(),
+        renderMetrics: () => options.metrics.render(),
     });
 
     const applyConfiguration = (): void => {
-        const revised = parts.configurationSource.current();
+        const revised = options.configurationSource.current();
         if (revised === undefined || revised.revision === table?.revision) {
             return;
         }
@@ -120,37 +120,37 @@
         connections.retain(table);
         gate.onConfiguration(revised);
         scheduler.dispatchQueued();
-        parts.logger.info("configuration in force", { revision: revised.revision });
+        options.logger.info("configuration in force", { revision: revised.revision });
     };
 
     const stop = async (): Promise<void> => {
         stopping = true;
         handler.beginDrain();
         // The load balancer sends new callers until it detects that this host is not ready; they are still served.
-        await sleep(parts.stopping.balancerWaitMs);
+        await sleep(options.stopping.balancerWaitMs);
         const idle = handler.stop();
-        callers.close();
-        callers.closeIdleConnections();
-        await waitAtMost(idle, parts.stopping.drainMs);
-        callers.closeAllConnections();
-        await waitAtMost(connections.close(), parts.stopping.drainMs);
+        callerServer.close();
+        callerServer.closeIdleConnections();
+        await waitAtMost(idle, options.stopping.drainMs);
+        callerServer.closeAllConnections();
+        await waitAtMost(connections.close(), options.stopping.drainMs);
         // Stopping the gate revokes the lease that its permits depend on, so all requests must have ended before.
-        await waitAtMost(gate.stop(), parts.stopping.drainMs);
-        if (parts.claims !== undefined) {
-            await waitAtMost(parts.claims.whenIdle(), parts.stopping.drainMs);
-            parts.claims.stop();
+        await waitAtMost(gate.stop(), options.stopping.drainMs);
+        if (options.claims !== undefined) {
+            await waitAtMost(options.claims.whenIdle(), options.stopping.drainMs);
+            options.claims.stop();
         }
-        operations.close();
-        operations.closeAllConnections();
+        operationsServer.close();
+        operationsServer.closeAllConnections();
     };
 
     return {
         start: async () => {
-            parts.configurationSource.onConfiguration(applyConfiguration);
+            options.configurationSource.onConfiguration(applyConfiguration);
             applyConfiguration();
             gate.start(() => scheduler.dispatchQueued());
-            const operationsPort = await listen(operations, parts.operations);
-            const callersPort = await listen(callers, parts.callers);
+            const operationsPort = await listen(operationsServer, options.operations);
+            const callersPort = await listen(callerServer, options.callers);
             return { callersPort, operationsPort };
         },
         stop: () => {
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -49,12 +49,12 @@
         timings: resolveFleetTimings(settings.freshness.maximumAgeMs),
     });
     const board = new ServerLoadTracker();
-    const stopSharing = shareLoads(fleet, board);
+    const stopLoadExchange = startLoadExchange(fleet, board);
     const gate = settings.coldStart.enforced
         ? new ColdStartGate({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
         : undefined;
     if (gate !== undefined) {
-        fleet.answerColdStart(word => gate.onHeartbeat(word));
+        fleet.answerColdStart(heartbeat => gate.onHeartbeat(heartbeat));
     }
     const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.permitGate.stateOf(serverId);
     fleet.answerObservations(service =>
@@ -66,7 +66,7 @@
         operations: settings.operations,
         stopping: settings.stopping,
         configurationSource: fleet,
-        policy: mustCreatePolicy(policyName),
+        policy: createPolicyOrThrow(policyName),
         seed: randomInt(2 ** 31),
         logger,
         metrics,
@@ -88,7 +88,7 @@
         },
         stop: async () => {
             await gateway.stop();
-            stopSharing();
+            stopLoadExchange();
             await fleet.stop();
             await connection.close();
             await tracing.shutdown();
@@ -98,7 +98,7 @@
 }
 
 /** Exchanges in-flight counts with peers. @returns a function that stops publishing this gateway's counts */
-function shareLoads(fleet: FleetMembership, board: ServerLoadTracker): () => void {
+function startLoadExchange(fleet: FleetMembership, board: ServerLoadTracker): () => void {
     fleet.onLoads((loads, from) => {
         for (const load of loads) {
             board.onPeerLoad(from.name, load, performance.now());
@@ -108,7 +108,7 @@
     return () => clearInterval(timer);
 }
 
-function mustCreatePolicy(name: string): NonNullable<ReturnType<typeof createRoutingPolicy>> {
+function createPolicyOrThrow(name: string): NonNullable<ReturnType<typeof createRoutingPolicy>> {
     const policy = createRoutingPolicy(name);
     if (policy === undefined) {
         throw new Error(`no routing policy is named ${name}`);
--- a/packages/gateway/src/operations/operationsServer.ts
+++ b/packages/gateway/src/operations/operationsServer.ts
@@ -10,33 +10,33 @@
 /**
  * Creates the server for health (`/healthz`), readiness (`/readyz`) and metrics (`/metrics`).
  *
- * @param parts - dependencies
+ * @param deps - dependencies
  * @returns a server that is not listening yet
  */
-export function createOperationsServer(parts: OperationsDeps): Server {
+export function createOperationsServer(deps: OperationsDeps): Server {
     return createServer({ requestTimeout: 5_000, maxHeaderSize: 8_192 }, (req, res) => {
         switch (req.url) {
             case "/healthz":
-                answer(res, 200, "alive\n");
+                respond(res, 200, "alive\n");
                 return;
             case "/readyz": {
-                const { ready, reason } = parts.readiness();
-                answer(res, ready ? 200 : 503, `${reason}\n`);
+                const { ready, reason } = deps.readiness();
+                respond(res, ready ? 200 : 503, `${reason}\n`);
                 return;
             }
             case "/metrics":
-                parts.renderMetrics().then(
-                    text => answer(res, 200, text),
-                    () => answer(res, 500, "metrics can't be collected\n"),
+                deps.renderMetrics().then(
+                    text => respond(res, 200, text),
+                    () => respond(res, 500, "metrics can't be collected\n"),
                 );
                 return;
             default:
-                answer(res, 404, "known paths: /healthz, /readyz, /metrics\n");
+                respond(res, 404, "known paths: /healthz, /readyz, /metrics\n");
         }
     });
 }
 
-function answer(res: ServerResponse, status: number, text: string): void {
+function respond(res: ServerResponse, status: number, text: string): void {
     res.writeHead(status, { "content-type": "text/plain; charset=utf-8" });
     res.end(text);
 }
--- a/packages/gateway/src/operations/serverObservations.ts
+++ b/packages/gateway/src/operations/serverObservations.ts
@@ -24,8 +24,8 @@
     nowMs: number,
 ): readonly ServerObservation[] {
     const services = configuration?.configuration.services ?? [];
-    const asked = service === undefined ? services : services.filter(({ name }) => name === service);
-    return asked.flatMap(({ name, backendServers }) =>
+    const matching = service === undefined ? services : services.filter(({ name }) => name === service);
+    return matching.flatMap(({ name, backendServers }) =>
         backendServers.map(server => {
             const serverId = createServerId(name, server.name);
             const { ownInFlight, reportedInFlight, ageMs } = board.load(serverId, nowMs);
--- a/packages/gateway/src/requests/attempt.ts
+++ b/packages/gateway/src/requests/attempt.ts
@@ -94,7 +94,7 @@
     #controller: Dispatcher.DispatchController | undefined;
     #refusal: Failure | undefined;
     #headMs: number | undefined;
-    #signs = noSigns;
+    #metadata = noSigns;
     #settled = false;
     #stalled = false;
     #stallTimer: NodeJS.Timeout | undefined;
@@ -112,16 +112,16 @@
         if (this.#settled || this.#attempt.handedOver) {
             // The attempt was abandoned while it waited for its connection, or undici is about to write the request a
             // second time. Sending it now would contradict the result that was already reported.
-            controller.abort(createAbort("the request is not sent any more"));
+            controller.abort(createAbortError("the request is not sent any more"));
             return;
         }
         this.#refusal = this.#input.checkBeforeSend();
         if (this.#refusal !== undefined) {
-            controller.abort(createAbort(this.#refusal.detail));
+            controller.abort(createAbortError(this.#refusal.detail));
             return;
         }
         this.#advance({ type: "handOver" });
-        this.#awaitHead();
+        this.#scheduleStallCheck();
     }
 
     onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
@@ -130,7 +130,7 @@
         }
         const raw = readRawHeaders(controller.rawHeaders);
         const head = this.#readHead(status, raw);
-        this.#signs = resolveAnswerSigns(name => findHeader(raw, name));
+        this.#metadata = resolveAnswerSigns(name => findHeader(raw, name));
         this.#headMs = performance.now() - this.#startedAtMs;
         this.#advance({ type: "headReceived", head });
         clearTimeout(this.#stallTimer);
@@ -140,7 +140,7 @@
             this.#input.onLoadReport(inFlight);
         }
         if (!this.#isShed()) {
-            this.#passHeadOn(status, raw);
+            this.#forwardHead(status, raw);
         }
     }
 
@@ -163,11 +163,11 @@
     }
 
     onResponseEnd(): void {
-        this.#end("completed");
+        this.#finish("completed");
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, err: Error): void {
-        this.#end(this.#attempt.handedOver ? "closed" : "connectFailed", err.message);
+        this.#finish(this.#attempt.handedOver ? "closed" : "connectFailed", err.message);
     }
 
     /**
@@ -176,19 +176,19 @@
      */
     #abandon(detail = "the caller's patience ended"): void {
         const controller = this.#controller;
-        this.#end("timedOut", detail);
-        controller?.abort(createAbort(detail));
+        this.#finish("timedOut", detail);
+        controller?.abort(createAbortError(detail));
     }
 
     /** Abandons the attempt if its connection stalls while the server responds on other connections. */
-    #awaitHead(): void {
+    #scheduleStallCheck(): void {
         const { stallCheck } = this.#input;
         if (stallCheck === undefined) {
             return;
         }
         this.#stallTimer = setTimeout(() => {
             if (!stallCheck.isStalled()) {
-                this.#awaitHead();
+                this.#scheduleStallCheck();
                 return;
             }
             this.#stalled = true;
@@ -212,7 +212,7 @@
         };
     }
 
-    #passHeadOn(status: number, raw: RawHeaders): void {
+    #forwardHead(status: number, raw: RawHeaders): void {
         const { res, previousDidRun } = this.#input;
         if (res.destroyed) {
             return;
@@ -222,7 +222,7 @@
         res.writeHead(status, headers);
     }
 
-    #end(end: AttemptEnd, detail = ""): void {
+    #finish(end: AttemptEnd, detail = ""): void {
         if (this.#settled) {
             return;
         }
@@ -246,13 +246,13 @@
             outcome,
             status: this.#attempt.head?.status,
             headLatencyMs: this.#headMs,
-            metadata: this.#signs,
+            metadata: this.#metadata,
             stalled: this.#stalled,
-            failure: this.#refusal ?? this.#describe(outcome, detail),
+            failure: this.#refusal ?? this.#createFailure(outcome, detail),
         });
     }
 
-    #describe(outcome: AttemptOutcome, detail: string): Failure | undefined {
+    #createFailure(outcome: AttemptOutcome, detail: string): Failure | undefined {
         if (outcome.failure === undefined) {
             return undefined;
         }
@@ -268,6 +268,6 @@
     return raw.map(part => typeof part === "string" ? part : part.toString("latin1"));
 }
 
-function createAbort(detail: string): FailureError {
+function createAbortError(detail: string): FailureError {
     return new FailureError(createFailure("patienceSpent", detail));
 }
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -54,12 +54,12 @@
     if (!head.url.startsWith("/")) {
         return Left(createFailure("badRequest", "the request target must be a path"));
     }
-    const route = table.find(first(head.headers["host"]) ?? "", pathOf(head.url));
+    const route = table.find(firstValue(head.headers["host"]) ?? "", stripQuery(head.url));
     if (route === undefined) {
         return Left(createFailure("noSuchService", "no service is declared for this authority and path"));
     }
     const { service, configuration } = route;
-    const idempotencyKey = first(head.headers[idempotencyKeyHeader]);
+    const idempotencyKey = firstValue(head.headers[idempotencyKeyHeader]);
     const idempotent = !service.nonIdempotentMethods.includes(head.method);
     if (!idempotent && service.requireIdempotencyKey && (idempotencyKey ?? "") === "") {
         return Left(createFailure("badRequest", `${service.name} needs an Idempotency-Key header for ${head.method}`));
@@ -68,7 +68,7 @@
     if (bodyBytes !== undefined && bodyBytes > service.maximumBodyBytes) {
         return Left(createFailure("bodyTooLarge", `at most ${service.maximumBodyBytes} bytes are taken`));
     }
-    const callerKind = first(head.headers[configuration.callerKindHeader.toLowerCase()]) ?? defaultCallerKind;
+    const callerKind = firstValue(head.headers[configuration.callerKindHeader.toLowerCase()]) ?? defaultCallerKind;
     const patienceMs = resolvePatience(configuration, service, callerKind, arrival.epochMs);
     return Right({
         id: ++lastId,
@@ -88,14 +88,14 @@
     if (head.headers["transfer-encoding"] !== undefined) {
         return undefined;
     }
-    return Number(first(head.headers["content-length"]) ?? 0);
+    return Number(firstValue(head.headers["content-length"]) ?? 0);
 }
 
-function pathOf(url: string): string {
+function stripQuery(url: string): string {
     const query = url.indexOf("?");
     return query < 0 ? url : url.slice(0, query);
 }
 
-function first(value: string | readonly string[] | undefined): string | undefined {
+function firstValue(value: string | readonly string[] | undefined): string | undefined {
     return typeof value === "string" ? value : value?.[0];
 }
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -55,11 +55,11 @@
 
 /** Forwards a request to a backend server and retries it on another one if that is safe. */
 export class Forwarder {
-    readonly #parts: ForwarderDeps;
-    readonly #stalls = new StallJudge();
+    readonly #deps: ForwarderDeps;
+    readonly #stallDetector = new StallJudge();
 
-    constructor(parts: ForwarderDeps) {
-        this.#parts = parts;
+    constructor(deps: ForwarderDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -86,12 +86,12 @@
         const end = await this.#forwardClaimed(exchange, body, claim);
         const didRun = combineDidRun(end.outcomes);
         if (claim !== undefined) {
-            this.#parts.claims?.end(claim, { didRun, status: end.status });
+            this.#deps.claims?.end(claim, { didRun, status: end.status });
         }
         // The failure is that of the last attempt, but whether the request may have run depends on all attempts.
         return end.failure === undefined
             ? undefined
-            : { ...end.failure, didRun, ...findTimeToComeBack(request, end.failure) };
+            : { ...end.failure, didRun, ...resolveRetryAfter(request, end.failure) };
     }
 
     async #claim(request: CallerRequest, body: RequestBody): Promise<Either<Failure, HeldClaim | undefined>> {
@@ -99,7 +99,7 @@
         if (idempotent || idempotencyKey === undefined || idempotencyKey === "") {
             return Right(undefined);
         }
-        const { claims } = this.#parts;
+        const { claims } = this.#deps;
         if (claims === undefined) {
             return Left(createFailure("storeUnavailable", "idempotency keys can't be claimed"));
         }
@@ -112,49 +112,49 @@
         claim: HeldClaim | undefined,
     ): Promise<RequestEnd> {
         const { request, signal } = exchange;
-        const { scheduler } = this.#parts;
+        const { scheduler } = this.#deps;
         const failedOn = new Set<ServerId>();
         const outcomes: AttemptOutcome[] = [];
-        let last: Failure | undefined;
-        let isRetryPaid = false;
+        let lastFailure: Failure | undefined;
+        let hasRetryToken = false;
         for (let attempt = 1; attempt <= maxAttempts; attempt++) {
             if (signal.aborted) {
-                last ??= createFailure("patienceSpent", "the caller's patience ended before a try");
+                lastFailure ??= createFailure("patienceSpent", "the caller's patience ended before a try");
                 break;
             }
-            if (attempt > 1 && !isRetryPaid && !scheduler.tryAcquireRetry(request)) {
+            if (attempt > 1 && !hasRetryToken && !scheduler.tryAcquireRetry(request)) {
                 break;
             }
             const grant = await scheduler.acquire(request, failedOn, signal);
             if (grant.isLeft()) {
                 // The failure of an earlier attempt takes precedence over the failure to start this one.
-                last ??= grant.extract();
+                lastFailure ??= grant.extract();
                 break;
             }
             const granted = grant.extract() as Grant;
-            const result = await this.#tryOnce(exchange, body, claim, granted, outcomes);
+            const result = await this.#runAttempt(exchange, body, claim, granted, outcomes);
             outcomes.push(result.outcome);
-            isRetryPaid = result.stalled;
-            last = result.failure;
-            if (last === undefined || !result.outcome.mayRetry || !body.isReplayable) {
-                return { failure: last, outcomes, status: result.status };
+            hasRetryToken = result.stalled;
+            lastFailure = result.failure;
+            if (lastFailure === undefined || !result.outcome.mayRetry || !body.isReplayable) {
+                return { failure: lastFailure, outcomes, status: result.status };
             }
             // A stalled connection is no evidence against its backend server, so the server stays eligible.
             if (!result.stalled) {
                 failedOn.add(granted.target.serverId);
             }
         }
-        return { failure: last, outcomes, status: undefined };
+        return { failure: lastFailure, outcomes, status: undefined };
     }
 
-    async #tryOnce(
+    async #runAttempt(
         exchange: Exchange,
         body: RequestBody,
         claim: HeldClaim | undefined,
         grant: Grant,
-        before: readonly AttemptOutcome[],
+        previousOutcomes: readonly AttemptOutcome[],
     ): Promise<AttemptResult> {
-        const { scheduler, connections, board, clock, telemetry } = this.#parts;
+        const { scheduler, connections, board, clock, telemetry } = this.#deps;
         const { request } = exchange;
         const { serverId } = grant.target;
         const span = telemetry.startSpan(
@@ -168,15 +168,15 @@
             [deadlineHeader]: String(remainingMs),
             ...telemetry.propagationHeaders(span),
         });
-        const own = needsOwnConnection(request, before);
-        const connection = connections.open(grant.target, own);
+        const dedicated = needsDedicatedConnection(request, previousOutcomes);
+        const connection = connections.open(grant.target, dedicated);
         const awaited: AwaitedHead = {
             service: request.route.service.name,
             serverId,
             sentAtMs: clock.monotonicMs(),
         };
         // A newly opened connection hasn't been idle, so it can't have become half-open.
-        const mayStall = request.idempotent && body.isReplayable && !own;
+        const canStall = request.idempotent && body.isReplayable && !dedicated;
         const result = await runAttempt({
             request,
             serverId,
@@ -185,20 +185,20 @@
             res: exchange.res,
             headers,
             signal: exchange.signal,
-            previousDidRun: combineDidRun(before),
-            checkBeforeSend: () => this.#findRefusal(exchange, grant, claim),
-            stallCheck: mayStall ? this.#watchStall(request, awaited) : undefined,
-            onHead: () => this.#stalls.onHead(awaited, clock.monotonicMs()),
+            previousDidRun: combineDidRun(previousOutcomes),
+            checkBeforeSend: () => this.#checkBeforeSend(exchange, grant, claim),
+            stallCheck: canStall ? this.#createStallCheck(request, awaited) : undefined,
+            onHead: () => this.#stallDetector.onHead(awaited, clock.monotonicMs()),
             onLoadReport: inFlight => board.onReport(serverId, { inFlight }, clock.monotonicMs()),
         });
         connection.release();
-        const answered = result.failure === undefined;
+        const succeeded = result.failure === undefined;
         scheduler.release(request, grant, {
-            latencyMs: answered ? result.headLatencyMs : undefined,
-            succeeded: answered,
+            latencyMs: succeeded ? result.headLatencyMs : undefined,
+            succeeded,
             attempt: resolveAttemptEnd(result),
         });
-        if (!answered) {
+        if (!succeeded) {
             span.setAttribute("error.type", result.failure.kind);
         }
         span.end();
@@ -209,11 +209,12 @@
      * A slow request can't be distinguished reliably from a stalled connection. Abandoning it without a retry would
      * fail a request that may be about to succeed, so the attempt is abandoned only if the retry budget allows a retry.
      */
-    #watchStall(request: CallerRequest, awaited: AwaitedHead): StallCheck {
-        const { clock, scheduler } = this.#parts;
+    #createStallCheck(request: CallerRequest, awaited: AwaitedHead): StallCheck {
+        const { clock, scheduler } = this.#deps;
         return {
-            checkDelayMs: () => this.#stalls.limitMs(awaited.service),
-            isStalled: () => this.#stalls.isStalled(awaited, clock.monotonicMs()) && scheduler.tryAcquireRetry(request),
+            checkDelayMs: () => this.#stallDetector.limitMs(awaited.service),
+            isStalled: () =>
+                this.#stallDetector.isStalled(awaited, clock.monotonicMs()) && scheduler.tryAcquireRetry(request),
         };
     }
 
@@ -222,17 +223,17 @@
      * process may have been suspended, so the grant may be outdated. Running this in the same event loop turn as the
      * first write leaves no gap.
      */
-    #findRefusal({ request, res }: Exchange, grant: Grant, claim: HeldClaim | undefined): Failure | undefined {
+    #checkBeforeSend({ request, res }: Exchange, grant: Grant, claim: HeldClaim | undefined): Failure | undefined {
         if (res.destroyed) {
             return createFailure("patienceSpent", "the caller went away before the request was sent");
         }
-        if (this.#parts.clock.monotonicMs() >= request.deadlineMs) {
+        if (this.#deps.clock.monotonicMs() >= request.deadlineMs) {
             return createFailure("patienceSpent", "the caller's patience ended before the request was sent");
         }
-        if (!this.#parts.mayTakeNewWork()) {
+        if (!this.#deps.mayTakeNewWork()) {
             return createFailure("notFresh", "the configuration can't be shown to be current");
         }
-        if (!this.#parts.scheduler.mayStillSend(grant)) {
+        if (!this.#deps.scheduler.mayStillSend(grant)) {
             return createFailure("noBackendServer", "the backend server may not be sent to any more");
         }
         if (claim?.mayStillSend() === false) {
@@ -249,10 +250,10 @@
  * Adds a `Retry-After` for requests that are safe to repeat, also for error kinds without one in the failure table,
  * which doesn't know the request.
  */
-function findTimeToComeBack(request: CallerRequest, failure: Failure): Pick<Failure, "retryAfterSeconds"> {
+function resolveRetryAfter(request: CallerRequest, failure: Failure): Pick<Failure, "retryAfterSeconds"> {
     const { retryAfterSeconds } = resolveFailure(failure);
-    const maySendAgain = request.idempotent || request.idempotencyKey !== undefined;
-    return { retryAfterSeconds: retryAfterSeconds ?? (maySendAgain ? connectionLossRetryAfterSeconds : undefined) };
+    const isSafeToRepeat = request.idempotent || request.idempotencyKey !== undefined;
+    return { retryAfterSeconds: retryAfterSeconds ?? (isSafeToRepeat ? connectionLossRetryAfterSeconds : undefined) };
 }
 
 /**
@@ -261,9 +262,9 @@
  * new connection has neither problem but costs about a millisecond. It is used where a failure costs more: for
  * non-idempotent requests, requests with a long timeout, and retries.
  */
-function needsOwnConnection(request: CallerRequest, before: readonly AttemptOutcome[]): boolean {
+function needsDedicatedConnection(request: CallerRequest, previousOutcomes: readonly AttemptOutcome[]): boolean {
     const patienceMs = request.deadlineMs - request.arrivedAtMs;
-    return !request.idempotent || patienceMs > dedicatedConnectionPatienceMs || before.length > 0;
+    return !request.idempotent || patienceMs > dedicatedConnectionPatienceMs || previousOutcomes.length > 0;
 }
 
 /** @returns the trace id to report to the caller, or `undefined` if the span has no valid context */
--- a/packages/gateway/src/requests/headers.ts
+++ b/packages/gateway/src/requests/headers.ts
@@ -3,7 +3,7 @@
 import { backendHeaderPrefix, deadlineHeader } from "../constants.js";
 
 /** Headers to backend servers that only the gateway may set; a caller's own are removed. */
-const setByGateway: ReadonlySet<string> = new Set([deadlineHeader, didRunHeader, "traceparent", "tracestate"]);
+const gatewayOnlyHeaders: ReadonlySet<string> = new Set([deadlineHeader, didRunHeader, "traceparent", "tracestate"]);
 
 /**
  * Builds the headers of a request to a backend server.
@@ -13,7 +13,10 @@
  * @returns a flat list of alternating names and values
  */
 export function resolveForwardHeaders(raw: RawHeaders, added: Readonly<Record<string, string>>): string[] {
-    const kept = filterEndToEndHeaders(raw, name => setByGateway.has(name) || name.startsWith(backendHeaderPrefix));
+    const kept = filterEndToEndHeaders(
+        raw,
+        name => gatewayOnlyHeaders.has(name) || name.startsWith(backendHeaderPrefix),
+    );
     for (const [name, value] of Object.entries(added)) {
         kept.push(name, value);
     }
--- a/packages/gateway/src/requests/requestClaims.ts
+++ b/packages/gateway/src/requests/requestClaims.ts
@@ -34,16 +34,16 @@
 
 /** Claims callers' idempotency keys in the platform's store before requests are sent. */
 export class RequestClaims {
-    readonly #parts: RequestClaimsDeps;
+    readonly #deps: RequestClaimsDeps;
     readonly #batcher: ClaimBatcher;
     readonly #waiting = new Map<string, Settle>();
     #timer: NodeJS.Timeout | undefined;
     #onIdle: (() => void) | undefined;
 
-    /** @param parts - dependencies; the caller stays responsible for closing the store */
-    constructor(parts: RequestClaimsDeps) {
-        this.#parts = parts;
-        this.#batcher = new ClaimBatcher(parts.holder);
+    /** @param deps - dependencies; the caller stays responsible for closing the store */
+    constructor(deps: RequestClaimsDeps) {
+        this.#deps = deps;
+        this.#batcher = new ClaimBatcher(deps.holder);
     }
 
     /**
@@ -58,7 +58,7 @@
         const nonce = randomUUID();
         return new Promise(resolve => {
             this.#waiting.set(nonce, resolve);
-            this.#startTicking();
+            this.#startTimer();
             this.#run(this.#batcher.claim({
                 nonce,
                 keyDigest: digest(request.route.service.name, idempotencyKey),
@@ -70,7 +70,7 @@
 
     /** Records the result of a claimed request in the store. Retries while the store is unavailable. */
     end(claim: HeldClaim, end: ClaimEnd): void {
-        this.#startTicking();
+        this.#startTimer();
         this.#run(this.#batcher.end(claim.nonce, end, this.#now()));
     }
 
@@ -93,7 +93,7 @@
     #run(commands: readonly ClaimCommand[]): void {
         for (const command of commands) {
             if (command.type === "claimed") {
-                this.#settle(command.nonce, Right(this.#createHeld(command.nonce, command.validUntilMs)));
+                this.#settle(command.nonce, Right(this.#createHeldClaim(command.nonce, command.validUntilMs)));
             }
             else if (command.type === "refused") {
                 this.#settle(command.nonce, Left(command.failure));
@@ -118,21 +118,21 @@
     }
 
     async #send(command: StoreCommand): Promise<Either<Failure, ClaimCallAnswer>> {
-        const { store } = this.#parts;
+        const { store } = this.#deps;
         if (command.type === "read") {
             const found = await Promise.all(command.keys.map(key => store.get(key)));
-            return Either.sequence(found).map(entries => ({ type: "read", stored: entries.map(toStored) }));
+            return Either.sequence(found).map(entries => ({ type: "read", stored: entries.map(toStoredValue) }));
         }
         const { key, expectedRevision, value } = command;
         return (await store.compareAndSwap({ key, expectedRevision, value })).map(outcome =>
             outcome.swapped
                 ? { type: "swapped", revision: outcome.revision }
-                : { type: "notSwapped", stored: toStored(outcome.current) }
+                : { type: "notSwapped", stored: toStoredValue(outcome.current) }
         );
     }
 
-    #createHeld(nonce: string, validUntilMs: number): HeldClaim {
-        return { nonce, mayStillSend: () => mayHandOver(validUntilMs, this.#parts.clock.monotonicMs()) };
+    #createHeldClaim(nonce: string, validUntilMs: number): HeldClaim {
+        return { nonce, mayStillSend: () => mayHandOver(validUntilMs, this.#deps.clock.monotonicMs()) };
     }
 
     #settle(nonce: string, result: Either<Failure, HeldClaim>): void {
@@ -140,17 +140,19 @@
         this.#waiting.delete(nonce);
     }
 
-    #startTicking(): void {
+    #startTimer(): void {
         this.#timer ??= setInterval(() => this.#run(this.#batcher.tick(this.#now())), claimCheckPeriodMs);
     }
 
     #now(): ClaimTime {
-        const { clock } = this.#parts;
+        const { clock } = this.#deps;
         return { nowMs: clock.monotonicMs(), epochMs: clock.epochMs() };
     }
 }
 
-function toStored(found: KeyValue | undefined): { readonly value: string; readonly revision: number; } | undefined {
+function toStoredValue(
+    found: KeyValue | undefined,
+): { readonly value: string; readonly revision: number; } | undefined {
     return found === undefined ? undefined : { value: found.value, revision: found.modifiedRevision };
 }
 
--- a/packages/gateway/src/requests/responseFraming.ts
+++ b/packages/gateway/src/requests/responseFraming.ts
@@ -8,16 +8,20 @@
  *
  * @param method - the request's method
  * @param status - the response's status code
- * @param find - looks up a response header by its lower-case name
+ * @param findHeader - looks up a response header by its lower-case name
  * @returns the body's framing
  */
-export function resolveFraming(method: string, status: number, find: (name: string) => string | undefined): Framing {
+export function resolveFraming(
+    method: string,
+    status: number,
+    findHeader: (name: string) => string | undefined,
+): Framing {
     if (method === "HEAD" || status === noContent || status === notModified) {
         return { type: "none" };
     }
-    if (find("transfer-encoding") !== undefined) {
+    if (findHeader("transfer-encoding") !== undefined) {
         return { type: "chunked" };
     }
-    const length = find("content-length");
+    const length = findHeader("content-length");
     return length === undefined ? { type: "untilClose" } : { type: "length", bytes: Number(length) };
 }
--- a/packages/gateway/src/requests/scheduler.ts
+++ b/packages/gateway/src/requests/scheduler.ts
@@ -15,7 +15,7 @@
 import { type ServerGate } from "./serverGate.js";
 import { type ServiceRoute, type ServiceTable, type Target } from "./serviceTable.js";
 
-interface WaitingRequest {
+interface QueuedRequest {
     readonly request: CallerRequest;
     readonly excluded: ReadonlySet<ServerId>;
     readonly settle: (result: Either<Failure, Grant>) => void;
@@ -25,7 +25,7 @@
 class ServiceState {
     readonly queue = new WaitQueue();
     readonly retryBudget = new RetryBudget();
-    readonly waiting = new Map<number, WaitingRequest>();
+    readonly waiting = new Map<number, QueuedRequest>();
     serviceTimeMs = initialServiceTimeMs;
 }
 
@@ -45,12 +45,12 @@
 
 /** Assigns requests to backend servers, immediately or from a short queue. */
 export class Scheduler {
-    readonly #parts: SchedulerDeps;
+    readonly #deps: SchedulerDeps;
     readonly #services = new Map<string, ServiceState>();
-    #grants = 0;
+    #grantCount = 0;
 
-    constructor(parts: SchedulerDeps) {
-        this.#parts = parts;
+    constructor(deps: SchedulerDeps) {
+        this.#deps = deps;
     }
 
     /**
@@ -67,20 +67,20 @@
         signal: AbortSignal,
     ): Promise<Either<Failure, Grant>> {
         const state = this.#stateOf(request.route.service.name);
-        const now = this.#parts.clock.monotonicMs();
+        const now = this.#deps.clock.monotonicMs();
         if (state.queue.length === 0) {
             const grant = this.#tryGrant(request, excluded, now);
             if (grant !== undefined) {
                 return Promise.resolve(grant);
             }
         }
-        const verdict = state.queue.enqueue(
+        const decision = state.queue.enqueue(
             { id: request.id, deadlineMs: request.deadlineMs },
             now,
             state.serviceTimeMs,
         );
-        if (verdict.type === "refuse") {
-            const retryAfterSeconds = Math.max(1, Math.ceil(verdict.retryAfterMs / 1_000));
+        if (decision.type === "refuse") {
+            const retryAfterSeconds = Math.max(1, Math.ceil(decision.retryAfterMs / 1_000));
             return Promise.resolve(
                 Left(createFailure("overloaded", "no slot comes free in time", { retryAfterSeconds })),
             );
@@ -90,22 +90,22 @@
 
     /** Ends a grant and gives its slot to the next queued request. */
     release(request: CallerRequest, grant: Grant, end: GrantEnd): void {
-        const { board, clock } = this.#parts;
+        const { board, clock } = this.#deps;
         const now = clock.monotonicMs();
         const state = this.#stateOf(request.route.service.name);
         board.onEnded(grant.target.serverId, now, end.latencyMs);
-        this.#parts.gate.onEnded(grant, end.attempt, now);
+        this.#deps.gate.onEnded(grant, end.attempt, now);
         if (end.succeeded) {
             state.retryBudget.onSuccess();
             state.serviceTimeMs += serviceTimeEwmaWeight * (now - grant.grantedAtMs - state.serviceTimeMs);
         }
         state.queue.onSlotFreed(now);
-        this.#drain(state);
+        this.#dispatchFrom(state);
     }
 
     /** @returns whether a granted request may still be sent in this event loop turn */
     mayStillSend(grant: Grant): boolean {
-        return this.#parts.gate.mayStillSend(grant, this.#parts.clock.monotonicMs());
+        return this.#deps.gate.mayStillSend(grant, this.#deps.clock.monotonicMs());
     }
 
     /** Takes one retry from the service's retry budget. @returns whether the budget allowed it */
@@ -116,7 +116,7 @@
     /** Routes queued requests again after the configuration, its freshness or a backend server's state has changed. */
     dispatchQueued(): void {
         for (const state of this.#services.values()) {
-            this.#drain(state);
+            this.#dispatchFrom(state);
         }
     }
 
@@ -143,8 +143,8 @@
         });
     }
 
-    #drain(state: ServiceState): void {
-        const now = this.#parts.clock.monotonicMs();
+    #dispatchFrom(state: ServiceState): void {
+        const now = this.#deps.clock.monotonicMs();
         for (let next = state.queue.dequeue(now); next !== undefined; next = state.queue.dequeue(now)) {
             const waiting = state.waiting.get(next.id);
             if (waiting === undefined) {
@@ -166,10 +166,10 @@
         nowMs: number,
     ): Either<Failure, Grant> | undefined {
         // A process that was suspended and resumed may run this before any timer, so staleness is checked here.
-        if (!this.#parts.mayTakeNewWork()) {
+        if (!this.#deps.mayTakeNewWork()) {
             return Left(createFailure("notFresh", "the configuration can't be shown to be current"));
         }
-        const route = this.#presentRoute(request);
+        const route = this.#currentRoute(request);
         const usable = route?.targets.filter(target => !excluded.has(target.serverId)) ?? [];
         if (route === undefined || usable.length === 0) {
             return Left(createFailure("noBackendServer", "no backend server is left to try"));
@@ -178,14 +178,14 @@
         if (candidates.length === 0) {
             return undefined;
         }
-        const chosen = candidates[this.#parts.policy.choose(candidates, this.#parts.random)];
+        const chosen = candidates[this.#deps.policy.choose(candidates, this.#deps.random)];
         if (chosen === undefined) {
             return undefined;
         }
-        this.#parts.board.onSent(chosen.serverId);
+        this.#deps.board.onSent(chosen.serverId);
         const target = { serverId: chosen.serverId, server: chosen.server };
-        const grant = { id: String(++this.#grants), target, grantedAtMs: nowMs, revision: route.revision };
-        this.#parts.gate.onGranted(grant, request.deadlineMs);
+        const grant = { id: String(++this.#grantCount), target, grantedAtMs: nowMs, revision: route.revision };
+        this.#deps.gate.onGranted(grant, request.deadlineMs);
         return Right(grant);
     }
 
@@ -195,13 +195,13 @@
      * availability zone at low load, so that the server would stay cold for as long as the permit is held.
      */
     #preferCold(candidates: readonly Candidate[]): readonly Candidate[] {
-        const cold = candidates.filter(candidate => this.#parts.gate.isCold(candidate));
-        return cold.length > 0 && this.#parts.random.next() < warmUpProbability ? cold : candidates;
+        const cold = candidates.filter(candidate => this.#deps.gate.isCold(candidate));
+        return cold.length > 0 && this.#deps.random.next() < warmUpProbability ? cold : candidates;
     }
 
     /** Looks up the route again if the configuration has changed since the request arrived. */
-    #presentRoute(request: CallerRequest): ServiceRoute | undefined {
-        const table = this.#parts.table();
+    #currentRoute(request: CallerRequest): ServiceRoute | undefined {
+        const table = this.#deps.table();
         if (table === undefined || table.revision === request.route.revision) {
             return request.route;
         }
@@ -209,7 +209,7 @@
     }
 
     #candidates(targets: readonly Target[], nowMs: number, deadlineMs: number): readonly Candidate[] {
-        const { board, gate, policy, availabilityZone } = this.#parts;
+        const { board, gate, policy, availabilityZone } = this.#deps;
         const candidates: Candidate[] = [];
         for (const target of targets) {
             const { serverId, server } = target;
--- a/packages/gateway/src/requests/serviceTable.ts
+++ b/packages/gateway/src/requests/serviceTable.ts
@@ -61,19 +61,19 @@
     return {
         revision: revised.revision,
         routes,
-        find: (authority, path) => findIn(withoutPort(authority), path) ?? findIn(anyAuthority, path),
+        find: (authority, path) => findIn(stripPort(authority), path) ?? findIn(anyAuthority, path),
     };
 }
 
 function createRoute(revised: ConfigurationRevision, service: Service): ServiceRoute {
-    const zonesIn = new Set<string>();
+    const activeZones = new Set<string>();
     for (const zone of revised.configuration.availabilityZones) {
         if (zone.state === "in") {
-            zonesIn.add(zone.name);
+            activeZones.add(zone.name);
         }
     }
     const targets = service.backendServers
-        .filter(server => zonesIn.has(server.availabilityZone))
+        .filter(server => activeZones.has(server.availabilityZone))
         .map(server => ({ serverId: createServerId(service.name, server.name), server }));
     return { revision: revised.revision, configuration: revised.configuration, service, targets };
 }
@@ -89,6 +89,6 @@
     }
 }
 
-function withoutPort(authority: string): string {
+function stripPort(authority: string): string {
     return authority.toLowerCase().replace(/:\d+$/, "");
 }
--- a/packages/gateway/src/telemetry/requestTelemetry.ts
+++ b/packages/gateway/src/telemetry/requestTelemetry.ts
@@ -39,13 +39,13 @@
     readonly #tracing: Tracing;
     readonly #duration: Histogram;
     readonly #active: UpDownCounter;
-    readonly #refused: Counter;
+    readonly #failed: Counter;
 
     constructor(tracing: Tracing, metrics: Metrics) {
         this.#tracing = tracing;
         this.#duration = metrics.meter.createHistogram("http.server.request.duration", { unit: "s" });
         this.#active = metrics.meter.createUpDownCounter("http.server.active_requests");
-        this.#refused = metrics.meter.createCounter("galenaglade.requests.failed");
+        this.#failed = metrics.meter.createCounter("galenaglade.requests.failed");
     }
 
     /** @returns the trace context of a caller's headers */
@@ -81,6 +81,6 @@
             return;
         }
         this.#duration.record(end.durationMs / 1e3, { ...attributes, "error.type": end.errorKind });
-        this.#refused.add(1, { "error.type": end.errorKind, "http.route": end.service });
+        this.#failed.add(1, { "error.type": end.errorKind, "http.route": end.service });
     }
 }
