--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -77,7 +77,7 @@
         }
         if (this.responsesToLose > 0) {
             this.responsesToLose--;
-            return Left(createFailure("storeOutcomeUnknown", "the store did not say"));
+            return Left(createFailure("storeOutcomeUnknown", "the store's response was lost"));
         }
         await this.beforeStep("answer");
         return Right(this.#createAcceptance(written));
--- a/packages/gateway/src/__tests__/requestHistory.test.ts
+++ b/packages/gateway/src/__tests__/requestHistory.test.ts
@@ -197,7 +197,7 @@
     t.diagnostic(JSON.stringify(countEvents(history)));
     const found = [checkAtMostOnce, checkDidRunAccuracy, checkResponseIntegrity].flatMap(check => check(history));
     assert.deepEqual(found, [], `seed ${seed}`);
-    assert.ok(history.filter(line => line.type === "serverStarted").length > operations / 2, "too little ran");
+    assert.ok(history.filter(line => line.type === "serverStarted").length > operations / 2, "too few requests ran");
 });
 
 /** Whether servers have run enough requests for the checks to be meaningful. */
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -368,8 +368,8 @@
     assert.equal(backend.requests.length, 1);
 });
 
-// The caller disconnects while its non-idempotent request runs. If the request were aborted, nobody could tell whether
-// it ran. It continues instead, and the next attempt with the same key learns that it ran.
+// The caller disconnects while its non-idempotent request runs. If the request were aborted, it would be unknown
+// whether it ran. It continues instead, and the next attempt with the same key learns that it ran.
 test("a non-idempotent request continues when its caller disconnects, and its result is recorded", async t => {
     let running: RawRequest | undefined;
     let signalRunning = (): void => undefined;
@@ -381,15 +381,15 @@
         signalRunning();
     });
     const { url } = await startGatewayWith(t, [backend], { store: new EngineStore() });
-    const hangUp = new AbortController();
+    const disconnect = new AbortController();
     const first = request(`${url}/tables`, {
         method: "POST",
         body: "wages",
         headers: { "idempotency-key": "return-7" },
-        signal: hangUp.signal,
+        signal: disconnect.signal,
     });
     await started;
-    hangUp.abort();
+    disconnect.abort();
     await assert.rejects(first);
     const during = await send(`${url}/tables`, "POST", "return-7");
     assert.deepEqual([during.status, during.didRun], [409, "unknown"]);
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -56,10 +56,10 @@
         return this.#permitGate;
     }
 
-    override start(reconsider: () => void): void {
+    override start(dispatchQueued: () => void): void {
         this.#storeTimer = setInterval(() => {
             this.#runStoreCommands();
-            reconsider();
+            dispatchQueued();
         }, gateCheckPeriodMs);
         this.#heartbeatTimer = setInterval(() => this.#exchangeHeartbeats(), gateHeartbeatPeriodMs);
         this.#exchangeHeartbeats();
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -258,7 +258,7 @@
 
 /**
  * Decides whether a request is sent on a new connection. A pooled connection may be closed by the server just as the
- * request is written, so that nobody can tell whether the request ran, or it may have become half-open while idle. A
+ * request is written, so that it is unknown whether the request ran, or it may have become half-open while idle. A
  * new connection has neither problem but costs about a millisecond. It is used where a failure costs more: for
  * non-idempotent requests, requests with a long timeout, and retries.
  */
--- a/packages/gateway/src/requests/serverGate.ts
+++ b/packages/gateway/src/requests/serverGate.ts
@@ -24,8 +24,8 @@
     abstract onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void;
     /** Applies the backend servers of a newer configuration. */
     abstract onConfiguration(revised: ConfigurationRevision): void;
-    /** @param reconsider - called when queued requests may now be allowed on some backend server */
-    abstract start(reconsider: () => void): void;
+    /** @param dispatchQueued - called when queued requests may now be allowed on some backend server */
+    abstract start(dispatchQueued: () => void): void;
     abstract stop(): Promise<void>;
 }
 
