--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -110,7 +110,7 @@
         const timer = setTimeout(() => abort.abort(), Math.max(0, remainingMs));
         // When the caller disconnects, an idempotent request is aborted to free the backend server's slot. A
         // non-idempotent request continues: if it were aborted, it would stay unknown whether it ran, whereas now a
-        // retry by the caller gets its recorded result. After a complete response there is nothing to abort, and
+        // retry by the caller learns its outcome. After a complete response there is nothing to abort, and
         // aborting is expensive because it creates an exception with a stack trace.
         res.once("close", () => {
             if (request.idempotent && !res.writableFinished) {
