--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -17,11 +17,11 @@
 } from "@galenaglade/stand-ins";
 import { describeService, FixedSource, startGateway, type TestGateway } from "./testGateway.js";
 
-/** Retries that a service has saved up when nothing has failed yet. */
-const savedRetries = 20;
+/** Initial number of retries in a service's retry budget. */
+const initialRetries = 20;
 const didRunHeader = "x-galenaglade-did-run";
 
-async function startWith(
+async function startGatewayWith(
     t: TestContext,
     backends: readonly RawBackend[],
     more: { readonly patienceMs?: number; readonly store?: EngineStore; readonly source?: FixedSource; } = {},
@@ -31,14 +31,14 @@
     return await startGateway(t, source, more.store);
 }
 
-interface Told {
+interface TestResponse {
     readonly status: number;
     readonly didRun: unknown;
     readonly retryAfter: unknown;
     readonly body: string;
 }
 
-async function send(url: string, method: "GET" | "POST" = "GET", idempotencyKey?: string): Promise<Told> {
+async function send(url: string, method: "GET" | "POST" = "GET", idempotencyKey?: string): Promise<TestResponse> {
     const answer = await request(url, {
         method,
         ...(method === "POST" ? { body: "wages" } : {}),
@@ -63,45 +63,45 @@
     req.socket.destroy();
 };
 
-// A payroll office files a return. The backend server reads it and its connection breaks before an answer. It may
-// have run, so the caller is told "unknown", and neither this backend server nor the other one gets it again.
-test("a return whose connection closes is handed over once and told as unknown", async t => {
+// A non-idempotent request is read by a backend server, whose connection closes before a response. The request may have
+// run, so its did-run value is "unknown" and it is not retried on any server.
+test("a non-idempotent request whose connection closes is sent once and reported as unknown", async t => {
     const one = await startRawBackend(t, close);
     const other = await startRawBackend(t, close);
-    const { url } = await startWith(t, [one, other]);
-    const told = await send(`${url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun], [502, "unknown"]);
+    const { url } = await startGatewayWith(t, [one, other]);
+    const res = await send(`${url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun], [502, "unknown"]);
     assert.equal(one.requests.length + other.requests.length, 1);
 });
 
-// The backend server closes its kept connection just as the next deposit is written to it. On a shared connection
-// the deposit would be unknown for no reason; on one of its own there is nothing that could be closing.
-test("a deposit does not go over a connection that may be closing", async t => {
+// The backend server closes a keep-alive connection just as the next request is written to it. On a pooled connection,
+// it would be unknown whether a non-idempotent request ran; on a new connection, this race can't occur.
+test("a non-idempotent request is not sent on a connection that may be closing", async t => {
     const backend = await startRawBackend(t, req => req.requestNumber > 1 ? close(req) : answer(req));
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
     const second = await send(`${url}/tables`, "POST");
     assert.deepEqual([second.status, second.didRun], [200, "yes"]);
     assert.equal(backend.requests.length, 2);
 });
 
-// A backend server under load says that it shed the deposit before running it; another takes it. Where all shed, the
-// shopper is told truthfully that nothing ran, and when to come back.
-test("a deposit that was shed before running goes elsewhere, or is refused truthfully", async t => {
+// An overloaded backend server reports that it shed a request before running it, so another server can take it. If all
+// servers shed it, the response says that it did not run and when to retry.
+test("a non-idempotent request that was shed before running is retried, or refused as not run", async t => {
     const full = await startRawBackend(t, shed);
     const free = await startRawBackend(t, answer);
-    const mixed = await startWith(t, [full, free]);
+    const mixed = await startGatewayWith(t, [full, free]);
     for (let i = 0; i < 4; i++) {
         assert.equal((await send(`${mixed.url}/tables`, "POST")).status, 200);
     }
-    const all = await startWith(t, [full]);
-    const told = await send(`${all.url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun, told.retryAfter], [503, "no", "1"]);
+    const all = await startGatewayWith(t, [full]);
+    const res = await send(`${all.url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun, res.retryAfter], [503, "no", "1"]);
 });
 
-// Whether the body came whole, in chunks or too large to hold, it reaches the backend server as it was; a chunked one
-// that outgrows the declared limit is refused before anything is sent.
-test("a body is passed on as it was sent, and held to its limit", async t => {
+// A body reaches the backend server unchanged, whether it has a declared length, is chunked or is too large to buffer.
+// A chunked body that exceeds the buffer limit is refused before anything is sent.
+test("a body is forwarded unchanged, and refused beyond its limit", async t => {
     const large = 1_500_000;
     const backend = await startRawBackend(t, req => req.socket.write(renderRawResponse(String(req.body.length))));
     const source = new FixedSource();
@@ -130,50 +130,50 @@
     assert.equal(backend.requests.length, before);
 });
 
-// A table read is lost with its connection, tried elsewhere and shed there. The first try may have run, so "no",
-// which is what the last try alone would say, would be untrue.
-test("a refusal speaks of every try of a request, not of the last one", async t => {
+// A read fails when its connection closes, is retried on another server and shed there. The first attempt may have run,
+// so the did-run value of the last attempt alone, "no", would be wrong.
+test("the did-run value of a refusal covers every attempt, not only the last one", async t => {
     let lost = 0;
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : shed(req);
     const one = await startRawBackend(t, loseFirst);
     const other = await startRawBackend(t, loseFirst);
-    const { url } = await startWith(t, [one, other]);
-    const told = await send(`${url}/tables`);
-    assert.deepEqual([told.status, told.didRun], [503, "unknown"]);
+    const { url } = await startGatewayWith(t, [one, other]);
+    const res = await send(`${url}/tables`);
+    assert.deepEqual([res.status, res.didRun], [503, "unknown"]);
     assert.equal(one.requests.length + other.requests.length, 2);
 });
 
-test("a table read whose connection closes is tried elsewhere", async t => {
+test("a read whose connection closes is retried on another server", async t => {
     let lost = 0;
     const loseFirst = (req: RawRequest): void => lost++ === 0 ? close(req) : answer(req);
     const backends = [await startRawBackend(t, loseFirst), await startRawBackend(t, loseFirst)];
-    const { url } = await startWith(t, backends);
-    const told = await send(`${url}/tables`);
-    assert.deepEqual([told.status, told.body], [200, "GET /tables"]);
+    const { url } = await startGatewayWith(t, backends);
+    const res = await send(`${url}/tables`);
+    assert.deepEqual([res.status, res.body], [200, "GET /tables"]);
 });
 
-// Every backend server closes whatever it reads. Were each read tried three times, the servers in trouble would get
-// three times their load just then; the retry budget lets through what it had saved, and nothing was earned since.
-test("retries stay within their budget while everything fails", async t => {
+// All backend servers fail all requests. Retrying each one up to the maximum of three attempts would triple the load
+// on failing servers. The retry budget allows only its initial balance, since no request succeeds.
+test("retries stay within their budget while all requests fail", async t => {
     const backends = [
         await startRawBackend(t, close),
         await startRawBackend(t, close),
         await startRawBackend(t, close),
     ];
-    const { url } = await startWith(t, backends);
+    const { url } = await startGatewayWith(t, backends);
     const reads = 60;
     for (let i = 0; i < reads; i++) {
-        const told = await send(`${url}/tables`);
-        assert.deepEqual([told.status, told.didRun, told.retryAfter], [502, "unknown", "1"]);
+        const res = await send(`${url}/tables`);
+        assert.deepEqual([res.status, res.didRun, res.retryAfter], [502, "unknown", "1"]);
     }
     const sent = backends.reduce((sum, backend) => sum + backend.requests.length, 0);
-    assert.equal(sent, reads + savedRetries);
+    assert.equal(sent, reads + initialRetries);
 });
 
-// The backend server's connection ends early: one byte short of its declared length, before its last chunk, or with
-// nothing that declares an end. The union's negotiator must not take what came for the whole table, so the caller's
-// connection is reset, also for a caller of HTTP/1.0, who takes the end of the connection for the end of the answer.
-test("an answer that is cut resets the caller's connection", async t => {
+// A backend server's connection closes early: one byte short of the declared length, before the last chunk, or without
+// any framing that marks the end. The caller must not treat the partial data as complete, so its connection is reset.
+// This matters most for HTTP/1.0, where closing the connection marks the end of the response.
+test("a truncated response resets the caller's connection", async t => {
     const cuts = [
         "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123456789",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\n123456789\r\n",
@@ -182,7 +182,7 @@
     ];
     for (const cut of cuts) {
         const backend = await startRawBackend(t, req => req.socket.end(cut));
-        const { url } = await startWith(t, [backend]);
+        const { url } = await startGatewayWith(t, [backend]);
         for (const version of ["1.0", "1.1"]) {
             const seen = await sendRawRequest(
                 url,
@@ -193,9 +193,9 @@
     }
 });
 
-// A researcher's extract is larger than any buffer on the way, and the researcher reads it slower than the backend
-// server sends it. The gateway holds the backend server back rather than the extract in its memory, and loses nothing.
-test("a large answer comes whole to a slow caller", async t => {
+// A response is larger than all buffers on its path, and its caller reads more slowly than the backend server sends.
+// The gateway must apply backpressure instead of buffering the response in memory, and must not lose any bytes.
+test("a large response reaches a slow caller complete", async t => {
     const part = "0123456789".repeat(100_000);
     const parts = 40;
     const length = part.length * parts;
@@ -212,7 +212,7 @@
         };
         sendParts(parts);
     });
-    const { url } = await startWith(t, [backend], { patienceMs: 60_000 });
+    const { url } = await startGatewayWith(t, [backend], { patienceMs: 60_000 });
     const answered = await request(`${url}/tables`);
     let wrong = 0;
     for await (const chunk of answered.body as AsyncIterable<Buffer>) {
@@ -225,7 +225,7 @@
     assert.ok(takenWhenAllWasSent > length / 2, `all was sent when ${takenWhenAllWasSent} bytes were taken`);
 });
 
-test("answers without a body are whole", async t => {
+test("responses without a body are complete", async t => {
     const backend = await startRawBackend(t, req => {
         req.socket.write(
             req.method === "HEAD"
@@ -233,7 +233,7 @@
                 : `HTTP/1.1 ${req.path.slice(-3)} Empty\r\n\r\n`,
         );
     });
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     for (const status of [204, 304]) {
         const answered = await request(`${url}/tables/${status}`);
         assert.deepEqual([answered.statusCode, await answered.body.text()], [status, ""]);
@@ -242,10 +242,10 @@
     assert.deepEqual([head.statusCode, head.headers["content-length"], await head.body.text()], [200, "10", ""]);
 });
 
-// The first caller's patience ends, and it has its refusal at once. Its answer comes when the next caller is already
-// waiting for its own. On a connection used again, the next caller would get the first one's table. So the connection
-// is destroyed with the first caller's refusal, which also tells the backend server to stop.
-test("a late answer is nobody's", { timeout: 30_000 }, async t => {
+// A request times out and its caller gets an error at once. The late response arrives while the next request waits for
+// its own; on a reused connection, the next caller would get the first caller's data. So the connection is destroyed at
+// the timeout, which also signals the backend server to stop.
+test("a late response is not delivered to the next caller", { timeout: 30_000 }, async t => {
     let late: RawRequest | undefined;
     const backend = await startRawBackend(t, req => {
         if (req.path === "/tables/late") {
@@ -255,7 +255,7 @@
         late?.socket.write(renderRawResponse("the late answer"));
         void setTimeout(20).then(() => answer(req));
     });
-    const { url } = await startWith(t, [backend], { patienceMs: 200 });
+    const { url } = await startGatewayWith(t, [backend], { patienceMs: 200 });
     const first = await send(`${url}/tables/late`);
     assert.deepEqual([first.status, first.didRun, first.retryAfter], [504, "unknown", "1"]);
     assert.ok(late);
@@ -267,16 +267,16 @@
     assert.deepEqual(backend.requests.map(req => req.connection), [1, 2]);
 });
 
-// A kept connection goes silent: something on the way has lost track of it, and what is sent there arrives nowhere.
-// The backend server answers on others meanwhile. The shopper's read must not wait out its patience on the silent
-// one; it goes again on a new connection, to the same backend server, which is the only one and not to blame.
-test("a read on a silent connection is answered on another", async t => {
+// A keep-alive connection becomes half-open: a middlebox has dropped its state, and whatever is sent on it is lost. The
+// backend server still responds on other connections. The read must not wait until its deadline. It is retried on a new
+// connection to the same server, which is the only one and not at fault.
+test("a read on a stalled connection is retried on another connection", async t => {
     const backend = await startRawBackend(t, req => {
         if (req.connection !== 1 || req.requestNumber === 1) {
             answer(req);
         }
     });
-    const { url } = await startWith(t, [backend]);
+    const { url } = await startGatewayWith(t, [backend]);
     await send(`${url}/tables/first`);
     const silent = send(`${url}/tables/silent`);
     while (backend.requests.length < 2) {
@@ -292,10 +292,10 @@
     assert.notEqual(backend.requests.at(-1)?.connection, 1);
 });
 
-// A backend server works long and honestly on one read while it answers others, which looks like a silent connection. The
-// gateway has no retry left to spend. Were the read given up all the same, its caller would be refused an answer that was
-// about to come; so it goes on, and is sent once.
-test("a slow read is not given up where no other try can follow", { timeout: 30_000 }, async t => {
+// A backend server takes long for one read while it responds to others, which looks like a stalled connection. The
+// retry budget is exhausted, so abandoning the read would fail a request that is about to succeed. It must continue and
+// be sent only once.
+test("a slow read is not abandoned if the retry budget allows no retry", { timeout: 30_000 }, async t => {
     let slow: RawRequest | undefined;
     const backend = await startRawBackend(t, req => {
         if (req.path === "/tables/drain") {
@@ -308,11 +308,11 @@
             answer(req);
         }
     });
-    const { url } = await startWith(t, [backend]);
-    for (let i = 0; i < savedRetries; i++) {
+    const { url } = await startGatewayWith(t, [backend]);
+    for (let i = 0; i < initialRetries; i++) {
         await send(`${url}/tables/drain`);
     }
-    const told = send(`${url}/tables/slow`);
+    const res = send(`${url}/tables/slow`);
     while (slow === undefined) {
         await setImmediate();
     }
@@ -321,12 +321,12 @@
     }
     await setTimeout(2 * stallMinimumMs);
     answer(slow);
-    assert.equal((await told).status, 200);
+    assert.equal((await res).status, 200);
     assert.equal(backend.requests.filter(req => req.path === "/tables/slow").length, 1);
 });
 
-// What allowed a request to be sent is over by the time its connection is open: the process was paused, and lost
-// touch. Nothing may be handed over then, and since nothing was, "it did not run" is true.
+// The configuration becomes stale between the grant and the opened connection, for example because the process was
+// suspended. The request must not be sent then, and so is reported as not run.
 test("a request whose permission ends before its first byte is not sent", async t => {
     const backend = await startRawBackend(t, answer);
     const source = new (class extends FixedSource {
@@ -335,26 +335,26 @@
             return ++this.asked <= 2;
         }
     })();
-    const { url } = await startWith(t, [backend], { source });
-    const told = await send(`${url}/tables`, "POST");
-    assert.deepEqual([told.status, told.didRun, told.retryAfter], [503, "no", "2"]);
+    const { url } = await startGatewayWith(t, [backend], { source });
+    const res = await send(`${url}/tables`, "POST");
+    assert.deepEqual([res.status, res.didRun, res.retryAfter], [503, "no", "2"]);
     assert.equal(backend.requests.length, 0);
 });
 
-// A shopper's client asks again through another gateway while the first deposit runs, and once more after it.
-test("a deposit sent through two gateways under one key runs once", async t => {
+// A client retries a request through another gateway while the first attempt still runs, and again after it has ended.
+test("a request sent through two gateways with one idempotency key runs once", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
     const store = new EngineStore();
-    const one = await startWith(t, [backend], { store });
-    const other = await startWith(t, [backend], { store });
+    const one = await startGatewayWith(t, [backend], { store });
+    const other = await startGatewayWith(t, [backend], { store });
     const first = send(`${one.url}/tables`, "POST", "ring-7");
     await started;
     const during = await send(`${other.url}/tables`, "POST", "ring-7");
@@ -368,28 +368,28 @@
     assert.equal(backend.requests.length, 1);
 });
 
-// The caller hangs up while its return is being taken in. Cut off, nobody would ever know whether it ran; left to
-// finish, the next try is told that it did.
-test("a return goes on when its caller hangs up, and its end is there for the next try", async t => {
+// The caller disconnects while its non-idempotent request runs. If the request were aborted, it would be unknown
+// whether it ran. It continues instead, and the next attempt with the same key learns that it ran.
+test("a non-idempotent request continues when its caller disconnects, and its result is recorded", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
-    const { url } = await startWith(t, [backend], { store: new EngineStore() });
-    const hangUp = new AbortController();
+    const { url } = await startGatewayWith(t, [backend], { store: new EngineStore() });
+    const disconnect = new AbortController();
     const first = request(`${url}/tables`, {
         method: "POST",
         body: "wages",
         headers: { "idempotency-key": "return-7" },
-        signal: hangUp.signal,
+        signal: disconnect.signal,
     });
     await started;
-    hangUp.abort();
+    disconnect.abort();
     await assert.rejects(first);
     const during = await send(`${url}/tables`, "POST", "return-7");
     assert.deepEqual([during.status, during.didRun], [409, "unknown"]);
@@ -404,16 +404,16 @@
     assert.equal(backend.requests.length, 1);
 });
 
-// The shopper cancels while the key of the deposit is still being claimed. Nothing has left the gateway, so nothing
-// may leave it any more: the deposit is not wanted, and a next try must find its key free.
-test("a deposit whose caller is gone before it was sent is not sent", async t => {
+// The caller disconnects while the idempotency key is still being claimed. The request must not be sent afterwards, and
+// the key must be free for a later attempt.
+test("a non-idempotent request whose caller disconnects before it is sent is not sent", async t => {
     const backend = await startRawBackend(t, answer);
     const store = new EngineStore();
     let release = (): void => undefined;
     store.ready = new Promise(resolve => {
         release = resolve;
     });
-    const { url } = await startWith(t, [backend], { store });
+    const { url } = await startGatewayWith(t, [backend], { store });
     const client = connect(Number(new URL(url).port), "127.0.0.1");
     client.write("POST /tables HTTP/1.1\r\nhost: a\r\nidempotency-key: ring-8\r\ncontent-length: 5\r\n\r\nwages");
     while (store.calls === 0) {
@@ -430,22 +430,22 @@
     assert.equal(backend.requests.filter(req => req.path === "/tables").length, 1);
 });
 
-// The gateway is told to stop while it runs a return. The return finishes, its caller has the answer, and the end is
-// recorded in the store, slow as it is, before the gateway is gone: else the next try would be told "unknown".
-test("a planned stop waits until the end of a return is recorded", async t => {
+// A planned stop begins while a non-idempotent request runs. The caller gets its response, and the result is recorded
+// in the slow store before the stop ends. Otherwise the next attempt would be answered with "unknown".
+test("a planned stop waits until the result of a non-idempotent request is recorded", async t => {
     let running: RawRequest | undefined;
-    let noteRunning = (): void => undefined;
+    let signalRunning = (): void => undefined;
     const started = new Promise<void>(resolve => {
-        noteRunning = resolve;
+        signalRunning = resolve;
     });
     const backend = await startRawBackend(t, req => {
         running = req;
-        noteRunning();
+        signalRunning();
     });
     const engine = new KeyValueEngine();
     const store = new EngineStore(engine);
-    const one = await startWith(t, [backend], { store });
-    const other = await startWith(t, [backend], { store: new EngineStore(engine) });
+    const one = await startGatewayWith(t, [backend], { store });
+    const other = await startGatewayWith(t, [backend], { store: new EngineStore(engine) });
     const first = send(`${one.url}/tables`, "POST", "return-8");
     await started;
     const stopped = one.gateway.stop();
@@ -462,7 +462,7 @@
     const backend = await startRawBackend(t, answer);
     const store = new EngineStore();
     store.isDown = true;
-    const { url } = await startWith(t, [backend], { store });
+    const { url } = await startGatewayWith(t, [backend], { store });
     const keyed = await send(`${url}/tables`, "POST", "ring-7");
     assert.deepEqual([keyed.status, keyed.didRun, keyed.retryAfter], [503, "no", "5"]);
     assert.equal((await send(`${url}/tables`, "POST")).status, 200);
--- a/packages/gateway/src/backends/backendConnections.ts
+++ b/packages/gateway/src/backends/backendConnections.ts
@@ -8,91 +8,92 @@
 } from "../constants.js";
 import { type ServiceTable, type Target } from "../requests/serviceTable.js";
 
-interface Held {
+interface PoolEntry {
     readonly origin: string;
     readonly pool: Pool;
 }
 
-/** What one attempt is sent over. */
+/** A connection or connection pool that one attempt is sent on. */
 export interface BackendConnection {
     readonly dispatcher: Dispatcher;
-    /** Call once the attempt has ended. */
+    /** Must be called once the attempt has ended. */
     release(): void;
 }
 
-/** Connections to backend servers, a pool each. One request at a time goes over a connection. */
+/** Connections to backend servers, one pool per server. A connection carries one request at a time (no pipelining). */
 export class BackendConnections {
-    readonly #held = new Map<ServerId, Held>();
-    readonly #fresh = new Set<Client>();
+    readonly #pools = new Map<ServerId, PoolEntry>();
+    readonly #dedicatedClients = new Set<Client>();
 
     /**
-     * Finds a connection for one attempt.
+     * Provides a connection for one attempt.
      *
      * @param target - the backend server
-     * @param own - whether to open one for this attempt alone, or to take one that others used before
+     * @param dedicated - whether to open a new connection for this attempt alone, rather than use the pool
      */
-    open(target: Target, own: boolean): BackendConnection {
-        if (!own) {
-            return { dispatcher: this.#poolOf(target), release: () => undefined };
+    open(target: Target, dedicated: boolean): BackendConnection {
+        if (!dedicated) {
+            return { dispatcher: this.#getPool(target), release: () => undefined };
         }
-        const client = new Client(originOf(target), connectionOptions);
-        this.#fresh.add(client);
+        const client = new Client(formatOrigin(target), connectionOptions);
+        this.#dedicatedClients.add(client);
         const release = (): void => {
-            this.#fresh.delete(client);
+            this.#dedicatedClients.delete(client);
             client.close().catch(() => undefined);
         };
         return { dispatcher: client, release };
     }
 
-    /** @returns the pool for a backend server, opened when first asked for */
-    #poolOf(target: Target): Pool {
-        const origin = originOf(target);
-        const held = this.#held.get(target.serverId);
-        if (held?.origin === origin) {
-            return held.pool;
+    /** @returns the pool for a backend server, created on first use */
+    #getPool(target: Target): Pool {
+        const origin = formatOrigin(target);
+        const entry = this.#pools.get(target.serverId);
+        if (entry?.origin === origin) {
+            return entry.pool;
         }
-        if (held !== undefined) {
-            this.#closeGently(held.pool);
+        if (entry !== undefined) {
+            this.#closeWhenIdle(entry.pool);
         }
         const pool = createPool(origin);
-        this.#held.set(target.serverId, { origin, pool });
+        this.#pools.set(target.serverId, { origin, pool });
         return pool;
     }
 
-    /** Lets go of backend servers that the configuration no longer names; what is in flight there finishes. */
+    /** Closes the pools of backend servers that are no longer configured, after their requests in flight have ended. */
     retain(table: ServiceTable): void {
-        const named = new Set<ServerId>();
+        const configured = new Set<ServerId>();
         for (const route of table.routes) {
             for (const server of route.service.backendServers) {
-                named.add(createServerId(route.service.name, server.name));
+                configured.add(createServerId(route.service.name, server.name));
             }
         }
-        for (const [serverId, held] of this.#held) {
-            if (!named.has(serverId)) {
-                this.#held.delete(serverId);
-                this.#closeGently(held.pool);
+        for (const [serverId, entry] of this.#pools) {
+            if (!configured.has(serverId)) {
+                this.#pools.delete(serverId);
+                this.#closeWhenIdle(entry.pool);
             }
         }
     }
 
-    /** Closes every connection once nothing is in flight on it. */
+    /** Closes every connection once its requests in flight have finished. */
     async close(): Promise<void> {
-        const open = [...[...this.#held.values()].map(held => held.pool), ...this.#fresh];
-        this.#held.clear();
-        await Promise.all(open.map(dispatcher => dispatcher.close()));
+        const dispatchers = [...[...this.#pools.values()].map(entry => entry.pool), ...this.#dedicatedClients];
+        this.#pools.clear();
+        await Promise.all(dispatchers.map(dispatcher => dispatcher.close()));
     }
 
-    #closeGently(pool: Pool): void {
+    #closeWhenIdle(pool: Pool): void {
         pool.close().catch(() => undefined);
     }
 }
 
 const connectionOptions = {
     pipelining: 1,
-    // A connection that was lost track of gives no error; unasked, a night's extract would wait on it until morning.
+    // A half-open connection, for example after a middlebox dropped its state, reports no error. Without keep-alive
+    // probes, a request with a deadline of hours would wait on it until that deadline.
     connect: { timeout: connectTimeoutMs, keepAlive: true, keepAliveInitialDelay: tcpKeepAliveIdleMs },
     keepAliveTimeout: idleConnectionTimeoutMs,
-    // Each request has a deadline of its own; undici's timers would end long extracts.
+    // Each request has its own deadline; undici's timeouts would abort long downloads.
     headersTimeout: 0,
     bodyTimeout: 0,
 };
@@ -101,7 +102,7 @@
     return new Pool(origin, { ...connectionOptions, connections: maxConnectionsPerServer });
 }
 
-function originOf(target: Target): string {
+function formatOrigin(target: Target): string {
     const { address, port } = target.server;
     return address.includes(":") ? `http://[${address}]:${port}` : `http://${address}:${port}`;
 }
--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -9,7 +9,7 @@
 import { type ServiceTable } from "../requests/serviceTable.js";
 import { type RequestTelemetry } from "../telemetry/requestTelemetry.js";
 
-/** What the handler works with. */
+/** Dependencies of {@link CallerHandler}. */
 export interface CallerHandlerDeps {
     readonly clock: Clock;
     readonly forwarder: Forwarder;
@@ -19,33 +19,33 @@
     readonly mayTakeNewWork: () => boolean;
 }
 
-/** Takes each caller's request from its arrival to its one final answer. */
+/** Handles callers' requests, each from its arrival to its single final response. */
 export class CallerHandler {
-    readonly #parts: CallerHandlerDeps;
-    readonly #answers = new Set<ServerResponse>();
-    #leaving = false;
+    readonly #deps: CallerHandlerDeps;
+    readonly #responses = new Set<ServerResponse>();
+    #draining = false;
     #stopping = false;
     #onIdle: (() => void) | undefined;
 
-    constructor(parts: CallerHandlerDeps) {
-        this.#parts = parts;
+    constructor(deps: CallerHandlerDeps) {
+        this.#deps = deps;
     }
 
     /**
-     * From now on each answer ends its caller's connection. A kept one would be cut at the end of the stop, perhaps just
-     * as its caller sends the next request on it, who then couldn't know whether that ran.
+     * Closes callers' connections with the next response. A connection kept alive would be closed at the end of the
+     * planned stop, possibly while its caller sends a request on it and then can't know whether that request ran.
      */
     beginDrain(): void {
-        this.#leaving = true;
-        for (const res of this.#answers) {
+        this.#draining = true;
+        for (const res of this.#responses) {
             res.shouldKeepAlive = false;
         }
     }
 
-    /** From now on new requests are refused. @returns once the last request in flight has its answer */
+    /** Refuses new requests. @returns once the last request in flight is answered */
     stop(): Promise<void> {
         this.#stopping = true;
-        if (this.#answers.size === 0) {
+        if (this.#responses.size === 0) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
@@ -55,39 +55,39 @@
 
     /** Handles one request; never throws. */
     handle(req: IncomingMessage, res: ServerResponse): void {
-        const { telemetry, clock } = this.#parts;
+        const { telemetry, clock } = this.#deps;
         const arrivedAtMs = clock.monotonicMs();
         const span = telemetry.startSpan(req.method ?? "GET", SpanKind.SERVER, telemetry.extract(req.headers));
-        this.#answers.add(res);
-        if (this.#leaving) {
+        this.#responses.add(res);
+        if (this.#draining) {
             res.shouldKeepAlive = false;
         }
         telemetry.onRequestStarted();
         let failure: Failure | undefined;
         let request: CallerRequest | undefined;
         res.once("close", () => {
-            this.#ended(req, res, span, request, failure, arrivedAtMs);
+            this.#onRequestEnded(req, res, span, request, failure, arrivedAtMs);
         });
-        const understood = this.#understand(req, arrivedAtMs);
-        understood.caseOf({
-            Left: refused => {
-                failure = refused;
-                this.#refuse(req, res, refused, span);
+        const parsed = this.#parseRequest(req, arrivedAtMs);
+        parsed.caseOf({
+            Left: refusal => {
+                failure = refusal;
+                this.#refuse(req, res, refusal, span);
             },
-            Right: resolved => {
-                request = resolved;
-                void this.#forward(resolved, req, res, span).then(failed => {
-                    failure = failed;
-                    if (failed !== undefined) {
-                        this.#refuse(req, res, failed, span);
+            Right: parsedRequest => {
+                request = parsedRequest;
+                void this.#forward(parsedRequest, req, res, span).then(forwardFailure => {
+                    failure = forwardFailure;
+                    if (forwardFailure !== undefined) {
+                        this.#refuse(req, res, forwardFailure, span);
                     }
                 });
             },
         });
     }
 
-    #understand(req: IncomingMessage, arrivedAtMs: number): Either<Failure, CallerRequest> {
-        const { clock, table, mayTakeNewWork } = this.#parts;
+    #parseRequest(req: IncomingMessage, arrivedAtMs: number): Either<Failure, CallerRequest> {
+        const { clock, table, mayTakeNewWork } = this.#deps;
         const services = table();
         if (this.#stopping) {
             return Left(createFailure("stopping", "this host takes no new work"));
@@ -106,21 +106,22 @@
         span: Span,
     ): Promise<Failure | undefined> {
         const abort = new AbortController();
-        const remainingMs = request.deadlineMs - this.#parts.clock.monotonicMs();
+        const remainingMs = request.deadlineMs - this.#deps.clock.monotonicMs();
         const timer = setTimeout(() => abort.abort(), Math.max(0, remainingMs));
-        // A caller that is gone wants no answer: the backend server's slot is worth more to the others. A non-idempotent
-        // request goes on: cut off, nobody would ever know whether it ran, and the caller's next try learns its end.
-        // After a whole answer there is nothing to abort, and an abort is dear (it builds an exception with its stack).
+        // When the caller disconnects, an idempotent request is aborted to free the backend server's slot. A
+        // non-idempotent request continues: if it were aborted, it would stay unknown whether it ran, whereas now a
+        // retry by the caller learns its outcome. After a complete response there is nothing to abort, and
+        // aborting is expensive because it creates an exception with a stack trace.
         res.once("close", () => {
             if (request.idempotent && !res.writableFinished) {
                 abort.abort();
             }
         });
         try {
-            return await this.#parts.forwarder.forward({ request, req, res, span, signal: abort.signal });
+            return await this.#deps.forwarder.forward({ request, req, res, span, signal: abort.signal });
         }
         catch (err) {
-            this.#parts.logger.error("request failed unexpectedly", { error: String(err), traceId: traceIdOf(span) });
+            this.#deps.logger.error("request failed unexpectedly", { error: String(err), traceId: traceIdOf(span) });
             return createFailure("internal", "unexpected failure");
         }
         finally {
@@ -129,11 +130,11 @@
     }
 
     #refuse(req: IncomingMessage, res: ServerResponse, failure: Failure, span: Span): void {
-        // An unread body would be taken for the next request's head, so the connection ends unless all was read.
-        writeFailure(res, failure, traceIdOf(span), this.#leaving || !req.complete);
+        // The rest of an unread body would be parsed as the next request, so the connection is closed in that case.
+        writeFailure(res, failure, traceIdOf(span), this.#draining || !req.complete);
     }
 
-    #ended(
+    #onRequestEnded(
         req: IncomingMessage,
         res: ServerResponse,
         span: Span,
@@ -141,7 +142,7 @@
         failure: Failure | undefined,
         arrivedAtMs: number,
     ): void {
-        const { telemetry, clock, logger } = this.#parts;
+        const { telemetry, clock, logger } = this.#deps;
         const service = request?.route.service.name ?? "";
         const durationMs = clock.monotonicMs() - arrivedAtMs;
         const status = failure === undefined ? res.statusCode : resolveFailure(failure).status;
@@ -161,8 +162,8 @@
                 traceId,
             });
         }
-        this.#answers.delete(res);
-        if (this.#answers.size === 0) {
+        this.#responses.delete(res);
+        if (this.#responses.size === 0) {
             this.#onIdle?.();
         }
     }
--- a/packages/gateway/src/coldStart/fleetPeers.ts
+++ b/packages/gateway/src/coldStart/fleetPeers.ts
@@ -5,11 +5,11 @@
 import { type Either } from "purify-ts";
 import { ColdStartPeers } from "./coldStartGate.js";
 
-/** The fleet's roster and peer calls, as cold start needs them. */
+/** Provides the fleet's roster and peer calls for coordinating cold starts. */
 export class FleetColdStartPeers extends ColdStartPeers {
     readonly #fleet: FleetMembership;
 
-    /** @param fleet - this gateway's part in it */
+    /** @param fleet - this gateway's membership in the fleet */
     constructor(fleet: FleetMembership) {
         super();
         this.#fleet = fleet;
@@ -27,12 +27,12 @@
         };
     }
 
-    override exchange(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
-        return this.#fleet.exchangeColdStart(word);
+    override exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+        return this.#fleet.exchangeColdStart(heartbeat);
     }
 }
 
-/** @returns the name of one life of a gateway's process: `name/incarnation` */
+/** @returns the id of one incarnation of a gateway's process: `name/incarnation` */
 export function formatIncarnationId({ name, incarnation }: Pick<GatewayIdentity, "name" | "incarnation">): string {
     return `${name}/${incarnation}`;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,20 +22,20 @@
 import { createServiceTable, type ServiceTable } from "./requests/serviceTable.js";
 import { RequestTelemetry } from "./telemetry/requestTelemetry.js";
 
-/** What a gateway is told and given. */
+/** Options and dependencies of a gateway. */
 export interface GatewayOptions {
     readonly availabilityZone: string;
     readonly callers: ListenAddress & Omit<CallerServerOptions, "keepAliveMs">;
     readonly operations: ListenAddress;
     readonly stopping: {
-        /** Time that the platform's balancer needs to notice that this host is not ready. */
+        /** Time that the platform's load balancer needs to detect that this host is not ready, in milliseconds. */
         readonly balancerWaitMs: number;
-        /** Longest wait for requests in flight. */
+        /** Maximum time to wait for requests in flight, in milliseconds. */
         readonly drainMs: number;
     };
     readonly configurationSource: ConfigurationSource;
     readonly policy: RoutingPolicy;
-    /** Seed of the routing's random numbers. */
+    /** Seed of the random numbers for routing. */
     readonly seed: number;
     readonly logger: Logger;
     readonly metrics: Metrics;
@@ -43,45 +43,45 @@
     readonly clock?: Clock;
     readonly gate?: ServerGate;
     readonly board?: ServerLoadTracker;
-    /** Claims of idempotency keys; without them, requests that carry one are refused. */
+    /** Claims idempotency keys. Without it, non-idempotent requests that carry a key are refused. */
     readonly claims?: RequestClaims;
 }
 
 /** A running gateway. */
 export interface Gateway {
-    /** Opens the ports. @returns where they listen */
+    /** Opens the ports. @returns the ports that were bound */
     start(): Promise<{ readonly callersPort: number; readonly operationsPort: number; }>;
-    /** Planned stop: cuts no request in flight. @returns once every one has its answer, or the longest wait is over */
+    /** Performs a planned stop. @returns once all requests in flight are answered, or the drain timeout has passed */
     stop(): Promise<void>;
 }
 
 /**
- * Makes a gateway: callers' requests in, backend servers' answers out.
+ * Creates a gateway, which forwards callers' requests to backend servers and returns the responses.
  *
- * @param parts - what it is told and given
+ * @param options - options and dependencies
  * @returns a gateway that is not started yet
  */
-export function createGateway(parts: GatewayOptions): Gateway {
-    const clock = parts.clock ?? systemClock;
-    const board = parts.board ?? new ServerLoadTracker();
+export function createGateway(options: GatewayOptions): Gateway {
+    const clock = options.clock ?? systemClock;
+    const board = options.board ?? new ServerLoadTracker();
     const connections = new BackendConnections();
-    const telemetry = new RequestTelemetry(parts.tracing, parts.metrics);
-    const gate = parts.gate ?? new AllowAllGate();
+    const telemetry = new RequestTelemetry(options.tracing, options.metrics);
+    const gate = options.gate ?? new AllowAllGate();
     let table: ServiceTable | undefined;
     let stopping = false;
     let stopped: Promise<void> | undefined;
 
-    // A gate that is out of touch lets nothing through. Held until its patience ended, a request would get its refusal
-    // late and be lost to the other gateways; so it is refused at once, and the balancer is told.
+    // Without peer contact the gate admits no request. A request that waited for contact could time out here while
+    // another gateway could serve it, so it is refused at once and this host reports that it is not ready.
     const mayTakeNewWork = (): boolean =>
-        parts.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
+        options.configurationSource.mayTakeNewWork() && gate.hasPeerContact(clock.monotonicMs());
     const scheduler = new Scheduler({
         clock,
         board,
-        policy: parts.policy,
-        random: createRandomSource(parts.seed),
+        policy: options.policy,
+        random: createRandomSource(options.seed),
         gate,
-        availabilityZone: parts.availabilityZone,
+        availabilityZone: options.availabilityZone,
         table: () => table,
         mayTakeNewWork,
     });
@@ -92,27 +92,27 @@
         connections,
         telemetry,
         mayTakeNewWork,
-        claims: parts.claims,
+        claims: options.claims,
     });
     const handler = new CallerHandler({
         clock,
         forwarder,
         telemetry,
-        logger: parts.logger,
+        logger: options.logger,
         table: () => table,
         mayTakeNewWork,
     });
-    const callers = createCallerServer(
-        { ...parts.callers, keepAliveMs: callerKeepAliveMs },
+    const callerServer = createCallerServer(
+        { ...options.callers, keepAliveMs: callerKeepAliveMs },
         (req, res) => handler.handle(req, res),
     );
-    const operations = createOperationsServer({
+    const operationsServer = createOperationsServer({
         readiness: () => resolveReadiness(stopping, table, mayTakeNewWork()),
-        renderMetrics: () => parts.metrics.render(),
+        renderMetrics: () => options.metrics.render(),
     });
 
     const applyConfiguration = (): void => {
-        const revised = parts.configurationSource.current();
+        const revised = options.configurationSource.current();
         if (revised === undefined || revised.revision === table?.revision) {
             return;
         }
@@ -120,37 +120,37 @@
         connections.retain(table);
         gate.onConfiguration(revised);
         scheduler.dispatchQueued();
-        parts.logger.info("configuration in force", { revision: revised.revision });
+        options.logger.info("configuration in force", { revision: revised.revision });
     };
 
     const stop = async (): Promise<void> => {
         stopping = true;
         handler.beginDrain();
-        // Callers that the balancer still sends are served, not refused, until it has noticed.
-        await sleep(parts.stopping.balancerWaitMs);
+        // The load balancer sends new callers until it detects that this host is not ready; they are still served.
+        await sleep(options.stopping.balancerWaitMs);
         const idle = handler.stop();
-        callers.close();
-        callers.closeIdleConnections();
-        await waitAtMost(idle, parts.stopping.drainMs);
-        callers.closeAllConnections();
-        await waitAtMost(connections.close(), parts.stopping.drainMs);
-        // The permits go with the lease, and nothing may be sent under them after it: so the last request comes first.
-        await waitAtMost(gate.stop(), parts.stopping.drainMs);
-        if (parts.claims !== undefined) {
-            await waitAtMost(parts.claims.whenIdle(), parts.stopping.drainMs);
-            parts.claims.stop();
+        callerServer.close();
+        callerServer.closeIdleConnections();
+        await waitAtMost(idle, options.stopping.drainMs);
+        callerServer.closeAllConnections();
+        await waitAtMost(connections.close(), options.stopping.drainMs);
+        // Stopping the gate revokes the lease that its permits depend on, so all requests must have ended before.
+        await waitAtMost(gate.stop(), options.stopping.drainMs);
+        if (options.claims !== undefined) {
+            await waitAtMost(options.claims.whenIdle(), options.stopping.drainMs);
+            options.claims.stop();
         }
-        operations.close();
-        operations.closeAllConnections();
+        operationsServer.close();
+        operationsServer.closeAllConnections();
     };
 
     return {
         start: async () => {
-            parts.configurationSource.onConfiguration(applyConfiguration);
+            options.configurationSource.onConfiguration(applyConfiguration);
             applyConfiguration();
             gate.start(() => scheduler.dispatchQueued());
-            const operationsPort = await listen(operations, parts.operations);
-            const callersPort = await listen(callers, parts.callers);
+            const operationsPort = await listen(operationsServer, options.operations);
+            const callersPort = await listen(callerServer, options.callers);
             return { callersPort, operationsPort };
         },
         stop: () => {
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -16,11 +16,11 @@
 import { RequestClaims } from "./requests/requestClaims.js";
 
 /**
- * Puts a gateway together from its settings.
+ * Creates the gateway process from its settings.
  *
- * @param settings - checked settings
- * @param policyName - routing policy; others than the default are for comparing them
- * @returns the process's parts, not started
+ * @param settings - validated settings
+ * @param policyName - name of the routing policy; values other than the default serve to compare policies
+ * @returns the program, not started
  */
 export function createGatewayProcess(
     settings: ResolvedGatewaySettings,
@@ -49,12 +49,12 @@
         timings: resolveFleetTimings(settings.freshness.maximumAgeMs),
     });
     const board = new ServerLoadTracker();
-    const stopSharing = shareLoads(fleet, board);
+    const stopLoadExchange = startLoadExchange(fleet, board);
     const gate = settings.coldStart.enforced
         ? new ColdStartGate({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
         : undefined;
     if (gate !== undefined) {
-        fleet.answerColdStart(word => gate.onHeartbeat(word));
+        fleet.answerColdStart(heartbeat => gate.onHeartbeat(heartbeat));
     }
     const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.permitGate.stateOf(serverId);
     fleet.answerObservations(service =>
@@ -66,7 +66,7 @@
         operations: settings.operations,
         stopping: settings.stopping,
         configurationSource: fleet,
-        policy: mustCreatePolicy(policyName),
+        policy: createPolicyOrThrow(policyName),
         seed: randomInt(2 ** 31),
         logger,
         metrics,
@@ -88,7 +88,7 @@
         },
         stop: async () => {
             await gateway.stop();
-            stopSharing();
+            stopLoadExchange();
             await fleet.stop();
             await connection.close();
             await tracing.shutdown();
@@ -97,8 +97,8 @@
     };
 }
 
-/** Tells peers what this gateway has in flight, and takes their word on what they have. */
-function shareLoads(fleet: FleetMembership, board: ServerLoadTracker): () => void {
+/** Exchanges in-flight counts with peers. @returns a function that stops publishing this gateway's counts */
+function startLoadExchange(fleet: FleetMembership, board: ServerLoadTracker): () => void {
     fleet.onLoads((loads, from) => {
         for (const load of loads) {
             board.onPeerLoad(from.name, load, performance.now());
@@ -108,7 +108,7 @@
     return () => clearInterval(timer);
 }
 
-function mustCreatePolicy(name: string): NonNullable<ReturnType<typeof createRoutingPolicy>> {
+function createPolicyOrThrow(name: string): NonNullable<ReturnType<typeof createRoutingPolicy>> {
     const policy = createRoutingPolicy(name);
     if (policy === undefined) {
         throw new Error(`no routing policy is named ${name}`);
