--- a/packages/admission/src/__tests__/admission.test.ts
+++ b/packages/admission/src/__tests__/admission.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { RetryBudget, WaitQueue } from "../index.js";
 
-test("a request that would be served after its patience is refused at once, with a time to come back", () => {
-    // Slots come free every 10 ms. The caller with 25 ms of patience left would be fourth in line: it hears so now
-    // instead of after its patience, and can go elsewhere.
+test("refuses a request that would be served too late immediately, with a retry delay", () => {
+    // A slot is freed every 10 ms. The caller with 25 ms of patience left would be fourth in the queue. It is refused
+    // now instead of after its patience, so that it can try another host.
     const queue = new WaitQueue();
     for (let id = 1; id <= 3; id++) {
         assert.equal(queue.enqueue({ id, deadlineMs: 1_000 }, 0, 5).type, "waits");
@@ -16,7 +16,7 @@
     assert.equal(queue.enqueue({ id: 5, deadlineMs: 100 }, 10, 5).type, "waits");
 });
 
-test("whoever's patience ended in the queue is passed over", () => {
+test("skips queued requests whose deadline has passed", () => {
     const queue = new WaitQueue();
     queue.enqueue({ id: 1, deadlineMs: 20 }, 0, 5);
     queue.enqueue({ id: 2, deadlineMs: 200 }, 0, 5);
@@ -24,9 +24,9 @@
     assert.equal(queue.dequeue(50), undefined);
 });
 
-test("retries stay a share of successes", () => {
-    // A service answers nothing but errors: after the saved-up retries are spent, not one more is sent, so that its
-    // load can't grow because it fails.
+test("limits retries to a share of successes", () => {
+    // A service returns only errors: once the saved retries are used up, no more are sent, so that failures can't
+    // increase its load.
     const budget = new RetryBudget();
     let sent = 0;
     for (let i = 0; i < 1_000; i++) {
--- a/packages/admission/src/constants.ts
+++ b/packages/admission/src/constants.ts
@@ -1,8 +1,8 @@
-/** Share of successes that is added to the retry budget. */
+/** Retries that each success adds to the retry budget. */
 export const retriesPerSuccess = 0.1;
 
-/** Retries that may be saved up, so that a short fault after a calm stretch is ridden out. */
+/** Capacity of the retry budget; saved retries mask a short fault after a period without failures. */
 export const maxSavedRetries = 20;
 
-/** Most requests that wait for a slot of one service at one gateway. */
+/** Maximum number of requests that wait for a slot of one service at one gateway. */
 export const maxQueueLength = 64;
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,3 +1,3 @@
-/** Whether and when a request is taken: queue, limits and the retry budget. */
+/** Admission control: the wait queue and the retry budget. */
 export { RetryBudget } from "./retryBudget.js";
 export { type QueueDecision, type QueuedRequest, WaitQueue } from "./waitQueue.js";
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -1,18 +1,19 @@
 import { maxSavedRetries, retriesPerSuccess } from "./constants.js";
 
 /**
- * Limits retries to a share of successes. Without it, a service in trouble gets each request several times over, its
- * load rises as it fails, and it stays down after the cause is gone; with it, the extra load is at most the share.
+ * Limits retries to a share of the successful requests. Without a limit, a failing service receives each request
+ * several times, so that its load increases and it stays overloaded after the cause is gone (a retry storm). With it,
+ * retries add at most that share to the load.
  */
 export class RetryBudget {
     #tokens = maxSavedRetries;
 
-    /** Earns a share of a retry. */
+    /** Adds {@link retriesPerSuccess} to the budget. */
     onSuccess(): void {
         this.#tokens = Math.min(maxSavedRetries, this.#tokens + retriesPerSuccess);
     }
 
-    /** @returns whether a retry may be sent; it is paid for when it may */
+    /** Withdraws one retry if the budget allows it. @returns whether the retry may be sent */
     tryTake(): boolean {
         if (this.#tokens < 1) {
             return false;
--- a/packages/admission/src/waitQueue.ts
+++ b/packages/admission/src/waitQueue.ts
@@ -1,27 +1,27 @@
 import { maxQueueLength } from "./constants.js";
 
-/** One request that waits for a slot. */
+/** A request waiting for a slot. */
 export interface QueuedRequest {
     readonly id: number;
-    /** When its caller's patience ends, on the monotonic clock. */
+    /** End of the caller's patience, in milliseconds on the monotonic clock. */
     readonly deadlineMs: number;
 }
 
-/** What becomes of a request that finds no slot. */
+/** Whether a request without a free slot is queued or refused. */
 export type QueueDecision =
     | { readonly type: "waits"; }
-    /** Refuse now: it would not be served within its patience. */
+    /** Refused immediately: the queue is full or the request would not be served within its caller's patience. */
     | { readonly type: "refuse"; readonly retryAfterMs: number; };
 
 /**
- * The requests of one service that wait at this gateway for a slot, first come first served.
+ * FIFO queue of one service's requests that wait at this gateway for a slot.
  *
- * A queue that takes everything makes every caller late: each is served just after its patience ended, and the work
- * is thrown away. So a request whose turn would come too late is refused at once, while its caller can still act.
+ * An unbounded queue makes all callers wait until just after their patience has ended, and the work is wasted. A
+ * request that would be served too late is therefore refused immediately, while its caller can still react.
  */
 export class WaitQueue {
     readonly #waiting: QueuedRequest[] = [];
-    /** Moving average of the time between two freed slots; `undefined` until two have been seen. */
+    /** Moving average of the time between two freed slots in milliseconds; `undefined` before the second one. */
     #msPerTurn: number | undefined;
     #lastTurnMs: number | undefined;
 
@@ -30,9 +30,11 @@
     }
 
     /**
-     * @param request - the request that found no slot
-     * @param nowMs - the present time
-     * @param serviceTimeMs - how long such a request runs, for the time that it needs after its turn
+     * Queues a request unless it is expected to miss its deadline.
+     *
+     * @param request - a request for which no slot is free
+     * @param nowMs - current time
+     * @param serviceTimeMs - expected time to serve the request once it has a slot
      */
     enqueue(request: QueuedRequest, nowMs: number, serviceTimeMs: number): QueueDecision {
         const expectedWaitMs = (this.#waiting.length + 1) * (this.#msPerTurn ?? 0);
@@ -44,7 +46,7 @@
         return { type: "waits" };
     }
 
-    /** Notes that a slot came free, which paces the expected wait. */
+    /** Records that a slot was freed, which updates the expected wait. */
     onSlotFreed(nowMs: number): void {
         if (this.#lastTurnMs !== undefined && this.#waiting.length > 0) {
             const turnMs = nowMs - this.#lastTurnMs;
@@ -55,7 +57,7 @@
         this.#lastTurnMs = nowMs;
     }
 
-    /** @returns the next request that still has time, without those whose patience has ended */
+    /** Removes and returns the first request whose deadline has not passed; earlier ones are dropped. */
     dequeue(nowMs: number): QueuedRequest | undefined {
         for (let first = this.#waiting.shift(); first !== undefined; first = this.#waiting.shift()) {
             if (first.deadlineMs > nowMs) {
@@ -65,12 +67,12 @@
         return undefined;
     }
 
-    /** Takes a request back to the head, where its turn found no server after all. */
+    /** Puts a dequeued request back to the head of the queue, because no server could take it. */
     putBack(request: QueuedRequest): void {
         this.#waiting.unshift(request);
     }
 
-    /** Drops a request that no longer waits. */
+    /** Removes a request from the queue. */
     remove(id: number): void {
         const at = this.#waiting.findIndex(waiting => waiting.id === id);
         if (at >= 0) {
--- a/packages/configuration/src/__tests__/checkConfiguration.test.ts
+++ b/packages/configuration/src/__tests__/checkConfiguration.test.ts
@@ -20,16 +20,16 @@
     return formatFaults("x.yaml", faults).split("\n");
 }
 
-test("accepts a whole configuration and freezes it", () => {
+test("accepts a valid configuration and freezes it", () => {
     const cfg = checkYaml(yaml, resolveConfiguration).unsafeCoerce();
     assert.equal(cfg.services[0]?.coldStart.concurrency, 1);
     assert.ok(Object.isFrozen(cfg.services[0].backendServers[0]));
 });
 
-test("names wrong shapes and wrong references in one run", () => {
-    // An operator applies a file in which a port is out of range, a key is misspelt and a server stands in a zone
-    // that is not declared. The shape is checked by the schema and references by a second pass; were that pass left
-    // out while the shape is wrong, the third fault would only show after the first two were mended.
+test("reports schema violations and wrong references in one run", () => {
+    // The file contains a port out of range, a misspelt key and a server in an undeclared zone. References are checked
+    // in a second pass; if it were skipped after a schema violation, the operator would see the third fault only after
+    // fixing the first two.
     const text = yaml
         .replace("10.0.0.1, port: 80", "10.0.0.1, port: 70000")
         .replace("availabilityZone: b", "availabilityZone: c, slot: 3");
@@ -42,7 +42,7 @@
     ]);
 });
 
-test("names everything that is declared twice", () => {
+test("reports all duplicate declarations", () => {
     const second = yaml.slice(yaml.indexOf("    - name: tables"));
     const found = check(yaml.replace("- name: b", "- name: a").replace("name: two", "name: one") + second);
     assert.deepEqual(found.map(line => line.slice(line.indexOf(" ") + 1)), [
@@ -57,7 +57,7 @@
     ]);
 });
 
-test("wants a rule for callers that name no kind, and known time zones and times", () => {
+test("requires a default patience rule, and rejects unknown time zones and times", () => {
     const text = yaml
         .replace("callerKind: default", "callerKind: union, to: \"24:30\"")
         .concat("timeZone: Europe/Lonestad\n");
@@ -68,9 +68,9 @@
     ]);
 });
 
-test("refuses what would never match a request, or match more than it says", () => {
-    // An operator writes a method in lower case: no request would ever count as non-idempotent, and a filing might be
-    // sent twice. A path with a pattern in it, or an authority with a port, would match others than were meant.
+test("rejects methods, paths, authorities and headers that could not match as written", () => {
+    // With a method in lower case, no request would be treated as non-idempotent, and a filing might be sent twice. A
+    // path with a pattern or an authority with a port would match other requests than intended.
     const text = yaml.replace(
         "authorities: [tables.example]",
         "authorities: [\"tables.example:80\"]\n      nonIdempotentMethods: [post]\n      pathPrefix: /:any",
@@ -83,7 +83,7 @@
     ]);
 });
 
-test("takes paths for the same that differ in their last slash alone", () => {
+test("treats paths that differ only in a trailing slash as the same route", () => {
     const second = yaml.slice(yaml.indexOf("    - name: tables"))
         .replace("name: tables", "name: more")
         .replaceAll("port: 80", "port: 81")
@@ -94,7 +94,7 @@
     ]);
 });
 
-test("survives documents of any shape", () => {
+test("rejects documents of any other structure without throwing", () => {
     for (const text of ["", "3", "[]", "services: 3", "availabilityZones: [3]\nservices: [[], { patience: 1 }]"]) {
         assert.ok(checkYaml(text, resolveConfiguration).isLeft(), text);
     }
--- a/packages/configuration/src/__tests__/deployments.test.ts
+++ b/packages/configuration/src/__tests__/deployments.test.ts
@@ -17,7 +17,7 @@
     return service;
 }
 
-test("both deployments have the sizes that their operators gave", () => {
+test("both deployments declare the expected services, zones and servers", () => {
     const sizes = (cfg: Configuration) => cfg.services.map(service => [service.name, service.backendServers.length]);
     assert.deepEqual(sizes(lonestat), [["table-reads", 12], ["return-intake", 6], ["archive-extracts", 9]]);
     assert.deepEqual(sizes(pecanBend), [["stone-catalog", 9], ["order-desk", 6], ["setting-previewer", 9]]);
@@ -29,12 +29,12 @@
     }
 });
 
-test("returns and orders need an idempotency key", () => {
+test("return and order services require an idempotency key", () => {
     assert.ok(find(lonestat, "return-intake").requireIdempotencyKey);
     assert.ok(find(pecanBend, "order-desk").requireIdempotencyKey);
 });
 
-test("a researcher's extract may run all night, in the operators' time zone", () => {
+test("a researcher's extract may run all night in the configured time zone", () => {
     const extracts = find(lonestat, "archive-extracts");
     const patienceAt = (time: string) => resolvePatience(lonestat, extracts, "researcher", Date.parse(time));
     // Stockholm is an hour ahead of UTC in December.
--- a/packages/configuration/src/__tests__/zoneState.test.ts
+++ b/packages/configuration/src/__tests__/zoneState.test.ts
@@ -22,32 +22,32 @@
 
 const statesOf = (of: Configuration) => of.availabilityZones.map(zone => zone.state);
 
-test("takes one zone out and brings it back, and changes nothing else", () => {
+test("takes one zone out and back in without changing anything else", () => {
     const out = setZoneState(cfg, "a", "out").unsafeCoerce();
     assert.deepEqual(statesOf(out), ["out", "in"]);
     assert.deepEqual(out.services, cfg.services);
     assert.deepEqual(setZoneState(out, "a", "in").unsafeCoerce(), cfg);
 });
 
-test("gives the same configuration where there is nothing to change", () => {
+test("returns the same configuration if the state is unchanged", () => {
     assert.equal(setZoneState(cfg, "a", "in").unsafeCoerce(), cfg);
 });
 
-test("names the declared zones where one isn't", () => {
+test("lists the declared zones in the error for an undeclared one", () => {
     const failure = setZoneState(cfg, "c", "out").swap().unsafeCoerce();
     assert.equal(failure.kind, "notFound");
     assert.match(failure.detail, /declared: a, b/);
 });
 
-test("a file that says no state leaves a zone out that was taken out", () => {
-    // Operators take zone a out by call; an hour later a colleague applies the file from their repository, which
-    // says nothing of states. Read with the schema's default, a would silently get new work again.
+test("a configuration without zone states keeps a zone out of service", () => {
+    // Operators take a zone out by call; later, a configuration file without zone states is applied. With the schema's
+    // default, the zone would silently get new work again.
     const out = setZoneState(cfg, "a", "out").unsafeCoerce();
     const applied = resolveConfiguration(keepZoneStates(declared, out)).unsafeCoerce();
     assert.deepEqual(statesOf(applied), ["out", "in"]);
 });
 
-test("a state that is written goes, and a new zone starts in", () => {
+test("a declared zone state takes precedence, and a new zone gets the default", () => {
     const out = setZoneState(cfg, "a", "out").unsafeCoerce();
     const written = { ...declared, availabilityZones: [{ name: "a", state: "in" as const }, { name: "c" }] };
     assert.deepEqual(keepZoneStates(written, out).availabilityZones.map(zone => zone.state), ["in", undefined]);
@@ -57,7 +57,7 @@
     ]);
 });
 
-test("names the services whose servers all stand in zones that are out", () => {
+test("finds services whose servers are all in zones out of service", () => {
     assert.deepEqual(findUnservedServices(cfg), []);
     assert.deepEqual(findUnservedServices(setZoneState(cfg, "b", "out").unsafeCoerce()), []);
     assert.deepEqual(findUnservedServices(setZoneState(cfg, "a", "out").unsafeCoerce()), ["tables"]);
--- a/packages/configuration/src/checkYaml.ts
+++ b/packages/configuration/src/checkYaml.ts
@@ -2,20 +2,20 @@
 import { type Document, isMap, isNode, isScalar, isSeq, LineCounter, type Pair, parseDocument } from "yaml";
 import { type DocumentFault, formatPath, type DocumentResolver } from "./documentFaults.js";
 
-/** One fault with where it stands in the file. */
+/** A fault with its position in the file. */
 export interface LocatedFault extends DocumentFault {
-    /** Counted from 1. */
+    /** 1-based. */
     readonly line: number;
-    /** Counted from 1. */
+    /** 1-based. */
     readonly column: number;
 }
 
 /**
- * Parses YAML and checks it, and finds the line of every fault.
+ * Parses and validates a YAML document and locates every fault in it.
  *
- * @param text - YAML, one document
- * @param resolve - checks what was parsed
- * @returns all faults at once in the order of their lines, or what the document resolves to
+ * @param text - a single YAML document
+ * @param resolve - validates the parsed document
+ * @returns all faults ordered by position, or the resolved document
  */
 export function checkYaml<T>(text: string, resolve: DocumentResolver<T>): Either<readonly LocatedFault[], T> {
     const lines = new LineCounter();
@@ -27,8 +27,8 @@
         faults.push({ path: [], message: err.message, line: at.line, column: at.col });
         broken ||= err.code !== "DUPLICATE_KEY";
     }
-    // A document that doesn't parse has holes, and each would be named as a missing key; one with a key written
-    // twice is whole, so its other faults are named along with that one.
+    // After a syntax error the document is incomplete, and validation would report every lost part as a missing key. A
+    // document with a duplicate key is complete, so its other faults are reported as well.
     if (broken) {
         return Left(sortByPlace(faults));
     }
@@ -61,7 +61,7 @@
     return { ...fault, line: Math.max(1, line), column: Math.max(1, col) };
 }
 
-/** The offset of what a path leads to, or of the deepest part of it that was written. */
+/** Finds the offset of the node at a path, or of its deepest ancestor that exists in the document. */
 function findOffset(document: Document.Parsed, path: readonly (string | number)[]): number {
     let node: unknown = document.contents;
     let offset = offsetOf(document.contents);
@@ -94,10 +94,10 @@
 }
 
 /**
- * Writes faults as a person reads them, one a line.
+ * Formats faults for display, one per line.
  *
- * @param file - name of the file that holds them
- * @param faults - what {@link checkYaml} found
+ * @param file - name of the file
+ * @param faults - faults found by {@link checkYaml}
  * @returns lines of the form `file:line:column: path: message`
  */
 export function formatFaults(file: string, faults: readonly LocatedFault[]): string {
--- a/packages/configuration/src/documentFaults.ts
+++ b/packages/configuration/src/documentFaults.ts
@@ -2,22 +2,22 @@
 import { type z } from "zod";
 import { acceptedKeys } from "./schemaOptions.js";
 
-/** One fault in a document, found by its path. */
+/** A validation error in a document. */
 export interface DocumentFault {
     /** Keys and indexes from the document's root. */
     readonly path: readonly (string | number)[];
     readonly message: string;
 }
 
-/** Checks a parsed document; all faults at once, or what it resolves to. */
+/** Validates a parsed document and fills in defaults; returns all faults at once, or the resolved document. */
 export type DocumentResolver<T> = (document: unknown) => Either<readonly DocumentFault[], T>;
 
 /**
- * Makes a {@link DocumentResolver} from a zod schema. A wrong value's message says what is accepted, an unknown key's
- * which keys are.
+ * Creates a {@link DocumentResolver} from a zod schema. Its messages name the accepted values, and for an unknown key
+ * the accepted keys.
  *
- * @param schema - what the document must be
- * @returns the check
+ * @param schema - schema of the document
+ * @returns the resolver
  */
 export function createSchemaResolver<S extends z.ZodType>(schema: S): DocumentResolver<z.output<S>> {
     return document => {
@@ -45,10 +45,10 @@
 }
 
 /**
- * Writes a path as it would stand in code.
+ * Formats a path in JavaScript property syntax.
  *
  * @param path - keys and indexes
- * @returns for instance `services[0].patience`
+ * @returns a string such as `services[0].patience`
  */
 export function formatPath(path: readonly (string | number)[]): string {
     let text = "";
--- a/packages/configuration/src/findReferenceFaults.ts
+++ b/packages/configuration/src/findReferenceFaults.ts
@@ -1,11 +1,11 @@
-/** What a schema can't say of a configuration: names are unique, and every name that is referred to exists. */
+/** Checks that a schema can't express: names are unique, and every referenced name is declared. */
 import * as z from "zod";
 import { type DocumentFault } from "./documentFaults.js";
 import { defaultCallerKind } from "./resolvePatience.js";
 
 /**
- * The parts of a document that refer to each other. A part that has the wrong shape is taken as left out, so that an
- * operator hears of wrong references and wrong shapes in one run.
+ * Schema of the parts of a document that refer to each other. Parts of the wrong type are treated as absent, so that
+ * wrong references and schema violations are reported in the same run.
  */
 const text = z.string().optional().catch(undefined);
 const integer = z.number().optional().catch(undefined);
@@ -28,11 +28,11 @@
 
 type LenientService = z.output<typeof lenientSchema>["services"][number];
 
-/** Remembers what was declared first, and says when something is declared again. */
+/** Detects duplicate declarations. */
 class Declarations {
     readonly #first = new Map<string, string>();
 
-    /** @returns where the same was declared before, or `undefined` */
+    /** @returns where the same value was first declared, or `undefined` if this is the first declaration */
     declare(what: string, where: string): string | undefined {
         const before = this.#first.get(what);
         if (before === undefined) {
@@ -43,9 +43,9 @@
 }
 
 /**
- * Finds names that are declared twice and references to names that aren't declared.
+ * Finds duplicate names, addresses and routes, and references to undeclared names.
  *
- * @param document - what a YAML or JSON parser returned
+ * @param document - output of a YAML or JSON parser
  * @returns the faults
  */
 export function* findReferenceFaults(document: unknown): Iterable<DocumentFault> {
@@ -81,7 +81,10 @@
     yield { path: [...path, "patience"], message: `no rule for the caller kind \`${defaultCallerKind}\`` };
 }
 
-/** Two services that match the same requests would take each other's, by the order in which they were declared. */
+/**
+ * Two services with the same route are refused, because the order of declaration would decide which one gets the
+ * requests.
+ */
 function* findRouteFaults(
     service: LenientService,
     path: DocumentFault["path"],
@@ -127,8 +130,8 @@
 }
 
 /**
- * One server under two names would be given its slots, its cold-start concurrency and its probes twice: a cold server
- * would get more than it can bear. Refusing the second name keeps each budget with one name.
+ * Refuses a server that is declared under two names. It would get twice its slots, cold-start concurrency and probes,
+ * which overloads a cold server.
  */
 function* findAddressFaults(
     service: LenientService,
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** What operators declare: services, availability zones, backend servers, and patience. */
+/** The operators' configuration: services, availability zones, backend servers and caller patience. */
 export { checkYaml, formatFaults, type LocatedFault } from "./checkYaml.js";
 export { type DocumentFault, formatPath, createSchemaResolver, type DocumentResolver } from "./documentFaults.js";
 export {
--- a/packages/configuration/src/model.ts
+++ b/packages/configuration/src/model.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-/** Days of the week as an operator writes them. */
+/** Days of the week, as written in the configuration. */
 export const weekdays = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"] as const;
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "lower case letters, digits and hyphens, at most 63");
@@ -71,7 +71,7 @@
         .describe("whether it takes new work; where none is written, apply leaves the state that the zone has"),
 });
 
-/** What operators declare, as they write it. */
+/** Schema of the operators' configuration file. */
 export const configurationSchema = z.strictObject({
     timeZone: z.string().default("UTC").describe("IANA name; patience is declared in its wall-clock time"),
     callerKindHeader: headerName.default("x-caller-kind").describe("request header that names the kind of caller"),
@@ -79,14 +79,14 @@
     services: z.array(service),
 });
 
-/** Widens nothing, forbids every write. */
+/** Makes a type read-only at every level. */
 export type DeepReadonly<T> = T extends (infer U)[] ? readonly DeepReadonly<U>[]
     : T extends object ? { readonly [K in keyof T]: DeepReadonly<T[K]>; }
     : T;
 
-/** The operators' declarations with every default filled in. */
+/** A configuration with all defaults filled in. */
 export type Configuration = DeepReadonly<z.output<typeof configurationSchema>>;
-/** The operators' declarations as written. */
+/** A configuration as written by operators, without defaults. */
 export type ConfigurationInput = DeepReadonly<z.input<typeof configurationSchema>>;
 /** One declared service. */
 export type Service = Configuration["services"][number];
@@ -94,16 +94,19 @@
 export type BackendServer = Service["backendServers"][number];
 /** One declared availability zone. */
 export type AvailabilityZone = Configuration["availabilityZones"][number];
-/** How long one kind of caller waits in one stretch of the week. */
+/** How long callers of one kind wait for a response, on given weekdays and between given times of day. */
 export type PatienceRule = Service["patience"][number];
 /** A day of the week. */
 export type Weekday = typeof weekdays[number];
 
-/** A configuration as the store orders it. Revisions rise by one with each accepted change and never fall. */
+/**
+ * A configuration with its revision in the store. Revisions increase by one with each accepted change and never
+ * decrease.
+ */
 export interface ConfigurationRevision {
-    /** Rises by one with each change; 0 is the empty configuration that nobody has written. */
+    /** 0 is the initial empty configuration. */
     readonly revision: number;
-    /** Names the operator's call that made it, so that a repeated call is recognised. */
+    /** Id of the operator's call that made the change, used to detect a repeated call. */
     readonly changeId: string;
     readonly configuration: Configuration;
 }
--- a/packages/configuration/src/resolveConfiguration.ts
+++ b/packages/configuration/src/resolveConfiguration.ts
@@ -6,9 +6,9 @@
 const resolveShape = createSchemaResolver(configurationSchema);
 
 /**
- * Checks a parsed document and fills in every default.
+ * Validates a parsed document and fills in all defaults.
  *
- * @param document - what a YAML or JSON parser returned
+ * @param document - output of a YAML or JSON parser
  * @returns all faults at once, or the frozen configuration
  */
 export function resolveConfiguration(document: unknown): Either<readonly DocumentFault[], Configuration> {
--- a/packages/configuration/src/resolvePatience.ts
+++ b/packages/configuration/src/resolvePatience.ts
@@ -1,6 +1,6 @@
 import { type Configuration, type PatienceRule, type Service, type Weekday } from "./model.js";
 
-/** The caller kind that serves whoever names none, or one that is not declared. */
+/** Caller kind that applies to callers which send no kind, or one that is not declared. */
 export const defaultCallerKind = "default";
 
 interface WallClock {
@@ -11,7 +11,7 @@
 
 const formats = new Map<string, Intl.DateTimeFormat>();
 
-/** Formats are dear to make (about 50 microseconds), so one is kept for each time zone. */
+/** Creating a format takes about 50 microseconds, so one is cached per time zone. */
 function formatFor(timeZone: string): Intl.DateTimeFormat {
     let format = formats.get(timeZone);
     if (format === undefined) {
@@ -27,7 +27,7 @@
     return format;
 }
 
-/** Minutes are whole in every time zone's wall clock, so one look-up serves a whole minute of requests. */
+/** UTC offsets are whole minutes, so one lookup is reused for all requests within a minute. */
 const minuteMs = 60_000;
 
 interface CachedWallClock {
@@ -71,7 +71,7 @@
     return Number(hours) * 60 + Number(minutes);
 }
 
-/** A rule whose end lies before its start runs over midnight and belongs to the weekday on which it starts. */
+/** A rule whose end is not after its start extends past midnight and belongs to the weekday on which it starts. */
 function covers(rule: PatienceRule, at: WallClock, yesterday: Weekday): boolean {
     const from = toMinutes(rule.from);
     const to = toMinutes(rule.to);
@@ -94,15 +94,15 @@
 };
 
 /**
- * Finds how long a caller waits now. The first rule that covers the present time goes; a caller kind without one
- * falls back to `default`, and where no rule covers the time at all the shortest declared patience goes, since
- * waiting too little is answered with a refusal while waiting too long is a silent loss.
+ * Finds how long a caller waits for a response. The first rule that covers the given time applies. A caller kind
+ * without such a rule falls back to `default`. If no rule covers the time, the shortest declared patience applies: a
+ * value that is too short leads to an explicit refusal, one that is too long to a response that nobody waits for.
  *
  * @param cfg - the configuration, for its time zone
- * @param service - the service asked for
- * @param callerKind - what the caller kind header said
- * @param epochMs - wall-clock time of arrival in milliseconds
- * @returns patience in milliseconds
+ * @param service - the requested service
+ * @param callerKind - value of the caller kind header
+ * @param epochMs - time of arrival in Unix milliseconds
+ * @returns the patience in milliseconds
  */
 export function resolvePatience(cfg: Configuration, service: Service, callerKind: string, epochMs: number): number {
     const at = resolveWallClock(cfg.timeZone, epochMs);
--- a/packages/configuration/src/schemaOptions.ts
+++ b/packages/configuration/src/schemaOptions.ts
@@ -1,14 +1,14 @@
-/** Reads a zod schema's own structure, so that messages and documentation can't differ from it. */
+/** Derives option lists for messages and documentation from a zod schema, so that they can't diverge from it. */
 import * as z from "zod";
 
 /** One option of a schema: a value, or a list of values. */
 export interface SchemaOption {
-    /** Keys joined by dots; `[]` stands for each item of a list. */
+    /** Keys joined by dots; `[]` denotes the items of a list. */
     readonly path: string;
-    /** What it accepts, for a person. */
+    /** Human-readable description of the accepted values. */
     readonly accepted: string;
     readonly description: string | undefined;
-    /** What goes where it is left out, as YAML; `required` where it can't be, empty where nothing does. */
+    /** Default value as YAML; `required` if there is none, empty if the option may be omitted without a default. */
     readonly defaultValue: string;
 }
 
@@ -44,9 +44,9 @@
 }
 
 /**
- * Lists every option of a schema.
+ * Lists all options of a schema.
  *
- * @param schema - a zod object, at any depth of objects and lists
+ * @param schema - a zod object, which may contain nested objects and lists
  * @returns the options in the order of declaration
  */
 export function listOptions(schema: Schema): readonly SchemaOption[] {
@@ -94,10 +94,10 @@
 }
 
 /**
- * Writes a schema's options as a table for the documentation, which a test compares with the pages.
+ * Formats a schema's options as a table for the documentation; a test compares it with the pages.
  *
  * @param schema - a zod object
- * @returns a table in Markdown
+ * @returns a Markdown table
  */
 export function formatOptions(schema: Schema): string {
     const rows = listOptions(schema).map(({ path, accepted, defaultValue, description }) => {
@@ -108,11 +108,11 @@
 }
 
 /**
- * Names the keys that an object in a schema accepts.
+ * Lists the keys that an object in a schema accepts.
  *
- * @param schema - the whole schema
- * @param path - where in a document the object stands
- * @returns its keys, or none where the path leads to no object
+ * @param schema - schema of the whole document
+ * @param path - path of the object in the document
+ * @returns the object's keys, or an empty list if there is no object at the path
  */
 export function acceptedKeys(schema: Schema, path: readonly PropertyKey[]): readonly string[] {
     let { schema: inner } = unwrap(schema);
--- a/packages/configuration/src/zoneState.ts
+++ b/packages/configuration/src/zoneState.ts
@@ -1,19 +1,18 @@
-/** Changes of an availability zone's state, as pure steps from one configuration to the next. */
+/** Changes to availability zone states, as pure functions from one configuration to the next. */
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type Either, Left, Right } from "purify-ts";
 import { type AvailabilityZone, type Configuration, type ConfigurationInput } from "./model.js";
 
-/** Whether an availability zone takes new work. */
+/** Whether an availability zone accepts new work. */
 export type ZoneState = AvailabilityZone["state"];
 
 /**
- * Takes one availability zone out or brings it back, and leaves all else as it is.
+ * Takes one availability zone out of service or brings it back.
  *
- * @param cfg - the present configuration
- * @param name - the availability zone
- * @param state - the state it is to have
- * @returns the changed configuration; `cfg` itself where the zone is in that state already; `notFound` where it isn't
- * declared
+ * @param cfg - the current configuration
+ * @param name - name of the availability zone
+ * @param state - the new state
+ * @returns the changed configuration; `cfg` itself if the zone already has that state; `notFound` if it isn't declared
  */
 export function setZoneState(cfg: Configuration, name: string, state: ZoneState): Either<Failure, Configuration> {
     const zone = cfg.availabilityZones.find(candidate => candidate.name === name);
@@ -31,15 +30,15 @@
 }
 
 /**
- * Gives each availability zone that says no state the one that it has now.
+ * Keeps the current state of each availability zone for which a new configuration declares none.
  *
- * The failure: a zone is taken out by call, then a configuration file that says nothing of zones is applied. With the
- * schema's default the zone would come back in while operators believe it out. Keeping the state is enough, since the
- * change is written only over the revision whose states were kept.
+ * Otherwise, applying a configuration file without zone states would use the schema's default and silently bring back a
+ * zone that was taken out by an operator's call. No lock is needed: the new configuration is written only if the store
+ * still has the revision from which the states were taken.
  *
  * @param declared - a configuration as written
- * @param present - the configuration that it is to replace; `undefined` where there is none
- * @returns the same declarations with a state for every zone that has one now
+ * @param present - the configuration to be replaced; `undefined` if there is none
+ * @returns the same configuration, with the current state added to each zone that has one
  */
 export function keepZoneStates(declared: ConfigurationInput, present: Configuration | undefined): ConfigurationInput {
     const states = new Map(present?.availabilityZones.map(zone => [zone.name, zone.state]));
@@ -51,11 +50,11 @@
 }
 
 /**
- * Finds the services that have backend servers, but none in an availability zone that takes work. Operators may want
- * just that, so it is said with the answer and refuses nothing.
+ * Finds services that have backend servers, but none in an availability zone that accepts new work. This may be
+ * intended, so it is reported in the response and the change is not refused.
  *
  * @param cfg - the configuration
- * @returns names of services
+ * @returns service names
  */
 export function findUnservedServices(cfg: Configuration): readonly string[] {
     const open = new Set(cfg.availabilityZones.filter(zone => zone.state === "in").map(zone => zone.name));
--- a/packages/errors/src/errorKinds.ts
+++ b/packages/errors/src/errorKinds.ts
@@ -1,11 +1,11 @@
 /**
- * The closed list of error kinds, and the one table from a kind to the answer that a caller or operator gets.
+ * The closed list of error kinds, and the table that maps each kind to the response for callers and operators.
  */
 
-/** Whether the request reached a backend server's code: `unknown` is said whenever neither can be shown. */
+/** Whether a backend server ran the request; `unknown` if neither `no` nor `yes` is certain. */
 export type DidRun = "no" | "yes" | "unknown";
 
-/** Every way in which galenaglade can fail a request or a call. Nothing outside this list is ever answered. */
+/** All kinds of errors that galenaglade returns for a request or an operator's call. */
 export const errorKinds = [
     "badRequest",
     "headersTooLarge",
@@ -44,15 +44,15 @@
 /** One of {@link errorKinds}. */
 export type ErrorKind = typeof errorKinds[number];
 
-/** What a kind is answered with, unless the failure itself carries something more exact. */
+/** Default response for an error kind; a {@link Failure} may override parts of it. */
 export interface ErrorResponse {
     /** HTTP status code. */
     readonly status: number;
-    /** What can be said of the request having run. */
+    /** Whether the request ran. */
     readonly didRun: DidRun;
-    /** Seconds after which a new try makes sense; absent where trying again is pointless. */
+    /** Seconds after which to retry; absent if a retry would fail as well. */
     readonly retryAfterSeconds?: number;
-    /** Short title for people. */
+    /** Short human-readable title. */
     readonly title: string;
 }
 
@@ -61,7 +61,7 @@
         retryAfterSeconds === undefined ? { status, didRun, title } : { status, didRun, title, retryAfterSeconds },
     );
 
-/** The table from kind to answer. */
+/** Default responses by error kind. */
 export const errorResponses: Readonly<Record<ErrorKind, ErrorResponse>> = Object.freeze({
     badRequest: row(400, "no", "The request is malformed"),
     headersTooLarge: row(431, "no", "The request's headers are too large"),
--- a/packages/errors/src/failure.ts
+++ b/packages/errors/src/failure.ts
@@ -1,23 +1,23 @@
 import { errorResponses, type DidRun, type ErrorKind } from "./errorKinds.js";
 
-/** A failure as the libraries pass it, in the left side of an `Either`. */
+/** A failure, passed as the left side of an `Either`. */
 export interface Failure {
     readonly kind: ErrorKind;
-    /** What happened, for a person; never holds a caller's body, cookie or authorization. */
+    /** Human-readable description; must not contain a caller's body, cookies or credentials. */
     readonly detail: string;
-    /** Overrides the table's {@link DidRun} where more is known. */
+    /** Overrides the default of the error kind if more is known. */
     readonly didRun?: DidRun;
-    /** Overrides the table's time to come back, in seconds. */
+    /** Overrides the default retry delay of the error kind, in seconds. */
     readonly retryAfterSeconds?: number;
 }
 
 /**
- * Makes a failure.
+ * Creates a frozen failure.
  *
- * @param kind - one of the closed list
- * @param detail - what happened, for a person
- * @param more - what is known beyond the table
- * @returns a frozen failure
+ * @param kind - the error kind
+ * @param detail - human-readable description
+ * @param more - overrides of the kind's defaults
+ * @returns the failure
  */
 export function createFailure(
     kind: ErrorKind,
@@ -27,7 +27,7 @@
     return Object.freeze({ kind, detail, ...more });
 }
 
-/** A failure with every blank filled from the table. */
+/** A failure with all defaults of its kind filled in. */
 export interface ResolvedFailure {
     readonly kind: ErrorKind;
     readonly detail: string;
@@ -38,10 +38,10 @@
 }
 
 /**
- * Fills a failure's blanks from the table.
+ * Fills in the defaults of a failure's kind.
  *
  * @param failure - the failure
- * @returns what to answer
+ * @returns the complete failure for a response
  */
 export function resolveFailure(failure: Failure): ResolvedFailure {
     const answer = errorResponses[failure.kind];
@@ -55,7 +55,7 @@
     });
 }
 
-/** Carries a {@link Failure} through code that can only throw, such as a stream's destroy. */
+/** Wraps a {@link Failure} for APIs that only accept an `Error`, such as a stream's `destroy`. */
 export class FailureError extends Error {
     readonly failure: Failure;
 
--- a/packages/httpParts/src/clock.ts
+++ b/packages/httpParts/src/clock.ts
@@ -1,12 +1,12 @@
-/** Where the gateway's time comes from; tests move one of their own. */
+/** Source of time; tests use a clock that they advance themselves. */
 export interface Clock {
-    /** Milliseconds that never step back. */
+    /** Monotonic time in milliseconds. */
     monotonicMs(): number;
-    /** Wall-clock milliseconds, for patience by time of day only. */
+    /** Unix time in milliseconds; used only for patience rules by time of day. */
     epochMs(): number;
 }
 
-/** The machine's clocks. */
+/** The system clocks. */
 export const systemClock: Clock = {
     monotonicMs: () => performance.now(),
     epochMs: () => Date.now(),
--- a/packages/httpParts/src/createCallerServer.ts
+++ b/packages/httpParts/src/createCallerServer.ts
@@ -3,13 +3,13 @@
 import { type Socket } from "node:net";
 import { renderRawFailure, writeFailure } from "./failureResponse.js";
 
-/** Limits on what callers may take up. */
+/** Limits and timeouts for callers' connections. */
 export interface CallerServerOptions {
     readonly maximumConnections: number;
     readonly maximumHeaderBytes: number;
-    /** Time to send a whole request, body included. */
+    /** Time within which a caller must have sent its whole request, including the body, in milliseconds. */
     readonly requestTimeoutMs: number;
-    /** How long an idle connection is kept. */
+    /** Time for which an idle connection is kept open, in milliseconds. */
     readonly keepAliveMs: number;
 }
 
@@ -19,12 +19,12 @@
 };
 
 /**
- * Makes the server that callers connect to, with its limits. Whatever can't be understood is answered with its reason
- * on its own connection, which then ends; nobody else's connection notices.
+ * Creates the HTTP server for callers. A malformed request gets an error response with the reason, after which its
+ * connection is closed; other connections are not affected.
  *
- * @param limits - what callers may take up
- * @param handle - gets every request that was understood
- * @returns a server that doesn't listen yet
+ * @param limits - limits and timeouts
+ * @param handle - request handler, called for well-formed requests only
+ * @returns a server that is not listening yet
  */
 export function createCallerServer(
     limits: CallerServerOptions,
@@ -36,12 +36,13 @@
         requestTimeout: limits.requestTimeoutMs,
         headersTimeout: limits.requestTimeoutMs,
         connectionsCheckingInterval: Math.min(1_000, limits.requestTimeoutMs),
-        // Refused here in place of node, whose own refusal doesn't say why, nor that nothing ran.
+        // A missing Host header is refused below, because Node's own response contains neither the reason nor that the
+        // request did not run.
         requireHostHeader: false,
-        // Closed by this side first, a kept connection may break under the next request, so the time must be longer than
-        // callers keep theirs.
+        // If this side closes an idle connection first, the caller's next request may fail on it. This time must be
+        // longer than the callers' keep-alive time.
         keepAliveTimeout: limits.keepAliveMs,
-        // A small answer must not wait for the acknowledgement of the one before it.
+        // Without this, Nagle's algorithm delays a small response until the previous one is acknowledged.
         noDelay: true,
     }, (req, res) => {
         answers.set(req.socket, res);
@@ -66,8 +67,8 @@
 }
 
 function refuseMalformed(err: NodeJS.ErrnoException, socket: Socket, answer: ServerResponse | undefined): void {
-    // While an answer is under way, bytes of a refusal would land inside it and the caller would take them for its
-    // own. The connection is cut instead, which the caller can't mistake for a whole answer.
+    // While a response is being sent, the error response would be written into it and the caller would take it for part
+    // of the body. The connection is closed instead, so that the caller detects an incomplete response.
     const answerUnderWay = answer !== undefined && answer.headersSent && !answer.writableFinished;
     if (answerUnderWay || !socket.writable || err.code === "ECONNRESET") {
         socket.destroy();
--- a/packages/httpParts/src/failureResponse.ts
+++ b/packages/httpParts/src/failureResponse.ts
@@ -5,7 +5,7 @@
 
 const contentType = "application/problem+json";
 
-/** The body of a failure's answer: problem details as RFC 9457 has them. */
+/** Creates the response body for a failure: problem details (RFC 9457). */
 function resolveProblem(failure: ResolvedFailure, traceId: string | undefined): string {
     return JSON.stringify({
         type: `urn:galenaglade:error:${failure.kind}`,
@@ -27,13 +27,13 @@
 }
 
 /**
- * Answers a request with a failure, at once and finally. Once an answer has begun it can't be taken back: the caller's
- * connection is cut instead, so that half an answer is never taken for a whole one.
+ * Sends a failure as the response. If the response headers were already sent, the caller's connection is reset
+ * instead, so that a partial response is never taken for a complete one.
  *
- * @param res - the caller's answer
- * @param failure - what went wrong
- * @param traceId - for the caller to quote
- * @param close - whether the caller's connection ends with this answer
+ * @param res - the response to the caller
+ * @param failure - the failure
+ * @param traceId - trace id that the caller can quote in a support request
+ * @param close - whether to close the caller's connection after this response
  */
 export function writeFailure(res: ServerResponse, failure: Failure, traceId: string | undefined, close: boolean): void {
     if (res.headersSent) {
@@ -50,10 +50,10 @@
 }
 
 /**
- * A failure as bytes, for a request that was never understood and so has no answer object.
+ * Renders a failure as a raw HTTP response, for a malformed request, which has no response object.
  *
- * @param failure - what went wrong
- * @returns a whole HTTP/1.1 answer that ends the connection
+ * @param failure - the failure
+ * @returns a complete HTTP/1.1 response that closes the connection
  */
 export function renderRawFailure(failure: Failure): string {
     const resolved = resolveFailure(failure);
--- a/packages/httpParts/src/headers.ts
+++ b/packages/httpParts/src/headers.ts
@@ -1,7 +1,7 @@
-/** Names and values in turn, as node and undici take them. */
+/** Alternating names and values, as in Node's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** Headers that belong to one connection and must not be passed on (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which must not be forwarded (RFC 9110, section 7.6.1). */
 const hopByHop: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
@@ -15,7 +15,7 @@
     "expect",
 ]);
 
-/** Headers that a `Connection` header declares as belonging to the connection as well. */
+/** Finds further hop-by-hop headers, which are named by a `Connection` header. */
 function declaredHopByHop(raw: RawHeaders): ReadonlySet<string> {
     const declared = new Set<string>();
     for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -29,11 +29,11 @@
 }
 
 /**
- * Leaves out the headers that belong to one connection, and those that a caller of this function sets itself.
+ * Removes hop-by-hop headers and those selected by a predicate.
  *
- * @param raw - as received
- * @param isDropped - asked for each other header by its lower-case name
- * @returns names in lower case and values, in turn
+ * @param raw - the received headers
+ * @param isDropped - called with the lower-case name of each end-to-end header
+ * @returns alternating lower-case names and values
  */
 export function filterEndToEndHeaders(raw: RawHeaders, isDropped: (name: string) => boolean): string[] {
     const declared = declaredHopByHop(raw);
@@ -48,18 +48,18 @@
 }
 
 /**
- * @param raw - names and values in turn
- * @param name - in lower case
- * @returns all values under that name
+ * @param raw - the headers
+ * @param name - header name in lower case
+ * @returns the values of all headers with that name
  */
 export function findHeaders(raw: RawHeaders, name: string): readonly string[] {
     return raw.filter((_, i) => i % 2 === 1 && raw[i - 1]?.toLowerCase() === name);
 }
 
 /**
- * @param raw - names and values in turn
- * @param name - in lower case
- * @returns the first value under that name
+ * @param raw - the headers
+ * @param name - header name in lower case
+ * @returns the value of the first header with that name
  */
 export function findHeader(raw: RawHeaders, name: string): string | undefined {
     for (let i = 0; i + 1 < raw.length; i += 2) {
--- a/packages/httpParts/src/index.ts
+++ b/packages/httpParts/src/index.ts
@@ -1,4 +1,4 @@
-/** What every program that speaks HTTP needs: clocks, ports, bodies, end-to-end headers, and cutting a connection. */
+/** Shared HTTP utilities: caller server, error responses, headers, request bodies, clocks and timeouts. */
 export { type Clock, systemClock } from "./clock.js";
 export { type CallerServerOptions, createCallerServer } from "./createCallerServer.js";
 export { writeFailure } from "./failureResponse.js";
--- a/packages/httpParts/src/listen.ts
+++ b/packages/httpParts/src/listen.ts
@@ -1,19 +1,19 @@
 import { type Server } from "node:http";
 import { type AddressInfo } from "node:net";
 
-/** Where a port listens. */
+/** Address on which a server listens. */
 export interface ListenAddress {
     readonly address: string;
-    /** 0 for any free one. */
+    /** 0 selects a free port. */
     readonly port: number;
 }
 
 /**
- * Opens a server's port.
+ * Starts listening.
  *
  * @param server - the server
- * @param at - where
- * @returns the port that it listens on; fails where it can't be opened
+ * @param at - address and port
+ * @returns the port that the server listens on; rejects if the port can't be opened
  */
 export function listen(server: Server, at: ListenAddress): Promise<number> {
     return new Promise((resolve, reject) => {
--- a/packages/httpParts/src/parseJson.ts
+++ b/packages/httpParts/src/parseJson.ts
@@ -1,8 +1,8 @@
 /**
- * Parses JSON that may be anything, for a schema to check.
+ * Parses untrusted JSON for validation by a schema.
  *
- * @param text - as received
- * @returns the value, or `undefined` for what is no JSON, which no schema of an object takes
+ * @param text - received text
+ * @returns the parsed value, or `undefined` for invalid JSON, which every object schema rejects
  */
 export function parseJson(text: string): unknown {
     try {
--- a/packages/httpParts/src/requestBody.ts
+++ b/packages/httpParts/src/requestBody.ts
@@ -3,30 +3,33 @@
 import { PassThrough, type Readable } from "node:stream";
 import { type Either, Left, Right } from "purify-ts";
 
-/** How much of a streamed body is read before anything is sent. */
+/** Bytes of a streamed body that are read before a request is sent. */
 export const bodyPrefixBytes = 16_384;
 
-/** How much of a body is taken, and how much of it is held. */
+/** Size limits of a request body. */
 export interface BodyLimits {
-    /** Declared length in bytes; `undefined` where the body is sent in chunks. */
+    /** Declared length in bytes; `undefined` for chunked transfer encoding. */
     readonly contentLength: number | undefined;
-    /** A longer body is refused. */
+    /** Longer bodies are refused, in bytes. */
     readonly maxBytes: number;
-    /** A body declared longer than this is streamed. */
+    /** Bodies with a longer declared length are streamed instead of buffered, in bytes. */
     readonly maxBufferedBytes: number;
 }
 
-/** A request's body, as attempts send it. */
+/** Body of a caller's request, which one or more attempts send to a backend server. */
 export abstract class RequestBody {
-    /** Whether it can be sent once more. */
+    /** Whether it can be sent more than once. */
     abstract readonly isReplayable: boolean;
-    /** The bytes, where all of them are held. */
+    /** The whole body if it is buffered. */
     abstract readonly buffered: Buffer | undefined;
-    /** The first bytes, known before anything is sent: all of a held body, {@link bodyPrefixBytes} of a streamed one. */
+    /**
+     * The first bytes, available before the request is sent: all of a buffered body, {@link bodyPrefixBytes} of a
+     * streamed one.
+     */
     abstract readonly prefix: Buffer;
-    /** Length of the whole body. */
+    /** Length of the whole body in bytes. */
     abstract readonly byteLength: number;
-    /** @returns what to give to one attempt */
+    /** @returns the body for one attempt; `undefined` if it is empty */
     abstract open(): Buffer | Readable | undefined;
 }
 
@@ -58,7 +61,7 @@
     override readonly byteLength: number;
     readonly #req: IncomingMessage;
 
-    /** @param start - taken from `req` already, and put back */
+    /** @param start - first bytes, which were read from `req` and put back */
     constructor(req: IncomingMessage, start: Buffer, bytes: number) {
         super();
         this.#req = req;
@@ -66,7 +69,10 @@
         this.byteLength = bytes;
     }
 
-    /** A failed attempt destroys its body. What it gets is not the caller's own stream, whose connection would go too. */
+    /**
+     * Returns a separate stream, because a failed attempt destroys its body, and destroying `req` would close the
+     * caller's connection.
+     */
     override open(): Readable {
         const body = new PassThrough();
         this.#req.once("error", err => body.destroy(err));
@@ -76,13 +82,14 @@
 }
 
 /**
- * Reads a request's body before anything is sent, so that a slow sender takes up no slot of a backend server, and a
- * try that did not run can be repeated. A body that is declared too large to hold is streamed, and sent once.
+ * Reads a request's body before the request is sent, so that a slow caller occupies no slot of a backend server and an
+ * attempt that did not run can be retried. A body whose declared length exceeds the buffer limit is streamed and can be
+ * sent only once.
  *
- * @param limits - how much is taken and held
- * @param req - where its body comes from
+ * @param limits - size limits
+ * @param req - the caller's request
  * @param signal - aborted when the caller's patience ends
- * @returns the body, or why it can't be had
+ * @returns the body, or the reason why it can't be read
  */
 export async function readRequestBody(
     limits: BodyLimits,
--- a/packages/httpParts/src/resetCallerConnection.ts
+++ b/packages/httpParts/src/resetCallerConnection.ts
@@ -1,10 +1,10 @@
 import { type ServerResponse } from "node:http";
 
 /**
- * Resets a caller's connection. A mere close would end an answer without a declared length as if it were whole, as
- * callers of HTTP/1.0 get them.
+ * Resets a caller's connection (TCP RST). A normal close would mark the end of a response without a declared length, as
+ * sent to HTTP/1.0 callers, so that a truncated response would be taken for a complete one.
  *
- * @param res - the answer that can't be finished
+ * @param res - the response that can't be completed
  */
 export function resetCallerConnection(res: ServerResponse): void {
     const { socket } = res;
--- a/packages/httpParts/src/timers.ts
+++ b/packages/httpParts/src/timers.ts
@@ -1,11 +1,11 @@
-/** Waits for a while. */
+/** Resolves after `ms` milliseconds. */
 export function sleep(ms: number): Promise<void> {
     return new Promise(resolve => {
         setTimeout(resolve, ms);
     });
 }
 
-/** Waits for `done`, at most `ms`, and leaves no timer behind. */
+/** Waits until `done` settles, for at most `ms` milliseconds, and clears its timer. */
 export async function waitAtMost(done: Promise<void>, ms: number): Promise<void> {
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<void>(resolve => {
--- a/packages/platform/src/hostList.ts
+++ b/packages/platform/src/hostList.ts
@@ -1,7 +1,10 @@
 import { type Failure } from "@galenaglade/errors";
 import { type Either } from "purify-ts";
 
-/** One host as the platform lists it. The list lags: a host may be gone, or leaving, for some time before it says so. */
+/**
+ * One host in the platform's list. The list lags behind: a host may have left, or be leaving, for some time before its
+ * entry changes.
+ */
 export interface HostEntry {
     readonly name: string;
     readonly address: string;
@@ -9,7 +12,7 @@
     readonly state: "live" | "leaving";
 }
 
-/** The platform's lagging list of live and leaving hosts. */
+/** Client of the platform's list of live and leaving hosts, which lags behind. */
 export abstract class HostList {
     abstract list(): Promise<Either<Failure, readonly HostEntry[]>>;
 }
--- a/packages/platform/src/httpHostList.ts
+++ b/packages/platform/src/httpHostList.ts
@@ -4,11 +4,11 @@
 import { type PlatformClient } from "./platformClient.js";
 import { operations } from "./protocol.js";
 
-/** The platform's host list over HTTP. */
+/** HTTP client of the platform's host list. */
 export class HttpHostList extends HostList {
     readonly #connection: PlatformClient;
 
-    /** @param connection - stays the maker's to close */
+    /** @param connection - shared client; closed by its owner */
     constructor(connection: PlatformClient) {
         super();
         this.#connection = connection;
--- a/packages/platform/src/httpKeyValueStore.ts
+++ b/packages/platform/src/httpKeyValueStore.ts
@@ -12,11 +12,11 @@
 import { type PlatformClient } from "./platformClient.js";
 import { operations } from "./protocol.js";
 
-/** The key-value service over HTTP. */
+/** HTTP client of the platform's key-value service. */
 export class HttpKeyValueStore extends KeyValueStore {
     readonly #connection: PlatformClient;
 
-    /** @param connection - stays the maker's to close */
+    /** @param connection - shared client; closed by its owner */
     constructor(connection: PlatformClient) {
         super();
         this.#connection = connection;
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,4 +1,4 @@
-/** Abstract clients of the platform, and the concrete one. */
+/** Clients of the platform: abstract classes and their HTTP implementations. */
 export { type HostEntry, HostList } from "./hostList.js";
 export { HttpHostList } from "./httpHostList.js";
 export { HttpKeyValueStore } from "./httpKeyValueStore.js";
--- a/packages/platform/src/keyValueStore.ts
+++ b/packages/platform/src/keyValueStore.ts
@@ -1,88 +1,98 @@
 import { type Failure } from "@galenaglade/errors";
 import { type Either } from "purify-ts";
 
-/** One key of the platform's key-value service. */
+/** One entry of the platform's key-value service. */
 export interface KeyValue {
     readonly key: string;
-    /** At most one megabyte. */
+    /** At most 1 MiB. */
     readonly value: string;
     /**
-     * The store's revision at which this value was written; rises over the whole store, also where this came back from an older copy: then
-     * the store's term is part of it.
+     * The store-wide revision at which this value was written. It keeps increasing when the store is restored from a
+     * backup, because the store's term is part of it then.
      */
     readonly modifiedRevision: number;
-    /** The lease that the key falls with, where it has one. */
+    /** The lease that the key is attached to; the key is deleted when the lease ends. */
     readonly leaseId?: string | undefined;
 }
 
-/** A write that takes effect only while the key is as expected. */
+/** A write that takes effect only if the key has the expected revision. */
 export interface CompareAndSwap {
     readonly key: string;
-    /** The {@link KeyValue.modifiedRevision} that the key must have; 0 where it must not exist. */
+    /** Required {@link KeyValue.modifiedRevision} of the key; 0 requires that the key doesn't exist. */
     readonly expectedRevision: number;
     /** The new value; `undefined` deletes the key. */
     readonly value: string | undefined;
-    /** The key falls when this lease lapses or is revoked. */
+    /** The key is deleted when this lease expires or is revoked. */
     readonly leaseId?: string | undefined;
 }
 
-/** How a compare-and-swap ended. */
+/** Result of a compare-and-swap; when it fails, `current` is the present entry. */
 export type SwapOutcome =
     | { readonly swapped: true; readonly revision: number; }
     | { readonly swapped: false; readonly current: KeyValue | undefined; };
 
-/** A lease as granted. The holder counts its time from before it asked. */
+/**
+ * A granted lease. The holder must count `ttlMs` from before it sent the call, since the server counts from some point
+ * after that.
+ */
 export interface Lease {
     readonly id: string;
     readonly ttlMs: number;
 }
 
-/** What a watch saw. */
+/** Result of one watch call. */
 export interface WatchEvents {
-    /** Watch on from here. */
+    /** Revision from which to continue the watch. */
     readonly revision: number;
-    /** Keys changed since, in their present state. */
+    /** Current state of the keys that changed. */
     readonly changed: readonly KeyValue[];
-    /** Keys gone since. */
+    /** Keys that were deleted. */
     readonly deleted: readonly string[];
 }
 
-/** What a watch waits for. */
+/** Parameters of one long-polling watch call. */
 export interface WatchRequest {
     readonly prefix: string;
-    /** Report what changed after this revision of the store. */
+    /** Only changes after this store revision are reported. */
     readonly afterRevision: number;
-    /** Return with no events after this long; counts as one call of the store. */
+    /** Long-poll time in milliseconds, after which the call returns without events; counts as one store call. */
     readonly waitMs: number;
-    /** Time beyond the wait in which the answer must come, in milliseconds; left out, that of any call. */
+    /**
+     * Time after `waitMs` within which the response must arrive, in milliseconds; the usual call timeout by default.
+     */
     readonly slackMs?: number | undefined;
-    /** Called as the answer arrives, with the bytes of it that have, where the store tells. */
+    /**
+     * Called while the response is being received, with the number of bytes so far; not every store implementation
+     * calls it.
+     */
     readonly onProgress?: ((bytes: number) => void) | undefined;
     readonly signal?: AbortSignal | undefined;
 }
 
 /**
- * The platform's key-value service.
+ * Client of the platform's key-value service.
  *
- * Failures: `storeUnavailable` means that the call certainly had no effect, `storeOutcomeUnknown` that a write may
- * have taken effect although its answer was lost, `storeRateLimited` that it was refused for its rate.
+ * Failures: `storeUnavailable` means that the call had no effect, `storeOutcomeUnknown` that a write may have taken
+ * effect because its response was lost, `storeRateLimited` that the call was rejected by a rate limit.
  */
 export abstract class KeyValueStore {
     /**
-     * How often the store came back from an older copy, as far as its answers say. What was read in an earlier term has to be read anew:
-     * a watch from there fails with `storeHistoryLost`, and a lease from there with `notFound`.
+     * Latest known term of the store, which increases with each restore from a backup. Data of an earlier term must be
+     * read again: a watch from a revision of an earlier term fails with `storeHistoryLost`, and renewing or using a
+     * lease of an earlier term with `notFound`.
      */
     get term(): number {
         return 0;
     }
 
-    /** Reads one key; `undefined` where it doesn't exist. */
+    /** Reads one key; `undefined` if it doesn't exist. */
     abstract get(key: string): Promise<Either<Failure, KeyValue | undefined>>;
     /**
-     * Reads every key that begins with `prefix`, in order, with the store's revision for a watch to go on from.
+     * Reads all keys that begin with `prefix`, in key order.
      *
-     * @param prefix - of the keys
-     * @param onPart - called with what has been read so far, where the store gives it in parts; not with the last one
+     * @param prefix - key prefix
+     * @param onPart - called with the entries read so far after each page except the last, if the store returns pages
+     * @returns the entries, and the store revision from which a watch continues
      */
     abstract list(
         prefix: string,
@@ -90,17 +100,17 @@
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>>;
     abstract compareAndSwap(req: CompareAndSwap): Promise<Either<Failure, SwapOutcome>>;
     abstract grantLease(ttlMs: number): Promise<Either<Failure, Lease>>;
-    /** Renews a lease; a lapsed one fails with `notFound`. */
+    /** Renews a lease; fails with `notFound` if it has expired. */
     abstract renewLease(id: string): Promise<Either<Failure, Lease>>;
-    /** Ends a lease at once; its keys fall. */
+    /** Ends a lease immediately and deletes its keys. */
     abstract revokeLease(id: string): Promise<Either<Failure, void>>;
     abstract watch(req: WatchRequest): Promise<Either<Failure, WatchEvents>>;
 
     /**
-     * Finds out by the cheapest call whether the store answers, and how far its changes go.
+     * Checks with the cheapest possible call whether the store responds, and reads its revision.
      *
-     * @param prefix - of few keys
-     * @returns the store's revision, which may be seconds old
+     * @param prefix - prefix that few keys have
+     * @returns the store's revision, which may be seconds out of date
      */
     async peekRevision(prefix: string): Promise<Either<Failure, number>> {
         const read = await this.list(prefix);
--- a/packages/platform/src/platformClient.ts
+++ b/packages/platform/src/platformClient.ts
@@ -3,22 +3,22 @@
 import { Agent, request } from "undici";
 import { clientHeader, type Operation } from "./protocol.js";
 
-/** Where the platform's service is, and how long it may take. */
+/** Addresses and timeouts of the platform's service. */
 export interface PlatformClientOptions {
-    /** Such as `http://10.0.0.1:7000`, without a path; the first one to which a connection opens is used. */
+    /** URLs such as `http://10.0.0.1:7000`, without a path; the first one that accepts a connection is used. */
     readonly addresses: readonly string[];
-    /** Who calls, for the service's own accounts. */
+    /** Name of this client, for the service's accounting. */
     readonly client: string;
-    /** Whole time of one call in milliseconds; a watch adds its waiting time. */
+    /** Timeout of one call in milliseconds; a watch adds its long-poll time. */
     readonly timeoutMs?: number | undefined;
-    /** Time to open a connection in milliseconds. */
+    /** Timeout for opening a connection, in milliseconds. */
     readonly connectTimeoutMs?: number | undefined;
 }
 
 const defaultTimeoutMs = 2_000;
 const defaultConnectTimeoutMs = 500;
 
-/** One caller's connections to the platform's service. */
+/** HTTP client of the platform's service with its own connection pool and failover between addresses. */
 export class PlatformClient {
     readonly #options: PlatformClientOptions;
     readonly #agent: Agent;
@@ -26,8 +26,8 @@
 
     constructor(options: PlatformClientOptions) {
         this.#options = options;
-        // No pipelining: a call given up on destroys its connection, which may have gone silent for good, and with
-        // pipelining the calls behind it would be lost with it. The next call opens a new one.
+        // No pipelining: an aborted call destroys its connection, which may be dead, and pipelined calls would be lost
+        // with it. The next call opens a new connection.
         this.#agent = new Agent({
             pipelining: 1,
             connect: { timeout: options.connectTimeoutMs ?? defaultConnectTimeoutMs },
@@ -37,14 +37,14 @@
     }
 
     /**
-     * Makes one call. It is sent once: whether to try again is for those to say who know what it means. An address to
-     * which no connection opens was sent nothing, so that the next one may be tried.
+     * Sends one call, at most once: retries are left to callers, who know whether the operation may be repeated. If no
+     * connection to an address can be opened, nothing was sent and the next address is tried.
      *
-     * @param operation - a row of the protocol's table
-     * @param body - what the operation asks
-     * @param more - a waiting time in milliseconds that the service adds on purpose, the time beyond it where that isn't the usual
-     * one, and a signal that gives the call up
-     * @returns the checked answer, or `storeUnavailable`, `storeOutcomeUnknown`, `storeRateLimited` or `notFound`
+     * @param operation - one of the protocol's operations
+     * @param body - request body
+     * @param more - `waitMs`: long-poll time added by the service; `slackMs`: timeout after that, instead of the
+     * default; `signal`: aborts the call
+     * @returns the validated response, or `storeUnavailable`, `storeOutcomeUnknown`, `storeRateLimited` or `notFound`
      */
     async call<Req, Res>(
         operation: Operation<Req, Res>,
@@ -102,13 +102,13 @@
         return Right(answer.data);
     }
 
-    /** Gives up every open call and closes the connections. */
+    /** Aborts all pending calls and closes the connections. */
     async close(): Promise<void> {
         await this.#agent.destroy();
     }
 }
 
-/** 503 and 429 are said before an operation takes effect; of any other status nothing can be concluded. */
+/** The service sends 503 and 429 only before an operation takes effect; other error statuses leave the outcome open. */
 function resolveRefusal(status: number, operation: Operation<unknown, unknown>): Failure {
     const detail = `${operation.path}: status ${status}`;
     switch (status) {
@@ -123,12 +123,14 @@
     }
 }
 
-/** A write whose answer was lost may have taken effect; a read can't have. */
+/** A write may have taken effect although its response was lost; a read has no effect. */
 function resolveLoss(operation: Pick<Operation<unknown, unknown>, "writes">): ErrorKind {
     return operation.writes ? "storeOutcomeUnknown" : "storeUnavailable";
 }
 
-/** Only a connection that was never opened shows that nothing was sent; any later error may follow the effect. */
+/**
+ * Only a failed connection attempt proves that nothing was sent; any later error may occur after the call took effect.
+ */
 function isBeforeSending(err: unknown): boolean {
     if (!(err instanceof Error)) {
         return false;
--- a/packages/platform/src/protocol.ts
+++ b/packages/platform/src/protocol.ts
@@ -1,11 +1,11 @@
 import * as z from "zod";
 
 /**
- * How the platform's service is called over HTTP: each operation is one POST with a JSON body, answered by a JSON body.
- * Client and stand-in read this one table, so that they can't differ.
+ * HTTP protocol of the platform's service: each operation is a POST request with a JSON body and a JSON response. The
+ * client and the stand-in share this table, so that they can't diverge.
  */
 
-/** Header in which a client says who it is. */
+/** Request header with the name of the client. */
 export const clientHeader = "x-client";
 
 const keyValue = z.object({
@@ -27,7 +27,7 @@
 /** One operation of the platform's service. */
 export interface Operation<Req, Res> {
     readonly path: string;
-    /** Whether a lost answer leaves open if it took effect. */
+    /** Whether the operation is a write, whose outcome is unknown when its response is lost. */
     readonly writes: boolean;
     readonly request: z.ZodType<Req>;
     readonly response: z.ZodType<Res>;
@@ -42,7 +42,7 @@
     return Object.freeze({ path, writes, request, response: response });
 }
 
-/** Every operation of the platform's service. */
+/** All operations of the platform's service. */
 export const operations = Object.freeze({
     get: createOperation(
         "/kv/get",
@@ -82,5 +82,5 @@
     listHosts: createOperation("/hosts/list", false, z.object({}), z.object({ hosts: z.array(hostEntry) })),
 });
 
-/** The shape in which the stand-in takes its host list. */
+/** Schema of the host list that is given to the stand-in. */
 export const hostListSchema = z.array(hostEntry);
--- a/packages/routing/src/__tests__/policies.test.ts
+++ b/packages/routing/src/__tests__/policies.test.ts
@@ -37,7 +37,7 @@
     local: fc.boolean(),
 });
 
-test("every policy chooses one of the candidates, and the same one for the same seed", () => {
+test("every policy chooses a candidate, and the same one for the same seed", () => {
     fc.assert(fc.property(
         fc.constantFrom(...routingPolicyNames),
         fc.array(candidate, { minLength: 1, maxLength: 12 }),
@@ -52,7 +52,7 @@
     ));
 });
 
-test("free slot first takes a free local server, then a free distant one, then the least occupied", () => {
+test("freeSlotFirst prefers a free local server, then a free server in another zone, then the least occupied", () => {
     const policy = mustCreate("freeSlotFirst");
     const random = createRandomSource(7);
     const full = describeCandidate("full", { ownInFlight: 1, othersInFlight: 2 });
@@ -64,7 +64,7 @@
     assert.equal(policy.choose([fuller, full], random), 1);
 });
 
-test("hot-cold prefers the faster of the servers that are not hot, and the least occupied where all are", () => {
+test("hotCold prefers the fastest server that is not hot, or the least occupied if all are hot", () => {
     const policy = mustCreate("hotCold");
     const random = createRandomSource(3);
     const slow = describeCandidate("slow", { latencyMs: 40 });
@@ -75,7 +75,7 @@
     assert.equal(policy.choose([hotter, hot], random), 1);
 });
 
-test("round robin visits every server, also when one goes away in between", () => {
+test("roundRobin visits every server when one disappears in between", () => {
     const policy = mustCreate("roundRobin");
     const random = createRandomSource(1);
     const [a, b, c] = ["a", "b", "c"].map(name => describeCandidate(name)) as [Candidate, Candidate, Candidate];
@@ -85,10 +85,10 @@
     assert.deepEqual(visited, ["a", "b", "c", "a"]);
 });
 
-test("round robin keeps the turns of services apart", () => {
-    // Two services share the gateway and so the policy, and their requests come by turns.
-    // A turn kept as the last server's name fell back to the first server of either service at each change, which got
-    // nearly all of its requests: the callers saw a third of them refused at 75 in 100 of what all servers can bear.
+test("roundRobin keeps separate turns for each service", () => {
+    // Two services share a gateway and its policy, and their requests alternate. If the policy remembers only the last
+    // server's name, it restarts with the first server of a service at each change. That server then gets nearly all
+    // requests, and a third of them are refused at 75% of the total capacity.
     const policy = mustCreate("roundRobin");
     const random = createRandomSource(1);
     const describe = (service: string) => (name: string) =>
@@ -101,9 +101,9 @@
     assert.deepEqual(visited, ["table-1", "desk-1", "table-2", "desk-2", "table-3", "desk-3"]);
 });
 
-// One server said long ago that it is idle, the others just now that they have work. If the old word counted, every
-// gateway would send there until it is the slowest; if it were left out, the server would look just as idle.
-test("an old word on a server's load fades into what is usual", () => {
+// One server reported long ago that it is idle; the others just reported load. If the old report kept its weight, every
+// gateway would send to that server until it is the slowest; if it were dropped, the server would look just as idle.
+test("an old load report decays to the average of the service", () => {
     const policy = mustCreate("expectedInFlight");
     const random = createRandomSource(5);
     const old = describeCandidate("old", { ownInFlight: 1, lastReported: { othersInFlight: 0, ageMs: 5_000 } });
@@ -111,10 +111,10 @@
     const fresh = describeCandidate("fresh", { ownInFlight: 1, lastReported: { othersInFlight: 0, ageMs: 1 } });
     assert.equal(policy.choose([old, busy, fresh], random), 2);
     const usual = describeCandidate("usual", { lastReported: { othersInFlight: 1, ageMs: 5_000 } });
-    assert.equal(policy.choose([old, usual], random), 1, "with nothing believed, own requests decide");
+    assert.equal(policy.choose([old, usual], random), 1, "without usable reports, own requests decide");
 });
 
-test("the own availability zone decides between equals only", () => {
+test("the local availability zone only breaks ties", () => {
     const policy = mustCreate("expectedInFlight");
     const random = createRandomSource(6);
     const distant = describeCandidate("distant", { local: false });
--- a/packages/routing/src/__tests__/serverLoadTracker.test.ts
+++ b/packages/routing/src/__tests__/serverLoadTracker.test.ts
@@ -16,9 +16,9 @@
     return board.createCandidate("tables/a", server, true, usesPeerLoads, nowMs);
 }
 
-test("a server's own word counts others only, and is left out once old or used up", () => {
-    // A server said once that it is idle, and then nothing more. If that word stayed, every gateway would send it
-    // everything; so it goes after a few requests, or after a fraction of a second.
+test("a load report counts other gateways' requests only, and is ignored once old or used too often", () => {
+    // A server reports once that it is idle, and then nothing more. If the report stayed valid, every gateway would
+    // send all requests to that server, so it is ignored after a few requests or a fraction of a second.
     const board = new ServerLoadTracker();
     board.onSent("tables/a");
     board.onReport("tables/a", { inFlight: 3 }, 1_000);
@@ -32,7 +32,7 @@
     assert.equal(look(board, 2_001).othersInFlight, undefined);
 });
 
-test("peers' counts add up, each as long as it is fresh", () => {
+test("sums the recent in-flight counts of other gateways and ignores old ones", () => {
     const board = new ServerLoadTracker();
     const load = { serverId: "tables/a", ownInFlight: 2, reportedInFlight: undefined } as const;
     board.onPeerLoad("gateway-1", { ...load, ageMs: 0 }, 100);
@@ -41,7 +41,7 @@
     assert.equal(look(board, 200, true).othersInFlight, 2);
 });
 
-test("own requests in flight are counted exactly, and a vanished server is forgotten only when idle", () => {
+test("counts own requests exactly, and removes an unconfigured server only when it is idle", () => {
     const board = new ServerLoadTracker();
     board.onSent("tables/a");
     board.onSent("tables/a");
--- a/packages/routing/src/constants.ts
+++ b/packages/routing/src/constants.ts
@@ -1,23 +1,29 @@
-/** How many candidates a sampling policy looks at. */
+/** Number of candidates that `HotColdPolicy` samples. */
 export const hotColdSampleSize = 4;
 
-/** The share of known in-flight counts above which a backend server counts as hot. */
+/** Quantile of the candidates' occupancy from which a backend server is considered hot. */
 export const hotQuantile = 0.75;
 
-/** A word on a backend server's load older than this is left out: load shifts in milliseconds. */
+/** Load reports older than this are ignored, because load changes within milliseconds. */
 export const maxReportAgeMs = 250;
 
-/** A latency older than this says nothing about now. */
+/** Latency averages without a new sample for this long are discarded as outdated. */
 export const maxLatencyAgeMs = 5_000;
 
-/** Weight of the newest latency in the moving average. */
+/** Weight of a new sample in the exponential moving average of the latency. */
 export const latencyWeight = 0.2;
 
-/** How many requests may be sent on one report before it is left out, so that a stale low count attracts no herd. */
+/**
+ * Requests sent after one load report before it is ignored, so that a stale low count can't attract a burst of
+ * requests.
+ */
 export const maxSendsPerReport = 4;
 
-/** Time in which a server's requests in flight turn over, where its latency isn't known. */
+/** Time constant at which a load report loses its weight, for a server of unknown latency. */
 export const defaultReportDecayMs = 100;
 
-/** What another availability zone costs, in slots: a millisecond on the way beside tens at work decides ties only. */
+/**
+ * Cost of another availability zone, as a share of a server's slots. Its network time of about a millisecond is small
+ * compared to tens of milliseconds of processing, so it only breaks ties.
+ */
 export const otherZoneCost = 0.05;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Choosing a backend server. */
+/** Routing policies, which choose a backend server for a request, and the load data they use. */
 export { createRoutingPolicy, routingPolicyNames } from "./policies.js";
 export { createRandomSource, RandomSource } from "./randomSource.js";
 export { type Candidate, type LastReport, RoutingPolicy } from "./routingPolicy.js";
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -3,17 +3,17 @@
 import { type Candidate, RoutingPolicy } from "./routingPolicy.js";
 import { type ServerId } from "./serverSignal.js";
 
-/** Everybody's requests in flight as far as known; own counts are current, others' may be missing. */
+/** Known requests in flight from all gateways; this gateway's count is current, the others' may be missing. */
 function knownInFlight(candidate: Candidate): number {
     return candidate.ownInFlight + (candidate.othersInFlight ?? 0);
 }
 
-/** Occupied share of the slots, so that servers of different sizes compare. */
+/** Requests in flight per slot, which makes servers of different sizes comparable. */
 function occupancy(candidate: Candidate): number {
     return knownInFlight(candidate) / candidate.server.slots;
 }
 
-/** Indexes of at most `size` different candidates. */
+/** Draws the indexes of at most `size` different candidates in random order. */
 function sample(count: number, size: number, random: RandomSource): readonly number[] {
     const indexes = Array.from({ length: count }, (_, i) => i);
     const taken = Math.min(size, count);
@@ -26,7 +26,7 @@
     return indexes.slice(0, taken);
 }
 
-/** The index with the lowest cost; ties fall to whichever comes first in `indexes`. */
+/** Finds the index with the lowest cost; on a tie, the one that comes first in `indexes`. */
 function lowest(
     candidates: readonly Candidate[],
     indexes: readonly number[],
@@ -48,7 +48,7 @@
     return best;
 }
 
-/** Baseline: any candidate, all alike. */
+/** Baseline: chooses uniformly at random. */
 export class RandomPolicy extends RoutingPolicy {
     override readonly name = "random";
 
@@ -57,15 +57,16 @@
     }
 }
 
-/** Baseline: one after the other. */
+/** Baseline: chooses the candidates in turn. */
 export class RoundRobinPolicy extends RoutingPolicy {
     override readonly name = "roundRobin";
     readonly #turns = new Map<ServerId, number>();
     #turn = 0;
 
     override choose(candidates: readonly Candidate[]): number {
-        // A position would lose the turn when candidates come and go, and so would one name when requests of another
-        // service come in between: the first server of either would get nearly all. Each server's own last turn can't.
+        // The last turn is kept per server. A list position would be wrong after candidates change, and the name of the
+        // last server would be lost whenever a request of another service comes in between: either way, the first
+        // server of a service would get nearly all requests.
         const all = candidates.map((_, i) => i);
         const chosen = lowest(candidates, all, candidate => this.#turns.get(candidate.serverId) ?? 0);
         const server = candidates[chosen]?.serverId;
@@ -76,7 +77,7 @@
     }
 }
 
-/** Baseline: the fewest requests in flight from this gateway. */
+/** Baseline: chooses the server with the fewest requests per slot in flight from this gateway. */
 export class LeastOwnInFlightPolicy extends RoutingPolicy {
     override readonly name = "leastOwnInFlight";
 
@@ -86,7 +87,7 @@
     }
 }
 
-/** Baseline: the less occupied of two drawn at random. */
+/** Baseline: chooses the less occupied of two random candidates (power of two choices). */
 export class TwoChoicesPolicy extends RoutingPolicy {
     override readonly name = "twoChoices";
 
@@ -96,8 +97,9 @@
 }
 
 /**
- * Of a small sample, a server whose known in-flight count lies in the upper part of all candidates' counts is hot.
- * Among those not hot the fastest goes; where all are hot, the least occupied. Published for Prequal (NSDI 2024).
+ * Hot-cold selection as published for Prequal (NSDI 2024). Of a small random sample, servers whose occupancy lies in
+ * the upper quantile of all candidates are hot. Chooses the fastest server that is not hot, or the least occupied one
+ * if all are hot.
  */
 export class HotColdPolicy extends RoutingPolicy {
     override readonly name: string = "hotCold";
@@ -112,12 +114,12 @@
         if (cool.length === 0) {
             return lowest(candidates, drawn, occupancy);
         }
-        // A server of which nothing is known gets tried: otherwise it would never be known.
+        // A server of unknown latency is preferred, since it would otherwise never be measured.
         return lowest(candidates, cool, candidate => candidate.latencyMs ?? 0);
     }
 }
 
-/** As {@link HotColdPolicy}, with the counts that peers tell of themselves in place of the servers' own word. */
+/** {@link HotColdPolicy} with in-flight counts from the other gateways instead of the servers' load reports. */
 export class HotColdWithPeersPolicy extends HotColdPolicy {
     override readonly name = "hotColdWithPeers";
     override readonly usesPeerLoads = true;
@@ -126,14 +128,14 @@
 function hotThreshold(candidates: readonly Candidate[]): number {
     const sorted = candidates.map(occupancy).sort((a, b) => a - b);
     const at = sorted[Math.floor(hotQuantile * (sorted.length - 1))] ?? 0;
-    // A full server is hot whatever the others are.
+    // A full server is always hot. The lower bound keeps idle servers from being hot when all are idle.
     return Math.min(1, Math.max(at, Number.EPSILON));
 }
 
 /**
- * Looks at every candidate and takes a free slot first: least occupied, the local availability zone before another
- * while it has a free slot, then the fastest. With at most a few dozen servers a service, looking at all costs less
- * than the bad draws of a small sample; the random order breaks ties differently at each gateway, against herding.
+ * Chooses the least occupied server with a free slot in the local availability zone, or the least occupied of all
+ * candidates if there is none. A service has at most a few dozen servers, so evaluating all of them costs less than the
+ * poor choices of a small sample. The random order breaks ties differently at each gateway, which prevents herding.
  */
 export class FreeSlotFirstPolicy extends RoutingPolicy {
     override readonly name = "freeSlotFirst";
@@ -150,12 +152,14 @@
 }
 
 /**
- * Goes by the expected requests in flight: own ones exactly, others' by the server's last word, which is believed less
- * the older it is, and in its place what others have on an average server of the service.
+ * Chooses the server with the fewest expected requests in flight per slot. This gateway's requests are counted exactly;
+ * those of other gateways are estimated from the server's last load report, which is blended with the average over the
+ * service's servers as it ages.
  *
- * A word that is left out when old makes a server look empty of others' work, and draws requests there; a word that is
- * kept sends a herd. In the time in which a request is answered a server's work turns over, so that is how fast belief
- * fades; with no belief left anywhere, least own in flight remains.
+ * If an old report were dropped, the server would look free of other gateways' requests and attract too many; if it
+ * kept its full weight, every gateway would send its requests to the same server. A server's requests in flight are
+ * replaced within about one request latency, so the weight of a report decays at that rate. Without usable reports, the
+ * choice is by this gateway's own requests in flight.
  */
 export class ExpectedInFlightPolicy extends RoutingPolicy {
     override readonly name = "expectedInFlight";
@@ -202,12 +206,12 @@
     () => new ExpectedInFlightPolicy(),
 ];
 
-/** Names that {@link createRoutingPolicy} takes. */
+/** Names accepted by {@link createRoutingPolicy}. */
 export const routingPolicyNames: readonly string[] = policies.map(create => create().name);
 
 /**
  * @param name - one of {@link routingPolicyNames}
- * @returns a new policy, or `undefined` where no policy has that name
+ * @returns a new policy, or `undefined` if no policy has that name
  */
 export function createRoutingPolicy(name: string): RoutingPolicy | undefined {
     for (const create of policies) {
--- a/packages/routing/src/randomSource.ts
+++ b/packages/routing/src/randomSource.ts
@@ -1,13 +1,13 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** A seeded source of random numbers, so that a run can be repeated. */
+/** Pseudo-random number generator with a seed, so that a run can be repeated. */
 export abstract class RandomSource {
     /** @returns a number of at least 0 and less than 1 */
     abstract next(): number;
 
     /**
-     * @param limit - one more than the largest result
-     * @returns a whole number of at least 0 and less than `limit`
+     * @param limit - exclusive upper bound
+     * @returns an integer of at least 0 and less than `limit`
      */
     nextInt(limit: number): number {
         return Math.floor(this.next() * limit);
@@ -29,7 +29,7 @@
 
 /**
  * @param seed - 32-bit seed
- * @returns a source that gives the same numbers for the same seed
+ * @returns a generator that produces the same sequence for the same seed
  */
 export function createRandomSource(seed: number): RandomSource {
     return new SeededRandomSource(seed);
--- a/packages/routing/src/serverLoadTracker.ts
+++ b/packages/routing/src/serverLoadTracker.ts
@@ -3,12 +3,13 @@
 import { type Candidate } from "./routingPolicy.js";
 import { type ServerId, type ServerLoad } from "./serverSignal.js";
 
+/** Requests in flight from another gateway. */
 interface PeerCount {
     readonly inFlight: number;
     readonly atMs: number;
 }
 
-/** What this gateway knows of one backend server. */
+/** Load data of one backend server. */
 class ServerEntry {
     ownInFlight = 0;
     reportedOthers = 0;
@@ -19,20 +20,20 @@
     readonly peers = new Map<string, PeerCount>();
 }
 
-/** A backend server's own word on its load, as an answer or a probe brought it. */
+/** In-flight count that a backend server reports in a response or a load probe. */
 export interface InFlightReport {
-    /** Requests in flight from everybody, the answered one included. */
+    /** Requests in flight from all gateways, including the one being answered. */
     readonly inFlight: number;
 }
 
 /**
- * Keeps what is known of each backend server's load: own counts exactly, everybody else's from the servers' own
- * words and from peers, each with its age.
+ * Tracks the load of each backend server: this gateway's requests exactly, those of other gateways from the servers'
+ * reports and from the other gateways' heartbeats, each with its age.
  */
 export class ServerLoadTracker {
     readonly #entries = new Map<ServerId, ServerEntry>();
 
-    /** Counts a request as in flight, from before its first byte is handed over. */
+    /** Counts a request as in flight; called before its first byte is sent. */
     onSent(serverId: ServerId): void {
         const entry = this.#entry(serverId);
         entry.ownInFlight++;
@@ -42,9 +43,9 @@
     /**
      * Counts a request as ended.
      *
-     * @param serverId - where it ran
-     * @param nowMs - the present time
-     * @param latencyMs - time to the answer's head; `undefined` where none came
+     * @param serverId - the server that it was sent to
+     * @param nowMs - current time
+     * @param latencyMs - time until the response head; `undefined` if there was no response
      */
     onEnded(serverId: ServerId, nowMs: number, latencyMs: number | undefined): void {
         const entry = this.#entry(serverId);
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Takes a server's own word; `ownInFlight` is still counted with the request that brought it. */
+    /** Records a server's report. Must be called while the request that carried it still counts as in flight. */
     onReport(serverId: ServerId, report: InFlightReport, nowMs: number): void {
         const entry = this.#entry(serverId);
         entry.reportedOthers = Math.max(0, report.inFlight - entry.ownInFlight);
@@ -64,12 +65,12 @@
         entry.reportUses = 0;
     }
 
-    /** Takes a peer's word on what it has in flight itself. */
+    /** Records how many requests another gateway has in flight. */
     onPeerLoad(peer: string, load: ServerLoad, nowMs: number): void {
         this.#entry(load.serverId).peers.set(peer, { inFlight: load.ownInFlight, atMs: nowMs - load.ageMs });
     }
 
-    /** @returns own in-flight counts above zero, to be told to peers */
+    /** @returns this gateway's load entries with requests in flight, to be sent to the other gateways */
     ownLoads(nowMs: number): readonly ServerLoad[] {
         const loads: ServerLoad[] = [];
         for (const [serverId, entry] of this.#entries) {
@@ -80,7 +81,7 @@
         return loads;
     }
 
-    /** @returns what this gateway knows of one server's load; zero and no report where it knows nothing */
+    /** @returns the load of one server; zero and without a report if the server is unknown */
     load(serverId: ServerId, nowMs: number): ServerLoad {
         return toLoad(serverId, this.#entries.get(serverId) ?? new ServerEntry(), nowMs);
     }
@@ -90,7 +91,7 @@
         return this.#entries.get(serverId)?.ownInFlight ?? 0;
     }
 
-    /** Describes one server as a policy sees it. */
+    /** Creates the policy input for one server. */
     createCandidate(
         serverId: ServerId,
         server: BackendServer,
@@ -112,7 +113,7 @@
         };
     }
 
-    /** Forgets servers that the configuration no longer names, once nothing is in flight to them. */
+    /** Removes servers that are no longer configured and have no requests in flight. */
     retain(serverIds: ReadonlySet<ServerId>): void {
         for (const [serverId, entry] of this.#entries) {
             if (!serverIds.has(serverId) && entry.ownInFlight === 0) {
@@ -139,8 +140,8 @@
 }
 
 /**
- * A low report attracts every request until the next one comes. It is left out after a few uses or a fraction of a
- * second, so that a stale word costs at most a handful of requests.
+ * A low count attracts all requests until the next report. A report is ignored after a few sends or a fraction of a
+ * second, so that a stale one misdirects at most a handful of requests.
  */
 function reportedInFlight(entry: ServerEntry, nowMs: number): number | undefined {
     const usable = nowMs - entry.reportedAtMs <= maxReportAgeMs && entry.reportUses < maxSendsPerReport;
--- a/packages/routing/src/serverSignal.ts
+++ b/packages/routing/src/serverSignal.ts
@@ -1,34 +1,37 @@
-/** Names a backend server over the whole configuration: `service/server`. */
+/** Id of a backend server that is unique in the configuration: `service/server`. */
 export type ServerId = `${string}/${string}`;
 
 /**
  * @param service - name of the service
- * @param server - name of the backend server within it
- * @returns the name over the whole configuration
+ * @param server - name of the backend server within the service
+ * @returns the server id
  */
 export function createServerId(service: string, server: string): ServerId {
     return `${service}/${server}`;
 }
 
-/** Something learnt about a backend server that every gateway has to know at once. */
+/** A state change of a backend server that is sent to all gateways immediately. */
 export interface ServerSignal {
     readonly serverId: ServerId;
     readonly kind: "turnedCold" | "warm" | "leaving";
-    /** Counts the times that the server turned cold, so that signals may arrive late or out of order; 0 for `leaving`. */
+    /**
+     * Number of times that the server has turned cold, which orders signals that arrive late or out of order; 0 for
+     * `leaving`.
+     */
     readonly epoch: number;
-    /** The server's own word for its present life, where it gives one. */
+    /** Id of the server's current process incarnation, if it sends one. */
     readonly incarnation: string | undefined;
-    /** Age when sent, in milliseconds; the receiver adds the time since it asked. */
+    /** Age in milliseconds when sent; the receiver adds the time since it sent its request. */
     readonly ageMs: number;
 }
 
-/** What one gateway knows of a backend server's load. */
+/** Load of a backend server as known to one gateway. */
 export interface ServerLoad {
     readonly serverId: ServerId;
-    /** Requests in flight from the sending gateway, counted by itself. */
+    /** Requests in flight from the sending gateway. */
     readonly ownInFlight: number;
-    /** Requests in flight as the server last said of itself; `undefined` where it said nothing. */
+    /** Requests in flight from all gateways, from the server's last report; `undefined` if there was none. */
     readonly reportedInFlight: number | undefined;
-    /** Age of the server's own word when sent, in milliseconds. */
+    /** Age of the server's report in milliseconds when sent. */
     readonly ageMs: number;
 }
--- a/packages/schema/src/__tests__/configurationMessages.test.ts
+++ b/packages/schema/src/__tests__/configurationMessages.test.ts
@@ -12,7 +12,7 @@
     );
 }
 
-test("both deployments come over the wire as they were", () => {
+test("both deployments are unchanged after serialization", () => {
     for (const name of ["lonestat.yaml", "pecanBend.yaml"]) {
         const text = readFileSync(new URL(`../../../../playground/${name}`, import.meta.url), "utf8");
         const cfg = checkYaml(text, resolveConfiguration).unsafeCoerce();
@@ -51,9 +51,9 @@
     services: maybe(serviceArbitrary).map(service => service === undefined ? [] : [service]),
 });
 
-test("what is absent stays absent, and what is written stays", () => {
-    // A field whose absence the wire can't show would come back with its zero, which overrides the default: an
-    // operator who says nothing of methods would get a service whose POST requests are all taken as idempotent.
+test("absent fields stay absent and declared fields are kept", () => {
+    // A field without presence on the wire would be decoded as its zero value, which overrides the default: a service
+    // without `nonIdempotentMethods` would treat all POST requests as idempotent.
     fc.assert(fc.property(configurationArbitrary, cfg => {
         const sent = resolveConfiguration(cfg).unsafeCoerce();
         const received = overTheWire(cfg);
@@ -62,7 +62,7 @@
     }));
 });
 
-test("a state or weekday that only a newer schema knows is refused, not guessed", () => {
+test("rejects a state or weekday that only a newer schema defines", () => {
     const message = fromJson(ConfigurationSchema, {
         availabilityZones: [{ name: "a", state: 9 }],
         services: [{
--- a/packages/schema/src/configurationMessages.ts
+++ b/packages/schema/src/configurationMessages.ts
@@ -1,4 +1,4 @@
-/** Carries configurations over the operators' calls and back, without filling in or dropping anything. */
+/** Converts configurations to and from messages of the operators' API, without adding defaults or dropping fields. */
 import { create } from "@bufbuild/protobuf";
 import { type ConfigurationInput, type Weekday } from "@galenaglade/configuration";
 import {
@@ -32,20 +32,20 @@
 const weekdayNames = new Map(Object.entries(weekdayEnums).map(([name, value]) => [value, name as Weekday]));
 
 /**
- * Finds the message's value for an availability zone's state.
+ * Converts an availability zone's state to its enum value.
  *
- * @param state - the state as declared; `undefined` where none is
- * @returns the enum's value
+ * @param state - the declared state; `undefined` if none is declared
+ * @returns the enum value
  */
 export function toZoneStateEnum(state: AvailabilityZoneInput["state"]): ZoneStateEnum {
     return state === undefined ? ZoneStateEnum.UNSPECIFIED : zoneStates[state];
 }
 
 /**
- * Makes the message for a configuration.
+ * Converts a configuration to a message.
  *
- * @param cfg - a configuration that was checked, with or without its defaults
- * @returns the message; what is absent stays absent
+ * @param cfg - a validated configuration, with or without its defaults
+ * @returns the message; absent fields stay absent
  */
 export function toConfigurationMessage(cfg: ConfigurationInput): ConfigurationMessage {
     return create(ConfigurationSchema, {
@@ -81,10 +81,10 @@
 }
 
 /**
- * Reads a configuration from a message. It is as unchecked as the message: give it to `resolveConfiguration`.
+ * Converts a message to a configuration. The result is not validated and must be passed to `resolveConfiguration`.
  *
  * @param message - the message
- * @returns the declarations as written, for the check
+ * @returns the configuration as written
  */
 export function fromConfigurationMessage(message: ConfigurationMessage): ConfigurationInput {
     return {
@@ -108,7 +108,8 @@
         case ZoneStateEnum.OUT:
             return "out";
         default:
-            // A state that a newer schema knows: the check refuses it by name, where a guess would move traffic.
+            // A state that only a newer schema defines. Validation rejects this value, whereas a guess could shift
+            // traffic.
             return `unknown state ${String(state)}` as "out";
     }
 }
--- a/packages/settings/src/__tests__/settings.test.ts
+++ b/packages/settings/src/__tests__/settings.test.ts
@@ -22,7 +22,7 @@
 
 const readKey = () => `${key}\n`;
 
-test("fills in defaults and freezes the whole", () => {
+test("fills in defaults and freezes the settings", () => {
     const settings = resolveGatewaySettings(gatewayYaml, readKey).unsafeCoerce();
     assert.equal(settings.callers.maximumHeaderBytes, 16_384);
     assert.equal(settings.stopping.balancerWaitMs, 5_000);
@@ -41,9 +41,9 @@
     }
 });
 
-test("names every faulty key at once, each with its line and what is accepted", () => {
-    // An operator rolls out a file with six mistakes. The process must name all of them in one run, since each run
-    // costs a round through the platform; naming the first only would cost six.
+test("reports all faults at once, each with its line and the accepted values", () => {
+    // A settings file contains several mistakes. Each run requires a rollout through the platform, so reporting only
+    // the first fault would cost one rollout per mistake.
     const yaml = gatewayYaml
         .replace("name: entry-1\n", "name: Entry 1\n")
         .replace("port: 8080", "port: \"8080\", maxConnections: 5")
@@ -67,25 +67,25 @@
     );
 });
 
-test("names a key written twice along with the other faults", () => {
+test("reports a duplicate key along with the other faults", () => {
     const faults = resolveGatewaySettings(`${gatewayYaml}name: entry-2\ncolour: red\n`, readKey).swap().unsafeCoerce();
     assert.deepEqual(faults.map(fault => fault.line), [13, 14]);
     assert.match(faults[0]?.message ?? "", /unique/);
 });
 
-test("names a syntax error by its line", () => {
+test("reports a syntax error with its line", () => {
     const faults = resolveGatewaySettings("name: entry-1\ncallers: { port: [\n", readKey).swap().unsafeCoerce();
     assert.ok(faults.length > 0);
     assert.ok(faults.every(fault => fault.line >= 2));
 });
 
-test("refuses an empty file, a list, and a second document", () => {
+test("rejects an empty file, a list, and a second document", () => {
     for (const yaml of ["", "- name: x", `${gatewayYaml}---\n${gatewayYaml}`]) {
         assert.ok(resolveGatewaySettings(yaml, readKey).isLeft(), yaml);
     }
 });
 
-test("refuses an alias bomb without expanding it", () => {
+test("rejects a YAML alias bomb without expanding it", () => {
     const levels = ["a0: &a0 x"];
     for (let i = 1; i < 12; i++) {
         levels.push(`a${i}: &a${i} [${`*a${i - 1},`.repeat(10)}]`);
@@ -94,7 +94,7 @@
     assert.match(faults[0]?.message ?? "", /alias/);
 });
 
-test("wants exactly one place for the fleet's key, also beside other faults", () => {
+test("requires exactly one source of the fleet's key, along with other faults", () => {
     const both = gatewayYaml.replace("file: /run/fleet.key", `{ file: /run/fleet.key, value: ${key}, colour: red }`);
     const messages = resolveGatewaySettings(both, readKey).swap().unsafeCoerce().map(fault => fault.message);
     assert.deepEqual(messages, [
@@ -103,7 +103,7 @@
     ]);
 });
 
-test("names an unreadable or short key file at its line", () => {
+test("reports an unreadable or short key file with its line", () => {
     const unreadable = resolveGatewaySettings(gatewayYaml, () => {
         throw new Error("no such file");
     }).swap().unsafeCoerce();
@@ -114,13 +114,13 @@
     ]);
 });
 
-test("refuses a wildcard as the address at which peers reach a host", () => {
+test("rejects a wildcard as peer address", () => {
     const yaml = gatewayYaml.replace("    address: 10.0.0.4", "    address: 0.0.0.0");
     const faults = resolveGatewaySettings(yaml, readKey).swap().unsafeCoerce();
     assert.deepEqual(faults.map(fault => fault.line), [5]);
 });
 
-test("resolves the operators' server's settings", () => {
+test("resolves the settings of the operators' server", () => {
     const yaml =
         `address: 127.0.0.1\nport: 0\nplatform: { address: "http://127.0.0.1:1" }\nfleetKey: { value: ${key} }\n`;
     const settings = resolveAdminSettings(yaml).unsafeCoerce();
@@ -128,7 +128,7 @@
     assert.equal(settings.fleetKey.reveal(), key);
 });
 
-test("refuses a planned stop that is too short for a change to be in force", () => {
+test("rejects a drain time shorter than a change may wait to be in force", () => {
     const yaml = `address: 127.0.0.1
 port: 0
 platform: { address: "http://127.0.0.1:1" }
--- a/packages/settings/src/__tests__/startup.test.ts
+++ b/packages/settings/src/__tests__/startup.test.ts
@@ -22,11 +22,11 @@
 
 const startup = (...args: readonly string[]) => resolveStartup("galenaglade-admin", args, resolveAdminSettings);
 
-test("runs with good settings", () => {
+test("runs with valid settings", () => {
     assert.equal(startup("--settings", good).type, "run");
 });
 
-test("prints the resolved settings without the key, and leaves with 0", () => {
+test("prints the resolved settings without the fleet's key and exits with 0", () => {
     const result = startup("--settings", good, "--print-settings");
     assert.ok(result.type === "exit");
     assert.equal(result.code, 0);
@@ -35,7 +35,7 @@
     assert.ok(!result.output.includes(key));
 });
 
-test("leaves with 2 and every fault where the file is faulty", () => {
+test("exits with 2 and reports all faults of an invalid file", () => {
     const path = write("faulty.yaml", "address: here\nport: 99999\ncolour: red\n");
     const result = startup("--settings", path);
     assert.ok(result.type === "exit");
@@ -50,7 +50,7 @@
     ]);
 });
 
-test("leaves with 2 where the file or an option is unknown or missing", () => {
+test("exits with 2 if the file or an option is unknown or missing", () => {
     for (const args of [[], ["--settings", join(directory, "none.yaml")], ["--colour"], ["stray"]]) {
         const result = startup(...args);
         assert.ok(result.type === "exit", args.join(" "));
@@ -58,7 +58,7 @@
     }
 });
 
-test("refuses a file that is too large to be meant, without reading it", () => {
+test("rejects a file that is too large without reading it", () => {
     const result = startup("--settings", write("large.yaml", "#".repeat(maxFileBytes + 1)));
     assert.ok(result.type === "exit");
     assert.match(result.output, /8388609 bytes/);
--- a/packages/settings/src/adminSettings.ts
+++ b/packages/settings/src/adminSettings.ts
@@ -4,7 +4,7 @@
 import { type ReadText, readTextFile, type ResolvedSettings, resolveSettings } from "./resolveSettings.js";
 import { fleetKey, freshness, ipAddress, logging, milliseconds, platform, port } from "./sharedSchemas.js";
 
-/** The settings of the operators' server as written in YAML. */
+/** Schema of the operators' server's settings file. */
 export const adminSettingsSchema = z.strictObject({
     address: ipAddress.describe("IP number on which operators' calls are taken"),
     port: port.describe("port on which operators' calls are taken"),
@@ -25,19 +25,20 @@
     freshness: freshness.prefault({}),
     logging: logging.prefault({}),
 }).refine(settings => settings.stopping.drainMs >= settings.acceptWaitMs, {
-    // A planned stop would cut a call that still waits for its change to be in force, and its operator wouldn't know.
+    // A shorter drain time would abort a call that is still waiting for its change to be in force, and the operator
+    // would not learn its outcome.
     error: "expected at least acceptWaitMs",
     path: ["stopping", "drainMs"],
 });
 
-/** The operators' server's settings with every default filled in and the fleet's key read. */
+/** Settings of the operators' server with all defaults filled in and the fleet's key loaded. */
 export type ResolvedAdminSettings = ResolvedSettings<typeof adminSettingsSchema>;
 
 /**
- * Checks the operators' server's settings and fills in every default.
+ * Validates the settings of the operators' server and fills in all defaults.
  *
- * @param text - YAML
- * @param readText - reads the file of the fleet's key
+ * @param text - settings as YAML
+ * @param readText - reads the fleet key file
  * @returns all faults at once, or the frozen settings
  */
 export function resolveAdminSettings(
--- a/packages/settings/src/constants.ts
+++ b/packages/settings/src/constants.ts
@@ -1,8 +1,11 @@
-/** Shortest fleet key that is taken: 128 bits written as hexadecimal digits. */
+/** Minimum length of a fleet key in characters: 128 bits as hexadecimal digits. */
 export const minFleetKeyLength = 32;
 
-/** Largest settings or configuration file that is read, in bytes: 8,400 backend servers take 1.6 MB of YAML. */
+/**
+ * Maximum size of a settings or configuration file in bytes; a configuration of 8,400 backend servers takes 1.6 MB of
+ * YAML.
+ */
 export const maxFileBytes = 8_388_608;
 
-/** Exit code of a process whose settings or command line are faulty. */
+/** Exit code of a process with invalid settings or command line arguments. */
 export const badInputExitCode = 2;
--- a/packages/settings/src/gatewaySettings.ts
+++ b/packages/settings/src/gatewaySettings.ts
@@ -47,8 +47,8 @@
 const stopping = z.strictObject({
     balancerWaitMs: millisecondsOrZero.default(5_000)
         .describe("time for the platform's balancer to see that this host is not ready"),
-    // A stop ends as soon as nothing is in flight; the limit only keeps a stuck request from holding it for ever, and a
-    // shorter default would cut an extract that its caller lets run all night.
+    // A planned stop ends as soon as no request is in flight. This limit only keeps a stuck request from delaying the
+    // stop forever; a shorter default would abort an extract that runs all night.
     drainMs: milliseconds.default(86_400_000)
         .describe("longest time for the requests in flight to finish, after the wait for the balancer"),
 });
@@ -58,7 +58,7 @@
         .describe("whether cold backend servers are warmed up under permits; the same in the whole fleet"),
 });
 
-/** A gateway's settings as written in YAML. */
+/** Schema of a gateway's settings file. */
 export const gatewaySettingsSchema = z.strictObject({
     name: name.describe("name of this host, as the platform's host list has it"),
     availabilityZone: name.describe("availability zone in which this host stands"),
@@ -73,14 +73,14 @@
     logging: logging.prefault({}),
 });
 
-/** A gateway's settings with every default filled in and the fleet's key read. */
+/** Settings of a gateway with all defaults filled in and the fleet's key loaded. */
 export type ResolvedGatewaySettings = ResolvedSettings<typeof gatewaySettingsSchema>;
 
 /**
- * Checks a gateway's settings and fills in every default.
+ * Validates the settings of a gateway and fills in all defaults.
  *
- * @param text - YAML
- * @param readText - reads the file of the fleet's key
+ * @param text - settings as YAML
+ * @param readText - reads the fleet key file
  * @returns all faults at once, or the frozen settings
  */
 export function resolveGatewaySettings(
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Process settings from YAML: every fault named with its line, all at once, before a port is opened. */
+/** Process settings in YAML. All faults are reported at once with their lines, before any port is opened. */
 export { adminSettingsSchema, resolveAdminSettings, type ResolvedAdminSettings } from "./adminSettings.js";
 export { badInputExitCode, maxFileBytes, minFleetKeyLength } from "./constants.js";
 export { gatewaySettingsSchema, type ResolvedGatewaySettings, resolveGatewaySettings } from "./gatewaySettings.js";
--- a/packages/settings/src/loadSettings.ts
+++ b/packages/settings/src/loadSettings.ts
@@ -5,15 +5,15 @@
 import { badInputExitCode } from "./constants.js";
 import { readTextFile } from "./resolveSettings.js";
 
-/** Checks the text of a settings file, such as `resolveGatewaySettings`. */
+/** Validates the text of a settings file and fills in defaults, such as `resolveGatewaySettings`. */
 export type SettingsResolver<T> = (text: string) => Either<readonly LocatedFault[], T>;
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
  * @param path - path of the file
- * @param resolve - the check
- * @returns all faults as lines for a person, or the settings
+ * @param resolve - resolver of the file's text
+ * @returns all faults formatted for display, or the settings
  */
 export function loadSettings<T>(path: string, resolve: SettingsResolver<T>): Either<string, T> {
     let text: string;
@@ -26,20 +26,20 @@
     return resolve(text).mapLeft(faults => formatFaults(path, faults));
 }
 
-/** What a process does after it has read its command line and settings. */
+/** Result of parsing the command line and loading the settings. */
 export type Startup<T> =
     | { readonly type: "run"; readonly settings: T; }
-    /** Print and leave; nothing was opened yet. */
+    /** The process prints `output` and exits; it has opened nothing yet. */
     | { readonly type: "exit"; readonly code: number; readonly output: string; };
 
 /**
- * Reads the command line of a long-running process: `--settings FILE`, `--print-settings` and `--help`. It comes
- * before anything is opened, so that a faulty file can't leave a process half started.
+ * Parses the command line of a server process (`--settings FILE`, `--print-settings`, `--help`) and loads its settings.
+ * It runs before any port is opened, so that an invalid file can't leave a process partially started.
  *
- * @param program - name of the program, for its help
- * @param args - the command line without node and script
- * @param resolve - checks the settings
- * @returns the settings, or what to print before leaving and with which exit code
+ * @param program - program name for the usage line
+ * @param args - command line arguments, without Node and the script
+ * @param resolve - resolver of the settings file
+ * @returns the settings, or the output and exit code with which to exit
  */
 export function resolveStartup<T>(program: string, args: readonly string[], resolve: SettingsResolver<T>): Startup<T> {
     const usage = `usage: ${program} --settings FILE [--print-settings] [--help]`;
@@ -74,7 +74,7 @@
 }
 
 /**
- * Writes resolved settings as YAML; secrets show as `[hidden]`.
+ * Formats resolved settings as YAML; secrets are printed as `[hidden]`.
  *
  * @param settings - the settings
  * @returns YAML
--- a/packages/settings/src/resolveSettings.ts
+++ b/packages/settings/src/resolveSettings.ts
@@ -12,13 +12,13 @@
 import { type fleetKey } from "./sharedSchemas.js";
 import { Secret } from "./secret.js";
 
-/** Reads a whole text file; throws what the system says. */
+/** Reads a whole text file; throws file system errors. */
 export type ReadText = (path: string) => string;
 
-/** A settings schema, as far as {@link resolveSettings} looks into it. */
+/** A settings schema that contains the fleet's key, as {@link resolveSettings} requires. */
 export type SettingsSchema = z.ZodType<{ readonly fleetKey: z.output<typeof fleetKey>; }>;
 
-/** Settings with every default filled in, read-only, and the fleet's key in place of where it stands. */
+/** Read-only settings with all defaults filled in, and the fleet's key itself in place of its location. */
 export type ResolvedSettings<S extends SettingsSchema> =
     & DeepReadonly<Omit<z.output<S>, "fleetKey">>
     & { readonly fleetKey: Secret; };
@@ -27,8 +27,8 @@
  * Reads a text file of at most {@link maxFileBytes}.
  *
  * @param path - path of the file
- * @returns its text
- * @throws what the system says, or that the file is too large
+ * @returns the file's text
+ * @throws file system errors, or an error if the file is too large
  */
 export function readTextFile(path: string): string {
     const { size } = statSync(path);
@@ -39,12 +39,12 @@
 }
 
 /**
- * Checks settings against a schema, reads the fleet's key and freezes the whole.
+ * Validates settings against a schema and loads the fleet's key.
  *
- * @param text - YAML
- * @param schema - the schema
- * @param readText - reads the file of the fleet's key
- * @returns all faults at once, or the settings
+ * @param text - settings as YAML
+ * @param schema - schema of the settings
+ * @param readText - reads the fleet key file
+ * @returns all faults at once, or the frozen settings
  */
 export function resolveSettings<S extends SettingsSchema>(
     text: string,
--- a/packages/settings/src/runProgram.ts
+++ b/packages/settings/src/runProgram.ts
@@ -1,26 +1,26 @@
 import { resolveStartup, type SettingsResolver } from "./loadSettings.js";
 
-/** A long-running process, put together but not started. */
+/** A server process that is not started yet. */
 export interface Program {
     readonly logger: {
         info(message: string, fields?: { readonly [name: string]: string; }): void;
         error(message: string, fields?: { readonly [name: string]: string; }): void;
     };
-    /** Name on the ready line. */
+    /** Name in the ready line. */
     readonly name: string;
-    /** Opens its ports; fails where it can't. @returns the URL at which it is reached */
+    /** Opens the ports; rejects if a port can't be opened. @returns the URL at which the process is reached */
     start(): Promise<string>;
-    /** Planned stop, whole. */
+    /** Performs a planned stop; resolves once it is complete. */
     stop(): Promise<void>;
 }
 
 /**
- * Runs a program from its command line to its end: settings first, before a port is opened; a line of JSON on standard
- * output once it is ready; a planned stop at SIGTERM or SIGINT, and exit code 0 after it.
+ * Runs a server process: loads its settings before a port is opened, prints a JSON line to standard output when it is
+ * ready, and performs a planned stop on SIGTERM or SIGINT, after which it exits with code 0.
  *
- * @param name - name of the program, for its help
- * @param resolve - checks its settings
- * @param create - puts it together
+ * @param name - program name for the usage line
+ * @param resolve - resolver of the settings file
+ * @param create - creates the program
  */
 export async function runProgram<T>(
     name: string,
--- a/packages/settings/src/secret.ts
+++ b/packages/settings/src/secret.ts
@@ -2,7 +2,7 @@
 
 const hidden = "[hidden]";
 
-/** A value that logs, JSON and templates show as `[hidden]`; only {@link Secret.reveal} gives it. */
+/** A secret text that is shown as `[hidden]` in logs, JSON and templates; only {@link Secret.reveal} returns it. */
 export class Secret {
     readonly #value: string;
 
@@ -10,11 +10,7 @@
         this.#value = value;
     }
 
-    /**
-     * Gives the value itself.
-     *
-     * @returns the secret text, which must not be logged
-     */
+    /** @returns the secret text, which must not be logged */
     reveal(): string {
         return this.#value;
     }
--- a/packages/settings/src/sharedSchemas.ts
+++ b/packages/settings/src/sharedSchemas.ts
@@ -1,17 +1,17 @@
-/** Pieces that more than one settings schema is made of. */
+/** Schemas that several settings files share. */
 import * as z from "zod";
 import { minFleetKeyLength } from "./constants.js";
 
-/** An IP number to listen on or to be reached at. */
+/** An IPv4 or IPv6 address. */
 export const ipAddress = z.union([z.ipv4(), z.ipv6()], { error: "expected an IP number such as 10.0.0.4" });
 
-/** A port to listen on; 0 lets the system choose one, which only tests want. */
+/** A port to listen on; 0 selects a free port, for tests. */
 export const port = z.number().int().min(0).max(65_535);
 
-/** A span of time in milliseconds. */
+/** A duration in milliseconds, at least 1. */
 export const milliseconds = z.number().int().min(1).max(86_400_000);
 
-/** A span of time in milliseconds that may be nothing. */
+/** A duration in milliseconds, or 0. */
 export const millisecondsOrZero = z.number().int().min(0).max(86_400_000);
 
 /** The name of a host or an availability zone. */
@@ -20,14 +20,14 @@
     "expected lower case letters, digits and hyphens, at most 63",
 );
 
-/** How to reach the platform. */
+/** Connection to the platform. */
 export const platform = z.strictObject({
     address: z.url({ protocol: /^https?$/, error: "expected a URL such as http://10.0.0.2:4000" })
         .describe("URL of the platform's service, without path"),
     callTimeoutMs: milliseconds.default(1_000).describe("how long one call of the platform may take"),
 });
 
-/** The key that all processes of the fleet share, inline or in a file. */
+/** The key shared by all processes of the fleet, inline or in a file. */
 export const fleetKey = z.strictObject({
     file: z.string().min(1).optional().describe("file that holds the key; white space around it is ignored"),
     value: z.string().min(minFleetKeyLength).optional().describe("the key itself"),
@@ -36,17 +36,17 @@
     { error: "expected exactly one of file, value" },
 );
 
-/** What is logged. */
+/** Logging. */
 export const logging = z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info").describe("least serious level that is logged"),
 });
 
 /**
- * How long a gateway may take new work on the strength of its last word from the store.
+ * How long a gateway may accept new work after its last contact with the store.
  *
- * Gateways let go of stale configurations after this time, and the operators' server waits this long for gateways that
- * it can't reach before it says that a change is in force. A gateway that had a longer time than the server waits for
- * would still send work under the old configuration then: the value must be the same in the whole fleet.
+ * After this time a gateway stops using its configuration, and the operators' server reports a change as in force
+ * without waiting any longer for gateways that it can't reach. A gateway with a longer time would still send work under
+ * the old configuration at that point, so the value must be the same in the whole fleet.
  */
 export const freshness = z.strictObject({
     maximumAgeMs: milliseconds.min(1_000).max(60_000).default(5_000)
--- a/packages/telemetry/src/__tests__/logger.test.ts
+++ b/packages/telemetry/src/__tests__/logger.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { createLogger, createMetrics } from "../index.js";
 
-test("a line is one JSON object with its fields", () => {
+test("writes a line as one JSON object with its fields", () => {
     const lines: string[] = [];
     const logger = createLogger({ process: "gateway-1", level: "info", json: true, write: line => lines.push(line) });
     logger.info("request refused", { traceId: "abc", status: 503 });
@@ -15,7 +15,7 @@
     assert.equal(line["process"], "gateway-1");
 });
 
-test("metrics are rendered for a scrape", async () => {
+test("renders metrics in the Prometheus text format", async () => {
     const metrics = createMetrics("gateway");
     metrics.meter.createHistogram("http.server.request.duration", { unit: "s" }).record(0.0007, { "http.route": "/" });
     const text = await metrics.render();
--- a/packages/telemetry/src/constants.ts
+++ b/packages/telemetry/src/constants.ts
@@ -1,4 +1,4 @@
-/** Histogram boundaries, in seconds: fine where the brief's services answer, coarse for overnight extracts. */
+/** Histogram bucket boundaries in seconds: fine for interactive services, coarse for extracts that run overnight. */
 export const durationBucketsSeconds: readonly number[] = [
     0.0005,
     0.001,
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Logs, metrics and traces. */
+/** Logging, metrics and tracing. */
 export { createJsonLogger, type JsonLoggerOptions } from "./jsonLogger.js";
 export { type LogFields, type Logger, type LogLevel, logLevels } from "./logFields.js";
 export { createLogger, type LoggerOptions } from "./logger.js";
--- a/packages/telemetry/src/jsonLogger.ts
+++ b/packages/telemetry/src/jsonLogger.ts
@@ -1,16 +1,16 @@
 import { type ConsolaReporter, createConsola, type LogObject } from "consola/core";
 import { consolaLevels, type LogFields, type Logger, type LogLevel, toLogArguments } from "./logFields.js";
 
-/** How a log of JSON lines is made. */
+/** Options of a JSON lines logger. */
 export interface JsonLoggerOptions {
-    /** Name of the process, on every line. */
+    /** Process name, written to every line. */
     readonly process: string;
     readonly level: LogLevel;
-    /** Where lines go, each with its line feed. */
+    /** Called with each line, including its line feed. */
     readonly write: (line: string) => void;
 }
 
-/** Reports each line as one JSON object. */
+/** Writes each log entry as one JSON object. */
 class JsonReporter implements ConsolaReporter {
     readonly #process: string;
     readonly #write: (line: string) => void;
@@ -37,10 +37,10 @@
 }
 
 /**
- * Makes a log of JSON lines. It leaves out what consola brings for terminals, 6 MB of a process's resident memory.
+ * Creates a JSON lines logger. It imports consola without its terminal reporters, which saves 6 MB of resident memory.
  *
- * @param options - name, level and output
- * @returns the log
+ * @param options - process name, level and output
+ * @returns the logger
  */
 export function createJsonLogger(options: JsonLoggerOptions): Logger {
     const reporters = [new JsonReporter(options.process, options.write)];
--- a/packages/telemetry/src/logFields.ts
+++ b/packages/telemetry/src/logFields.ts
@@ -1,17 +1,17 @@
-/** Log levels as settings write them. */
+/** Log levels, as written in settings. */
 export const logLevels = ["error", "warn", "info", "debug"] as const;
 /** One of {@link logLevels}. */
 export type LogLevel = typeof logLevels[number];
 
-/** The levels as consola numbers them. */
+/** Consola's numeric log levels. */
 export const consolaLevels: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 
-/** One line of the log: what happened, and named values. */
+/** Named values of a log line. */
 export interface LogFields {
     readonly [name: string]: string | number | boolean | undefined;
 }
 
-/** A process's log. */
+/** Logger of a process. */
 export interface Logger {
     error(message: string, fields?: LogFields): void;
     warn(message: string, fields?: LogFields): void;
@@ -19,7 +19,7 @@
     debug(message: string, fields?: LogFields): void;
 }
 
-/** @returns the fields as the rest of an argument list */
+/** @returns the fields as additional log arguments; empty if there are none */
 export function toLogArguments(fields: LogFields | undefined): readonly LogFields[] {
     return fields === undefined ? [] : [fields];
 }
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -2,22 +2,24 @@
 import { createJsonLogger } from "./jsonLogger.js";
 import { consolaLevels, type Logger, type LogLevel, toLogArguments } from "./logFields.js";
 
-/** How a log is made. */
+/** Options of a logger. */
 export interface LoggerOptions {
-    /** Name of the process, on every line. */
+    /** Process name, written to every JSON line. */
     readonly process: string;
     readonly level: LogLevel;
-    /** One JSON object a line; the default where the output is not a terminal. */
+    /** Whether to write JSON lines; by default, if standard error is not a terminal. */
     readonly json?: boolean;
-    /** Where lines go; standard error by default, so that standard output stays free for results. */
+    /**
+     * Called with each JSON line; writes to standard error by default, since standard output is reserved for results.
+     */
     readonly write?: (line: string) => void;
 }
 
 /**
- * Makes a process's log: JSON lines where not a terminal, consola's usual lines for a person.
+ * Creates a process's logger: consola's default format on a terminal, JSON lines otherwise.
  *
- * @param options - name, level and output
- * @returns the log
+ * @param options - process name, level and output
+ * @returns the logger
  */
 export function createLogger(options: LoggerOptions): Logger {
     const json = options.json ?? !process.stderr.isTTY;
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -4,19 +4,19 @@
 import { AggregationType, MeterProvider } from "@opentelemetry/sdk-metrics";
 import { durationBucketsSeconds } from "./constants.js";
 
-/** A process's metrics. */
+/** Metrics of a process. */
 export interface Metrics {
     readonly meter: Meter;
-    /** @returns all metrics in Prometheus' text format */
+    /** @returns all metrics in the Prometheus text format */
     render(): Promise<string>;
     shutdown(): Promise<void>;
 }
 
 /**
- * Makes a process's OpenTelemetry meter, read by scraping; no port is opened here.
+ * Creates a process's OpenTelemetry meter. The caller serves the rendered metrics for scraping; no port is opened.
  *
  * @param processName - the resource's `service.name`
- * @returns the meter, to be shut down at the end
+ * @returns the metrics, which must be shut down when the process stops
  */
 export function createMetrics(processName: string): Metrics {
     const reader = new PrometheusExporter({ preventServerStart: true });
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -11,15 +11,15 @@
 } from "@opentelemetry/sdk-trace-node";
 import { type Logger } from "./logFields.js";
 
-/** A process's tracer. */
+/** Tracing of a process. */
 export interface Tracing {
     readonly tracer: Tracer;
     readonly propagator: W3CTraceContextPropagator;
-    /** Writes what is still held; called in a planned stop so that no span is lost. */
+    /** Flushes buffered spans; must be called during a planned stop so that no span is lost. */
     shutdown(): Promise<void>;
 }
 
-/** Writes spans to the log, one line each, for whatever collects the log. */
+/** Exports spans as log lines, one per span. */
 class LogSpanExporter implements SpanExporter {
     readonly #logger: Logger;
 
@@ -46,19 +46,22 @@
     }
 }
 
-/** How spans are taken. */
+/** Options of a tracer. */
 export interface TracingOptions {
     readonly process: string;
-    /** Share of traces begun here that are recorded, 0 to 1; a caller's own decision goes before it. */
+    /**
+     * Ratio of traces started here that are recorded, 0 to 1; the sampling decision of a caller's trace takes
+     * precedence.
+     */
     readonly samplingRatio: number;
     readonly logger: Logger;
 }
 
 /**
- * Makes a process's OpenTelemetry tracer.
+ * Creates a process's OpenTelemetry tracer, which exports spans to the log.
  *
- * @param options - name, share and where spans go
- * @returns the tracer, to be shut down at the end
+ * @param options - process name, sampling ratio and logger
+ * @returns the tracing, which must be shut down when the process stops
  */
 export function createTracing(options: TracingOptions): Tracing {
     const provider = new NodeTracerProvider({
