--- a/packages/admission/src/__tests__/admission.test.ts
+++ b/packages/admission/src/__tests__/admission.test.ts
@@ -11,8 +11,8 @@
     }
     queue.onSlotFreed(0);
     queue.onSlotFreed(10);
-    const verdict = queue.enqueue({ id: 4, deadlineMs: 35 }, 10, 5);
-    assert.deepEqual(verdict, { type: "refuse", retryAfterMs: 40 });
+    const decision = queue.enqueue({ id: 4, deadlineMs: 35 }, 10, 5);
+    assert.deepEqual(decision, { type: "refuse", retryAfterMs: 40 });
     assert.equal(queue.enqueue({ id: 5, deadlineMs: 100 }, 10, 5).type, "waits");
 });
 
--- a/packages/admission/src/waitQueue.ts
+++ b/packages/admission/src/waitQueue.ts
@@ -20,13 +20,13 @@
  * request that would be served too late is therefore refused immediately, while its caller can still react.
  */
 export class WaitQueue {
-    readonly #waiting: QueuedRequest[] = [];
+    readonly #queue: QueuedRequest[] = [];
     /** Moving average of the time between two freed slots in milliseconds; `undefined` before the second one. */
-    #msPerTurn: number | undefined;
-    #lastTurnMs: number | undefined;
+    #msPerFreedSlot: number | undefined;
+    #lastFreedAtMs: number | undefined;
 
     get length(): number {
-        return this.#waiting.length;
+        return this.#queue.length;
     }
 
     /**
@@ -37,29 +37,29 @@
      * @param serviceTimeMs - expected time to serve the request once it has a slot
      */
     enqueue(request: QueuedRequest, nowMs: number, serviceTimeMs: number): QueueDecision {
-        const expectedWaitMs = (this.#waiting.length + 1) * (this.#msPerTurn ?? 0);
+        const expectedWaitMs = (this.#queue.length + 1) * (this.#msPerFreedSlot ?? 0);
         const late = nowMs + expectedWaitMs + serviceTimeMs > request.deadlineMs;
-        if (late || this.#waiting.length >= maxQueueLength) {
+        if (late || this.#queue.length >= maxQueueLength) {
             return { type: "refuse", retryAfterMs: Math.max(expectedWaitMs, serviceTimeMs) };
         }
-        this.#waiting.push(request);
+        this.#queue.push(request);
         return { type: "waits" };
     }
 
     /** Records that a slot was freed, which updates the expected wait. */
     onSlotFreed(nowMs: number): void {
-        if (this.#lastTurnMs !== undefined && this.#waiting.length > 0) {
-            const turnMs = nowMs - this.#lastTurnMs;
-            this.#msPerTurn = this.#msPerTurn === undefined
-                ? turnMs
-                : this.#msPerTurn + 0.1 * (turnMs - this.#msPerTurn);
+        if (this.#lastFreedAtMs !== undefined && this.#queue.length > 0) {
+            const intervalMs = nowMs - this.#lastFreedAtMs;
+            this.#msPerFreedSlot = this.#msPerFreedSlot === undefined
+                ? intervalMs
+                : this.#msPerFreedSlot + 0.1 * (intervalMs - this.#msPerFreedSlot);
         }
-        this.#lastTurnMs = nowMs;
+        this.#lastFreedAtMs = nowMs;
     }
 
     /** Removes and returns the first request whose deadline has not passed; earlier ones are dropped. */
     dequeue(nowMs: number): QueuedRequest | undefined {
-        for (let first = this.#waiting.shift(); first !== undefined; first = this.#waiting.shift()) {
+        for (let first = this.#queue.shift(); first !== undefined; first = this.#queue.shift()) {
             if (first.deadlineMs > nowMs) {
                 return first;
             }
@@ -69,14 +69,14 @@
 
     /** Puts a dequeued request back to the head of the queue, because no server could take it. */
     putBack(request: QueuedRequest): void {
-        this.#waiting.unshift(request);
+        this.#queue.unshift(request);
     }
 
     /** Removes a request from the queue. */
     remove(id: number): void {
-        const at = this.#waiting.findIndex(waiting => waiting.id === id);
+        const at = this.#queue.findIndex(waiting => waiting.id === id);
         if (at >= 0) {
-            this.#waiting.splice(at, 1);
+            this.#queue.splice(at, 1);
         }
     }
 }
--- a/packages/configuration/src/checkYaml.ts
+++ b/packages/configuration/src/checkYaml.ts
@@ -21,20 +21,20 @@
     const lines = new LineCounter();
     const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
     const faults: LocatedFault[] = [];
-    let broken = false;
+    let hasSyntaxError = false;
     for (const err of document.errors) {
         const at = lines.linePos(err.pos[0]);
         faults.push({ path: [], message: err.message, line: at.line, column: at.col });
-        broken ||= err.code !== "DUPLICATE_KEY";
+        hasSyntaxError ||= err.code !== "DUPLICATE_KEY";
     }
     // After a syntax error the document is incomplete, and validation would report every lost part as a missing key. A
     // document with a duplicate key is complete, so its other faults are reported as well.
-    if (broken) {
-        return Left(sortByPlace(faults));
+    if (hasSyntaxError) {
+        return Left(sortByPosition(faults));
     }
     return resolveParsed(document, resolve).caseOf({
-        Left: found => Left(sortByPlace([...faults, ...found.map(fault => locate(fault, document, lines))])),
-        Right: value => faults.length > 0 ? Left(sortByPlace(faults)) : Right(value),
+        Left: found => Left(sortByPosition([...faults, ...found.map(fault => locate(fault, document, lines))])),
+        Right: value => faults.length > 0 ? Left(sortByPosition(faults)) : Right(value),
     });
 }
 
@@ -52,7 +52,7 @@
     return resolve(value);
 }
 
-function sortByPlace(faults: readonly LocatedFault[]): readonly LocatedFault[] {
+function sortByPosition(faults: readonly LocatedFault[]): readonly LocatedFault[] {
     return [...faults].sort((a, b) => a.line - b.line || a.column - b.column);
 }
 
--- a/packages/configuration/src/findReferenceFaults.ts
+++ b/packages/configuration/src/findReferenceFaults.ts
@@ -29,14 +29,14 @@
 type LenientService = z.output<typeof lenientSchema>["services"][number];
 
 /** Detects duplicate declarations. */
-class Declarations {
-    readonly #first = new Map<string, string>();
+class DuplicateDetector {
+    readonly #firstLocations = new Map<string, string>();
 
     /** @returns where the same value was first declared, or `undefined` if this is the first declaration */
     declare(what: string, where: string): string | undefined {
-        const before = this.#first.get(what);
+        const before = this.#firstLocations.get(what);
         if (before === undefined) {
-            this.#first.set(what, where);
+            this.#firstLocations.set(what, where);
         }
         return before;
     }
@@ -60,9 +60,9 @@
         }
         zones.add(name ?? "");
     }
-    const names = new Declarations();
-    const routes = new Declarations();
-    const addresses = new Declarations();
+    const names = new DuplicateDetector();
+    const routes = new DuplicateDetector();
+    const addresses = new DuplicateDetector();
     for (const [i, service] of cfg.services.entries()) {
         const path = ["services", i];
         if (service.name !== undefined && names.declare(service.name, "") !== undefined) {
@@ -88,7 +88,7 @@
 function* findRouteFaults(
     service: LenientService,
     path: DocumentFault["path"],
-    routes: Declarations,
+    routes: DuplicateDetector,
 ): Iterable<DocumentFault> {
     for (const [j, authority] of service.authorities.entries()) {
         if (authority === undefined) {
@@ -109,9 +109,9 @@
     service: LenientService,
     path: DocumentFault["path"],
     zones: ReadonlySet<string>,
-    addresses: Declarations,
+    addresses: DuplicateDetector,
 ): Iterable<DocumentFault> {
-    const names = new Declarations();
+    const names = new DuplicateDetector();
     for (const [j, server] of service.backendServers.entries()) {
         const at = [...path, "backendServers", j];
         if (server.name !== undefined && names.declare(server.name, "") !== undefined) {
@@ -137,7 +137,7 @@
     service: LenientService,
     server: LenientService["backendServers"][number],
     path: DocumentFault["path"],
-    addresses: Declarations,
+    addresses: DuplicateDetector,
 ): Iterable<DocumentFault> {
     if (server.address === undefined || server.port === undefined) {
         return;
--- a/packages/configuration/src/resolvePatience.ts
+++ b/packages/configuration/src/resolvePatience.ts
@@ -12,7 +12,7 @@
 const formats = new Map<string, Intl.DateTimeFormat>();
 
 /** Creating a format takes about 50 microseconds, so one is cached per time zone. */
-function formatFor(timeZone: string): Intl.DateTimeFormat {
+function getFormat(timeZone: string): Intl.DateTimeFormat {
     let format = formats.get(timeZone);
     if (format === undefined) {
         format = new Intl.DateTimeFormat("en-GB", {
@@ -35,24 +35,24 @@
     readonly at: WallClock;
 }
 
-const newestWallClocks = new Map<string, CachedWallClock>();
+const cachedWallClocks = new Map<string, CachedWallClock>();
 
 function resolveWallClock(timeZone: string, epochMs: number): WallClock {
     const epochMinute = Math.floor(epochMs / minuteMs);
-    const newest = newestWallClocks.get(timeZone);
-    if (newest?.epochMinute === epochMinute) {
-        return newest.at;
+    const cached = cachedWallClocks.get(timeZone);
+    if (cached?.epochMinute === epochMinute) {
+        return cached.at;
     }
-    const at = readWallClock(timeZone, epochMs);
-    newestWallClocks.set(timeZone, { epochMinute, at });
+    const at = computeWallClock(timeZone, epochMs);
+    cachedWallClocks.set(timeZone, { epochMinute, at });
     return at;
 }
 
-function readWallClock(timeZone: string, epochMs: number): WallClock {
+function computeWallClock(timeZone: string, epochMs: number): WallClock {
     let weekday: Weekday = "mon";
     let hour = 0;
     let minute = 0;
-    for (const part of formatFor(timeZone).formatToParts(epochMs)) {
+    for (const part of getFormat(timeZone).formatToParts(epochMs)) {
         if (part.type === "weekday") {
             weekday = part.value.toLowerCase().slice(0, 3) as Weekday;
         }
@@ -72,7 +72,7 @@
 }
 
 /** A rule whose end is not after its start extends past midnight and belongs to the weekday on which it starts. */
-function covers(rule: PatienceRule, at: WallClock, yesterday: Weekday): boolean {
+function appliesAt(rule: PatienceRule, at: WallClock, yesterday: Weekday): boolean {
     const from = toMinutes(rule.from);
     const to = toMinutes(rule.to);
     if (from < to) {
@@ -109,7 +109,7 @@
     const yesterday = dayBefore[at.weekday];
     for (const kind of [callerKind, defaultCallerKind]) {
         for (const rule of service.patience) {
-            if (rule.callerKind === kind && covers(rule, at, yesterday)) {
+            if (rule.callerKind === kind && appliesAt(rule, at, yesterday)) {
                 return rule.patienceMs;
             }
         }
--- a/packages/configuration/src/zoneState.ts
+++ b/packages/configuration/src/zoneState.ts
@@ -57,9 +57,10 @@
  * @returns service names
  */
 export function findUnservedServices(cfg: Configuration): readonly string[] {
-    const open = new Set(cfg.availabilityZones.filter(zone => zone.state === "in").map(zone => zone.name));
+    const zonesInService = new Set(cfg.availabilityZones.filter(zone => zone.state === "in").map(zone => zone.name));
     const unserved = cfg.services.filter(service =>
-        service.backendServers.length > 0 && !service.backendServers.some(server => open.has(server.availabilityZone))
+        service.backendServers.length > 0
+        && !service.backendServers.some(server => zonesInService.has(server.availabilityZone))
     );
     return unserved.map(service => service.name);
 }
--- a/packages/errors/src/failure.ts
+++ b/packages/errors/src/failure.ts
@@ -44,14 +44,14 @@
  * @returns the complete failure for a response
  */
 export function resolveFailure(failure: Failure): ResolvedFailure {
-    const answer = errorResponses[failure.kind];
+    const defaults = errorResponses[failure.kind];
     return Object.freeze({
         kind: failure.kind,
         detail: failure.detail,
-        title: answer.title,
-        status: answer.status,
-        didRun: failure.didRun ?? answer.didRun,
-        retryAfterSeconds: failure.retryAfterSeconds ?? answer.retryAfterSeconds,
+        title: defaults.title,
+        status: defaults.status,
+        didRun: failure.didRun ?? defaults.didRun,
+        retryAfterSeconds: failure.retryAfterSeconds ?? defaults.retryAfterSeconds,
     });
 }
 
--- a/packages/httpParts/src/createCallerServer.ts
+++ b/packages/httpParts/src/createCallerServer.ts
@@ -30,7 +30,7 @@
     limits: CallerServerOptions,
     handle: (req: IncomingMessage, res: ServerResponse) => void,
 ): Server {
-    const answers = new WeakMap<Socket, ServerResponse>();
+    const responses = new WeakMap<Socket, ServerResponse>();
     const server = createServer({
         maxHeaderSize: limits.maximumHeaderBytes,
         requestTimeout: limits.requestTimeoutMs,
@@ -45,7 +45,7 @@
         // Without this, Nagle's algorithm delays a small response until the previous one is acknowledged.
         noDelay: true,
     }, (req, res) => {
-        answers.set(req.socket, res);
+        responses.set(req.socket, res);
         if (req.headers.host === undefined && req.httpVersion !== "1.0") {
             writeFailure(res, createFailure("badRequest", "the Host header is missing"), undefined, true);
             return;
@@ -53,31 +53,31 @@
         handle(req, res);
     });
     server.on("clientError", (err: NodeJS.ErrnoException, socket: Socket) => {
-        refuseMalformed(err, socket, answers.get(socket));
+        rejectMalformed(err, socket, responses.get(socket));
     });
-    let open = 0;
+    let openConnections = 0;
     server.on("connection", (socket: Socket) => {
-        open++;
-        socket.once("close", () => open--);
-        if (open > limits.maximumConnections) {
-            endWith(socket, createFailure("tooManyConnections", "this host takes no more connections"));
+        openConnections++;
+        socket.once("close", () => openConnections--);
+        if (openConnections > limits.maximumConnections) {
+            closeWithFailure(socket, createFailure("tooManyConnections", "this host takes no more connections"));
         }
     });
     return server;
 }
 
-function refuseMalformed(err: NodeJS.ErrnoException, socket: Socket, answer: ServerResponse | undefined): void {
+function rejectMalformed(err: NodeJS.ErrnoException, socket: Socket, response: ServerResponse | undefined): void {
     // While a response is being sent, the error response would be written into it and the caller would take it for part
     // of the body. The connection is closed instead, so that the caller detects an incomplete response.
-    const answerUnderWay = answer !== undefined && answer.headersSent && !answer.writableFinished;
-    if (answerUnderWay || !socket.writable || err.code === "ECONNRESET") {
+    const isResponding = response !== undefined && response.headersSent && !response.writableFinished;
+    if (isResponding || !socket.writable || err.code === "ECONNRESET") {
         socket.destroy();
         return;
     }
     const kind = kindByCode[err.code ?? ""] ?? "badRequest";
-    endWith(socket, createFailure(kind, `the request could not be read (${err.code ?? "unknown"})`));
+    closeWithFailure(socket, createFailure(kind, `the request could not be read (${err.code ?? "unknown"})`));
 }
 
-function endWith(socket: Socket, failure: Failure): void {
+function closeWithFailure(socket: Socket, failure: Failure): void {
     socket.end(renderRawFailure(failure), () => socket.destroy());
 }
--- a/packages/httpParts/src/failureResponse.ts
+++ b/packages/httpParts/src/failureResponse.ts
@@ -6,7 +6,7 @@
 const contentType = "application/problem+json";
 
 /** Creates the response body for a failure: problem details (RFC 9457). */
-function resolveProblem(failure: ResolvedFailure, traceId: string | undefined): string {
+function createProblemBody(failure: ResolvedFailure, traceId: string | undefined): string {
     return JSON.stringify({
         type: `urn:galenaglade:error:${failure.kind}`,
         title: failure.title,
@@ -17,7 +17,7 @@
     });
 }
 
-function resolveFailureHeaders(failure: ResolvedFailure, body: string): Readonly<Record<string, string>> {
+function createFailureHeaders(failure: ResolvedFailure, body: string): Readonly<Record<string, string>> {
     return {
         "content-type": contentType,
         "content-length": String(Buffer.byteLength(body)),
@@ -41,9 +41,9 @@
         return;
     }
     const resolved = resolveFailure(failure);
-    const body = resolveProblem(resolved, traceId);
+    const body = createProblemBody(resolved, traceId);
     res.writeHead(resolved.status, {
-        ...resolveFailureHeaders(resolved, body),
+        ...createFailureHeaders(resolved, body),
         ...(close ? { connection: "close" } : {}),
     });
     res.end(body);
@@ -57,9 +57,9 @@
  */
 export function renderRawFailure(failure: Failure): string {
     const resolved = resolveFailure(failure);
-    const body = resolveProblem(resolved, undefined);
+    const body = createProblemBody(resolved, undefined);
     const lines = [`HTTP/1.1 ${resolved.status} ${resolved.kind}`, "connection: close"];
-    for (const [name, value] of Object.entries(resolveFailureHeaders(resolved, body))) {
+    for (const [name, value] of Object.entries(createFailureHeaders(resolved, body))) {
         lines.push(`${name}: ${value}`);
     }
     return `${lines.join("\r\n")}\r\n\r\n${body}`;
--- a/packages/httpParts/src/headers.ts
+++ b/packages/httpParts/src/headers.ts
@@ -16,7 +16,7 @@
 ]);
 
 /** Finds further hop-by-hop headers, which are named by a `Connection` header. */
-function declaredHopByHop(raw: RawHeaders): ReadonlySet<string> {
+function findConnectionHeaders(raw: RawHeaders): ReadonlySet<string> {
     const declared = new Set<string>();
     for (let i = 0; i + 1 < raw.length; i += 2) {
         if (raw[i]?.toLowerCase() === "connection") {
@@ -36,7 +36,7 @@
  * @returns alternating lower-case names and values
  */
 export function filterEndToEndHeaders(raw: RawHeaders, isDropped: (name: string) => boolean): string[] {
-    const declared = declaredHopByHop(raw);
+    const declared = findConnectionHeaders(raw);
     const kept: string[] = [];
     for (let i = 0; i + 1 < raw.length; i += 2) {
         const name = (raw[i] ?? "").toLowerCase();
--- a/packages/httpParts/src/requestBody.ts
+++ b/packages/httpParts/src/requestBody.ts
@@ -33,10 +33,10 @@
     abstract open(): Buffer | Readable | undefined;
 }
 
-const cutShortDetail = "the request's body was cut short";
+const truncatedBodyDetail = "the request's body was cut short";
 const lateBodyDetail = "the body did not come in time";
 
-class HeldBody extends RequestBody {
+class BufferedBody extends RequestBody {
     override readonly isReplayable = true;
     override readonly buffered: Buffer;
     override readonly prefix: Buffer;
@@ -98,14 +98,14 @@
 ): Promise<Either<Failure, RequestBody>> {
     const { contentLength, maxBytes, maxBufferedBytes } = limits;
     if (contentLength === 0) {
-        return Right(new HeldBody(Buffer.alloc(0)));
+        return Right(new BufferedBody(Buffer.alloc(0)));
     }
     if (contentLength !== undefined && contentLength > maxBufferedBytes) {
         const start = await peekBody(req, Math.min(bodyPrefixBytes, contentLength), signal);
         return start.map(bytes => new StreamedBody(req, bytes, contentLength));
     }
     const limit = Math.min(maxBufferedBytes, maxBytes);
-    return (await holdBody(req, limit, signal)).map(held => new HeldBody(held));
+    return (await bufferBody(req, limit, signal)).map(held => new BufferedBody(held));
 }
 
 /** Reads the first bytes of a body and puts them back. */
@@ -124,7 +124,7 @@
                 settle(Right(start));
             }
         };
-        const onClose = (): void => settle(Left(createFailure("badRequest", cutShortDetail)));
+        const onClose = (): void => settle(Left(createFailure("badRequest", truncatedBodyDetail)));
         const onAbort = (): void => settle(Left(createFailure("patienceSpent", lateBodyDetail)));
         req.on("readable", onReadable);
         req.once("close", onClose);
@@ -132,7 +132,7 @@
     });
 }
 
-function holdBody(req: IncomingMessage, limit: number, signal: AbortSignal): Promise<Either<Failure, Buffer>> {
+function bufferBody(req: IncomingMessage, limit: number, signal: AbortSignal): Promise<Either<Failure, Buffer>> {
     return new Promise(resolve => {
         const chunks: Buffer[] = [];
         let bytes = 0;
@@ -151,7 +151,7 @@
             }
         };
         const onEnd = (): void => settle(Right(Buffer.concat(chunks, bytes)));
-        const onClose = (): void => settle(Left(createFailure("badRequest", cutShortDetail)));
+        const onClose = (): void => settle(Left(createFailure("badRequest", truncatedBodyDetail)));
         const onAbort = (): void => settle(Left(createFailure("patienceSpent", lateBodyDetail)));
         req.on("data", onData);
         req.once("end", onEnd);
--- a/packages/httpParts/src/timers.ts
+++ b/packages/httpParts/src/timers.ts
@@ -8,9 +8,9 @@
 /** Waits until `done` settles, for at most `ms` milliseconds, and clears its timer. */
 export async function waitAtMost(done: Promise<void>, ms: number): Promise<void> {
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<void>(resolve => {
+    const timeout = new Promise<void>(resolve => {
         timer = setTimeout(resolve, ms);
     });
-    await Promise.race([done, late]);
+    await Promise.race([done, timeout]);
     clearTimeout(timer);
 }
--- a/packages/platform/src/httpHostList.ts
+++ b/packages/platform/src/httpHostList.ts
@@ -6,16 +6,16 @@
 
 /** HTTP client of the platform's host list. */
 export class HttpHostList extends HostList {
-    readonly #connection: PlatformClient;
+    readonly #client: PlatformClient;
 
-    /** @param connection - shared client; closed by its owner */
-    constructor(connection: PlatformClient) {
+    /** @param client - shared client; closed by its owner */
+    constructor(client: PlatformClient) {
         super();
-        this.#connection = connection;
+        this.#client = client;
     }
 
     override async list(): Promise<Either<Failure, readonly HostEntry[]>> {
-        const answer = await this.#connection.call(operations.listHosts, {});
-        return answer.map(({ hosts }) => hosts);
+        const response = await this.#client.call(operations.listHosts, {});
+        return response.map(({ hosts }) => hosts);
     }
 }
--- a/packages/platform/src/httpKeyValueStore.ts
+++ b/packages/platform/src/httpKeyValueStore.ts
@@ -14,46 +14,46 @@
 
 /** HTTP client of the platform's key-value service. */
 export class HttpKeyValueStore extends KeyValueStore {
-    readonly #connection: PlatformClient;
+    readonly #client: PlatformClient;
 
-    /** @param connection - shared client; closed by its owner */
-    constructor(connection: PlatformClient) {
+    /** @param client - shared client; closed by its owner */
+    constructor(client: PlatformClient) {
         super();
-        this.#connection = connection;
+        this.#client = client;
     }
 
     override async get(key: string): Promise<Either<Failure, KeyValue | undefined>> {
-        const answer = await this.#connection.call(operations.get, { key });
-        return answer.map(({ entry }) => entry);
+        const response = await this.#client.call(operations.get, { key });
+        return response.map(({ entry }) => entry);
     }
 
     override list(
         prefix: string,
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
-        return this.#connection.call(operations.list, { prefix });
+        return this.#client.call(operations.list, { prefix });
     }
 
     override async compareAndSwap(req: CompareAndSwap): Promise<Either<Failure, SwapOutcome>> {
-        const answer = await this.#connection.call(operations.compareAndSwap, req);
-        return answer.map(outcome => outcome.swapped ? outcome : { swapped: false, current: outcome.current });
+        const response = await this.#client.call(operations.compareAndSwap, req);
+        return response.map(outcome => outcome.swapped ? outcome : { swapped: false, current: outcome.current });
     }
 
     override grantLease(ttlMs: number): Promise<Either<Failure, Lease>> {
-        return this.#connection.call(operations.grantLease, { ttlMs });
+        return this.#client.call(operations.grantLease, { ttlMs });
     }
 
     override renewLease(id: string): Promise<Either<Failure, Lease>> {
-        return this.#connection.call(operations.renewLease, { id });
+        return this.#client.call(operations.renewLease, { id });
     }
 
     override async revokeLease(id: string): Promise<Either<Failure, void>> {
-        const answer = await this.#connection.call(operations.revokeLease, { id });
-        return answer.map(() => undefined);
+        const response = await this.#client.call(operations.revokeLease, { id });
+        return response.map(() => undefined);
     }
 
     override watch(
         { prefix, afterRevision, waitMs, slackMs, signal }: WatchRequest,
     ): Promise<Either<Failure, WatchEvents>> {
-        return this.#connection.call(operations.watch, { prefix, afterRevision, waitMs }, { waitMs, slackMs, signal });
+        return this.#client.call(operations.watch, { prefix, afterRevision, waitMs }, { waitMs, slackMs, signal });
     }
 }
--- a/packages/platform/src/platformClient.ts
+++ b/packages/platform/src/platformClient.ts
@@ -95,11 +95,11 @@
             await res.body.dump();
             return Left(resolveRefusal(res.statusCode, operation));
         }
-        const answer = operation.response.safeParse(await res.body.json());
-        if (!answer.success) {
+        const parsed = operation.response.safeParse(await res.body.json());
+        if (!parsed.success) {
             return Left(createFailure(resolveLoss(operation), `${operation.path}: the answer is malformed`));
         }
-        return Right(answer.data);
+        return Right(parsed.data);
     }
 
     /** Aborts all pending calls and closes the connections. */
--- a/packages/routing/src/__tests__/serverLoadTracker.test.ts
+++ b/packages/routing/src/__tests__/serverLoadTracker.test.ts
@@ -12,44 +12,44 @@
     connections: 200,
 };
 
-function look(board: ServerLoadTracker, nowMs: number, usesPeerLoads = false): Candidate {
-    return board.createCandidate("tables/a", server, true, usesPeerLoads, nowMs);
+function createCandidate(tracker: ServerLoadTracker, nowMs: number, usesPeerLoads = false): Candidate {
+    return tracker.createCandidate("tables/a", server, true, usesPeerLoads, nowMs);
 }
 
 test("a load report counts other gateways' requests only, and is ignored once old or used too often", () => {
     // A server reports once that it is idle, and then nothing more. If the report stayed valid, every gateway would
     // send all requests to that server, so it is ignored after a few requests or a fraction of a second.
-    const board = new ServerLoadTracker();
-    board.onSent("tables/a");
-    board.onReport("tables/a", { inFlight: 3 }, 1_000);
-    assert.equal(look(board, 1_000).othersInFlight, 2);
-    assert.equal(look(board, 1_251).othersInFlight, undefined);
-    board.onReport("tables/a", { inFlight: 1 }, 2_000);
+    const tracker = new ServerLoadTracker();
+    tracker.onSent("tables/a");
+    tracker.onReport("tables/a", { inFlight: 3 }, 1_000);
+    assert.equal(createCandidate(tracker, 1_000).othersInFlight, 2);
+    assert.equal(createCandidate(tracker, 1_251).othersInFlight, undefined);
+    tracker.onReport("tables/a", { inFlight: 1 }, 2_000);
     for (let i = 0; i < 4; i++) {
-        assert.equal(look(board, 2_001).othersInFlight, 0);
-        board.onSent("tables/a");
+        assert.equal(createCandidate(tracker, 2_001).othersInFlight, 0);
+        tracker.onSent("tables/a");
     }
-    assert.equal(look(board, 2_001).othersInFlight, undefined);
+    assert.equal(createCandidate(tracker, 2_001).othersInFlight, undefined);
 });
 
 test("sums the recent in-flight counts of other gateways and ignores old ones", () => {
-    const board = new ServerLoadTracker();
+    const tracker = new ServerLoadTracker();
     const load = { serverId: "tables/a", ownInFlight: 2, reportedInFlight: undefined } as const;
-    board.onPeerLoad("gateway-1", { ...load, ageMs: 0 }, 100);
-    board.onPeerLoad("gateway-2", { ...load, ageMs: 200 }, 100);
-    assert.equal(look(board, 100, true).othersInFlight, 4);
-    assert.equal(look(board, 200, true).othersInFlight, 2);
+    tracker.onPeerLoad("gateway-1", { ...load, ageMs: 0 }, 100);
+    tracker.onPeerLoad("gateway-2", { ...load, ageMs: 200 }, 100);
+    assert.equal(createCandidate(tracker, 100, true).othersInFlight, 4);
+    assert.equal(createCandidate(tracker, 200, true).othersInFlight, 2);
 });
 
 test("counts own requests exactly, and removes an unconfigured server only when it is idle", () => {
-    const board = new ServerLoadTracker();
-    board.onSent("tables/a");
-    board.onSent("tables/a");
-    board.onEnded("tables/a", 10, 4);
-    board.retain(new Set());
-    assert.equal(board.ownInFlight("tables/a"), 1);
-    assert.equal(look(board, 10).latencyMs, 4);
-    board.onEnded("tables/a", 20, undefined);
-    board.retain(new Set());
-    assert.equal(look(board, 20).latencyMs, undefined);
+    const tracker = new ServerLoadTracker();
+    tracker.onSent("tables/a");
+    tracker.onSent("tables/a");
+    tracker.onEnded("tables/a", 10, 4);
+    tracker.retain(new Set());
+    assert.equal(tracker.ownInFlight("tables/a"), 1);
+    assert.equal(createCandidate(tracker, 10).latencyMs, 4);
+    tracker.onEnded("tables/a", 20, undefined);
+    tracker.retain(new Set());
+    assert.equal(createCandidate(tracker, 20).latencyMs, undefined);
 });
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -14,7 +14,7 @@
 }
 
 /** Draws the indexes of at most `size` different candidates in random order. */
-function sample(count: number, size: number, random: RandomSource): readonly number[] {
+function drawSample(count: number, size: number, random: RandomSource): readonly number[] {
     const indexes = Array.from({ length: count }, (_, i) => i);
     const taken = Math.min(size, count);
     for (let i = 0; i < taken; i++) {
@@ -27,7 +27,7 @@
 }
 
 /** Finds the index with the lowest cost; on a tie, the one that comes first in `indexes`. */
-function lowest(
+function findLowestCost(
     candidates: readonly Candidate[],
     indexes: readonly number[],
     costOf: (candidate: Candidate) => number,
@@ -60,7 +60,7 @@
 /** Baseline: chooses the candidates in turn. */
 export class RoundRobinPolicy extends RoutingPolicy {
     override readonly name = "roundRobin";
-    readonly #turns = new Map<ServerId, number>();
+    readonly #lastTurns = new Map<ServerId, number>();
     #turn = 0;
 
     override choose(candidates: readonly Candidate[]): number {
@@ -68,10 +68,10 @@
         // last server would be lost whenever a request of another service comes in between: either way, the first
         // server of a service would get nearly all requests.
         const all = candidates.map((_, i) => i);
-        const chosen = lowest(candidates, all, candidate => this.#turns.get(candidate.serverId) ?? 0);
+        const chosen = findLowestCost(candidates, all, candidate => this.#lastTurns.get(candidate.serverId) ?? 0);
         const server = candidates[chosen]?.serverId;
         if (server !== undefined) {
-            this.#turns.set(server, ++this.#turn);
+            this.#lastTurns.set(server, ++this.#turn);
         }
         return chosen;
     }
@@ -82,8 +82,8 @@
     override readonly name = "leastOwnInFlight";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        const all = sample(candidates.length, candidates.length, random);
-        return lowest(candidates, all, candidate => candidate.ownInFlight / candidate.server.slots);
+        const all = drawSample(candidates.length, candidates.length, random);
+        return findLowestCost(candidates, all, candidate => candidate.ownInFlight / candidate.server.slots);
     }
 }
 
@@ -92,7 +92,7 @@
     override readonly name = "twoChoices";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        return lowest(candidates, sample(candidates.length, 2, random), occupancy);
+        return findLowestCost(candidates, drawSample(candidates.length, 2, random), occupancy);
     }
 }
 
@@ -105,17 +105,17 @@
     override readonly name: string = "hotCold";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        const drawn = sample(candidates.length, hotColdSampleSize, random);
+        const drawn = drawSample(candidates.length, hotColdSampleSize, random);
         const threshold = hotThreshold(candidates);
         const cool = drawn.filter(index => {
             const candidate = candidates[index];
             return candidate !== undefined && occupancy(candidate) < threshold;
         });
         if (cool.length === 0) {
-            return lowest(candidates, drawn, occupancy);
+            return findLowestCost(candidates, drawn, occupancy);
         }
         // A server of unknown latency is preferred, since it would otherwise never be measured.
-        return lowest(candidates, cool, candidate => candidate.latencyMs ?? 0);
+        return findLowestCost(candidates, cool, candidate => candidate.latencyMs ?? 0);
     }
 }
 
@@ -141,9 +141,9 @@
     override readonly name = "freeSlotFirst";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        const all = sample(candidates.length, candidates.length, random);
+        const all = drawSample(candidates.length, candidates.length, random);
         const local = all.filter(index => hasFreeSlot(candidates[index]) && candidates[index]?.local === true);
-        return lowest(candidates, local.length > 0 ? local : all, occupancy);
+        return findLowestCost(candidates, local.length > 0 ? local : all, occupancy);
     }
 }
 
@@ -165,16 +165,16 @@
     override readonly name = "expectedInFlight";
 
     override choose(candidates: readonly Candidate[], random: RandomSource): number {
-        const averageOthers = resolveAverageOthers(candidates);
-        const all = sample(candidates.length, candidates.length, random);
-        return lowest(candidates, all, candidate => {
-            const expected = candidate.ownInFlight + expectOthers(candidate, averageOthers);
+        const averageOthers = averageOthersInFlight(candidates);
+        const all = drawSample(candidates.length, candidates.length, random);
+        return findLowestCost(candidates, all, candidate => {
+            const expected = candidate.ownInFlight + estimateOthersInFlight(candidate, averageOthers);
             return expected / candidate.server.slots + (candidate.local ? 0 : otherZoneCost);
         });
     }
 }
 
-function resolveAverageOthers(candidates: readonly Candidate[]): number {
+function averageOthersInFlight(candidates: readonly Candidate[]): number {
     let sum = 0;
     let known = 0;
     for (const { lastReported } of candidates) {
@@ -186,13 +186,13 @@
     return known === 0 ? 0 : sum / known;
 }
 
-function expectOthers(candidate: Candidate, averageOthers: number): number {
+function estimateOthersInFlight(candidate: Candidate, averageOthers: number): number {
     const { lastReported, latencyMs } = candidate;
     if (lastReported === undefined) {
         return averageOthers;
     }
-    const belief = Math.exp(-lastReported.ageMs / (latencyMs ?? defaultReportDecayMs));
-    return belief * lastReported.othersInFlight + (1 - belief) * averageOthers;
+    const reportWeight = Math.exp(-lastReported.ageMs / (latencyMs ?? defaultReportDecayMs));
+    return reportWeight * lastReported.othersInFlight + (1 - reportWeight) * averageOthers;
 }
 
 const policies: readonly (() => RoutingPolicy)[] = [
--- a/packages/routing/src/serverLoadTracker.ts
+++ b/packages/routing/src/serverLoadTracker.ts
@@ -12,12 +12,12 @@
 /** Load data of one backend server. */
 class ServerEntry {
     ownInFlight = 0;
-    reportedOthers = 0;
+    reportedOthersInFlight = 0;
     reportedAtMs = -Infinity;
-    reportUses = 0;
+    sendsSinceReport = 0;
     latencyMs: number | undefined;
     latencyAtMs = -Infinity;
-    readonly peers = new Map<string, PeerCount>();
+    readonly peerCounts = new Map<string, PeerCount>();
 }
 
 /** In-flight count that a backend server reports in a response or a load probe. */
@@ -35,9 +35,9 @@
 
     /** Counts a request as in flight; called before its first byte is sent. */
     onSent(serverId: ServerId): void {
-        const entry = this.#entry(serverId);
+        const entry = this.#getOrCreateEntry(serverId);
         entry.ownInFlight++;
-        entry.reportUses++;
+        entry.sendsSinceReport++;
     }
 
     /**
@@ -48,7 +48,7 @@
      * @param latencyMs - time until the response head; `undefined` if there was no response
      */
     onEnded(serverId: ServerId, nowMs: number, latencyMs: number | undefined): void {
-        const entry = this.#entry(serverId);
+        const entry = this.#getOrCreateEntry(serverId);
         entry.ownInFlight = Math.max(0, entry.ownInFlight - 1);
         if (latencyMs !== undefined) {
             const fresh = nowMs - entry.latencyAtMs <= maxLatencyAgeMs ? entry.latencyMs : undefined;
@@ -59,15 +59,18 @@
 
     /** Records a server's report. Must be called while the request that carried it still counts as in flight. */
     onReport(serverId: ServerId, report: InFlightReport, nowMs: number): void {
-        const entry = this.#entry(serverId);
-        entry.reportedOthers = Math.max(0, report.inFlight - entry.ownInFlight);
+        const entry = this.#getOrCreateEntry(serverId);
+        entry.reportedOthersInFlight = Math.max(0, report.inFlight - entry.ownInFlight);
         entry.reportedAtMs = nowMs;
-        entry.reportUses = 0;
+        entry.sendsSinceReport = 0;
     }
 
     /** Records how many requests another gateway has in flight. */
     onPeerLoad(peer: string, load: ServerLoad, nowMs: number): void {
-        this.#entry(load.serverId).peers.set(peer, { inFlight: load.ownInFlight, atMs: nowMs - load.ageMs });
+        this.#getOrCreateEntry(load.serverId).peerCounts.set(peer, {
+            inFlight: load.ownInFlight,
+            atMs: nowMs - load.ageMs,
+        });
     }
 
     /** @returns this gateway's load entries with requests in flight, to be sent to the other gateways */
@@ -75,7 +78,7 @@
         const loads: ServerLoad[] = [];
         for (const [serverId, entry] of this.#entries) {
             if (entry.ownInFlight > 0) {
-                loads.push(toLoad(serverId, entry, nowMs));
+                loads.push(toServerLoad(serverId, entry, nowMs));
             }
         }
         return loads;
@@ -83,7 +86,7 @@
 
     /** @returns the load of one server; zero and without a report if the server is unknown */
     load(serverId: ServerId, nowMs: number): ServerLoad {
-        return toLoad(serverId, this.#entries.get(serverId) ?? new ServerEntry(), nowMs);
+        return toServerLoad(serverId, this.#entries.get(serverId) ?? new ServerEntry(), nowMs);
     }
 
     /** @returns requests in flight from this gateway */
@@ -99,15 +102,15 @@
         usesPeerLoads: boolean,
         nowMs: number,
     ): Candidate {
-        const entry = this.#entry(serverId);
+        const entry = this.#getOrCreateEntry(serverId);
         return {
             serverId,
             server,
             local,
             ownInFlight: entry.ownInFlight,
-            othersInFlight: usesPeerLoads ? peerInFlight(entry, nowMs) : reportedInFlight(entry, nowMs),
+            othersInFlight: usesPeerLoads ? recentPeerInFlight(entry, nowMs) : recentReportedOthers(entry, nowMs),
             lastReported: Number.isFinite(entry.reportedAtMs)
-                ? { othersInFlight: entry.reportedOthers, ageMs: nowMs - entry.reportedAtMs }
+                ? { othersInFlight: entry.reportedOthersInFlight, ageMs: nowMs - entry.reportedAtMs }
                 : undefined,
             latencyMs: nowMs - entry.latencyAtMs <= maxLatencyAgeMs ? entry.latencyMs : undefined,
         };
@@ -122,7 +125,7 @@
         }
     }
 
-    #entry(serverId: ServerId): ServerEntry {
+    #getOrCreateEntry(serverId: ServerId): ServerEntry {
         let entry = this.#entries.get(serverId);
         if (entry === undefined) {
             entry = new ServerEntry();
@@ -132,10 +135,10 @@
     }
 }
 
-function toLoad(serverId: ServerId, entry: ServerEntry, nowMs: number): ServerLoad {
-    const { ownInFlight, reportedOthers, reportedAtMs } = entry;
+function toServerLoad(serverId: ServerId, entry: ServerEntry, nowMs: number): ServerLoad {
+    const { ownInFlight, reportedOthersInFlight, reportedAtMs } = entry;
     return Number.isFinite(reportedAtMs)
-        ? { serverId, ownInFlight, reportedInFlight: reportedOthers + ownInFlight, ageMs: nowMs - reportedAtMs }
+        ? { serverId, ownInFlight, reportedInFlight: reportedOthersInFlight + ownInFlight, ageMs: nowMs - reportedAtMs }
         : { serverId, ownInFlight, reportedInFlight: undefined, ageMs: 0 };
 }
 
@@ -143,14 +146,14 @@
  * A low count attracts all requests until the next report. A report is ignored after a few sends or a fraction of a
  * second, so that a stale one misdirects at most a handful of requests.
  */
-function reportedInFlight(entry: ServerEntry, nowMs: number): number | undefined {
-    const usable = nowMs - entry.reportedAtMs <= maxReportAgeMs && entry.reportUses < maxSendsPerReport;
-    return usable ? entry.reportedOthers : undefined;
+function recentReportedOthers(entry: ServerEntry, nowMs: number): number | undefined {
+    const usable = nowMs - entry.reportedAtMs <= maxReportAgeMs && entry.sendsSinceReport < maxSendsPerReport;
+    return usable ? entry.reportedOthersInFlight : undefined;
 }
 
-function peerInFlight(entry: ServerEntry, nowMs: number): number | undefined {
+function recentPeerInFlight(entry: ServerEntry, nowMs: number): number | undefined {
     let sum: number | undefined;
-    for (const count of entry.peers.values()) {
+    for (const count of entry.peerCounts.values()) {
         if (nowMs - count.atMs <= maxReportAgeMs) {
             sum = (sum ?? 0) + count.inFlight;
         }
--- a/packages/schema/src/__tests__/configurationMessages.test.ts
+++ b/packages/schema/src/__tests__/configurationMessages.test.ts
@@ -6,7 +6,7 @@
 import { test } from "node:test";
 import { ConfigurationSchema, fromConfigurationMessage, toConfigurationMessage } from "../index.js";
 
-function overTheWire(cfg: ConfigurationInput): ConfigurationInput {
+function roundTrip(cfg: ConfigurationInput): ConfigurationInput {
     return fromConfigurationMessage(
         fromBinary(ConfigurationSchema, toBinary(ConfigurationSchema, toConfigurationMessage(cfg))),
     );
@@ -16,7 +16,7 @@
     for (const name of ["lonestat.yaml", "pecanBend.yaml"]) {
         const text = readFileSync(new URL(`../../../../playground/${name}`, import.meta.url), "utf8");
         const cfg = checkYaml(text, resolveConfiguration).unsafeCoerce();
-        assert.deepEqual(resolveConfiguration(overTheWire(cfg)).unsafeCoerce(), cfg);
+        assert.deepEqual(resolveConfiguration(roundTrip(cfg)).unsafeCoerce(), cfg);
     }
 });
 
@@ -56,7 +56,7 @@
     // without `nonIdempotentMethods` would treat all POST requests as idempotent.
     fc.assert(fc.property(configurationArbitrary, cfg => {
         const sent = resolveConfiguration(cfg).unsafeCoerce();
-        const received = overTheWire(cfg);
+        const received = roundTrip(cfg);
         assert.deepEqual(resolveConfiguration(received).unsafeCoerce(), sent);
         assert.equal(received.availabilityZones[0]?.state, cfg.availabilityZones[0].state);
     }));
--- a/packages/settings/src/secret.ts
+++ b/packages/settings/src/secret.ts
@@ -1,6 +1,6 @@
 import { inspect } from "node:util";
 
-const hidden = "[hidden]";
+const redacted = "[hidden]";
 
 /** A secret text that is shown as `[hidden]` in logs, JSON and templates; only {@link Secret.reveal} returns it. */
 export class Secret {
@@ -16,14 +16,14 @@
     }
 
     toString(): string {
-        return hidden;
+        return redacted;
     }
 
     toJSON(): string {
-        return hidden;
+        return redacted;
     }
 
     [inspect.custom](): string {
-        return hidden;
+        return redacted;
     }
 }
