--- a/packages/configuration/src/resolvePatience.ts
+++ b/packages/configuration/src/resolvePatience.ts
@@ -1,6 +1,6 @@
 import { type Configuration, type PatienceRule, type Service, type Weekday } from "./model.js";
 
-/** The caller kind that serves whoever names none, or one that is not declared. */
+/** Caller kind that applies to callers which send no kind, or one that is not declared. */
 export const defaultCallerKind = "default";
 
 interface WallClock {
@@ -11,8 +11,8 @@
 
 const formats = new Map<string, Intl.DateTimeFormat>();
 
-/** Formats are dear to make (about 50 microseconds), so one is kept for each time zone. */
-function formatFor(timeZone: string): Intl.DateTimeFormat {
+/** Creating a format takes about 50 microseconds, so one is cached per time zone. */
+function getFormat(timeZone: string): Intl.DateTimeFormat {
     let format = formats.get(timeZone);
     if (format === undefined) {
         format = new Intl.DateTimeFormat("en-GB", {
@@ -27,7 +27,7 @@
     return format;
 }
 
-/** Minutes are whole in every time zone's wall clock, so one look-up serves a whole minute of requests. */
+/** UTC offsets are whole minutes, so one lookup is reused for all requests within a minute. */
 const minuteMs = 60_000;
 
 interface CachedWallClock {
@@ -35,24 +35,24 @@
     readonly at: WallClock;
 }
 
-const newestWallClocks = new Map<string, CachedWallClock>();
+const cachedWallClocks = new Map<string, CachedWallClock>();
 
 function resolveWallClock(timeZone: string, epochMs: number): WallClock {
     const epochMinute = Math.floor(epochMs / minuteMs);
-    const newest = newestWallClocks.get(timeZone);
-    if (newest?.epochMinute === epochMinute) {
-        return newest.at;
+    const cached = cachedWallClocks.get(timeZone);
+    if (cached?.epochMinute === epochMinute) {
+        return cached.at;
     }
-    const at = readWallClock(timeZone, epochMs);
-    newestWallClocks.set(timeZone, { epochMinute, at });
+    const at = computeWallClock(timeZone, epochMs);
+    cachedWallClocks.set(timeZone, { epochMinute, at });
     return at;
 }
 
-function readWallClock(timeZone: string, epochMs: number): WallClock {
+function computeWallClock(timeZone: string, epochMs: number): WallClock {
     let weekday: Weekday = "mon";
     let hour = 0;
     let minute = 0;
-    for (const part of formatFor(timeZone).formatToParts(epochMs)) {
+    for (const part of getFormat(timeZone).formatToParts(epochMs)) {
         if (part.type === "weekday") {
             weekday = part.value.toLowerCase().slice(0, 3) as Weekday;
         }
@@ -71,8 +71,8 @@
     return Number(hours) * 60 + Number(minutes);
 }
 
-/** A rule whose end lies before its start runs over midnight and belongs to the weekday on which it starts. */
-function covers(rule: PatienceRule, at: WallClock, yesterday: Weekday): boolean {
+/** A rule whose end is not after its start extends past midnight and belongs to the weekday on which it starts. */
+function appliesAt(rule: PatienceRule, at: WallClock, yesterday: Weekday): boolean {
     const from = toMinutes(rule.from);
     const to = toMinutes(rule.to);
     if (from < to) {
@@ -94,22 +94,22 @@
 };
 
 /**
- * Finds how long a caller waits now. The first rule that covers the present time goes; a caller kind without one
- * falls back to `default`, and where no rule covers the time at all the shortest declared patience goes, since
- * waiting too little is answered with a refusal while waiting too long is a silent loss.
+ * Finds how long a caller waits for a response. The first rule that covers the given time applies. A caller kind
+ * without such a rule falls back to `default`. If no rule covers the time, the shortest declared patience applies: a
+ * value that is too short leads to an explicit refusal, one that is too long to a response that nobody waits for.
  *
  * @param cfg - the configuration, for its time zone
- * @param service - the service asked for
- * @param callerKind - what the caller kind header said
- * @param epochMs - wall-clock time of arrival in milliseconds
- * @returns patience in milliseconds
+ * @param service - the requested service
+ * @param callerKind - value of the caller kind header
+ * @param epochMs - time of arrival in Unix milliseconds
+ * @returns the patience in milliseconds
  */
 export function resolvePatience(cfg: Configuration, service: Service, callerKind: string, epochMs: number): number {
     const at = resolveWallClock(cfg.timeZone, epochMs);
     const yesterday = dayBefore[at.weekday];
     for (const kind of [callerKind, defaultCallerKind]) {
         for (const rule of service.patience) {
-            if (rule.callerKind === kind && covers(rule, at, yesterday)) {
+            if (rule.callerKind === kind && appliesAt(rule, at, yesterday)) {
                 return rule.patienceMs;
             }
         }
--- a/packages/httpParts/src/createCallerServer.ts
+++ b/packages/httpParts/src/createCallerServer.ts
@@ -3,13 +3,13 @@
 import { type Socket } from "node:net";
 import { renderRawFailure, writeFailure } from "./failureResponse.js";
 
-/** Limits on what callers may take up. */
+/** Limits and timeouts for callers' connections. */
 export interface CallerServerOptions {
     readonly maximumConnections: number;
     readonly maximumHeaderBytes: number;
-    /** Time to send a whole request, body included. */
+    /** Time within which a caller must have sent its whole request, including the body, in milliseconds. */
     readonly requestTimeoutMs: number;
-    /** How long an idle connection is kept. */
+    /** Time for which an idle connection is kept open, in milliseconds. */
     readonly keepAliveMs: number;
 }
 
@@ -19,32 +19,33 @@
 };
 
 /**
- * Makes the server that callers connect to, with its limits. Whatever can't be understood is answered with its reason
- * on its own connection, which then ends; nobody else's connection notices.
+ * Creates the HTTP server for callers. A malformed request gets an error response with the reason, after which its
+ * connection is closed; other connections are not affected.
  *
- * @param limits - what callers may take up
- * @param handle - gets every request that was understood
- * @returns a server that doesn't listen yet
+ * @param limits - limits and timeouts
+ * @param handle - request handler, called for well-formed requests only
+ * @returns a server that is not listening yet
  */
 export function createCallerServer(
     limits: CallerServerOptions,
     handle: (req: IncomingMessage, res: ServerResponse) => void,
 ): Server {
-    const answers = new WeakMap<Socket, ServerResponse>();
+    const responses = new WeakMap<Socket, ServerResponse>();
     const server = createServer({
         maxHeaderSize: limits.maximumHeaderBytes,
         requestTimeout: limits.requestTimeoutMs,
         headersTimeout: limits.requestTimeoutMs,
         connectionsCheckingInterval: Math.min(1_000, limits.requestTimeoutMs),
-        // Refused here in place of node, whose own refusal doesn't say why, nor that nothing ran.
+        // A missing Host header is refused below, because Node's own response contains neither the reason nor that the
+        // request did not run.
         requireHostHeader: false,
-        // Closed by this side first, a kept connection may break under the next request, so the time must be longer than
-        // callers keep theirs.
+        // If this side closes an idle connection first, the caller's next request may fail on it. This time must be
+        // longer than the callers' keep-alive time.
         keepAliveTimeout: limits.keepAliveMs,
-        // A small answer must not wait for the acknowledgement of the one before it.
+        // Without this, Nagle's algorithm delays a small response until the previous one is acknowledged.
         noDelay: true,
     }, (req, res) => {
-        answers.set(req.socket, res);
+        responses.set(req.socket, res);
         if (req.headers.host === undefined && req.httpVersion !== "1.0") {
             writeFailure(res, createFailure("badRequest", "the Host header is missing"), undefined, true);
             return;
@@ -52,31 +53,31 @@
         handle(req, res);
     });
     server.on("clientError", (err: NodeJS.ErrnoException, socket: Socket) => {
-        refuseMalformed(err, socket, answers.get(socket));
+        rejectMalformed(err, socket, responses.get(socket));
     });
-    let open = 0;
+    let openConnections = 0;
     server.on("connection", (socket: Socket) => {
-        open++;
-        socket.once("close", () => open--);
-        if (open > limits.maximumConnections) {
-            endWith(socket, createFailure("tooManyConnections", "this host takes no more connections"));
+        openConnections++;
+        socket.once("close", () => openConnections--);
+        if (openConnections > limits.maximumConnections) {
+            closeWithFailure(socket, createFailure("tooManyConnections", "this host takes no more connections"));
         }
     });
     return server;
 }
 
-function refuseMalformed(err: NodeJS.ErrnoException, socket: Socket, answer: ServerResponse | undefined): void {
-    // While an answer is under way, bytes of a refusal would land inside it and the caller would take them for its
-    // own. The connection is cut instead, which the caller can't mistake for a whole answer.
-    const answerUnderWay = answer !== undefined && answer.headersSent && !answer.writableFinished;
-    if (answerUnderWay || !socket.writable || err.code === "ECONNRESET") {
+function rejectMalformed(err: NodeJS.ErrnoException, socket: Socket, response: ServerResponse | undefined): void {
+    // While a response is being sent, the error response would be written into it and the caller would take it for part
+    // of the body. The connection is closed instead, so that the caller detects an incomplete response.
+    const isResponding = response !== undefined && response.headersSent && !response.writableFinished;
+    if (isResponding || !socket.writable || err.code === "ECONNRESET") {
         socket.destroy();
         return;
     }
     const kind = kindByCode[err.code ?? ""] ?? "badRequest";
-    endWith(socket, createFailure(kind, `the request could not be read (${err.code ?? "unknown"})`));
+    closeWithFailure(socket, createFailure(kind, `the request could not be read (${err.code ?? "unknown"})`));
 }
 
-function endWith(socket: Socket, failure: Failure): void {
+function closeWithFailure(socket: Socket, failure: Failure): void {
     socket.end(renderRawFailure(failure), () => socket.destroy());
 }
--- a/packages/platform/src/httpHostList.ts
+++ b/packages/platform/src/httpHostList.ts
@@ -4,18 +4,18 @@
 import { type PlatformClient } from "./platformClient.js";
 import { operations } from "./protocol.js";
 
-/** The platform's host list over HTTP. */
+/** HTTP client of the platform's host list. */
 export class HttpHostList extends HostList {
-    readonly #connection: PlatformClient;
+    readonly #client: PlatformClient;
 
-    /** @param connection - stays the maker's to close */
-    constructor(connection: PlatformClient) {
+    /** @param client - shared client; closed by its owner */
+    constructor(client: PlatformClient) {
         super();
-        this.#connection = connection;
+        this.#client = client;
     }
 
     override async list(): Promise<Either<Failure, readonly HostEntry[]>> {
-        const answer = await this.#connection.call(operations.listHosts, {});
-        return answer.map(({ hosts }) => hosts);
+        const response = await this.#client.call(operations.listHosts, {});
+        return response.map(({ hosts }) => hosts);
     }
 }
--- a/packages/schema/src/__tests__/configurationMessages.test.ts
+++ b/packages/schema/src/__tests__/configurationMessages.test.ts
@@ -6,17 +6,17 @@
 import { test } from "node:test";
 import { ConfigurationSchema, fromConfigurationMessage, toConfigurationMessage } from "../index.js";
 
-function overTheWire(cfg: ConfigurationInput): ConfigurationInput {
+function roundTrip(cfg: ConfigurationInput): ConfigurationInput {
     return fromConfigurationMessage(
         fromBinary(ConfigurationSchema, toBinary(ConfigurationSchema, toConfigurationMessage(cfg))),
     );
 }
 
-test("both deployments come over the wire as they were", () => {
+test("both deployments are unchanged after serialization", () => {
     for (const name of ["lonestat.yaml", "pecanBend.yaml"]) {
         const text = readFileSync(new URL(`../../../../playground/${name}`, import.meta.url), "utf8");
         const cfg = checkYaml(text, resolveConfiguration).unsafeCoerce();
-        assert.deepEqual(resolveConfiguration(overTheWire(cfg)).unsafeCoerce(), cfg);
+        assert.deepEqual(resolveConfiguration(roundTrip(cfg)).unsafeCoerce(), cfg);
     }
 });
 
@@ -51,18 +51,18 @@
     services: maybe(serviceArbitrary).map(service => service === undefined ? [] : [service]),
 });
 
-test("what is absent stays absent, and what is written stays", () => {
-    // A field whose absence the wire can't show would come back with its zero, which overrides the default: an
-    // operator who says nothing of methods would get a service whose POST requests are all taken as idempotent.
+test("absent fields stay absent and declared fields are kept", () => {
+    // A field without presence on the wire would be decoded as its zero value, which overrides the default: a service
+    // without `nonIdempotentMethods` would treat all POST requests as idempotent.
     fc.assert(fc.property(configurationArbitrary, cfg => {
         const sent = resolveConfiguration(cfg).unsafeCoerce();
-        const received = overTheWire(cfg);
+        const received = roundTrip(cfg);
         assert.deepEqual(resolveConfiguration(received).unsafeCoerce(), sent);
         assert.equal(received.availabilityZones[0]?.state, cfg.availabilityZones[0].state);
     }));
 });
 
-test("a state or weekday that only a newer schema knows is refused, not guessed", () => {
+test("rejects a state or weekday that only a newer schema defines", () => {
     const message = fromJson(ConfigurationSchema, {
         availabilityZones: [{ name: "a", state: 9 }],
         services: [{
--- a/packages/settings/src/secret.ts
+++ b/packages/settings/src/secret.ts
@@ -1,8 +1,8 @@
 import { inspect } from "node:util";
 
-const hidden = "[hidden]";
+const redacted = "[hidden]";
 
-/** A value that logs, JSON and templates show as `[hidden]`; only {@link Secret.reveal} gives it. */
+/** A secret text that is shown as `[hidden]` in logs, JSON and templates; only {@link Secret.reveal} returns it. */
 export class Secret {
     readonly #value: string;
 
@@ -10,24 +10,20 @@
         this.#value = value;
     }
 
-    /**
-     * Gives the value itself.
-     *
-     * @returns the secret text, which must not be logged
-     */
+    /** @returns the secret text, which must not be logged */
     reveal(): string {
         return this.#value;
     }
 
     toString(): string {
-        return hidden;
+        return redacted;
     }
 
     toJSON(): string {
-        return hidden;
+        return redacted;
     }
 
     [inspect.custom](): string {
-        return hidden;
+        return redacted;
     }
 }
