--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -64,7 +64,7 @@
     );
 }
 
-// Version 2 sends the moving route to tables, version 3 to returns.
+// Version 2 routes the moving route to tables, version 3 to returns.
 const changed = record(
     [0, "op", version("configurationWritten", 2)],
     [1, "op", version("configurationAccepted", 2)],
@@ -76,14 +76,14 @@
     [8_010, "s1", started("late", "s1")],
 );
 
-test("a version that is not in force in time is found, unless something was harmed", () => {
-    assert.deepEqual(check(changed), ["configurationInForce: late went to tables, as no version from 3 on says"]);
+test("a configuration version that is not in force in time is reported, unless a fault excuses it", () => {
+    assert.deepEqual(check(changed), ["configurationInForce: late went to tables, which no version since 3 routes to"]);
     const harmed = new FaultWindows();
     harmed.begin(5_500)(6_000);
     assert.deepEqual(check(changed, { harmed }), []);
 });
 
-test("a gateway that goes back to an older version is found, in one life only", () => {
+test("a gateway that returns to an older configuration is reported, unless it has restarted", () => {
     const back = (life: string): readonly HistoryLine[] =>
         record(
             [0, "op", version("configurationWritten", 2)],
@@ -100,7 +100,7 @@
     assert.deepEqual(check(back("edge-1/2")), []);
 });
 
-test("a request that is held, lost, denied or refused without a time to come back is found", () => {
+test("a request that hangs, is lost, or is rejected without cause or Retry-After header is reported", () => {
     const end = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 5_000 };
     const held = { ...end, gaveUp: true };
     assert.equal(check([], { ends: [held] }).length, 1);
@@ -114,13 +114,13 @@
     assert.deepEqual(check([], { ends: [{ ...end, status: 503, retryAfter: "0.2" }] }), []);
 });
 
-test("a fleet that doesn't recover is found", () => {
+test("a fleet that does not recover from its faults is reported", () => {
     assert.equal(check([], { ends: [{ ...served, status: 503, retryAfter: "1" }] }).length, 1);
 });
 
-test("a 401 is fair where callers need keys and theirs is not there", () => {
+test("a 401 is reported, unless the configuration lacks the caller's key", () => {
     const end = { ...served, requestId: "r", status: 401, sentAtMs: 1_000, endedAtMs: 1_010 };
-    assert.deepEqual(check([], { ends: [end] }), ["denied: r got 401 though it is proper"]);
+    assert.deepEqual(check([], { ends: [end] }), ["denied: r is valid, but got status 401"]);
     const workspaces = [{ name: "atlas", keyIds: ["k"] }];
     const answer = { ...answered("r"), status: 401 } as HistoryEvent;
     const history = (keyId: string): readonly HistoryLine[] =>
@@ -133,7 +133,7 @@
     assert.equal(check(history("k"), { ends: [end] }).filter(line => line.startsWith("keyDenied")).length, 1);
 });
 
-test("a large answer that is broken off is found, unless its server spoilt it or ended", () => {
+test("a truncated large response is reported, unless its server corrupted it or exited", () => {
     const short = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 1_100, brokenOff: true };
     const large = { ...short, route: "large" as const };
     const ran = [1_010, "s1", started("r", "s1")] as const;
@@ -142,6 +142,6 @@
     assert.equal(check(record(ran), { ends: [large] }).length, 1);
     assert.deepEqual(check(record(ran, spoilt), { ends: [large] }), []);
     assert.deepEqual(check(record(ran, exited), { ends: [large] }), []);
-    // A short answer is held until it is whole, so that no caller sees a part of it.
+    // A gateway buffers a short response until it is complete, so that no caller receives a part of it.
     assert.equal(check(record(ran, spoilt), { ends: [short] }).length, 1);
 });
--- a/packages/soak/src/__tests__/faultPlan.test.ts
+++ b/packages/soak/src/__tests__/faultPlan.test.ts
@@ -3,12 +3,12 @@
 import { faultPhaseMs } from "../constants.js";
 import { planFaults } from "../faultPlan.js";
 
-test("a seed draws the same troubles each time, another one others", () => {
+test("the same seed draws the same faults, another seed draws others", () => {
     assert.deepEqual(planFaults(7), planFaults(7));
     assert.notDeepEqual(planFaults(7), planFaults(8));
 });
 
-test("every trouble is over when the calm time begins, whatever the seed", () => {
+test("no fault of any seed reaches into the recovery phase", () => {
     for (let seed = 0; seed < 500; seed++) {
         for (const { atMs, durationMs } of planFaults(seed)) {
             assert.ok(atMs >= 0 && atMs <= faultPhaseMs);
@@ -17,7 +17,7 @@
     }
 });
 
-test("all kinds of trouble come, in series and overlapping", () => {
+test("all kinds of fault are drawn, and faults of the same kind overlap", () => {
     const kinds = new Set<string>();
     let overlapping = 0;
     for (let seed = 0; seed < 200; seed++) {
--- a/packages/soak/src/__tests__/faultProxy.test.ts
+++ b/packages/soak/src/__tests__/faultProxy.test.ts
@@ -5,13 +5,13 @@
 
 interface World {
     readonly proxy: FaultProxy;
-    /** All that the echo has written. */
+    /** @returns all data that the echo server has sent back */
     readonly echoed: () => string;
-    /** @returns a connection through the proxy, with what came back on it so far */
+    /** @returns a new connection through the proxy, and a function that returns the data received on it so far */
     readonly open: () => Promise<{ readonly socket: Socket; readonly received: () => string; }>;
 }
 
-/** An echo behind the proxy. */
+/** Starts an echo server behind a proxy. */
 async function startWorld(t: TestContext): Promise<World> {
     let echoed = "";
     const echo = createServer(socket => {
@@ -52,15 +52,15 @@
     assert.ok(holds());
 }
 
-test("without a fault all passes, both ways", async t => {
+test("without a fault, data passes in both directions", async t => {
     const { open } = await startWorld(t);
     const { socket, received } = await open();
     socket.write("hello");
     await eventually(() => received() === "hello");
 });
 
-// What comes after a delay has ended must not overtake what was put off: a stream in another order is a garbled one.
-test("delayed bytes keep their order past the end of the delay", async t => {
+// Data sent after the end of a delay must not overtake delayed data, which would corrupt the stream.
+test("data keeps its order when a delay ends", async t => {
     const { proxy, open } = await startWorld(t);
     const { socket, received } = await open();
     proxy.begin("delay");
@@ -71,7 +71,7 @@
     await eventually(() => received() === "one two");
 });
 
-test("a silenced connection stays silent, and a new one works", async t => {
+test("a silenced connection stays silent, while a new one works", async t => {
     const { proxy, open } = await startWorld(t);
     const old = await open();
     old.socket.write("a");
@@ -86,14 +86,14 @@
     assert.ok(!old.socket.destroyed);
 });
 
-test("a connection is cut one way", async t => {
+test("a connection is cut in one direction", async t => {
     const { proxy, open, echoed } = await startWorld(t);
     const { socket, received } = await open();
     const other = await open();
     proxy.begin("cutBack");
     socket.write("a");
     await eventually(() => echoed() === "a");
-    // What the echo has written is at the proxy some milliseconds later.
+    // The data of the echo server reaches the proxy some milliseconds later.
     await new Promise(resolve => setTimeout(resolve, 100));
     proxy.end("cutBack");
     other.socket.write("b");
@@ -101,7 +101,7 @@
     assert.equal(received(), "");
 });
 
-test("open connections are reset, and new ones at once", async t => {
+test("a reset fault resets open connections, and new ones work after its end", async t => {
     const { proxy, open } = await startWorld(t);
     const { socket } = await open();
     const late = await open();
@@ -113,8 +113,8 @@
     await eventually(() => fresh.received() === "c");
 });
 
-// Guards against a cut of one gateway that harms the others.
-test("a fault of connections from one address leaves those from others alone", async t => {
+// Guards against a partition of one gateway that affects the others.
+test("a fault of connections from one source address does not affect those from others", async t => {
     const { proxy, open } = await startWorld(t);
     proxy.begin("reset", "127.0.1.1");
     proxy.begin("cutThere", "127.0.1.2");
--- a/packages/soak/src/__tests__/partitionPlan.test.ts
+++ b/packages/soak/src/__tests__/partitionPlan.test.ts
@@ -3,12 +3,12 @@
 import { faultPhaseMs } from "../constants.js";
 import { planPartitions } from "../partitionPlan.js";
 
-// Guards against plans that never cut a gateway, or cut one beyond the time of faults, so that the calm after it isn't calm.
-test("cuts are drawn for many seeds, in all manners, within the time of faults", () => {
+// Guards against plans without partitions, and against partitions that reach into the recovery phase.
+test("many seeds draw partitions, with each link fault and some flapping, within the fault phase", () => {
     const plans = Array.from({ length: 200 }, (_, seed) => planPartitions(seed));
     const cuts = plans.flat();
     assert.deepEqual(plans, Array.from({ length: 200 }, (_, seed) => planPartitions(seed)));
-    assert.ok(plans.filter(plan => plan.length > 0).length > 60, "many seeds have cuts");
+    assert.ok(plans.filter(plan => plan.length > 0).length > 60, "many seeds have partitions");
     assert.ok(
         cuts.every(({ atMs, durationMs }) => durationMs > 0 && atMs + durationMs <= faultPhaseMs),
         "all end in time",
--- a/packages/soak/src/__tests__/queryOfDeathPlan.test.ts
+++ b/packages/soak/src/__tests__/queryOfDeathPlan.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { planQueryOfDeath } from "../queryOfDeathPlan.js";
 
-test("of neighbouring seeds some have callers whose request ends its servers, the same for the same seed", () => {
+test("some of many adjacent seeds have a query of death, and the same seed draws the same one", () => {
     const plans = Array.from({ length: 100 }, (_, seed) => planQueryOfDeath(seed + 1, "/tables/read/"));
     const planned = plans.filter(plan => plan !== undefined);
     assert.ok(planned.length > 40 && planned.length < 80, `${planned.length} of 100`);
--- a/packages/soak/src/__tests__/serialExecutor.test.ts
+++ b/packages/soak/src/__tests__/serialExecutor.test.ts
@@ -3,9 +3,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { SerialExecutor } from "../serialExecutor.js";
 
-// Orders to the store that were under way at once overtook each other beside load: an older configuration took the place of a newer
-// one, and a fault that had ended lasted until the run's end.
-test("what is given later starts after what was given before has ended, also where that failed", async () => {
+// Concurrent commands to the store overtook each other under load: an older configuration replaced a newer one, and a
+// fault that had ended lasted until the end of the run.
+test("a task starts only after the previous one has settled, also if that one failed", async () => {
     const inOrder = new SerialExecutor();
     const seen: string[] = [];
     const work = async (name: string, forMs: number): Promise<string> => {
--- a/packages/soak/src/__tests__/serverLimitPlan.test.ts
+++ b/packages/soak/src/__tests__/serverLimitPlan.test.ts
@@ -3,7 +3,7 @@
 import { faultPhaseMs } from "../constants.js";
 import { planServerLimit } from "../serverLimitPlan.js";
 
-test("of neighbouring seeds some have a server that names a limit, for a time that ends with the faults", () => {
+test("some of many adjacent seeds have a server with a rate limit that ends within the fault phase", () => {
     const plans = Array.from({ length: 100 }, (_, seed) => planServerLimit(seed + 1)).filter(plan =>
         plan !== undefined
     );
--- a/packages/soak/src/__tests__/serverMetadataPlan.test.ts
+++ b/packages/soak/src/__tests__/serverMetadataPlan.test.ts
@@ -3,7 +3,7 @@
 import { faultPhaseMs } from "../constants.js";
 import { planServerMetadata } from "../serverMetadataPlan.js";
 
-test("about two fifths of the runs have a server that asks for rest, and three tenths one that leaves, within the time of faults", () => {
+test("two fifths of the seeds have a back-off within the fault phase, three tenths a leaving server", () => {
     const plans = Array.from({ length: 200 }, (_, seed) => planServerMetadata(seed + 1));
     const rests = plans.flatMap(({ backoff }) => backoff ?? []);
     const leavings = plans.flatMap(({ leaving }) => leaving ?? []);
--- a/packages/soak/src/__tests__/workspacePlan.test.ts
+++ b/packages/soak/src/__tests__/workspacePlan.test.ts
@@ -9,7 +9,7 @@
     plan !== undefined
 );
 
-test("most seeds have workspaces, whose keys are revoked, added and moved, and one of which is asked for too much", () => {
+test("most seeds have workspaces whose keys are revoked and moved, and load that exceeds a rate limit", () => {
     assert.ok(plans.length > 55 && plans.length < 85, `${plans.length} of 100`);
     let [revoked, moved] = [0, 0];
     for (const { initial, changes, keys, overload } of plans) {
@@ -17,7 +17,7 @@
         for (const key of keys) {
             const holder = initial.find(workspace => workspace.keys.includes(key))?.name;
             const holders = last.filter(workspace => workspace.keys.includes(key)).map(({ name }) => name);
-            assert.ok(holders.length <= 1, "a key has one holder at most");
+            assert.ok(holders.length <= 1, "a key belongs to one workspace at most");
             revoked += holder !== undefined && holders.length === 0 ? 1 : 0;
             moved += holder !== undefined && holders.length === 1 && holders[0] !== holder ? 1 : 0;
         }
@@ -28,7 +28,7 @@
     assert.deepEqual(planWorkspaces(3, true), planWorkspaces(3, true));
 });
 
-test("callers have keys that are held, unknown or none, and few of them the limited workspace's", () => {
+test("callers send known, unknown or no keys, and few of them the limited workspace's key", () => {
     const [plan] = plans;
     assert.ok(plan !== undefined);
     const draw = new RequestGenerator(plan, 1);
@@ -42,12 +42,12 @@
     assert.deepEqual(new RequestGenerator(plan, 1).next(plan.initial), drawn[0]);
 });
 
-test("a large answer is asked for by its path, and other paths ask for none", () => {
+test("the response size is read from the path of a large response, and other paths have the default size", () => {
     assert.equal(parseResponseBytes(renderLargeResponsePath("r1", 540_000)), 540_000);
     assert.equal(parseResponseBytes("/tables/read/r1"), 200);
 });
 
-test("a key in a log is found, and not repeated in what was found", () => {
+test("a key in a log is reported, without repeating it in the report", () => {
     const found = findLeakedKeys("edge-1.log", `{"detail":"no workspace holds ${secretPrefix}7-99"}`);
     assert.deepEqual([found.length, found.join("").includes(secretPrefix)], [1, false]);
     assert.deepEqual(findLeakedKeys("edge-1.log", "no workspace holds the request's key"), []);
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -44,34 +44,35 @@
 import { type RequestOutcome } from "./soakCaller.js";
 import { filterFaultFreeArrivals, type FaultWindows } from "./faultWindows.js";
 
-/** What a run left behind. */
+/** The recorded data of a run. */
 export interface SoakRecord {
     readonly history: readonly HistoryLine[];
-    /** When the store, a gateway or a way between them was harmed. */
+    /** When a fault affected the store, a gateway, or a connection between them. */
     readonly faultWindows: FaultWindows;
-    /** What callers got, by gateway. */
+    /** Request outcomes of each gateway. */
     readonly edges: readonly {
         readonly outcomes: readonly { readonly outcome: RequestOutcome; readonly killed: boolean; }[];
         readonly faultWindows: FaultWindows;
     }[];
-    /** Service of each backend server. */
+    /** Service of each backend server, by server ID. */
     readonly serviceOf: ReadonlyMap<string, string>;
-    /** What the starters of the processes saw. */
+    /** Violations that were found while the processes ran, one line each. */
     readonly findings: readonly string[];
+    /** When the load stopped. */
     readonly endedAtMs: number;
 }
 
 const okStatus = 200;
 const unauthenticatedStatus = 401;
 const refusedStatus = 503;
-/** Statuses of the product's own that say nothing against a proper request. */
+/** Statuses that a gateway may return for a valid request. */
 const fairStatuses: ReadonlySet<number> = new Set([408, 421, 429]);
 
 /**
- * Checks the promises of the product's pages against what callers and backend servers saw.
+ * Checks the documented guarantees against what callers and backend servers recorded.
  *
- * @param record - what a run left behind
- * @returns one line for each thing found; empty where all held
+ * @param record - the recorded data of a run
+ * @returns one line for each violation; empty if there is none
  */
 export function checkSoak(record: SoakRecord): readonly string[] {
     const { history, faultWindows } = record;
@@ -123,11 +124,11 @@
     ];
 }
 
-/** No request is held past its time, cut off while a server ran it, or denied though it is proper. */
+/** Checks that no valid request is rejected, hangs, or loses its connection while a server runs it. */
 function checkCallers({ history, edges, faultWindows: anyHarmed }: SoakRecord): readonly string[] {
     const started = new Set(history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []));
     const excused = findExcused(history);
-    // Whether a key is there is checked by the versions of the configuration.
+    // `checkWorkspaceKeys` checks 401 responses against the keys of each configuration version.
     const needsKeys = history.some(line => line.type === "configurationWritten" && line.workspaces !== undefined);
     const found: string[] = [];
     for (const { outcomes, faultWindows: harmed } of edges) {
@@ -135,30 +136,31 @@
             const { requestId, status, disconnectedEarly, sentAtMs, endedAtMs } = outcome;
             const isFair = fairStatuses.has(status ?? 0) || (needsKeys && status === unauthenticatedStatus);
             if (status !== undefined && status >= 300 && status < 500 && !isFair) {
-                found.push(`denied: ${requestId} got ${status} though it is proper`);
+                found.push(`denied: ${requestId} is valid, but got status ${status}`);
             }
             if (status === refusedStatus && outcome.retryAfter === undefined) {
-                found.push(`refusal: ${requestId} was not told when to come back`);
+                found.push(`refusal: ${requestId} got no Retry-After header`);
             }
             if (status !== undefined || disconnectedEarly || killed || !outcome.connected) {
                 continue;
             }
             if (outcome.timedOut && harmed.isFaultFree(sentAtMs, endedAtMs)) {
-                found.push(`held: ${requestId} got no answer in ${Math.round(endedAtMs - sentAtMs)} ms`);
+                found.push(`held: ${requestId} got no response within ${Math.round(endedAtMs - sentAtMs)} ms`);
             }
-            // Of a long answer the first bytes have gone to the caller when its server fails, so that nothing is left but to break it off.
+            // The start of a large response has already reached the caller when its server fails, so that the gateway
+            // can only abort the response.
             const isBreakFair = outcome.route === "large" && outcome.truncated
                 && (excused.has(requestId) || endedAtMs - sentAtMs >= routeTimeoutMs
                     || !anyHarmed.isFaultFree(sentAtMs, endedAtMs));
             if (!outcome.timedOut && started.has(requestId) && !isBreakFair) {
-                found.push(`lost: ${requestId} ran, and its connection ended without an answer`);
+                found.push(`lost: ${requestId} ran, but its connection ended without a response`);
             }
         }
     }
     return found;
 }
 
-/** @returns requests whose answers a server spoilt, or whose server ended after it had started them */
+/** @returns IDs of the requests whose response a server corrupted, or whose server exited after it started them */
 function findExcused(history: readonly HistoryLine[]): ReadonlySet<string> {
     const startedOn = new Map<string, string[]>();
     const excused = new Set<string>();
@@ -178,7 +180,7 @@
     return excused;
 }
 
-/** After the last fault and the time to recover, nearly everything that has a key is served. */
+/** Checks that nearly all requests with a valid key succeed once the fleet has had time to recover. */
 function checkRecovered({ edges, endedAtMs }: SoakRecord): readonly string[] {
     const late = edges.flatMap(({ outcomes }) => outcomes).filter(({ outcome }) =>
         outcome.sentAtMs > endedAtMs - recoveryCheckMs && outcome.sentAtMs < endedAtMs - recoveryCheckMs / 2
@@ -188,5 +190,5 @@
     if (late.length > 0 && served / late.length >= minRecoveredShare) {
         return [];
     }
-    return [`recovered: ${served} of ${late.length} requests were served after the faults had ended`];
+    return [`recovered: only ${served} of ${late.length} requests succeeded after the last fault`];
 }
--- a/packages/soak/src/command.ts
+++ b/packages/soak/src/command.ts
@@ -9,22 +9,22 @@
 const badArgumentsExitCode = 2;
 
 const usage = `soak [--seed N] [--runs N | --regressions] [--parallel N] [--out DIR]
-  --seed         the first seed; each further run takes the next one. Default: drawn
-  --runs         how many runs. Default: 1
-  --regressions  plays the seeds that once found something
-  --cuts         cuts gateways off from all servers as well, as each seed draws it
-  --drills       has the store come back from older copies as well, as each seed draws it
-  --parallel     how many at a time; each has 13 processes or more. Default: 1
-  --out          where runs that found something keep their histories and logs
-Exit codes: 0 nothing found, 1 something found, 2 arguments that can't be taken.
+  --seed         seed of the first run; each further run uses the next one. Default: random
+  --runs         number of runs. Default: 1
+  --regressions  runs the seeds that found violations before
+  --cuts         also partitions gateways from all servers, as drawn from each seed
+  --drills       also restores the store from older snapshots, as drawn from each seed
+  --parallel     number of concurrent runs; each has 13 processes or more. Default: 1
+  --out          directory for histories and logs of runs that found violations
+Exit codes: 0 no violations, 1 violations found, 2 invalid arguments.
 `;
 
 /**
- * The command of the soak.
+ * Runs the soak test from the command line.
  *
- * @param system - what is soaked
- * @param args - as written on the command line
- * @returns its exit code
+ * @param system - the system under test
+ * @param args - command line arguments
+ * @returns the exit code: 0 without violations, 1 with violations, 2 for invalid arguments
  */
 export async function runSoakCommand(system: SoakSystem, args: readonly string[]): Promise<number> {
     const options = readOptions(args);
@@ -34,7 +34,7 @@
     }
     const { seeds, parallel, dir, cuts, drills } = options;
     const runs = seeds.length;
-    // Told to end, it ends what it started: at the process's exit every run kills its own.
+    // Each run kills its processes on the exit event, which these signals don't emit by default.
     for (const signal of ["SIGTERM", "SIGINT"]) {
         process.once(signal, () => process.exit(1));
     }
--- a/packages/soak/src/constants.ts
+++ b/packages/soak/src/constants.ts
@@ -1,107 +1,116 @@
-/** Sizes and times of a soak run. Times are milliseconds. */
+/** Sizes and durations of a soak run, in milliseconds unless the name says otherwise. */
 
-/** Entry hosts: two in each of two zones, so that one of each reads the store and one asks it, few enough for several runs. */
+/**
+ * Gateways: two in each of two zones, so that in each zone one reads the store and one gets its changes from that one.
+ * Few enough for several concurrent runs.
+ */
 export const edgeCount = 4;
 
-/** Backend servers of each service, dealt over the availability zones in turn. */
+/** Backend servers of each service, distributed round-robin over the availability zones. */
 export const serversPerService = 4;
 
 export const availabilityZones = ["north", "middle", "south"] as const;
 
-/** How many of the availability zones have gateways. */
+/** Number of availability zones with gateways. */
 export const gatewayZoneCount = 2;
 
 export const services = ["tables", "returns"] as const;
 
-/** Time until callers are let in, for the gateways to read the store and register. */
+/** Time before the load begins, in which the gateways read the store and register. */
 export const startupSettleMs = 2_500;
 
-/** Time in which faults begin. */
+/** Duration of the phase in which faults are injected. */
 export const faultPhaseMs = 11_000;
 
-/** Calm time at the end: the last fault's end, the time to recover, and the span that is looked at. */
+/** Duration of the phase without faults at the end of a run: time to recover, then {@link recoveryCheckMs}. */
 export const recoveryPhaseMs = 9_000;
 
-/** The last part of the calm time, in which nearly everything must be served. */
+/** Final part of the recovery phase, in which nearly all requests must succeed. */
 export const recoveryCheckMs = 3_000;
 
-/** Least share served in that part. */
+/** Minimum share of successful requests in {@link recoveryCheckMs}. */
 export const minRecoveredShare = 0.95;
 
-/** Requests a second from all callers in calm times: a tenth of what the servers bear. */
+/** Requests per second from all callers, without bursts: a tenth of the servers' capacity. */
 export const requestsPerSecond = 50;
 
-/** Longest time for which a caller waits. */
+/** How long a caller waits for a response, as sent with its requests. */
 export const patienceMs = 3_000;
 
-/** Longest time for which the operator lets a request wait. */
+/** Request timeout of each route. */
 export const routeTimeoutMs = 2_000;
 
 export const objectiveMs = 600;
 
-/** Time beyond its route's timeout after which a request counts as held: one of half a second, on a machine that is shared. */
+/** Time beyond the route timeout after which a request counts as hanging: half a second, raised for shared machines. */
 export const hangToleranceMs = 1_500;
 
-/** A planned stop must be over after this time. */
+/** Maximum duration of a planned stop. */
 export const stopGraceMs = 6_000;
 
-/** Calm time after which every gateway must know what the store says; half a second above what the users give. */
+/** Time without faults after which every gateway must have the store's state: half a second above the requirement. */
 export const convergenceMs = 3_500;
 
-/** Time after the store's word in which a configuration must be in force and a draining server left alone. */
+/**
+ * Time after the store's acknowledgement until a configuration is in force, and until a draining server gets no more
+ * requests.
+ */
 export const applyMs = 2_500;
 
-/** Time after the store's word in which an availability zone that was taken out must be left alone. */
+/** Time after the store's acknowledgement until an availability zone that was taken out gets no more requests. */
 export const zoneOutMs = 5_500;
 
-/** Requests a second that a cold server bears, and how long it is cold. */
+/** Requests per second that a cold server can handle, and how long it is cold. */
 export const coldRequestsPerSecond = 4.2;
 export const coldDurationMs = 3_000;
 
-/** What a cold server may be given in one second, with the users' tolerance: 1.5 times the rate and 5 more. */
+/** Maximum requests to a cold server in one second, with the required tolerance of 1.5 times the rate plus 5. */
 export const maxColdPerSecond = coldRequestsPerSecond * 1.5 + 5;
 
-/** Repeats that the whole fleet may send: a share of the requests and a fixed part in a window. */
+/** Retry budget of the whole fleet: a share of the requests in a window, plus a fixed number. */
 export const repeatRatio = 0.2;
 export const repeatSlack = 30;
 export const repeatWindowMs = 10_000;
 
-/** Usual work of one request on a backend server. */
+/** Typical processing time of a request on a backend server. */
 export const typicalWorkMs = 40;
 
-/** Requests that a backend server runs at the same time, and that wait for it. */
+/** Maximum number of requests that a backend server runs concurrently, and that it queues. */
 export const serverSlots = 3;
 export const maxServerQueue = 6;
 
-/** Leases of the store don't get shorter than this. */
+/** Minimum duration of a lease in the store. */
 export const minLeaseSeconds = 1;
 
-/** Questions for its load that one backend server may be asked a second, from all gateways together. */
+/** Maximum load probes per second that one backend server gets from all gateways together. */
 export const maxProbesPerServerAndSecond = 60;
 
-/** Versions of the servers' software: the one that a run begins with, and the one that is rolled out. */
+/** Server versions: the initial one, and the one that is rolled out. */
 export const initialServerVersion = "v1";
 export const rolloutServerVersion = "v2";
 
-/** Servers of the next version, and the time in which its roll-out has to end, in milliseconds. */
+/** Number of servers of the new version, and the time limit of its roll-out. */
 export const rolloutServerCount = 4;
 export const rolloutTimeoutMs = 13_000;
 
-/** Share of a service's requests that a version may get before it is proved: enough to prove one in the time of a run. */
+/** Maximum share of a service's requests that an unverified version gets: enough to verify it within a run. */
 export const exposureShare = 0.4;
 export const exposureSlack = 20;
 
-/** How long after a roll-back was read in the store a gateway may go on with the version, with the tolerance of a shared machine. */
+/** How long gateways may send to a version after its roll-back was read from the store, on a shared machine. */
 export const rollbackGraceMs = 3_500;
 
-/** How often the operator looks at a roll-out, in milliseconds. */
+/** Interval at which the operator reads the stage of a roll-out. */
 export const rolloutPollPeriodMs = 100;
 
-/** Servers that a request ends before it counts as deadly, and how often servers may get it after all gateways must know. */
+/**
+ * Number of servers that a query of death may crash before it is quarantined, and how often servers may get it once all
+ * gateways must have quarantined it.
+ */
 export const maxQueryOfDeathCrashes = 3;
 export const maxQueryOfDeathRetries = 3;
 
-/** What a server that names a limit may get from the gateways that it has told, with the users' tolerance. */
+/** Bounds of the requests to a server that advertises a rate limit, with the required tolerance. */
 export const serverLimitBounds = Object.freeze({
     factor: 1.5,
     slack: 5,
@@ -110,11 +119,11 @@
     gatewayGraceMs: 500,
 });
 
-/** Whether hosts keep the limits of workspaces; where not, a run has neither limits nor callers that exceed one. */
+/** Whether gateways enforce workspace limits; if not, runs have neither limits nor callers that exceed them. */
 export const enforcesWorkspaceLimits = true;
 
-/** What the requests of a workspace with a limit may add up to, with the users' tolerance. */
+/** Bounds of the requests of a workspace with a rate limit, with the required tolerance. */
 export const workspaceLimitBounds = Object.freeze({ windowMs: 5_000, overshoot: 0.1, slack: 20 });
 
-/** What a server that wants rest may get from a gateway that it has told, and from when on. */
+/** Bounds of the requests from a gateway to a server that asked it to back off. */
 export const serverBackoffBounds = Object.freeze({ inFlightGraceMs: 500, maxRequests: 2 });
--- a/packages/soak/src/faultInjection.ts
+++ b/packages/soak/src/faultInjection.ts
@@ -4,14 +4,14 @@
 import { type ServerFaults } from "./soakSystem.js";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Lets a link fail for a while. */
+/** Injects a fault into a link for the fault's duration. */
 export async function injectLinkFault(proxy: SoakEdge["storeProxy"], { linkFault, durationMs }: Fault): Promise<void> {
     proxy.begin(linkFault);
     await sleep(durationMs);
     proxy.end(linkFault);
 }
 
-/** Lets a server be in trouble for a while. */
+/** Injects faults into a backend server for some milliseconds. */
 export async function injectServerFaults(
     backend: SoakBackend,
     trouble: Partial<ServerFaults>,
--- a/packages/soak/src/faultPlan.ts
+++ b/packages/soak/src/faultPlan.ts
@@ -2,7 +2,7 @@
 import { faultPhaseMs } from "./constants.js";
 import { type Fault, type FaultKind, type LinkFault } from "./faults.js";
 
-/** How often each kind is drawn, and how long it lasts, in milliseconds. */
+/** Relative frequency of a kind of fault, and the range of its duration. */
 interface KindOfFault {
     readonly weight: number;
     readonly shortestMs: number;
@@ -41,15 +41,15 @@
 
 const fewestFaults = 5;
 const mostFaults = 16;
-/** Share of the faults that come in series: the same kind again, shortly after. */
+/** Share of the faults that repeat the previous one shortly afterwards. */
 const seriesShare = 0.3;
 const seriesGapMs = 700;
 
 /**
- * Draws the troubles of one run. They may overlap, and the same one may come again while it lasts.
+ * Draws the faults of a run. Faults may overlap, including faults of the same kind.
  *
- * @param seed - the same seed draws the same troubles
- * @returns them in the order in which they begin
+ * @param seed - seed of the run; the same seed draws the same faults
+ * @returns the faults in the order in which they begin
  */
 export function planFaults(seed: number): readonly Fault[] {
     const random = createRandomSource(seed);
@@ -75,7 +75,7 @@
     return {
         kind,
         atMs,
-        // Everything ends with the time of faults, so that the calm time after it is calm.
+        // Faults end within the fault phase, so that none affects the recovery phase.
         durationMs: Math.min(shortestMs + random.next() * (longestMs - shortestMs), faultPhaseMs - atMs),
         target: random.nextInt(1_000),
         linkFault: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
--- a/packages/soak/src/faultProxy.ts
+++ b/packages/soak/src/faultProxy.ts
@@ -1,26 +1,26 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import { type LinkFault } from "./faults.js";
 
-/** How late bytes come while a link is delayed, in milliseconds: above the time to answer a question for load. */
+/** Delay of bytes on a delayed link, in milliseconds: longer than the first timeout of a load probe. */
 const delayMs = 120;
 
 interface ActiveFault {
     readonly fault: LinkFault;
-    /** Only connections from there are harmed; all where it is missing. */
+    /** Source address of the affected connections; `undefined` affects all. */
     readonly from: string | undefined;
 }
 
 interface Link {
-    /** Where it comes from. */
+    /** Source address. */
     readonly from: string;
     readonly near: Socket;
     readonly far: Socket;
     silent: boolean;
-    /** Writes that were put off: what comes after them must not overtake them. */
+    /** Number of delayed writes: later data must not overtake them. */
     late: number;
 }
 
-/** A proxy on loopback that harms what passes, so that faults of the network need no privileges. */
+/** A TCP proxy on loopback that injects network faults, which otherwise need privileges. */
 export class FaultProxy {
     readonly #server: Server;
     readonly #links = new Set<Link>();
@@ -33,7 +33,11 @@
         this.#server = createServer(near => this.#accept(near));
     }
 
-    /** Starts one on a free port. @param targetPort - on 127.0.0.1 */
+    /**
+     * Starts a proxy on a free port.
+     *
+     * @param targetPort - port on 127.0.0.1 to which connections are forwarded
+     */
     static async start(targetPort: number): Promise<FaultProxy> {
         const proxy = new FaultProxy(targetPort);
         await new Promise<void>(resolve => proxy.#server.listen(0, "127.0.0.1", resolve));
@@ -46,10 +50,10 @@
     }
 
     /**
-     * Begins a fault. The same one may be begun several times, and ends as often.
+     * Begins a fault. If the same fault is begun several times, it lasts until it has been ended as often.
      *
-     * @param fault - what to do
-     * @param from - address whose connections are harmed; all where it is missing
+     * @param fault - the fault
+     * @param from - source address of the affected connections; all if missing
      */
     begin(fault: LinkFault, from?: string): void {
         this.#faults.push({ fault, from });
@@ -78,7 +82,7 @@
     #accept(near: Socket): void {
         const from = near.remoteAddress ?? "";
         if (this.#suffers(from, "reset")) {
-            // Its peer may reset it at the same moment.
+            // The peer may reset it at the same time.
             near.on("error", () => near.destroy());
             near.resetAndDestroy();
             return;
@@ -104,7 +108,10 @@
         }
     }
 
-    /** What comes while nothing passes is lost, and with it the rest of the connection: a stream can't go on after a gap. */
+    /**
+     * Forwards data. Data that arrives while its direction is cut is dropped, and the connection stays silent
+     * afterwards: a byte stream can't continue after a gap.
+     */
     #pass(link: Link, cut: LinkFault, write: () => void): void {
         if (this.#suffers(link.from, cut)) {
             link.silent = true;
@@ -126,7 +133,7 @@
 
 function reset({ near, far }: Link): void {
     for (const socket of [near, far]) {
-        // A socket that is shutting down can't be reset any more; asked to, it would stay open for good.
+        // `resetAndDestroy` on a socket that is already shutting down would leave it open forever.
         if (socket.writableEnded) {
             socket.destroy();
             continue;
--- a/packages/soak/src/faultWindows.ts
+++ b/packages/soak/src/faultWindows.ts
@@ -1,17 +1,21 @@
 import { type HistoryLine } from "@galenaglade/history";
 
-/** A time in which something was harmed. */
+/** A period in which a fault was active, on the monotonic clock. */
 export interface FaultWindow {
     readonly fromMs: number;
-    /** Infinite while it lasts. */
+    /** Infinite while the fault is active. */
     readonly toMs: number;
 }
 
-/** Times in which something that a promise rests on was harmed. */
+/** Records the periods in which a fault was active that excuses violations of a guarantee. */
 export class FaultWindows {
     readonly #spans: { readonly fromMs: number; toMs: number; }[] = [];
 
-    /** Something is harmed from now on. @returns ends it */
+    /**
+     * Begins a fault period.
+     *
+     * @returns ends the period at the given time
+     */
     begin(nowMs: number): (endMs: number) => void {
         const span = { fromMs: nowMs, toMs: Infinity };
         this.#spans.push(span);
@@ -20,19 +24,19 @@
         };
     }
 
-    /** @returns whether nothing was harmed in a time */
+    /** @returns whether no fault was active in a period, including its ends */
     isFaultFree(fromMs: number, toMs: number): boolean {
         return this.#spans.every(span => span.toMs < fromMs || span.fromMs > toMs);
     }
 }
 
 /**
- * Leaves out what servers got while a gateway could not know better: with the store, a gateway or a way between them
- * harmed less than the settling time before.
+ * Omits the arrivals of requests at servers that faults excuse: a gateway may have acted on stale state because the
+ * store, a gateway or a connection between them was faulty less than the convergence time before.
  *
- * @param history - every line of a run
- * @param harmed - when the store, gateways or ways between them were harmed
- * @param settledMs - calm time after which every gateway must know
+ * @param history - all lines of a run
+ * @param harmed - when the store, gateways or connections between them were faulty
+ * @param settledMs - time without faults after which every gateway must have the store's state, in milliseconds
  * @returns the history without those arrivals
  */
 export function filterFaultFreeArrivals(
@@ -46,7 +50,7 @@
     );
 }
 
-/** The monotonic clock that all processes of the machine share, in milliseconds. */
+/** @returns the time of the monotonic clock that all processes of the machine share, in milliseconds */
 export function monotonicNow(): number {
     return Number(process.hrtime.bigint()) / 1e6;
 }
--- a/packages/soak/src/faults.ts
+++ b/packages/soak/src/faults.ts
@@ -1,17 +1,17 @@
-/** What the soak does to a connection from outside the processes at its two ends. */
+/** Network faults that are injected into connections by a proxy between the two processes. */
 export type LinkFault =
-    /** Bytes of both directions come late. */
+    /** Data is delayed in both directions. */
     | "delay"
-    /** Open connections are reset, and new ones at once. */
+    /** Open connections are reset; new ones are reset immediately. */
     | "reset"
-    /** Nothing passes towards the listening side. */
+    /** No data passes towards the listening side. */
     | "cutThere"
-    /** Nothing passes back. */
+    /** No data passes back from the listening side. */
     | "cutBack"
-    /** Open connections pass nothing any more, without a reset; new ones work. */
+    /** Open connections pass no more data, without a reset; new ones work. */
     | "silence";
 
-/** All kinds of trouble that a run may bring. */
+/** All kinds of fault that a run may inject. */
 export type FaultKind =
     | "edgeTerm"
     | "edgeKill"
@@ -39,13 +39,13 @@
     | "burst"
     | "hangUp";
 
-/** One trouble of a run. */
+/** A fault that is injected into a run. */
 export interface Fault {
     readonly kind: FaultKind;
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which gateway, server or zone: taken modulo their number. */
+    /** Index of the gateway, server or zone, modulo their number. */
     readonly target: number;
     readonly linkFault: LinkFault;
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,4 +1,7 @@
-/** A randomized soak: real processes on one machine, faults from outside them, and checks of what the product promises. */
+/**
+ * A randomized soak test: runs real processes on one machine, injects faults from outside, and checks the documented
+ * guarantees.
+ */
 export { runSoakCommand } from "./command.js";
 export { planFaults } from "./faultPlan.js";
 export { type Fault, type FaultKind, type LinkFault } from "./faults.js";
--- a/packages/soak/src/largeResponses.ts
+++ b/packages/soak/src/largeResponses.ts
@@ -3,12 +3,12 @@
 const usualAnswerBytes = 200;
 const largePath = new RegExp(`^${routePathPrefixes.large}(\\d+)/`);
 
-/** @returns the path by which a request asks for an answer of that length */
+/** @returns the path by which a request asks for a response of that size */
 export function renderLargeResponsePath(requestId: string, bytes: number): string {
     return `${routePathPrefixes.large}${bytes}/${requestId}`;
 }
 
-/** @returns how long an answer a request's path asks for */
+/** @returns the response size that a path asks for, in bytes */
 export function parseResponseBytes(path: string): number {
     const bytes = largePath.exec(path)?.[1];
     return bytes === undefined ? usualAnswerBytes : Number(bytes);
--- a/packages/soak/src/leakedKeys.ts
+++ b/packages/soak/src/leakedKeys.ts
@@ -3,13 +3,13 @@
 import { type SoakFleet } from "./soakFleet.js";
 import { secretPrefix } from "./workspacePlan.js";
 
-/** @returns one line where a text has a caller's key in it, without the key */
+/** @returns one line without the key itself if a text contains callers' keys; otherwise none */
 export function findLeakedKeys(name: string, text: string): readonly string[] {
     const count = text.split(secretPrefix).length - 1;
     return count === 0 ? [] : [`keys: ${name} has callers' keys in ${count} places`];
 }
 
-/** Searches everything that the processes of a run printed or recorded. */
+/** Searches all files that the processes of a run wrote: logs, settings and histories. */
 export function findLeakedKeysInFiles(dir: string): readonly string[] {
     return readdirSync(dir).flatMap(name => findLeakedKeys(name, readFileSync(join(dir, name), "utf8")));
 }
--- a/packages/soak/src/movingRouteChecker.ts
+++ b/packages/soak/src/movingRouteChecker.ts
@@ -2,17 +2,18 @@
 import { resolveRouteService as resolveService } from "./soakConfiguration.js";
 import { type FaultWindows } from "./faultWindows.js";
 
-/** How long after an answer under one version a gateway may still send under an older one, in milliseconds. */
+/** How long after a response under one version a gateway may still send under an older one, in milliseconds. */
 const rollbackSlackMs = 250;
 
-/** What the checker needs to know besides the history. */
+/** The input of the checker besides the history. */
 export interface MovingRouteInput {
-    /** Service of each backend server. */
+    /** Service of each backend server, by server ID. */
     readonly serviceOf: ReadonlyMap<string, string>;
+    /** When a fault affected the store, a gateway, or a connection between them. */
     readonly faultWindows: FaultWindows;
-    /** Time after its acceptance in which a version must be in force. */
+    /** Time after its acceptance until a version must be in force, in milliseconds. */
     readonly applyMs: number;
-    /** Calm time after which every gateway must know what the store says. */
+    /** Time without faults after which every gateway must have the store's state, in milliseconds. */
     readonly convergenceMs: number;
 }
 
@@ -24,7 +25,7 @@
 interface MovingRequest {
     readonly gatewayLife: string;
     readonly sentAtMs: number;
-    /** Service of the server that ran it last. */
+    /** Service of the server that last ran it; `undefined` before the first. */
     ranIn: string | undefined;
 }
 
@@ -38,12 +39,12 @@
 const okStatus = 200;
 
 /**
- * Checks the route that goes to another service with each version: an accepted version is in force in time, and no life
- * of a gateway goes back to an older one after its callers have seen a newer one.
+ * Checks the route whose service changes with each configuration version: an accepted version is in force in time, and
+ * no incarnation of a gateway returns to an older version after its callers have seen a newer one.
  *
- * @param history - every line of a run, in the order of its times
- * @param input - what is known besides
- * @returns what was found against it; empty where the invariant held
+ * @param history - all lines of a run, in chronological order
+ * @param input - further input of the checker
+ * @returns the violations; empty if there are none
  */
 export function checkMovingRoute(history: readonly HistoryLine[], input: MovingRouteInput): readonly Violation[] {
     const checker = new MovingRouteChecker(input);
@@ -58,7 +59,7 @@
     readonly #input: MovingRouteInput;
     readonly #versions: Version[] = [];
     readonly #requests = new Map<string, MovingRequest>();
-    /** What each life of a gateway has surely shown, oldest first. */
+    /** Versions that each gateway incarnation has provably served, oldest first. */
     readonly #seen = new Map<string, SeenVersion[]>();
 
     constructor(input: MovingRouteInput) {
@@ -107,7 +108,7 @@
         if (this.#findShown(service, least) === undefined) {
             this.violations.push({
                 invariant: "configurationInForce",
-                detail: `${line.requestId} went to ${service}, as no version from ${least} on says`,
+                detail: `${line.requestId} went to ${service}, which no version since ${least} routes to`,
                 lines: [line.sequence],
             });
         }
@@ -126,14 +127,14 @@
         }
     }
 
-    /** @returns the oldest version, from one on, by which the route goes to a service */
+    /** @returns the oldest version, not older than `least`, that routes to a service */
     #findShown(service: string, least: number): Version | undefined {
         return this.#versions.find(({ revision }) =>
             revision >= least && resolveService("moving", revision) === service
         );
     }
 
-    /** @returns the oldest version by which a request may be handled, for all that was accepted; 0 where nothing is due */
+    /** @returns the newest revision that must be in force for a request; 0 if none, or if a fault excuses it */
     #findDue({ sentAtMs }: MovingRequest, ranAtMs: number): number {
         const { faultWindows, applyMs, convergenceMs } = this.#input;
         if (!faultWindows.isFaultFree(sentAtMs - convergenceMs, ranAtMs)) {
@@ -143,7 +144,7 @@
         return Math.max(0, ...due.map(({ revision }) => revision));
     }
 
-    /** @returns the newest version that this life of the gateway has surely shown before the request was sent */
+    /** @returns the newest revision that the gateway incarnation has served before the request was sent; 0 if none */
     #findSeen({ gatewayLife, sentAtMs }: MovingRequest): number {
         const seen = (this.#seen.get(gatewayLife) ?? []).filter(({ atMs }) => atMs + rollbackSlackMs < sentAtMs);
         return seen.at(-1)?.revision ?? 0;
--- a/packages/soak/src/partitionPlan.ts
+++ b/packages/soak/src/partitionPlan.ts
@@ -2,16 +2,16 @@
 import { faultPhaseMs } from "./constants.js";
 import { type LinkFault } from "./faults.js";
 
-/** Gateways of a run that reach no backend server for a while. */
+/** A partition between some gateways and all backend servers. */
 export interface PlannedPartition {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which gateway comes first, modulo their number, and how many after it are cut off as well. */
+    /** Index of the first gateway, modulo the number of gateways, and how many after it are partitioned as well. */
     readonly target: number;
     readonly additionalGateways: number;
     readonly linkFault: LinkFault;
-    /** How often the links come back and go again meanwhile, in milliseconds; `undefined` where they stay away. */
+    /** How long the links stay down and then up in turn, in milliseconds; `undefined` if they stay down. */
     readonly flapPeriodMs: number | undefined;
 }
 
@@ -23,14 +23,14 @@
 const longestFlapMs = 1_200;
 const mostOthers = 4;
 const links: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
-/** Spreads neighbouring seeds, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x165_667b1;
 
 /**
- * Draws which gateways of a run are cut off from all backend servers. Cuts may overlap.
+ * Draws which gateways of a run are partitioned from all backend servers. Partitions may overlap.
  *
- * @param seed - of the run
- * @returns the same for the same seed
+ * @param seed - seed of the run
+ * @returns the partitions; the same for the same seed
  */
 export function planPartitions(seed: number): readonly PlannedPartition[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
--- a/packages/soak/src/queryOfDeathPlan.ts
+++ b/packages/soak/src/queryOfDeathPlan.ts
@@ -1,29 +1,29 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** Requests of a run that end the servers that run them: the same one again and again, at any gateway. */
+/** A query of death: a request that crashes each server that runs it, sent repeatedly to any gateway. */
 export interface PlannedQueryOfDeath {
-    /** When each is sent, since callers were let in, in milliseconds. */
+    /** When it is sent, in milliseconds after the load begins. */
     readonly sendTimesMs: readonly number[];
     readonly path: string;
 }
 
-/** A request whose path has this in it ends its server. */
+/** A request whose path contains this crashes its server. */
 export const queryOfDeathMarker = "deadly-";
 
 const deadlyShare = 0.6;
 const fewest = 6;
 const most = 25;
 const latestStartMs = 2_000;
-/** Spreads neighbouring seeds, whose first numbers are alike, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0x85eb_ca6b;
 
 /**
- * Draws whether a run has callers whose request ends its servers, and when they send it.
+ * Draws whether a run has a query of death, and when it is sent.
  *
- * @param seed - of the run
- * @param pathPrefix - of the route that they use
- * @returns the requests, or `undefined` for a run without any
+ * @param seed - seed of the run
+ * @param pathPrefix - path prefix of its route
+ * @returns the query of death, or `undefined` for a run without one
  */
 export function planQueryOfDeath(seed: number, pathPrefix: string): PlannedQueryOfDeath | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
--- a/packages/soak/src/regressionSeeds.ts
+++ b/packages/soak/src/regressionSeeds.ts
@@ -1,29 +1,27 @@
-/** Seeds that once found something, each with what is known of the cause; they stay, and run again before each landing. */
+/** Seeds that found violations before, each with the known cause. They are kept and run again before each release. */
 export const regressionSeeds: readonly { readonly seed: number; readonly cause: string; }[] = [
     {
         seed: 100,
         cause:
-            "62 of 79 requests served after the faults had ended, on a fully loaded machine; logs not kept, so not traced. "
-            + "It held alone, and its first schedule, which could run past the time of faults, held beside eight bench days",
+            "only 62 of 79 requests succeeded after the last fault, on a fully loaded machine; cause unknown, logs lost. "
+            + "Passes alone; its former schedule, which could exceed the fault phase, passes beside eight bench days",
     },
     {
         seed: 1_000,
-        cause:
-            "9 of 39 requests served after the faults had ended, at a load of 30 on 8 cores: 312 of 313 failures are noOffer, "
-            + "questions for load that got no answer within 35, 70 and 140 ms",
+        cause: "only 9 of 39 requests succeeded after the last fault, at a load of 30 on 8 cores: "
+            + "312 of 313 failures are noOffer, caused by load probes that timed out after 35, 70 and 140 ms",
     },
     {
         seed: 119,
-        cause:
-            "the roll-out has not ended in its time, on some runs: a gateway that was cut off from the store when the order came "
-            + "counts its time from when it heard of it, and widens and ends it as late",
+        cause: "in some runs, the roll-out does not end in time: a gateway disconnected from the store at the order "
+            + "counts the time limit from when it receives the order, so that it widens and ends the roll-out late",
     },
     {
         seed: 502,
         cause:
-            "401 for two requests whose key is there, on some runs: they waited while a version moved it to another workspace; as "
-            + "packages/edge/src/__tests__/keyChanges.test.ts",
+            "in some runs, two requests with a valid key get 401: they wait while a version moves the key to another "
+            + "workspace; see packages/edge/src/__tests__/keyChanges.test.ts",
     },
-    { seed: 504, cause: "as seed 502" },
-    { seed: 1_001, cause: "3 of 27 requests served after the faults had ended; as seed 1000" },
+    { seed: 504, cause: "same as seed 502" },
+    { seed: 1_001, cause: "only 3 of 27 requests succeeded after the last fault; same as seed 1000" },
 ];
--- a/packages/soak/src/requestGenerator.ts
+++ b/packages/soak/src/requestGenerator.ts
@@ -8,38 +8,41 @@
     unknownKey,
 } from "./workspacePlan.js";
 
-/** What a caller says of itself. */
+/** How a caller identifies itself. */
 export interface CallerCredentials {
-    /** `undefined` where it sends none. */
+    /** API key; `undefined` if the request carries none. */
     readonly key: SoakKey | undefined;
-    /** A workspace's name that it makes up; `undefined` where it doesn't. */
+    /** Forged workspace name in the request's headers; `undefined` if there is none. */
     readonly claimedWorkspace: string | undefined;
 }
 
-/** What a request of a run with workspaces has besides those of other runs. */
+/** The additional properties of a request in a run with workspaces. */
 export interface GeneratedRequest {
     readonly credentials: CallerCredentials;
-    /** Takes the place of the route that was drawn for every run. */
+    /** Overrides the route that is drawn in every run; `undefined` keeps it. */
     readonly route: SoakRoute | undefined;
-    /** Length of the answer that a request on the large route asks for. */
+    /** Size of the response that a request on the large route asks for, in bytes. */
     readonly responseBytes: number;
 }
 
 const keylessShare = 0.03;
 const unknownShare = 0.03;
-/** Keys that may be revoked, or not be there yet. */
+/** Share of the requests with any key of the plan, which may be revoked or not yet issued. */
 const anyKeyShare = 0.06;
-/** Of about 50 requests a second: below the limit of the workspace that has one. */
+/** At about 50 requests per second, this stays below the limit of the limited workspace. */
 const limitedShare = 0.04;
 const claimShare = 0.1;
 const openShare = 0.08;
 const largeShare = 0.08;
 const largestAnswerBytes = 540_000;
-/** Most answers are short: 90 KB is the mean of the largest number to this power. */
+/** Exponent that makes most responses short: their mean size is 90 KB. */
 const answerSkew = 5;
 const seedFactor = 0x2545_f491;
 
-/** Draws callers' keys and the routes that only runs with workspaces have, apart from everything else in a run. */
+/**
+ * Draws callers' keys, and the routes that exist only in runs with workspaces. Has a random sequence of its own, so
+ * that runs without workspaces draw the same requests.
+ */
 export class RequestGenerator {
     readonly #plan: PlannedWorkspaces;
     readonly #random: RandomSource;
@@ -49,7 +52,7 @@
         this.#random = createRandomSource(Math.imul(seed, seedFactor));
     }
 
-    /** @param workspaces - of the version that was acknowledged last */
+    /** @param workspaces - workspaces of the last acknowledged configuration version */
     next(workspaces: readonly SoakWorkspace[]): GeneratedRequest {
         const random = this.#random;
         const key = this.#drawKey(workspaces, random.next(), random.next());
--- a/packages/soak/src/rolloutPlan.ts
+++ b/packages/soak/src/rolloutPlan.ts
@@ -1,24 +1,24 @@
 import { createRandomSource } from "@galenaglade/routing";
 
-/** A roll-out that a run orders beside its faults. */
+/** A roll-out that takes place alongside the faults of a run. */
 export interface PlannedRollout {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly service: string;
-    /** Whether half of the new version's requests fail. */
+    /** Whether the new version is bad: half of its requests fail. */
     readonly isBad: boolean;
 }
 
 const rolloutShare = 0.5;
 const latestMs = 3_000;
-/** Spreads neighbouring seeds, whose first numbers are alike, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0x9e37_79b1;
 
 /**
- * Draws whether a run orders a roll-out, and which.
+ * Draws whether a run has a roll-out, and of which service and quality.
  *
- * @param seed - of the run
- * @param services - that may be rolled out
+ * @param seed - seed of the run
+ * @param services - services that may be rolled out
  * @returns the roll-out, or `undefined` for a run without one
  */
 export function planRollout(seed: number, services: readonly string[]): PlannedRollout | undefined {
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -27,43 +27,43 @@
 import { monotonicNow } from "./faultWindows.js";
 import { type PlannedOverload, planWorkspaces } from "./workspacePlan.js";
 
-/** What one run found. */
+/** The result of a run. */
 export interface SoakResult {
     readonly seed: number;
     readonly faults: readonly Fault[];
-    /** One line each; empty where every promise held. */
+    /** Violations, one line each; empty if there is none. */
     readonly findings: readonly string[];
-    /** Whether callers needed keys. */
+    /** Whether the run had workspaces, so that callers needed keys. */
     readonly workspaces: boolean;
-    /** The roll-out that was ordered and how it ended; `undefined` for a run without one. */
+    /** Quality and final stage of the roll-out; `undefined` for a run without one. */
     readonly rollout: string | undefined;
     readonly requests: number;
     readonly served: number;
-    /** Histories and logs of all processes; gone where nothing was found. */
+    /** Directory of the histories and logs of all processes; the command removes it if there are no findings. */
     readonly dir: string;
 }
 
-/** What a run is told. */
+/** Options of a run. */
 export interface SoakOptions {
     readonly system: SoakSystem;
     readonly seed: number;
-    /** Where runs keep their files. */
+    /** Directory in which each run creates a directory of its own. */
     readonly dir: string;
-    /** Takes the place of the faults that the seed draws. */
+    /** Replaces the faults that are drawn from the seed. */
     readonly faults?: readonly Fault[] | undefined;
-    /** Whether gateways are cut off from all servers as well, as the seed draws it. */
+    /** Whether to partition gateways from all servers as well, as drawn from the seed. Default: no. */
     readonly cuts?: boolean | undefined;
-    /** Whether the store comes back from older copies as well, as the seed draws it. */
+    /** Whether to restore the store from older snapshots as well, as drawn from the seed. Default: no. */
     readonly drills?: boolean | undefined;
 }
 
 const routes: readonly SoakRoute[] = ["read", "read", "file", "moving"];
 
 /**
- * Plays one run: starts every process, lets callers in, brings the faults, waits until all is calm again, and checks.
+ * Executes a run: starts all processes, generates load, injects faults, waits for recovery, and checks the guarantees.
  *
- * @param options - what the run is told
- * @returns what it found
+ * @param options - options of the run
+ * @returns the result, with all violations
  */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const dir = join(options.dir, `seed-${options.seed}`);
@@ -95,12 +95,12 @@
         const rolloutOver = rollout === undefined
             ? Promise.resolve([])
             : sleep(rollout.atMs).then(() => runRollout(world, system, rollout));
-        // Servers of a version that is rolled out are not replaced: callers that end them would leave none.
+        // Servers of the version that is rolled out aren't replaced, so that a query of death could crash all of them.
         const deadly = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
         const deadlyOver = load.sendDeadly(deadly);
         const limit = planServerLimit(seed);
         const limitOver = limit === undefined ? Promise.resolve() : applyServerLimit(world, limit);
-        // Servers of a version that is rolled out must not leave by themselves either.
+        // For the same reason, no server leaves during a roll-out.
         const { backoff, leaving } = planServerMetadata(seed);
         const noticesOver = applyServerMetadata(world, {
             backoff,
@@ -170,7 +170,7 @@
     return end?.type === "rolloutEnded" ? end.stage : "open";
 }
 
-/** Callers' load on all gateways. */
+/** Generates the callers' load on all gateways. */
 class SoakLoad {
     readonly #world: SoakFleet;
     readonly #random: RandomSource;
@@ -186,10 +186,11 @@
     }
 
     /**
-     * Sends until all faults are over and the calm time after them too, then waits for the last answers. Processes start
-     * slowly on a busy machine: ended by the clock alone, the calm time would be over before the last fault is.
+     * Sends requests until the recovery phase after the last fault has ended, then waits for the remaining responses.
+     * Processes start slowly on a busy machine: by the clock alone, the recovery phase could end before the last fault.
      *
-     * @returns when it stopped sending
+     * @param faultsOver - settles when the last fault has ended
+     * @returns when it stopped sending, on the monotonic clock
      */
     async run(faultsOver: Promise<unknown>): Promise<number> {
         let untilMs = Infinity;
@@ -207,7 +208,7 @@
         return stoppedAtMs;
     }
 
-    /** Sends the run's deadly requests, each when it is due. */
+    /** Sends the run's query of death at each of its planned times. */
     async sendDeadly(plan: PlannedQueryOfDeath | undefined): Promise<void> {
         await Promise.all((plan?.sendTimesMs ?? []).map(async (atMs, i) => {
             await sleep(atMs);
@@ -226,7 +227,10 @@
         }));
     }
 
-    /** Sends what exceeds a workspace's limit, over gateways in turn so that nothing else in the run is drawn otherwise. */
+    /**
+     * Sends requests that exceed a workspace's limit. Selects gateways round-robin, so that the run's other random
+     * choices stay the same.
+     */
     async sendOverload(plan: PlannedOverload | undefined): Promise<void> {
         if (plan === undefined) {
             return;
@@ -264,7 +268,7 @@
         this.#open.add(done);
     }
 
-    /** The balancer sends to gateways that are ready, and to all where none is. */
+    /** @returns the gateways that the balancer sends to: those that are ready, or all if none is */
     #findEdges(): readonly SoakEdge[] {
         const ready = this.#world.edges.filter(({ inRotation }) => inRotation);
         return ready.length > 0 ? ready : this.#world.edges;
@@ -274,7 +278,7 @@
         const choice = this.#findEdges();
         const edge = choice[this.#random.nextInt(choice.length)];
         if (edge === undefined) {
-            throw new Error("a run needs a gateway");
+            throw new Error("no gateway has been started");
         }
         return edge;
     }
--- a/packages/soak/src/serialExecutor.ts
+++ b/packages/soak/src/serialExecutor.ts
@@ -1,8 +1,8 @@
-/** Runs pieces of work one after the other, in the order in which they are given. */
+/** Runs asynchronous tasks one at a time, in the order of their submission. */
 export class SerialExecutor {
     #last: Promise<unknown> = Promise.resolve();
 
-    /** @returns what the work gave, once all that was given before has ended and it has too */
+    /** @returns the task's result, once all earlier tasks have settled and this one is done */
     run<T>(work: () => Promise<T>): Promise<T> {
         const done = this.#last.then(work);
         this.#last = done.catch(() => undefined);
--- a/packages/soak/src/serverCodec.ts
+++ b/packages/soak/src/serverCodec.ts
@@ -1,19 +1,19 @@
 import { type IncomingHttpHeaders } from "node:http";
 
-/** What a request says to a backend server. */
+/** A request as a backend server receives it. */
 export interface ReceivedRequest {
     readonly requestId: string;
-    /** The only server that may run it; `undefined` where any may. */
+    /** ID of the only server that may run it; `undefined` if any may. */
     readonly expectedServer: string | undefined;
-    /** How long it may work. */
+    /** Time until the request's deadline, in milliseconds. */
     readonly remainingMs: number;
-    /** Name of the caller's workspace; `undefined` where it says none. */
+    /** Name of the caller's workspace; `undefined` if the request carries none. */
     readonly workspace: string | undefined;
-    /** Whether it has the header in which callers send their keys. */
+    /** Whether the request has the header in which callers send their keys. */
     readonly hasKey: boolean;
 }
 
-/** What a backend server says of itself. */
+/** The state that a backend server reports. */
 export interface ServerState {
     readonly id: string;
     readonly running: number;
@@ -23,19 +23,19 @@
     readonly coldRemainingMs: number;
 }
 
-/** The names that a backend server of the system under test uses on the wire. */
+/** Encodes and decodes the headers that a backend server of the system under test uses. */
 export abstract class ServerCodec {
     abstract readonly healthPath: string;
     abstract readRequest(headers: IncomingHttpHeaders): ReceivedRequest;
     abstract renderState(state: ServerState): Readonly<Record<string, string>>;
-    /** @returns headers of an answer to a request that ran */
+    /** @returns headers of a response to a request that ran */
     abstract renderDidRun(requestId: string, signed: boolean): Readonly<Record<string, string>>;
-    /** @returns headers that name a limit, in requests a second */
+    /** @returns headers that advertise a rate limit, in requests per second */
     abstract renderLimit(perSecond: number): Readonly<Record<string, string>>;
-    /** @returns headers that ask for rest, with an answer that turns a request away */
+    /** @returns headers of a rejection that ask the gateway to back off for some seconds */
     abstract renderBackoff(seconds: number): Readonly<Record<string, string>>;
-    /** @returns headers that say that the server leaves */
+    /** @returns headers that announce that the server is leaving */
     abstract renderLeaving(): Readonly<Record<string, string>>;
-    /** @returns headers of an answer to a request that has not run and never will */
+    /** @returns headers of a response to a request that has not run and never will */
     abstract renderDidNotRun(requestId: string): Readonly<Record<string, string>>;
 }
--- a/packages/soak/src/serverLimitPlan.ts
+++ b/packages/soak/src/serverLimitPlan.ts
@@ -1,14 +1,14 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** A server of a run that names a limit for a while. */
+/** A server that advertises a rate limit for some time. */
 export interface PlannedServerLimit {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which server: taken modulo their number. */
+    /** Index of the server, modulo the number of servers. */
     readonly target: number;
-    /** Requests a second that it takes from all gateways together. */
+    /** Advertised limit for all gateways together, in requests per second. */
     readonly perSecond: number;
 }
 
@@ -16,13 +16,13 @@
 const latestMs = 2_000;
 const shortestMs = 6_000;
 const largest = 4;
-/** Spreads neighbouring seeds, whose first numbers are alike, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0xc2b2_ae35;
 
 /**
- * Draws whether a server of a run names a limit.
+ * Draws whether a server of a run advertises a rate limit.
  *
- * @param seed - of the run
+ * @param seed - seed of the run
  * @returns the limit, or `undefined` for a run without one
  */
 export function planServerLimit(seed: number): PlannedServerLimit | undefined {
--- a/packages/soak/src/serverMetadataPlan.ts
+++ b/packages/soak/src/serverMetadataPlan.ts
@@ -1,23 +1,23 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** A server of a run that turns gateways away for a while, and asks each for rest. */
+/** A server that rejects all requests for some time and asks each gateway to back off. */
 export interface PlannedBackoff {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which server: taken modulo their number. */
+    /** Index of the server, modulo the number of servers. */
     readonly target: number;
     readonly backoffSeconds: number;
 }
 
-/** A server of a run that says in its answers that it leaves, to its end, and never to the store. */
+/** A server that announces in its responses that it is leaving, until it ends, but never in the store. */
 export interface PlannedLeaving {
     readonly atMs: number;
     readonly target: number;
 }
 
-/** What servers of a run say of themselves. */
+/** The metadata that servers of a run send in their responses. */
 export interface PlannedServerMetadata {
     readonly backoff: PlannedBackoff | undefined;
     readonly leaving: PlannedLeaving | undefined;
@@ -29,14 +29,14 @@
 const shortestMs = 3_000;
 const shortestRestSeconds = 0.8;
 const longestRestSeconds = 3.2;
-/** Spreads neighbouring seeds, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x27d4_eb2f;
 
 /**
- * Draws what servers of a run say of themselves.
+ * Draws the metadata that servers of a run send in their responses.
  *
- * @param seed - of the run
- * @returns the same for the same seed
+ * @param seed - seed of the run
+ * @returns the plan; the same for the same seed
  */
 export function planServerMetadata(seed: number): PlannedServerMetadata {
     const random = createRandomSource(Math.imul(seed, seedFactor));
--- a/packages/soak/src/soakBackend.ts
+++ b/packages/soak/src/soakBackend.ts
@@ -6,16 +6,16 @@
 import { FaultProxy } from "./faultProxy.js";
 import { type ServerFaults, type SoakSystem, noServerFaults } from "./soakSystem.js";
 
-/** Where a backend server of a run stands. */
+/** Identity and placement of a backend server. */
 export interface BackendInfo {
     readonly id: string;
     readonly service: string;
     readonly availabilityZone: string;
-    /** Of its software. */
+    /** Version of the server software. */
     readonly version: string;
 }
 
-/** One start of one backend server, behind the proxy through which all gateways reach it. */
+/** One incarnation of a backend server, behind the proxy through which all gateways reach it. */
 export class SoakBackend {
     readonly info: BackendInfo;
     readonly proxy: FaultProxy;
@@ -37,12 +37,15 @@
         const program = system.resolveServerProgram({ id, service, availabilityZone, historyPath, seed });
         const process = await startProcess({ name: place.id, ...program });
         const proxy = await FaultProxy.start(Number(new URL(process.url).port));
-        // The port of a server that has ended refuses, as without a proxy.
+        // Connections to a server that has ended must be refused, as they would be without a proxy.
         void process.exited.then(() => proxy.close());
         return new SoakBackend(place, process, proxy, historyPath);
     }
 
-    /** @returns what it writes into the store */
+    /**
+     * @param coldRemainingMs - how long the server stays cold, in milliseconds
+     * @returns the registration that the server writes to the store
+     */
     createRegistration(state: RegisteredServer["state"], coldRemainingMs: number): RegisteredServer {
         return {
             ...this.info,
@@ -54,7 +57,11 @@
         };
     }
 
-    /** Begins a trouble. @returns ends it */
+    /**
+     * Injects faults, in addition to those that are active.
+     *
+     * @returns ends these faults
+     */
     async injectFaults(trouble: Partial<ServerFaults>): Promise<() => Promise<void>> {
         this.#troubles.push(trouble);
         await this.#order(0);
@@ -76,12 +83,12 @@
         this.#process.resume();
     }
 
-    /** Settles once its process has ended, whatever ended it. */
+    /** Settles once its process has ended for any reason. */
     get exited(): Promise<unknown> {
         return this.#process.exited;
     }
 
-    /** Ends it without waiting for its end. */
+    /** Kills the process without waiting for its end. */
     abort(): void {
         this.#process.kill();
     }
@@ -106,7 +113,7 @@
             await res.body.dump();
         }
         catch (err) {
-            // Killed between the question and its answer, by another fault of the run.
+            // Another fault of the run may have killed the server before it responded.
             if (!this.#hasEnded()) {
                 throw err;
             }
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -7,55 +7,55 @@
 import { type SoakSystem } from "./soakSystem.js";
 import { monotonicNow } from "./faultWindows.js";
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and never will. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 const okStatus = 200;
 const connectTimeoutMs = 1_000;
-/** A caller that hangs up does so within this time. */
+/** Maximum time after which a caller that disconnects early does so. */
 const hangUpMs = 60;
 
-/** Share of the requests that are sent on a connection of their own. */
+/** Share of the requests that are sent on new connections. */
 const freshShare = 0.3;
 
-/** What came back. */
+/** The response to a request, if any. */
 interface Received {
-    /** `undefined` where no answer came. */
+    /** `undefined` if no complete response arrived. */
     readonly status: number | undefined;
     readonly retryAfter: string | undefined;
-    /** Whether the caller could connect at all. */
+    /** Whether a connection was established. */
     readonly connected: boolean;
-    /** Whether an answer began and didn't come to its end. */
+    /** Whether a response began, but was not completed. */
     readonly truncated: boolean;
 }
 
-/** How one request ended for its caller. */
+/** The outcome of a request for its caller. */
 export interface RequestOutcome extends Received {
     readonly requestId: string;
     readonly route: SoakRoute;
     readonly sentAtMs: number;
     readonly endedAtMs: number;
-    /** Whether it left early. */
+    /** Whether the caller disconnected early. */
     readonly disconnectedEarly: boolean;
-    /** Whether it waited in vain. */
+    /** Whether the caller's time ran out. */
     readonly timedOut: boolean;
 }
 
-/** What a caller asks. */
+/** A request of a caller. */
 export interface CallerRequest {
     readonly requestId: string;
     readonly route: SoakRoute;
-    /** Whether it leaves early. */
+    /** Whether the caller disconnects before a response is likely. */
     readonly disconnectsEarly: boolean;
-    /** `undefined` in runs without workspaces. */
+    /** Absent in runs without workspaces. */
     readonly credentials?: CallerCredentials | undefined;
-    /** By itself one that no other request has. */
+    /** Path of the request. Default: one that no other request has. */
     readonly path?: string | undefined;
-    /** The same for requests that ask the same of a server; `undefined` where no other request does. */
+    /** Identifies requests with the same content; absent if no other request has it. */
     readonly contentId?: string | undefined;
 }
 
-/** Sends requests to one life of one gateway over kept and over new connections, and records what came of each. */
+/** Sends requests to one incarnation of a gateway over pooled and over new connections, and records their outcomes. */
 export class SoakCaller {
     readonly #gateway: string;
     readonly #url: string;
@@ -83,13 +83,13 @@
         return this.#ends;
     }
 
-    /** Sends one request and waits for its end, which it never fails. */
+    /** Sends a request and records its outcome. Never rejects. */
     async send(asked: CallerRequest): Promise<void> {
         const { requestId, route, disconnectsEarly } = asked;
         const fresh = this.#random.next() < freshShare;
         const agent = fresh ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#kept;
         const givesUp = new AbortController();
-        // Past its patience and what is allowed beyond it: whoever is silent for so long holds the request.
+        // Beyond the caller's patience and a tolerance: without a response by then, the request counts as hanging.
         const waitMs = disconnectsEarly ? this.#random.next() * hangUpMs : routeTimeoutMs + hangToleranceMs;
         const timer = setTimeout(() => givesUp.abort(), waitMs);
         const sentAtMs = monotonicNow();
@@ -181,12 +181,12 @@
     }
 }
 
-/** @returns whose answer a body is; `undefined` for a body that is not whole */
+/** @returns the ID of the request that a body responds to; `undefined` for a truncated body */
 function findRequestId(body: string): string | undefined {
     return readBody(body)?.requestId;
 }
 
-/** @returns the server that made a body; `undefined` for a body that is not whole */
+/** @returns the ID of the server that created a body; `undefined` for a truncated body */
 function findServer(body: string): string | undefined {
     return readBody(body)?.server;
 }
--- a/packages/soak/src/soakConfiguration.ts
+++ b/packages/soak/src/soakConfiguration.ts
@@ -15,12 +15,13 @@
 } from "./constants.js";
 import { type SoakWorkspace } from "./workspacePlan.js";
 
-/** Host name under which all routes of a run lie. */
+/** Authority of all routes of a run. */
 export const authority = "soak.example";
 
-/** The kinds of request that callers send. */
+/** Names of the routes that callers send to. */
 export type SoakRoute = "read" | "file" | "moving" | "open" | "large";
 
+/** Path prefix of each route. */
 export const routePathPrefixes: Readonly<Record<SoakRoute, string>> = Object.freeze({
     read: "/tables/read/",
     file: "/returns/file/",
@@ -29,7 +30,7 @@
     large: "/tables/large/",
 });
 
-/** @returns the service that serves a route under one version; the moving one goes to another with each version */
+/** @returns the service of a route in a configuration version; the moving route's service changes with each version */
 export function resolveRouteService(route: SoakRoute, version: number): string {
     switch (route) {
         case "read":
@@ -44,8 +45,10 @@
 }
 
 /**
- * @param workspaces - `undefined` where callers need no keys; the open route and the one with large answers are left out then
- * @returns one version of the operator's configuration
+ * Creates a version of the operator's configuration.
+ *
+ * @param workspaces - `undefined` if callers need no keys; omits the open route and the one with large responses
+ * @returns the configuration
  */
 export function createSoakConfiguration(
     version: number,
@@ -98,7 +101,7 @@
     };
 }
 
-/** Where an edge process listens. */
+/** Ports on which an edge process listens. */
 export interface EdgePorts {
     readonly callers: number;
     readonly readiness: number;
@@ -106,7 +109,10 @@
     readonly metrics: number;
 }
 
-/** @returns the text of an edge process's settings */
+/**
+ * @param serversFrom - IP address from which the process connects to backend servers
+ * @returns the settings file of an edge process, as YAML
+ */
 export function renderEdgeSettings(
     name: string,
     availabilityZone: string,
--- a/packages/soak/src/soakEdge.ts
+++ b/packages/soak/src/soakEdge.ts
@@ -11,9 +11,9 @@
 import { type SoakSystem } from "./soakSystem.js";
 import { monotonicNow, FaultWindows } from "./faultWindows.js";
 
-/** Time beyond the grace time until a process that doesn't stop is killed, and is reported. */
+/** Time beyond the stop's grace period after which a process that hasn't stopped is killed and reported. */
 const killSlackMs = 1_500;
-/** How often the balancer asks for readiness, and after how many misses it sends nobody. */
+/** Period of the balancer's readiness probes, and how many consecutive failures take a gateway out of rotation. */
 const readinessMs = 500;
 const missesOut = 2;
 const askTimeoutMs = 400;
@@ -22,17 +22,17 @@
     readonly process: StartedProcess;
     readonly caller: SoakCaller;
     readonly history: MemoryHistoryRecorder;
-    /** What was done to it; anything else that ends it is its own fault. */
+    /** How the run ends the process; any other exit is a violation. */
     ending: "no" | "asked" | "killed";
 }
 
-/** One gateway over all its lives, with its way to the store and the balancer's view of it. */
+/** A gateway over all its incarnations, with its connection to the store and the balancer's view of it. */
 export class SoakEdge {
     readonly name: string;
     readonly storeProxy: FaultProxy;
-    /** The address from which it calls backend servers, by which their proxies tell gateways apart. */
+    /** IP address from which it connects to backend servers; their proxies identify gateways by it. */
     readonly sourceAddress: string;
-    /** When it was stopped, paused or killed: what callers got then proves nothing. */
+    /** When it was stopped, paused or killed; the outcomes of requests at that time aren't checked. */
     readonly faultWindows = new FaultWindows();
     readonly findings: string[] = [];
     readonly #system: SoakSystem;
@@ -60,7 +60,7 @@
         this.#ports = more.ports;
     }
 
-    /** Starts its first life. */
+    /** Starts its first incarnation. */
     static async start(
         name: string,
         availabilityZone: string,
@@ -81,17 +81,17 @@
         return edge;
     }
 
-    /** Whether the balancer sends callers here. */
+    /** Whether the balancer sends requests to it. */
     get inRotation(): boolean {
         return this.#misses < missesOut;
     }
 
-    /** Sends callers' requests to the present life. */
+    /** Sends requests to the current incarnation. */
     get caller(): SoakCaller | undefined {
         return this.#lives.at(-1)?.caller;
     }
 
-    /** What callers of all lives got. */
+    /** Request outcomes of all incarnations, and whether the incarnation was killed. */
     get outcomes(): readonly { readonly outcome: RequestOutcome; readonly killed: boolean; }[] {
         return this.#lives.flatMap(({ caller, ending }) =>
             caller.outcomes.map(outcome => ({ outcome: outcome, killed: ending === "killed" }))
@@ -102,7 +102,7 @@
         return this.#lives.map(({ history }) => history);
     }
 
-    /** @returns the text of its metrics; empty where it is down */
+    /** @returns its metrics as text; empty if it doesn't respond */
     async readMetrics(): Promise<string> {
         try {
             const res = await request(`http://127.0.0.1:${this.#ports.metrics}/metrics`, {
@@ -111,12 +111,12 @@
             return await res.body.text();
         }
         catch {
-            // Down or standing still.
+            // The process is down or paused.
             return "";
         }
     }
 
-    /** Planned stop, and the next life after a while. */
+    /** Stops it in a planned manner, and starts the next incarnation `downMs` later. */
     async restart(downMs: number): Promise<void> {
         const life = this.#lives.at(-1);
         if (life === undefined || life.process.exitStatus !== undefined || life.ending !== "no") {
@@ -127,15 +127,15 @@
         const beganAtMs = monotonicNow();
         const exit = await life.process.stop(stopGraceMs + killSlackMs);
         const tookMs = Math.round(monotonicNow() - beganAtMs);
-        // Asked again: it may have been killed by another fault meanwhile.
+        // Another fault may have killed the process in the meantime.
         if (this.#wasAsked(life) && (exit.code !== 0 || tookMs > stopGraceMs)) {
-            this.findings.push(`${this.name} ended its planned stop with ${JSON.stringify(exit)} after ${tookMs} ms`);
+            this.findings.push(`${this.name}: planned stop ended with ${JSON.stringify(exit)} after ${tookMs} ms`);
         }
         await this.#liveAgain(life, downMs);
         endHarm(monotonicNow());
     }
 
-    /** Ends without warning, and the next life after a while. */
+    /** Kills it, and starts the next incarnation `downMs` later. */
     async kill(downMs: number): Promise<void> {
         const life = this.#lives.at(-1);
         if (life === undefined || life.process.exitStatus !== undefined || life.ending === "killed") {
@@ -152,7 +152,7 @@
         endHarm(monotonicNow());
     }
 
-    /** Stands still for a while. */
+    /** Pauses the process for `forMs`. */
     async pause(forMs: number): Promise<void> {
         const process = this.#lives.at(-1)?.process;
         const endHarm = this.faultWindows.begin(monotonicNow());
@@ -162,11 +162,12 @@
         endHarm(monotonicNow());
     }
 
+    /** Sends SIGHUP to the process. */
     sendSighup(): void {
         this.#lives.at(-1)?.process.hangUp();
     }
 
-    /** Ends for good, without waiting for the end. */
+    /** Kills it for good, without waiting for its end. */
     abort(): void {
         this.#ended = true;
         const life = this.#lives.at(-1);
@@ -176,7 +177,7 @@
         }
     }
 
-    /** Ends for good, with everything that belongs to it. */
+    /** Kills it for good, and closes its callers and its proxy. */
     async close(): Promise<void> {
         this.abort();
         await this.#lives.at(-1)?.process.exited;
@@ -218,7 +219,7 @@
         this.#lives.push(life);
         void process.exited.then(exit => {
             if (life.ending === "no") {
-                this.findings.push(`${this.name} ended by itself with ${JSON.stringify(exit)}`);
+                this.findings.push(`${this.name} exited unexpectedly with ${JSON.stringify(exit)}`);
             }
         });
     }
@@ -238,7 +239,7 @@
             return res.statusCode === 200;
         }
         catch {
-            // Down or standing still: a miss like any other.
+            // A process that is down or paused counts as not ready.
             return false;
         }
     }
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -30,30 +30,30 @@
 import { monotonicNow, FaultWindows } from "./faultWindows.js";
 import { type SoakWorkspace } from "./workspacePlan.js";
 
-/** A process that is gone without a word keeps its entry for about this long, in milliseconds. */
+/** How long the store keeps the entry of a process that has crashed, in milliseconds. */
 const lostEntryMs = 1_500;
-/** How long a drained server serves on after its entry is gone, in milliseconds. */
+/** How long a drained server continues to serve after its entry is deleted, in milliseconds. */
 const drainedStaysMs = 600;
-/** How long a server that crashed is away before its successor starts, in milliseconds. */
+/** Time between the removal of a crashed server's entry and the start of its replacement, in milliseconds. */
 const crashedDownMs = 500;
-/** How often a fault looks for a server that it can befall, in milliseconds. */
+/** How often a fault checks for a live server to affect, in milliseconds. */
 const liveCheckMs = 50;
 const slowdown = 5;
 const storeSlowMs = 400;
 const firstVersion = 2;
 
-/** How callers behave at a moment. */
+/** Current behavior of the callers. */
 export interface CallerBehavior {
-    /** Times the usual number of requests. */
+    /** Multiplies the usual request rate. */
     readonly loadFactor: number;
-    /** Share of the callers who leave early. */
+    /** Share of the callers that disconnect early. */
     readonly earlyDisconnectShare: number;
 }
 
-/** All processes of a run, and what is done to them. */
+/** All processes of a run, and the faults that are injected into them. */
 export class SoakFleet {
     readonly history = new MemoryHistoryRecorder("operator");
-    /** When the store, a gateway or a way between them was harmed, or a way to a server. */
+    /** When a fault affected the store, a gateway, a connection between them, or a connection to a server. */
     readonly faultWindows = new FaultWindows();
     readonly backends: SoakBackend[] = [];
     readonly edges: SoakEdge[] = [];
@@ -83,7 +83,7 @@
     /**
      * Starts all processes.
      *
-     * @param workspaces - of the first version; `undefined` where callers need no keys
+     * @param workspaces - workspaces of the first configuration version; `undefined` if callers need no keys
      */
     static async start(
         system: SoakSystem,
@@ -97,7 +97,7 @@
             await world.#startAll(seed);
         }
         catch (err) {
-            // A process that can't start, for instance because its port was taken meanwhile, must leave none of the others behind.
+            // If a process fails to start, for instance because its port has been taken, none may be left running.
             world.abort();
             throw err;
         }
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Workspaces of the version that the store acknowledged last. */
+    /** Workspaces of the configuration version that the store acknowledged last. */
     get workspaces(): readonly SoakWorkspace[] {
         return this.#acceptedWorkspaces;
     }
@@ -135,7 +135,7 @@
         return this.#mood;
     }
 
-    /** Carries out one fault, from its beginning to its end. */
+    /** Injects a fault, and resolves when it has ended. */
     async injectFault(fault: Fault): Promise<void> {
         const { kind, durationMs } = fault;
         await this.#whenServersLive();
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Gateways reach no backend server for a while. */
+    /** Partitions gateways from all backend servers for `forMs`. */
     partition(edges: readonly SoakEdge[], link: LinkFault, forMs: number): Promise<void> {
         return this.#harm(async () => {
             const end = this.#cuts.begin(edges, this.backends, link);
@@ -215,47 +215,47 @@
         });
     }
 
-    /** The store is away and comes back from an older copy. */
+    /** Makes the store unavailable, then restores it from an older snapshot. */
     restoreStore({ outageKind, outageMs, snapshotAgeMs }: PlannedStoreRestore): Promise<void> {
         return this.#harm(async () => {
             const end = await this.#store.injectFaults({ [outageKind]: true });
             await sleep(outageMs);
             await this.#store.execute({ restoreMs: snapshotAgeMs });
             await end();
-            // What operators and servers wrote is there again only then.
+            // Only then have operators and servers repeated their lost writes.
             await sleep(maxRewriteDelayMs);
         });
     }
 
-    /** @returns a server that has not begun to leave, once there is one */
+    /** @returns a server that hasn't begun to leave, once there is one */
     async pickLiveBackend(target: number): Promise<SoakBackend> {
         await this.#whenServersLive();
         return pick(this.#live, target);
     }
 
-    /** @returns the servers of a service and version that have not begun to leave */
+    /** @returns the servers of a service and version that haven't begun to leave */
     findLiveBackends(service: string, version: string): readonly SoakBackend[] {
         return this.#live.filter(({ info }) => info.service === service && info.version === version);
     }
 
-    /** Faults and deadly requests may have ended all servers at once; their successors come within seconds. */
+    /** Waits for a live server. Faults may end all servers at once; replacements start within seconds. */
     async #whenServersLive(): Promise<void> {
         while (this.#live.length === 0 && !this.#closed) {
             await sleep(liveCheckMs);
         }
     }
 
-    /** Writes to the store as the operator does, past all faults. */
+    /** Writes to the store as the operator does, regardless of injected faults. */
     writeAsOperator(write: StoreWrite): Promise<void> {
         return this.#store.execute({ puts: [write] });
     }
 
-    /** @returns how far a service's roll-out is by the store */
+    /** @returns the stage of a service's roll-out in the store; `undefined` if there is none */
     readRolloutStage(service: string): Promise<RolloutStage | undefined> {
         return this.#system.readRolloutStage(this.#store.port, service);
     }
 
-    /** Servers end at once, and their entries lapse. */
+    /** Kills servers, and deletes their entries after the time in which they would expire. */
     async killBackends(backends: readonly SoakBackend[]): Promise<void> {
         await Promise.all(
             backends.filter(backend => this.#beginLeaving(backend)).map(async backend => {
@@ -266,7 +266,7 @@
         );
     }
 
-    /** Ends every process of the run without waiting, as where the soak itself is told to end: none may be left behind. */
+    /** Kills all processes without waiting for their end, so that none is left running when the soak test exits. */
     abort(): void {
         this.#closed = true;
         for (const each of [...this.edges, ...this.backends, this.#store]) {
@@ -274,7 +274,7 @@
         }
     }
 
-    /** Ends every process of the run. */
+    /** Kills all processes of the run. */
     async close(): Promise<void> {
         this.#closed = true;
         await Promise.all([...this.edges, ...this.backends].map(each => each.close()));
@@ -295,7 +295,10 @@
         });
     }
 
-    /** Starts a server; one of a version that is to be rolled out is registered by `register`, after its order. */
+    /**
+     * Starts a server. One of a version that is to be rolled out has to be registered with `register`, after the order
+     * of its roll-out.
+     */
     async startBackend(
         service: string,
         availabilityZone: string,
@@ -316,7 +319,7 @@
         return backend;
     }
 
-    /** A server that ended by itself is replaced like one that was killed. */
+    /** Replaces a server that exited, like one that was killed. */
     async #onExited(backend: SoakBackend): Promise<void> {
         this.history.record({ type: "serverExited", server: backend.info.id });
         try {
@@ -325,14 +328,14 @@
             }
         }
         catch (err) {
-            // The run may end meanwhile, and with it the store.
+            // The run, and with it the store, may have ended in the meantime.
             if (!this.#closed) {
                 throw err;
             }
         }
     }
 
-    /** Writes a server's entry, cold or warm. */
+    /** Writes a server's entry to the store, cold or warm. */
     async register(backend: SoakBackend, cold: boolean): Promise<void> {
         this.#live.push(backend);
         const coldForMs = cold ? coldDurationMs : 0;
@@ -347,7 +350,7 @@
         return this.#store.execute({ deletes: [key] });
     }
 
-    /** The server crashes; its entry lapses, and another one comes up in its place, cold. */
+    /** Kills a server, deletes its entry after the time in which it would expire, and starts a cold replacement. */
     async #replaceKilled(backend: SoakBackend, downMs: number): Promise<void> {
         if (!this.#beginLeaving(backend)) {
             return;
@@ -359,7 +362,7 @@
         await this.#replace(backend);
     }
 
-    /** Its successor starts first; then the server says that it leaves, serves on, and ends. */
+    /** Starts a replacement, then drains the server: it announces that it is leaving, continues to serve, and ends. */
     async #replaceDrained(backend: SoakBackend, staysMs: number): Promise<void> {
         if (!this.#beginLeaving(backend)) {
             return;
@@ -375,13 +378,13 @@
     }
 
     async #replace({ info: { service, availabilityZone, version } }: SoakBackend): Promise<void> {
-        // Of a version that is rolled out no more servers come: which ones they are is told with the order.
+        // The servers of a version that is rolled out are fixed in its order, so that they aren't replaced.
         if (version === initialServerVersion) {
             await this.startBackend(service, availabilityZone, true);
         }
     }
 
-    /** @returns whether it is the first to end this server */
+    /** @returns whether this is the first call for the server */
     #beginLeaving(backend: SoakBackend): boolean {
         if (this.#leaving.has(backend)) {
             return false;
@@ -391,7 +394,7 @@
         return true;
     }
 
-    /** Writes a version with other workspaces. The moving route stays where it is, as it would be without this version. */
+    /** Writes a configuration version with other workspaces. The service of the moving route stays the same. */
     changeWorkspaces(workspaces: readonly SoakWorkspace[]): Promise<void> {
         this.#workspaces = workspaces;
         this.#version += services.length;
@@ -403,7 +406,7 @@
         return this.#writeVersion();
     }
 
-    /** One version after the other: of two at once the store might keep the earlier one. */
+    /** Writes versions one at a time: of two concurrent writes, the store could keep the older version. */
     #writeVersion(): Promise<void> {
         const [revision, workspaces, before] = [this.#version, this.#workspaces, this.#written];
         const write = async (): Promise<void> => {
@@ -424,7 +427,7 @@
     }
 
     async #takeZoneOut(availabilityZone: string, forMs: number): Promise<void> {
-        // With a second zone out too little would be left to tell a refusal from a fault.
+        // With a second zone out, too few servers would remain to distinguish valid rejections from failures.
         if (this.#zonesOut.size > 0) {
             return;
         }
@@ -448,7 +451,7 @@
 function pick<T>(things: readonly T[], number: number): T {
     const thing = things[number % things.length];
     if (thing === undefined) {
-        throw new Error("a run needs at least one of each");
+        throw new Error("can't pick from an empty list");
     }
     return thing;
 }
--- a/packages/soak/src/soakPartitions.ts
+++ b/packages/soak/src/soakPartitions.ts
@@ -7,22 +7,26 @@
 
 interface ActiveCut {
     readonly link: LinkFault;
-    /** The address from which a gateway connects to servers. */
+    /** IP address from which a gateway connects to servers. */
     readonly from: string;
 }
 
-/** Gateways that are cut off from all backend servers at the moment, those that start meanwhile included. */
+/** The active partitions between gateways and all backend servers, including servers that start in the meantime. */
 export class ActivePartitions {
     readonly #cuts = new Set<ActiveCut>();
 
-    /** A server has started: cut-off gateways don't reach it either. */
+    /** Applies the active partitions to a server that has just started. */
     onBackendStarted({ proxy }: SoakBackend): void {
         for (const { link, from } of this.#cuts) {
             proxy.begin(link, from);
         }
     }
 
-    /** Cuts gateways off. @returns ends it */
+    /**
+     * Partitions gateways from all backend servers.
+     *
+     * @returns ends the partition; takes the backend servers at that time
+     */
     begin(
         edges: readonly SoakEdge[],
         backends: readonly SoakBackend[],
@@ -42,7 +46,7 @@
     }
 }
 
-/** Cuts gateways off as a run's plan has it. */
+/** Applies the planned partitions of a run. */
 export async function partitionGateways(world: SoakFleet, cuts: readonly PlannedPartition[]): Promise<void> {
     await Promise.all(cuts.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
         await sleep(atMs);
--- a/packages/soak/src/soakRollout.ts
+++ b/packages/soak/src/soakRollout.ts
@@ -15,13 +15,13 @@
 import { monotonicNow } from "./faultWindows.js";
 
 /**
- * Orders a roll-out as the operator does, and does what follows from its end: servers of the old version stop at once when it is
- * completed, those of the new one some seconds after it is rolled back.
+ * Orders a roll-out as the operator does, waits for its end, and removes the servers that are no longer needed: those
+ * of the old version immediately after it completed, those of the new version some seconds after it was rolled back.
  *
  * @param world - the processes of the run
- * @param system - renders the order
- * @param rollout - what to roll out
- * @returns one line for each thing found; empty where it ended in time
+ * @param system - encodes the order
+ * @param rollout - the planned roll-out
+ * @returns violations, one line each; empty if it ended in time
  */
 export async function runRollout(
     world: SoakFleet,
@@ -40,7 +40,7 @@
     await Promise.all(fresh.map(backend => world.register(backend, true)));
     const stage = await awaitEnd(world, service);
     if (stage === undefined) {
-        return [`rollout: the roll-out of ${service} has not ended in its time`];
+        return [`rollout: the roll-out of ${service} did not end in time`];
     }
     world.history.record({ type: "rolloutEnded", service, version: rolloutServerVersion, stage });
     if (stage === "rolledBack") {
@@ -51,7 +51,7 @@
     return [];
 }
 
-/** @returns the final stage, or `undefined` where there was none in time and some calm seconds more */
+/** @returns the final stage, or `undefined` if there is none when the time limit and some tolerance are over */
 async function awaitEnd(world: SoakFleet, service: string): Promise<"completed" | "rolledBack" | undefined> {
     const untilMs = monotonicNow() + rolloutTimeoutMs + convergenceMs;
     while (monotonicNow() < untilMs) {
--- a/packages/soak/src/soakServer.ts
+++ b/packages/soak/src/soakServer.ts
@@ -9,21 +9,24 @@
 import { type SoakServerOptions, type ServerFaults, noServerFaults } from "./soakSystem.js";
 import { secretPrefix } from "./workspacePlan.js";
 
-/** Share of the requests that a failing or shedding server fails or turns away, and that a spoiling one spoils. */
+/** Share of the requests that a failing server fails and a shedding one rejects, and that a corrupting one corrupts. */
 const troubleShare = 0.5;
 const spoilShare = 0.2;
-/** How much longer work takes while a server is cold. */
+/** Factor of the processing time while a server is cold. */
 const coldSlowdown = 2;
-/** How long a server runs a request that ends it. */
+/** How long a server runs a query of death before it crashes, in milliseconds. */
 const crashMs = 15;
-/** How late an answer comes that belongs to a request which was answered before. */
+/** Delay of a duplicate response after the original one, in milliseconds. */
 const extraAnswerMs = 30;
 
-/** How an answer is spoilt. */
+/** How a response is corrupted. */
 const spoilings = ["lost", "cut", "doubled", "unsigned"] as const;
 type Spoiling = typeof spoilings[number];
 
-/** A stand-in of a backend server: slots, a short queue, load and cold time, and faults as orders. Says what it ran. */
+/**
+ * A fake backend server with slots, a short queue, load reports and cold starts. Injects faults on command and records
+ * its requests.
+ */
 export class SoakServer {
     readonly #order: SoakServerOptions;
     readonly #names: ServerCodec;
@@ -41,7 +44,7 @@
         this.#random = createRandomSource(order.seed);
     }
 
-    /** @returns a server that doesn't listen yet */
+    /** @returns an HTTP server that isn't listening yet */
     createServer(): Server {
         return createServer((req, res) => void this.#handle(req, res));
     }
@@ -67,7 +70,7 @@
         const request = this.#names.readRequest(req.headers);
         const { requestId, expectedServer } = request;
         const url = req.url ?? "";
-        // Under whatever name: a key is known by how it begins.
+        // Detects keys under any header name by their prefix.
         const keyPassedOn = request.hasKey || JSON.stringify([url, req.rawHeaders]).includes(secretPrefix);
         if (expectedServer !== undefined && expectedServer !== this.#order.id) {
             res.writeHead(421, this.#names.renderState(this.#state())).end();
@@ -102,7 +105,7 @@
         process.exit(1);
     }
 
-    /** @returns whether a slot was got in time */
+    /** @returns whether a slot became available before the deadline and before the gateway disconnected */
     async #getSlot(res: ServerResponse, remainingMs: number): Promise<boolean> {
         if (this.#running < serverSlots) {
             this.#running++;
@@ -128,7 +131,7 @@
         });
     }
 
-    /** @returns whether the work came to its end while somebody waited for it */
+    /** @returns whether the work finished before the deadline, with the gateway still connected */
     #work(res: ServerResponse, remainingMs: number): Promise<boolean> {
         const cold = this.#isCold() ? coldSlowdown : 1;
         const tookMs = typicalWorkMs * (0.5 + this.#random.next()) * this.#trouble.slowdown * cold;
--- a/packages/soak/src/soakServerMetadata.ts
+++ b/packages/soak/src/soakServerMetadata.ts
@@ -4,7 +4,7 @@
 import { type PlannedLeaving, type PlannedServerMetadata, type PlannedBackoff } from "./serverMetadataPlan.js";
 import { type SoakFleet } from "./soakFleet.js";
 
-/** A server names a limit for a while. */
+/** Lets a server advertise a planned rate limit. */
 export async function applyServerLimit(
     world: SoakFleet,
     { atMs, durationMs, target, perSecond }: PlannedServerLimit,
@@ -13,7 +13,7 @@
     await injectServerFaults(await world.pickLiveBackend(target), { limitPerSecond: perSecond }, durationMs);
 }
 
-/** Servers say of themselves what a run's plan has. */
+/** Lets servers send the planned response metadata. */
 export async function applyServerMetadata(
     world: SoakFleet,
     { backoff, leaving }: PlannedServerMetadata,
@@ -24,7 +24,7 @@
     ]);
 }
 
-/** A server turns gateways away for a while, and asks each for rest. */
+/** Lets a server reject all requests for some time and ask each gateway to back off. */
 async function askForRest(
     world: SoakFleet,
     { atMs, durationMs: forMs, target, backoffSeconds }: PlannedBackoff,
@@ -33,7 +33,7 @@
     await injectServerFaults(await world.pickLiveBackend(target), { restSeconds: backoffSeconds }, forMs);
 }
 
-/** A server says in its answers that it leaves, to its end. */
+/** Lets a server announce in its responses that it is leaving, until it ends. */
 async function sayLeaving(world: SoakFleet, { atMs, target }: PlannedLeaving): Promise<void> {
     await sleep(atMs);
     const backend = await world.pickLiveBackend(target);
--- a/packages/soak/src/soakStore.ts
+++ b/packages/soak/src/soakStore.ts
@@ -3,11 +3,11 @@
 import { SerialExecutor } from "./serialExecutor.js";
 import { noStoreFaults, type SoakSystem, type StoreCommand, type StoreFaults } from "./soakSystem.js";
 
-/** The stand-in store as a process. The operator and the servers reach it past all faults, as they do in production. */
+/** The fake store as a process. Injected faults don't affect commands: the operator and the servers always reach it. */
 export class SoakStore {
     readonly #process: StartedProcess;
     readonly #troubles: Partial<StoreFaults>[] = [];
-    /** Orders under way at once may overtake each other on their connections. */
+    /** Serializes commands: concurrent ones could overtake each other on separate connections. */
     readonly #inOrder = new SerialExecutor();
 
     private constructor(process: StartedProcess) {
@@ -22,7 +22,7 @@
         return Number(new URL(this.#process.url).port);
     }
 
-    /** Writes past all faults; the store's answer is the acknowledgement. */
+    /** Executes a command regardless of injected faults. Resolves when the store has acknowledged it. */
     execute(order: StoreCommand): Promise<void> {
         return this.#inOrder.run(async () => {
             const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
@@ -30,7 +30,11 @@
         });
     }
 
-    /** Begins a trouble. @returns ends it */
+    /**
+     * Injects faults, in addition to those that are active.
+     *
+     * @returns ends these faults
+     */
     async injectFaults(trouble: Partial<StoreFaults>): Promise<() => Promise<void>> {
         this.#troubles.push(trouble);
         await this.#tell();
@@ -48,7 +52,7 @@
         this.#process.resume();
     }
 
-    /** Ends it without waiting for its end. */
+    /** Kills the process without waiting for its end. */
     abort(): void {
         this.#process.kill();
     }
--- a/packages/soak/src/soakSystem.ts
+++ b/packages/soak/src/soakSystem.ts
@@ -6,23 +6,23 @@
 } from "@galenaglade/fleet-state";
 import { type CallerCredentials } from "./requestGenerator.js";
 
-/** A program that the soak starts. */
+/** A program that the soak test starts. */
 export interface SoakProgram {
     /** Path of a TypeScript or JavaScript file. */
     readonly script: string;
     readonly args: readonly string[];
-    /** Flags of node itself. */
+    /** Command line flags of Node. */
     readonly nodeFlags: readonly string[];
     readonly env: Readonly<Record<string, string>>;
 }
 
-/** A key of the store with what is written there. */
+/** A write of one key of the store. */
 export interface StoreWrite {
     readonly key: string;
     readonly value: string;
 }
 
-/** What a stand-in of a backend server is told. */
+/** Options of a fake backend server. */
 export interface SoakServerOptions {
     readonly id: string;
     readonly service: string;
@@ -31,34 +31,37 @@
     readonly seed: number;
 }
 
-/** What an answer's headers say. */
+/** The metadata in the headers of a response. */
 export interface SoakResponseMetadata {
     readonly requestId: string | undefined;
-    /** Whether it bears a backend server's proof that the body is its own. */
+    /** Whether it carries a backend server's signature of the body. */
     readonly signed: boolean;
-    /** Whether its server names a limit in it. */
+    /** Whether its server advertises a rate limit. */
     readonly hasLimit: boolean;
-    /** Whether its server says in it that it leaves. */
+    /** Whether its server announces that it is leaving. */
     readonly leaving: boolean;
 }
 
-/** The names that a system uses on the wire, and the stand-ins that speak them. */
+/** The system under test: its programs, its fakes, and its encoding of requests and store entries. */
 export abstract class SoakSystem {
-    /** Path on which the balancer asks for readiness. */
+    /** Path of the balancer's readiness probe. */
     abstract readonly readinessPath: string;
-    /** The program under test. */
+    /** @returns the edge process, which is the program under test */
     abstract resolveEdgeProgram(settingsPath: string): SoakProgram;
-    /** A store that says its address in its ready line and takes {@link StoreCommand}s on `/control`. */
+    /** A fake store that prints its address in its ready line and accepts a {@link StoreCommand} on `/control`. */
     abstract readonly storeProgram: SoakProgram;
-    /** A backend server that says its address in its ready line and takes `ServerTrouble`s on `/control`. */
+    /** @returns a fake backend server that prints its address in its ready line and accepts its faults on `/control` */
     abstract resolveServerProgram(order: SoakServerOptions): SoakProgram;
     abstract renderConfiguration(configuration: FleetConfiguration): StoreWrite;
     abstract renderServer(server: RegisteredServer): StoreWrite;
     abstract renderRollout(order: RolloutOrder): StoreWrite;
-    /** @returns how far a service's roll-out is by the store, or `undefined` where it says nothing */
+    /** @returns the stage of a service's roll-out in the store, or `undefined` if there is none */
     abstract readRolloutStage(storePort: number, service: string): Promise<RolloutStage | undefined>;
     abstract zoneOutKey(availabilityZone: string): string;
-    /** @returns the headers of a caller's request */
+    /**
+     * @param patienceMs - how long the caller waits for a response, in milliseconds
+     * @returns the headers of a caller's request
+     */
     abstract renderRequestHeaders(
         requestId: string,
         patienceMs: number,
@@ -69,54 +72,55 @@
     ): SoakResponseMetadata;
 }
 
-/** What the stand-in store is told: writes of the operator and of backend servers, and faults. */
+/** A command to the fake store: writes of the operator and of backend servers, and faults. */
 export interface StoreCommand {
     readonly puts?: readonly StoreWrite[] | undefined;
     readonly deletes?: readonly string[] | undefined;
-    /** Forgets all history: a watch that asks for older changes is told so. */
+    /** Compacts the history: a watch from an older revision fails. */
     readonly compact?: boolean | undefined;
     readonly faults?: StoreFaults | undefined;
     /**
-     * The store goes on from what it was so long ago, in milliseconds, and its term rises. What operators and servers wrote since is written
-     * again within {@link maxRewriteDelayMs}, what gateways wrote isn't.
+     * Age of the snapshot from which the store is restored, in milliseconds; the restore increments its term. Later
+     * writes of operators and servers are repeated within {@link maxRewriteDelayMs}, those of gateways are lost.
      */
     readonly restoreMs?: number | undefined;
 }
 
-/** Time in which operators and servers write again what a store lacks that came back from an older copy, in milliseconds. */
+/** Time in which operators and servers repeat the writes that a restored store has lost, in milliseconds. */
 export const maxRewriteDelayMs = 1_500;
 
-/** Faults of the stand-in store; each order replaces them all. */
+/** Faults of the fake store; each command that sets them replaces all of them. */
 export interface StoreFaults {
     readonly refuses: boolean;
     readonly hangs: boolean;
     readonly slowMs: number;
-    /** Writes take effect, and their connections close without an answer. */
+    /** Writes take effect, but their connections close without a response. */
     readonly losesAnswers: boolean;
 }
 
-/** Faults of a stand-in backend server; each order replaces them all. */
+/** Faults of a fake backend server; each command replaces all of them. */
 export interface ServerFaults {
-    /** How many times longer work takes; told in the answer to a question for load. */
+    /** Factor of the processing time; reported in responses to load probes. */
     readonly slowdown: number;
-    /** Fails half of the requests after it ran them, and says that it is well. */
+    /** Fails half of the requests after running them, while its health check passes. */
     readonly fails: boolean;
-    /** Turns half of the requests away. */
+    /** Rejects half of the requests. */
     readonly sheds: boolean;
-    /** Cuts, doubles or garbles some answers, or loses them. */
+    /** Truncates, duplicates or drops some responses, or omits their signature. */
     readonly spoils: boolean;
-    /** Says that it is leaving. */
+    /** Fails its health check because it is leaving. */
     readonly leaves: boolean;
-    /** Requests a second that it says it takes from all gateways together; `undefined` where it names no limit. */
+    /** Advertised rate limit for all gateways together, in requests per second; `undefined` for none. */
     readonly limitPerSecond: number | undefined;
-    /** Turns all requests away, and asks for so long a rest; `undefined` where it doesn't. */
+    /** Rejects all requests and asks for a back-off of so many seconds; `undefined` for none. */
     readonly restSeconds: number | undefined;
-    /** Says in its answers that it leaves, and nowhere else. */
+    /** Announces in its responses, and nowhere else, that it is leaving. */
     readonly saysLeaving: boolean;
-    /** Turns cold now, for that long. */
+    /** Becomes cold now, for so many milliseconds; 0 changes nothing. */
     readonly coldMs: number;
 }
 
+/** A backend server without faults. */
 export const noServerFaults: ServerFaults = Object.freeze({
     slowdown: 1,
     fails: false,
@@ -129,6 +133,7 @@
     coldMs: 0,
 });
 
+/** A store without faults. */
 export const noStoreFaults: StoreFaults = Object.freeze({
     refuses: false,
     hangs: false,
--- a/packages/soak/src/storeRestorePlan.ts
+++ b/packages/soak/src/storeRestorePlan.ts
@@ -1,12 +1,12 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** The store is away and comes back from an older copy. */
+/** A store outage that ends with a restore from an older snapshot. */
 export interface PlannedStoreRestore {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly outageMs: number;
-    /** Age of the copy at the return, in milliseconds. */
+    /** Age of the snapshot at the end of the outage, in milliseconds. */
     readonly snapshotAgeMs: number;
     readonly outageKind: "refuses" | "hangs";
 }
@@ -15,14 +15,14 @@
 const mostDrills = 4;
 const longestAwayMs = 2_500;
 const oldestCopyMs = 12_000;
-/** Spreads neighbouring seeds, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x27d4_eb2f;
 
 /**
- * Draws when the store of a run comes back from an older copy, at least once.
+ * Draws when the store of a run is restored from an older snapshot, at least once.
  *
- * @param seed - of the run
- * @returns the same for the same seed, in the order of time
+ * @param seed - seed of the run
+ * @returns the restores in chronological order; the same for the same seed
  */
 export function planStoreRestores(seed: number): readonly PlannedStoreRestore[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
--- a/packages/soak/src/workspacePlan.ts
+++ b/packages/soak/src/workspacePlan.ts
@@ -1,15 +1,15 @@
 import { createRandomSource, type RandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** A key of a caller. */
+/** An API key of a caller. */
 export interface SoakKey {
-    /** Stands for it in histories. */
+    /** Identifies the key in histories. */
     readonly id: string;
-    /** Sent by callers, and written to the store; nothing else may contain it. */
+    /** The key itself, which callers send and the store holds; it must not appear anywhere else. */
     readonly secret: string;
 }
 
-/** A workspace as one version of the configuration has it. */
+/** A workspace in one version of the configuration. */
 export interface SoakWorkspace {
     readonly name: string;
     readonly keys: readonly SoakKey[];
@@ -17,55 +17,55 @@
     readonly limit?: { readonly perSecond: number; readonly burst: number; } | undefined;
 }
 
-/** Callers of one workspace that ask for more than its limit. */
+/** Load on a workspace that exceeds its rate limit. */
 export interface PlannedOverload {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
     readonly perSecond: number;
     readonly key: SoakKey;
 }
 
-/** The workspaces of a run. */
+/** The workspaces of a run and their changes. */
 export interface PlannedWorkspaces {
     readonly initial: readonly SoakWorkspace[];
-    /** Versions that follow, each with all workspaces, oldest first. */
+    /** The later versions, each with all workspaces, oldest first; times in milliseconds after the load begins. */
     readonly changes: readonly { readonly atMs: number; readonly workspaces: readonly SoakWorkspace[]; }[];
-    /** Every key that any version holds. */
+    /** All keys of all versions. */
     readonly keys: readonly SoakKey[];
-    /** `undefined` where limits are not kept. */
+    /** `undefined` if gateways don't enforce limits. */
     readonly overload: PlannedOverload | undefined;
 }
 
-/** Every secret begins with it, so that logs and what servers get can be searched for all of them. */
+/** Prefix of all secrets, by which logs and the requests that reach servers are searched for leaked keys. */
 export const secretPrefix = "soak-secret-";
 
-/** A key that no version holds. */
+/** A key that is in no version. */
 export const unknownKey: SoakKey = Object.freeze({ id: "unknown", secret: `${secretPrefix}unknown` });
 
-/** The workspace that has a limit. */
+/** Name of the workspace with a rate limit. */
 export const limitedWorkspace = "cedar";
 
 const workspacesShare = 0.7;
 const fewestChanges = 2;
 const mostChanges = 5;
 const earliestMs = 300;
-/** After the last fault, so that every run has a change whose time to be in force is measured with nothing harmed. */
+/** After the last fault, so that in every run the time until a change is in force is measured once without faults. */
 const lastChangeMs = faultPhaseMs + 2_000;
 const smallestLimit = 3;
 const limitSpread = 4;
-/** How far the limited workspace's callers exceed its limit, and how long beyond the time of faults. */
+/** Factor by which the limited workspace's callers exceed its limit, and how long they do so after the fault phase. */
 const overloadFactor = 4.5;
 const overloadTailMs = 3_000;
-/** Spreads neighbouring seeds, and keeps apart from those of everything else in a run. */
+/** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x1656_67b1;
 
 /**
- * Draws whether callers of a run need keys, and how workspaces and keys change: keys are added, revoked and moved.
+ * Draws whether callers of a run need keys, and how workspaces change: keys are added, revoked and moved.
  *
- * @param seed - of the run
- * @param hasLimits - whether one of the workspaces has a limit, which its callers exceed
- * @returns the same for the same seed; `undefined` for a run without workspaces
+ * @param seed - seed of the run
+ * @param hasLimits - whether one of the workspaces has a rate limit, which its callers exceed
+ * @returns the plan, the same for the same seed; `undefined` for a run without workspaces
  */
 export function planWorkspaces(seed: number, hasLimits: boolean): PlannedWorkspaces | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
@@ -112,7 +112,7 @@
     return { initial: first, changes, keys, overload: hasLimits ? overload : undefined };
 }
 
-/** Adds, revokes or moves a key of one of the workspaces without a limit. */
+/** Adds, revokes or moves a key of one of the two workspaces without a rate limit. */
 function changeKeys(
     workspaces: readonly SoakWorkspace[],
     random: RandomSource,
--- a/playground/up.ts
+++ b/playground/up.ts
@@ -1,4 +1,4 @@
-/** Brings the whole system up on loopback, every part a process of its own: `npm run up -- --help`. */
+/** Runs the whole system on loopback, with a process for each part. For usage, run `npm run up -- --help`. */
 import { randomUUID } from "node:crypto";
 import { readFileSync } from "node:fs";
 import { parseArgs } from "node:util";
@@ -15,13 +15,13 @@
 } from "@galenaglade/stand-ins";
 
 const usage = `usage: npm run up -- [--configuration FILE] [--small] [--gateways N] [--once]
-    --configuration FILE  what to declare; playground/lonestat.yaml where none is given
-    --small               two backend servers of each service
-    --gateways N          3 where none is given
-    --once                sends a few requests, prints the answers, stops all and exits with 0 or 1`;
+    --configuration FILE  configuration to apply; default: playground/lonestat.yaml
+    --small               starts only two backend servers of each service
+    --gateways N          number of gateways; default: 3
+    --once                sends some requests, prints the responses, stops all processes, and exits with 0 or 1`;
 
 const smallPerService = 2;
-/** Of an answer that isn't a backend server's. */
+/** Number of characters to print of a response that isn't from a backend server. */
 const shownCharacters = 200;
 
 type ServiceInput = ConfigurationInput["services"][number];
@@ -44,7 +44,7 @@
 }
 
 async function run(): Promise<number> {
-    // From the first moment on: what was started by then would otherwise be left behind.
+    // Handles signals before the fleet starts, so that an interrupted start leaves no processes running.
     const interrupted = untilInterrupted();
     const declared = parse(readFileSync(values.configuration, "utf8")) as ConfigurationInput;
     const configuration = values.small ? limitBackendServers(declared, smallPerService) : declared;
@@ -63,7 +63,7 @@
             good = await sendOnce(fleet, configuration);
         }
         else {
-            console.log("Ctrl-C stops all");
+            console.log("Press Ctrl-C to stop all processes");
             await interrupted;
         }
     }
@@ -74,7 +74,7 @@
     console.log("stopping");
     const failed = await fleet.stop();
     for (const name of failed) {
-        console.error(`${name} did not end its planned stop with code 0`);
+        console.error(`${name}: planned stop did not exit with code 0`);
     }
     return good && failed.length === 0 ? 0 : 1;
 }
@@ -103,7 +103,11 @@
     console.log(`\ntry: curl -i -H 'host: ${authority}' -H 'x-request-id: mine' ${url}\n`);
 }
 
-/** Sends with all availability zones in, and once more with one taken out. @returns whether all was as it should be */
+/**
+ * Sends requests with all availability zones in, and again with one taken out.
+ *
+ * @returns whether all responses and zone changes were as expected
+ */
 async function sendOnce(fleet: Fleet, cfg: ConfigurationInput): Promise<boolean> {
     let good = await sendToAll(fleet, cfg, undefined);
     const zone = cfg.availabilityZones[0]?.name ?? "";
@@ -116,7 +120,11 @@
     return good && out?.inForce === true && back?.inForce === true;
 }
 
-/** One request to each service through each gateway. @returns whether each got its own whole answer from an open zone */
+/**
+ * Sends one request to each service through each gateway.
+ *
+ * @returns whether each request got its own complete response, from a zone that isn't taken out
+ */
 async function sendToAll(fleet: Fleet, cfg: ConfigurationInput, zoneOut: string | undefined): Promise<boolean> {
     let good = true;
     for (const service of cfg.services) {
@@ -129,7 +137,7 @@
     return good;
 }
 
-/** @returns the backend server whose whole answer came, if one did */
+/** @returns the name of the backend server that sent a complete response, or `undefined` without one */
 async function sendOne(gatewayUrl: string, service: ServiceInput): Promise<string | undefined> {
     const requestId = randomUUID();
     const keyed = service.requireIdempotencyKey === true;
--- a/scripts/__tests__/bench.test.ts
+++ b/scripts/__tests__/bench.test.ts
@@ -33,13 +33,13 @@
     };
 }
 
-test("the spread of an even number of figures has the mean of the middle two", () => {
+test("the median of an even number of figures is the mean of the middle two", () => {
     assert.deepEqual(resolveSpread([4, 1, 3, 2]), { min: 1, median: 2.5, max: 4 });
     assert.deepEqual(resolveSpread([3, 1, 2]), { min: 1, median: 2, max: 3 });
 });
 
-test("ratios are taken within a round", () => {
-    // The machine was twice as slow in round 2; a ratio of the medians over all rounds would hide that both rounds agree.
+test("ratios compare figures of the same round only", () => {
+    // The machine is half as fast in round 2. A ratio of the medians over all rounds would hide that both agree.
     const runs = [
         createRun(1, "random", 100),
         createRun(1, "hotCold", 50),
@@ -58,17 +58,17 @@
     assert.deepEqual(ratio, { min: 0.5, median: 0.5, max: 0.5 });
 });
 
-test("a noisy neighbour takes nothing from the others' offered load", () => {
+test("a surge of one service does not reduce the offered load on the others", () => {
     const capacities = { total: 100, byService: new Map([["archive-extracts", 20]]) };
     const noisy = loadShapes.find(load => load.name === "noisy");
     const [calm, surge] = noisy?.phases(capacities, 30_000) ?? [];
     assert.equal(calm?.requestsPerSecond, 50);
     const factor = surge?.surge?.factor ?? 0;
-    // 40 of the 50 are the others'; the noisy service's 10 grow by the factor.
+    // 40 of the 50 requests per second go to other services; the noisy service's 10 are multiplied by the factor.
     assert.equal(surge?.requestsPerSecond, 40 + 10 * factor);
 });
 
-test("a service's capacity is its slots over its mean work", () => {
+test("the capacity of a service is its slots divided by its mean processing time", () => {
     const backendServers = [{ name: "a", availabilityZone: "z", address: "127.0.0.1", port: 1 }];
     const service = {
         name: "table-reads",
@@ -83,7 +83,7 @@
     assert.equal(total, 100);
 });
 
-test("a process's own usage can be read", () => {
+test("the resource usage of a process is read from /proc", () => {
     const usage = readProcessUsage(process.pid);
     assert.ok(usage.cpuMs > 0);
     assert.ok(usage.rssMegabytes > 10);
--- a/scripts/__tests__/docs.test.ts
+++ b/scripts/__tests__/docs.test.ts
@@ -6,13 +6,13 @@
 import { test } from "node:test";
 
 const read = (path: string) => readFileSync(path, "utf8");
-/** What stands in code style in the first column of a page's tables. */
+/** @returns the code spans in the first column of a page's tables */
 const firstCells = (page: string) =>
     [...page.matchAll(/^\| (`[^|]*`) \|/gm)].flatMap(([, cell = ""]) =>
         cell.split(", ").map(code => code.slice(1, -1))
     );
 
-test("the commands' page lists every command, and no other", () => {
+test("the page on commands lists exactly the existing commands", () => {
     const listed = firstCells(read("docs/guide/commands.md"));
     const expected = commands.flatMap(({ name, operands: [first = "", ...rest] }) =>
         first.split("|").map(alternative => [name, alternative, ...rest].filter(word => word !== "").join(" "))
@@ -20,18 +20,18 @@
     assert.deepEqual(listed, expected);
 });
 
-test("the commands' page lists every exit code", () => {
+test("the page on commands lists exactly the existing exit codes", () => {
     const listed = [...read("docs/guide/commands.md").matchAll(/^\| (\d) \|/gm)].map(([, code]) => Number(code));
     assert.deepEqual(listed, Object.values(exitCodes));
 });
 
-test("the page on refused work names only kinds that there are", () => {
+test("the page on refused work lists only existing error kinds", () => {
     const unknown = firstCells(read("docs/operations/refused-work.md"))
         .filter(kind => !errorKinds.some(known => known === kind));
     assert.deepEqual(unknown, []);
 });
 
-test("links between pages lead somewhere", () => {
+test("no link between pages is broken", () => {
     const broken: string[] = [];
     for (const path of findPages()) {
         for (const [, target = ""] of read(path).matchAll(/\]\((?!https?:)([^)#]+)/g)) {
--- a/scripts/__tests__/knownRed.test.ts
+++ b/scripts/__tests__/knownRed.test.ts
@@ -23,7 +23,7 @@
 # fail 1
 `;
 
-test("the list names each test with what is known of it", () => {
+test("the list is parsed into tests and their entries", () => {
     assert.deepEqual(parseKnownRed(list), [
         { test: "work of 5 ms: deciding is no worse", entry: "command: npm test\nseen: 0.39 against 0.45" },
         { test: "another one", entry: "command: npm test" },
@@ -31,12 +31,12 @@
     assert.deepEqual(parseKnownRed(""), []);
 });
 
-test("failures are read at the top level, without what the runner doesn't count", () => {
+test("only failures of top-level tests count, and not those marked as TODO", () => {
     assert.deepEqual(parseFailedTests(results), ["work of 5 ms: deciding is no worse"]);
 });
 
-// A run in which one listed test and one other test fail must fail for the other one, or the list would hide new faults.
-test("only listed tests may fail, and listed ones that pass are said", () => {
+// If a listed and another test fail, the run must fail because of the other one, or the list would hide new faults.
+test("a failure of an unlisted test is unexpected, and listed tests that pass are reported", () => {
     const verdict = classifyFailures(["work of 5 ms: deciding is no worse", "new"], parseKnownRed(list));
     assert.deepEqual(verdict.knownRed.map(each => each.test), ["work of 5 ms: deciding is no worse"]);
     assert.deepEqual(verdict.unexpectedFailures, ["new"]);
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,4 +1,4 @@
-/** Compares routing policies on real processes over loopback: `npm run bench -- --help`. */
+/** Benchmarks routing policies with real processes over loopback. For usage, run `npm run bench -- --help`. */
 import { type ConfigurationInput } from "@galenaglade/configuration";
 import { routingPolicyNames } from "@galenaglade/routing";
 import { Fleet, FleetConfigurer, limitBackendServers } from "@galenaglade/stand-ins";
@@ -14,20 +14,20 @@
 import { renderTable } from "./bench/table.js";
 import { overridePatience, type LoadShape, loadShapes, lonestatLoads, resolveCapacities } from "./bench/workload.js";
 
-/** The sizes at which a run is called whole. */
+/** Sizes of a full run; a run with any smaller size is partial. */
 const fullSize = { gateways: 13, serversPerService: 12, rounds: 5, seconds: 30 };
 const baseline = "random";
 
 const usage = `usage: npm run bench -- [options]
     --variants A,B    routing policies: ${routingPolicyNames.join(", ")}
     --loads A,B       ${loadShapes.map(load => load.name).join(", ")}
-    --gateways N      ${fullSize.gateways} where none is given
-    --servers N       at most so many backend servers of each service
-    --rounds N        ${fullSize.rounds} where none is given
-    --seconds N       of each run; ${fullSize.seconds} where none is given
+    --gateways N      number of gateways; default: ${fullSize.gateways}
+    --servers N       maximum number of backend servers of each service
+    --rounds N        number of rounds; default: ${fullSize.rounds}
+    --seconds N       duration of each run; default: ${fullSize.seconds}
     --seed N
-    --out NAME        results go to docs/bench/results/NAME.json, with a table and plots
-    --render FILE     only writes table and plots of a results file anew`;
+    --out NAME        writes results to docs/bench/results/NAME.json, with a table and plots
+    --render FILE     only regenerates the table and plots of a results file`;
 
 const { values } = parseArgs({
     options: {
@@ -82,7 +82,9 @@
     finally {
         await configurer.close();
         const failed = await fleet.stop();
-        console.log(failed.length === 0 ? "all ended their planned stop" : `did not end well: ${failed.join(", ")}`);
+        console.log(
+            failed.length === 0 ? "all processes stopped as planned" : `planned stop failed: ${failed.join(", ")}`,
+        );
     }
     console.log(renderTable(createResults(startedAt, fleet, runs), baseline));
 }
@@ -102,7 +104,7 @@
     return { script: gatewayScript, args: ["--policy", policy] };
 }
 
-/** Each round begins with another variant, so that none always has the machine when it is fresh. */
+/** Starts each round with another variant, so that no variant always runs first on an idle machine. */
 function rotate(variants: readonly string[], round: number): readonly string[] {
     const first = (round - 1) % variants.length;
     return [...variants.slice(first), ...variants.slice(0, first)];
@@ -135,7 +137,7 @@
         || values.loads.split(",").length < loadShapes.length;
 }
 
-/** Written after every variant, so that a run which is broken off leaves what it measured. */
+/** Writes the results. Called after each variant, so that an interrupted run keeps its measurements. */
 function write(results: BenchResults): void {
     mkdirSync(resultsDirectory, { recursive: true });
     const path = join(resultsDirectory, `${values.out}.json`);
--- a/scripts/bench/gatewayVariant.ts
+++ b/scripts/bench/gatewayVariant.ts
@@ -1,4 +1,4 @@
-/** A gateway with the routing policy named on its command line. */
+/** Runs a gateway with the routing policy given on the command line. */
 import { createGatewayProcess } from "@galenaglade/gateway";
 import { loadSettings, resolveGatewaySettings } from "@galenaglade/settings";
 import { printReady, stopOnSignal } from "@galenaglade/stand-ins";
--- a/scripts/bench/plot.ts
+++ b/scripts/bench/plot.ts
@@ -8,9 +8,9 @@
 const figureWidth = 150;
 
 /**
- * Draws the p99 of one kind of caller under one load: a bar to the median, a line from minimum to maximum.
+ * Plots the p99 latency of one caller kind under one load: a bar for the median, a line from minimum to maximum.
  *
- * @param results - a run of the bench
+ * @param results - results of a benchmark
  * @param load - name of the load
  * @param kind - `service/callerKind`
  * @returns an SVG document
--- a/scripts/bench/processUsage.ts
+++ b/scripts/bench/processUsage.ts
@@ -1,23 +1,23 @@
 import { readFileSync } from "node:fs";
 
-/** What a process has used so far. */
+/** Resource usage of a process since its start. */
 export interface ProcessUsage {
     readonly cpuMs: number;
     readonly rssMegabytes: number;
 }
 
-/** Linux counts processor time in hundredths of a second towards user space. */
+/** Linux reports processor time to user space in ticks of 10 ms. */
 const millisecondsPerTick = 10;
-/** Fields of /proc/PID/stat behind the program's name: state is the first, utime the twelfth. */
+/** Indices of the fields after the program name in /proc/PID/stat: state is the first, utime the twelfth. */
 const userTimeField = 11;
 const systemTimeField = 12;
 const kilobytesPerMegabyte = 1_024;
 
 /**
- * Reads what the system says of a process.
+ * Reads the resource usage of a process from /proc.
  *
- * @param pid - a running process
- * @throws Error where there is no such process, or no /proc
+ * @param pid - ID of a running process
+ * @throws Error if there is no such process, or no /proc
  */
 export function readProcessUsage(pid: number): ProcessUsage {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
--- a/scripts/bench/results.ts
+++ b/scripts/bench/results.ts
@@ -1,35 +1,35 @@
 import { type OutcomeCounts, type Percentiles } from "@galenaglade/stand-ins";
 
-/** How the requests of one kind of caller went in one run. */
+/** Results of the requests of one caller kind in one run. */
 export interface KindResult {
     readonly counts: OutcomeCounts;
     readonly latency: Percentiles;
     readonly refusal: Percentiles;
 }
 
-/** One variant under one load in one round. */
+/** Results of one variant under one load in one round. */
 export interface RunResult {
     readonly round: number;
     readonly variant: string;
     readonly load: string;
     /** By `service/callerKind`. */
     readonly kinds: Readonly<Record<string, KindResult>>;
-    /** Processor time of all gateways for one request that went through them. */
+    /** Processor time of all gateways per request that they handled. */
     readonly gatewayCpuMsPerRequest: number;
     /** Resident memory of the largest gateway. */
     readonly gatewayRssMegabytes: number;
     readonly storeReadsPerSecond: number;
     readonly storeWritesPerSecond: number;
-    /** Load average of the machine over the last minute, for telling a quiet run from a busy one. */
+    /** One-minute load average of the machine, to distinguish runs on an idle machine from those on a busy one. */
     readonly machineLoad: number;
-    /** What went wrong outside of the requests; a run that has any is not to be trusted. */
+    /** Faults of the measurement itself; a run with any is unreliable. */
     readonly faults: readonly string[];
 }
 
-/** A whole run of the bench. */
+/** Results of a benchmark. */
 export interface BenchResults {
     readonly startedAt: string;
-    /** Fewer gateways, backend servers, rounds or seconds than the full size. */
+    /** Whether the benchmark had fewer gateways, backend servers, rounds, seconds or loads than a full run. */
     readonly partial: boolean;
     readonly gateways: number;
     readonly backendServers: number;
@@ -40,14 +40,14 @@
     readonly runs: readonly RunResult[];
 }
 
-/** The least, middle and greatest of some figures. */
+/** Minimum, median and maximum of some figures. */
 export interface Spread {
     readonly min: number;
     readonly median: number;
     readonly max: number;
 }
 
-/** @returns the spread; not-a-number where there are no figures */
+/** @returns the spread; NaN if there are no figures */
 export function resolveSpread(figures: readonly number[]): Spread {
     const sorted = figures.toSorted((a, b) => a - b);
     const middle = Math.floor(sorted.length / 2);
@@ -56,18 +56,18 @@
     return { min: sorted[0] ?? NaN, median, max: sorted.at(-1) ?? NaN };
 }
 
-/** Reads one figure of a kind's result. */
+/** Reads one figure of the result of a caller kind. */
 export type ReadFigure = (result: KindResult) => number;
 
 /**
- * A figure over the rounds, as it is and as ratio to the baseline of the same round.
+ * Aggregates a figure over the rounds, both as an absolute value and as a ratio to the baseline of the same round.
  *
  * @param runs - all runs
  * @param load - name of the load
  * @param kind - `service/callerKind`
- * @param variant - the variant
- * @param baseline - the variant that it is compared with
- * @param read - which figure
+ * @param variant - name of the variant
+ * @param baseline - name of the variant to compare it with
+ * @param read - reads the figure
  */
 export function compareRounds(
     runs: readonly RunResult[],
--- a/scripts/bench/runLoad.ts
+++ b/scripts/bench/runLoad.ts
@@ -20,7 +20,7 @@
 import { type KindResult, type RunResult } from "./results.js";
 import { createMix, type LoadShape, lonestatLoads, resolveCapacities } from "./workload.js";
 
-/** One run: a load on the gateways that are up. */
+/** Options of a run, which applies one load to the running gateways. */
 export interface RunOptions {
     readonly fleet: Fleet;
     readonly configurer: FleetConfigurer;
@@ -28,12 +28,12 @@
     readonly variant: string;
     readonly round: number;
     readonly seconds: number;
-    /** The same for every variant of a round. */
+    /** Seed of the load; the same for every variant of a round. */
     readonly seed: number;
 }
 
 const callerScript = fileURLToPath(new URL("../../packages/standIns/src/caller/cli.ts", import.meta.url));
-/** The first part of each run is sent, but not counted. */
+/** Share of each run, at its beginning, whose requests are sent but not counted. */
 const warmUpShare = 0.1;
 const directWorkMs = 5;
 const counters = z.object({ total: z.object({ reads: z.number(), writes: z.number() }) });
@@ -47,10 +47,10 @@
 }
 
 /**
- * Sends one load and measures what came of it.
+ * Applies a load and measures its results.
  *
- * @param options - what to run
- * @returns the figures of this run
+ * @param options - options of the run
+ * @returns the results of the run
  */
 export async function runLoad(options: RunOptions): Promise<RunResult> {
     const { fleet, load, variant, round } = options;
@@ -103,7 +103,7 @@
     const caller = await startProcess({ name: "caller", script: callerScript, args });
     const exit = await caller.exited;
     if (exit.code !== 0) {
-        throw new Error(`the caller ended with ${exit.code ?? exit.signal ?? ""}`);
+        throw new Error(`the caller process exited with ${exit.code ?? exit.signal ?? ""}`);
     }
     const tally = OutcomeTally.merge([tallySchema.parse(JSON.parse(readFileSync(resultPath, "utf8")))]);
     for (const kind of tally.kinds) {
@@ -114,10 +114,10 @@
 
 function* findFaults(kind: string, counts: OutcomeCounts): Iterable<string> {
     if (counts.notSent > 0) {
-        yield `${kind}: ${counts.notSent} requests were not sent, too many were open`;
+        yield `${kind}: ${counts.notSent} requests were not sent because too many were in flight`;
     }
     if (counts.wrong > 0) {
-        yield `${kind}: ${counts.wrong} answers were another request's or changed`;
+        yield `${kind}: ${counts.wrong} responses belonged to another request or were corrupted`;
     }
 }
 
@@ -136,7 +136,7 @@
     };
 }
 
-/** The same short work by the gateways and past them, so that what lies between is the time added. */
+/** Sends the same short work through the gateways and directly to the servers; the difference is the added latency. */
 function createDirectMix(fleet: Fleet): CallerPlanInput["mix"][number][] {
     const [service] = lonestatLoads;
     if (service === undefined) {
--- a/scripts/bench/table.ts
+++ b/scripts/bench/table.ts
@@ -7,7 +7,7 @@
     type Spread,
 } from "./results.js";
 
-/** A figure of the table. */
+/** A column of the table. */
 interface Column {
     readonly title: string;
     readonly read: ReadFigure;
@@ -29,11 +29,11 @@
 }
 
 /**
- * Writes the figures as text: each as minimum/median/maximum over the rounds, and the p99 besides as ratio to the
- * baseline's of the same round.
+ * Renders the figures as a text table: each as minimum/median/maximum over the rounds, and the p99 also as a ratio to
+ * that of the baseline in the same round.
  *
- * @param results - a run of the bench
- * @param baseline - the variant that others are compared with
+ * @param results - results of a benchmark
+ * @param baseline - name of the variant that others are compared with
  */
 export function renderTable(results: BenchResults, baseline: string): string {
     const lines = [describe(results)];
--- a/scripts/bench/workload.ts
+++ b/scripts/bench/workload.ts
@@ -4,7 +4,7 @@
 type Mix = CallerPlanInput["mix"][number];
 type Phase = CallerPlanInput["phases"][number];
 
-/** What one kind of caller asks of a service. */
+/** The load of one caller kind on a service. */
 interface CallerKindLoad {
     readonly callerKind: string;
     /** Share of the service's requests. */
@@ -12,7 +12,7 @@
     readonly patienceMs: number;
 }
 
-/** What a service is asked and how long its requests work. */
+/** The load on a service, and the log-normal distribution of its processing time. */
 export interface ServiceLoad {
     readonly service: string;
     readonly authority: string;
@@ -23,7 +23,10 @@
     readonly kinds: readonly CallerKindLoad[];
 }
 
-/** Lönestat's services with the patience of a working day; what the callers do is ours, the sizes are theirs. */
+/**
+ * Lönestat's services, with their patience on a working day. The sizes are Lönestat's; the callers' behavior is
+ * assumed.
+ */
 export const lonestatLoads: readonly ServiceLoad[] = [
     {
         service: "table-reads",
@@ -59,25 +62,25 @@
 
 const defaultSlots = 3;
 
-/** @returns the mean of a service's work time, in milliseconds */
+/** @returns the mean processing time of a service's requests, in milliseconds */
 function meanWorkMs({ medianMs, sigma }: ServiceLoad): number {
     return medianMs * Math.exp(sigma * sigma / 2);
 }
 
-/** @returns requests a second that keep every slot of a service busy */
+/** @returns the request rate that keeps all slots of a service busy, in requests per second */
 export function resolveCapacity(cfg: ConfigurationInput, load: ServiceLoad): number {
     const service = cfg.services.find(candidate => candidate.name === load.service);
     const slots = service?.backendServers.reduce((sum, server) => sum + (server.slots ?? defaultSlots), 0) ?? 0;
     return slots * 1_000 / meanWorkMs(load);
 }
 
-/** Requests a second that keep every slot busy. */
+/** Request rates that keep all slots busy, in requests per second. */
 export interface Capacities {
     readonly total: number;
     readonly byService: ReadonlyMap<string, number>;
 }
 
-/** @returns what each service and all together can bear */
+/** @returns the capacity of each service and of all together */
 export function resolveCapacities(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): Capacities {
     const byService = new Map(loads.map(load => [load.service, resolveCapacity(cfg, load)]));
     const total = [...byService.values()].reduce((sum, capacity) => sum + capacity, 0);
@@ -85,10 +88,11 @@
 }
 
 /**
- * Replaces the declared patience, which depends on the hour, by the bench's own, so that runs at any hour compare.
+ * Replaces the configured patience, which depends on the time of day, so that runs at different times are comparable.
  *
- * @param cfg - declarations
- * @param loads - what the callers do
+ * @param cfg - the configuration
+ * @param loads - the loads, with the patience of each caller kind
+ * @returns the configuration with the patience of the loads
  */
 export function overridePatience(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): ConfigurationInput {
     const services = cfg.services.map(service => {
@@ -100,7 +104,7 @@
     return { ...cfg, services };
 }
 
-/** @returns what the callers send, in proportion to what each service can bear */
+/** @returns the callers' request mix, weighted by the capacity of each service */
 export function createMix(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): Mix[] {
     return loads.flatMap(load =>
         load.kinds.map(kind => ({
@@ -118,14 +122,14 @@
     );
 }
 
-/** One shape of load. */
+/** A load profile. */
 export interface LoadShape {
     readonly name: string;
-    /** @param durationMs - of the whole */
+    /** @param durationMs - total duration of the phases, in milliseconds */
     readonly phases: (capacities: Capacities, durationMs: number) => readonly Phase[];
-    /** Takes an availability zone out after a third of the time, and brings it back after two. */
+    /** Takes an availability zone out after a third of the time, and brings it back in after two thirds. */
     readonly takesZoneOut?: boolean | undefined;
-    /** Measures the time added: half of the requests go past the gateways, and each works the same short time. */
+    /** Measures the added latency: half of the requests bypass the gateways, and all take the same short time. */
     readonly direct?: boolean | undefined;
 }
 
@@ -138,7 +142,7 @@
         [before, after].map(share => ({ durationMs: durationMs / 2, requestsPerSecond: total * share }));
 }
 
-/** One service is asked for `factor` times as much in the middle third; the others for the same all the time. */
+/** Multiplies the load on one service by `factor` in the middle third; the load on the others stays constant. */
 function surge(share: number, service: string, factor: number): LoadShape["phases"] {
     return ({ total, byService }, durationMs) => {
         const noisyShare = (byService.get(service) ?? 0) / total;
@@ -148,7 +152,7 @@
     };
 }
 
-/** All shapes, by the name that the command line takes. */
+/** All load profiles, with the names that the command line accepts. */
 export const loadShapes: readonly LoadShape[] = [
     { name: "direct", phases: steady(0.2), direct: true },
     { name: "steady50", phases: steady(0.5) },
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,4 +1,4 @@
-/** Bundles each program into one file under dist/, with the workspace's libraries inside and the registry's outside. */
+/** Bundles each program into one file under dist/, including the workspace's packages but no registry packages. */
 import { chmodSync, existsSync } from "node:fs";
 import { build } from "esbuild";
 
@@ -30,7 +30,7 @@
         target: "node20",
         sourcemap: true,
         logLevel: "warning",
-        // Libraries from the registry stay outside, so that they are updated and audited as installed.
+        // Keeps registry packages external, so that they are updated and audited as installed.
         plugins: [{
             name: "registry-outside",
             setup: context => {
--- a/scripts/capacity.ts
+++ b/scripts/capacity.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes that docs/CAPACITY.md is worked out from, and writes them to docs/capacity/results.json. */
+/** Measures the slopes from which docs/CAPACITY.md is calculated, and writes them to docs/capacity/results.json. */
 import { writeFileSync } from "node:fs";
 import { type CapacityResults } from "./capacity/measurement.js";
 import { measureFleet } from "./capacity/measureFleet.js";
--- a/scripts/capacity/generateConfiguration.ts
+++ b/scripts/capacity/generateConfiguration.ts
@@ -2,9 +2,9 @@
 import { target } from "./target.js";
 
 /**
- * Makes a configuration of a given size, in the target's proportions of targets to services and availability zones.
+ * Generates a configuration of a given size, with the ratio of targets to services and the zones of the target size.
  *
- * @param targets - backend servers over all services
+ * @param targets - number of backend servers over all services
  */
 export function generateConfiguration(targets: number): Configuration {
     const services = Math.max(1, Math.round(targets * target.services / target.targets));
@@ -35,7 +35,7 @@
     }).unsafeCoerce();
 }
 
-/** Spreads the targets evenly; the first services take what does not divide. */
+/** Distributes the targets evenly; the first services get the remainder. */
 function serversOf(service: number, targets: number, services: number): number {
     return Math.floor(targets / services) + (service < targets % services ? 1 : 0);
 }
--- a/scripts/capacity/measureFleet.ts
+++ b/scripts/capacity/measureFleet.ts
@@ -5,24 +5,24 @@
 import { fitSlope, type Sample } from "./slope.js";
 import { TestFleet } from "./testFleet.js";
 
-/** Sizes of the fleet, in gateways. */
+/** Fleet sizes, in gateways. */
 const fleetSizes = [2, 4, 8, 16];
 const rounds = 3;
 const settleMs = 6_000;
 const observeMs = 12_000;
 const changes = 5;
-/** The targets declared while the fleet is measured: about the larger of the brief's deployments. */
+/** Targets in the configuration during the measurement: about those of the larger deployment in the requirements. */
 const declaredTargets = 28;
 
-/** What one fleet showed while nothing but control went on, for an average gateway. */
+/** Resource usage of a fleet with control traffic only, per gateway unless the name says otherwise. */
 interface FleetObservation {
     readonly corePercent: number;
     readonly residentMegabytes: number;
     readonly writtenBytesPerSecond: number;
     readonly storeCallsPerSecond: number;
-    /** From the operator's call until the change is in force everywhere. */
+    /** Time from the operator's call until the change is in force on all gateways. */
     readonly changeMs: number;
-    /** Processor time that one change costs one gateway. */
+    /** Processor time of one change on one gateway. */
     readonly changeCpuMs: number;
 }
 
@@ -90,7 +90,7 @@
     { name: "changeCpuPerGateway", unit: "ms", take: observation => observation.changeCpuMs },
 ];
 
-/** Measures what an idle fleet costs each gateway, against the number of gateways. Needs `npm run build` first. */
+/** Measures the resource usage per gateway of an idle fleet against its size. Requires `npm run build`. */
 export async function measureFleet(): Promise<readonly Measurement[]> {
     const samples = new Map<string, Sample[][]>(columns.map(({ name }) => [name, []]));
     for (let round = 0; round < rounds; round++) {
--- a/scripts/capacity/measureRequests.ts
+++ b/scripts/capacity/measureRequests.ts
@@ -5,26 +5,26 @@
 import { fitSlope, type Sample } from "./slope.js";
 import { TestFleet } from "./testFleet.js";
 
-/** Offered load of one gateway, in requests a second. */
+/** Offered loads on one gateway, in requests per second. */
 const loads = [200, 400, 800, 1_600];
 const rounds = 3;
 const durationMs = 5_000;
 const backendCount = 9;
-/** Many slots, so that it is the gateway that is measured and not the queue for its backend servers. */
+/** Many slots, so that the backend servers' queues don't affect the measurement of the gateway. */
 const slots = 64;
 const patienceMs = 2_000;
 
-/** Measures the processor time of one gateway against its offered load. Needs `npm run build` first. */
+/** Measures the processor time of a gateway against its offered load. Requires `npm run build`. */
 export async function measureRequests(): Promise<readonly Measurement[]> {
     const backends = await startBackends();
     const fleet = await TestFleet.start(1);
     const gateway = fleet.gateways[0];
     if (gateway === undefined) {
-        throw new Error("no gateway was started");
+        throw new Error("no gateway has been started");
     }
     try {
         await fleet.apply(describe(backends));
-        // The first run warms the compiler up; its figures are left out.
+        // A first run, which isn't measured, warms up the JIT compiler.
         await offer(gateway.url, loads[0] ?? 1, 0);
         const samples: Sample[][] = [];
         for (let round = 0; round < rounds; round++) {
@@ -97,6 +97,8 @@
     const tally = await new Caller(plan).run();
     const counts = tally.getCounts("tables/default");
     if (counts.whole < counts.sent * 0.99) {
-        throw new Error(`only ${counts.whole} of ${counts.sent} requests were answered at ${requestsPerSecond}/s`);
+        throw new Error(
+            `only ${counts.whole} of ${counts.sent} requests got a complete response at ${requestsPerSecond}/s`,
+        );
     }
 }
--- a/scripts/capacity/measureTables.ts
+++ b/scripts/capacity/measureTables.ts
@@ -5,15 +5,15 @@
 import { type Measurement } from "./measurement.js";
 import { fitSlope, type Sample } from "./slope.js";
 
-/** Sizes of the configuration, in targets. */
+/** Configuration sizes, in targets. */
 const configurationSizes = [1_050, 2_100, 4_200, 8_400];
-/** Backend servers of one service, as the policy sees them. */
+/** Numbers of candidate servers of a routing decision. */
 const candidateSizes = [6, 12, 24, 48];
 const rounds = 5;
 const repeats = 20;
 const choices = 20_000;
 
-/** What one round measures at one size. */
+/** Measures a value at one size. */
 type Measure = (size: number) => number;
 
 function measure(name: string, per: string, unit: string, sizes: readonly number[], take: Measure): Measurement {
@@ -26,19 +26,19 @@
 
 function collectGarbage(): void {
     if (globalThis.gc === undefined) {
-        throw new Error("run with --expose-gc, or memory can't be measured");
+        throw new Error("memory can't be measured without the --expose-gc flag");
     }
     globalThis.gc();
 }
 
-/** Heap that a value keeps alive. */
+/** @returns the heap size that a value retains, in bytes */
 function heapOf(create: () => unknown): number {
     collectGarbage();
     const before = process.memoryUsage().heapUsed;
     const kept = create();
     collectGarbage();
     const bytes = process.memoryUsage().heapUsed - before;
-    // Named after the reading, so that it can't be collected before it.
+    // Using the value after the second reading keeps it from being collected earlier.
     if (kept === undefined) {
         throw new Error("nothing was created");
     }
@@ -70,7 +70,7 @@
     return board;
 }
 
-/** CPU time of one routing decision, candidates included, in milliseconds. */
+/** @returns the processor time of one routing decision, including the creation of its candidates, in milliseconds */
 function decisionCpuMs(size: number): number {
     const servers = generateConfiguration(size * 2).services.flatMap(service => service.backendServers).slice(0, size);
     const board = new ServerLoadTracker();
@@ -82,7 +82,7 @@
     }, choices);
 }
 
-/** Measures what the configuration and the routing table cost in memory, bytes and processor time. */
+/** Measures the memory, serialized size and processor time of the configuration and the routing table. */
 export function measureTables(): readonly Measurement[] {
     return [
         measure("gatewayMemoryPerTarget", "target", "bytes", configurationSizes, size =>
--- a/scripts/capacity/measurement.ts
+++ b/scripts/capacity/measurement.ts
@@ -1,20 +1,20 @@
 import { type Sample, type Slope } from "./slope.js";
 
-/** One quantity measured at several sizes, over several rounds. */
+/** A quantity that is measured at several sizes, over several rounds. */
 export interface Measurement {
-    /** Stable name; the page's formulas refer to it. */
+    /** Stable name, to which the formulas of the capacity page refer. */
     readonly name: string;
-    /** What the size counts, such as `target`. */
+    /** Unit of the size, such as `target`. */
     readonly per: string;
-    /** Unit of the value. */
+    /** Unit of the values. */
     readonly unit: string;
     readonly rounds: readonly (readonly Sample[])[];
     readonly slope: Slope;
 }
 
-/** All measurements of one run, as committed. */
+/** All measurements of a run, as stored in docs/capacity/results.json. */
 export interface CapacityResults {
-    /** Day of the run. */
+    /** Date of the run, as YYYY-MM-DD. */
     readonly day: string;
     readonly node: string;
     readonly measurements: readonly Measurement[];
--- a/scripts/capacity/processUsage.ts
+++ b/scripts/capacity/processUsage.ts
@@ -1,23 +1,25 @@
 import { readFileSync } from "node:fs";
 
-/** What the kernel has counted for a process so far. */
+/** Resource usage of a process since its start, as counted by the kernel. */
 export interface ProcessUsage {
     readonly cpuMs: number;
     readonly residentBytes: number;
-    /** Bytes written to anything: sockets, and a log that is short here. */
+    /** Bytes written to any file descriptor: mostly sockets, as the log is short. */
     readonly writtenBytes: number;
     readonly readBytes: number;
 }
 
 const clockTicksPerSecond = 100;
 const pageBytes = 4_096;
-/** Places in `/proc/PID/stat`, counted from the process's state, which follows its name in brackets. */
+/** Field indices in `/proc/PID/stat`, counted from the process state, which follows the name in parentheses. */
 const userTicksField = 11;
 const systemTicksField = 12;
 
 /**
- * @param pid - a process that this program has started
- * @returns its usage since it started
+ * Reads the resource usage of a process from /proc.
+ *
+ * @param pid - ID of a process that this program has started
+ * @returns its usage since its start
  */
 export function readProcessUsage(pid: number): ProcessUsage {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
--- a/scripts/capacity/render.ts
+++ b/scripts/capacity/render.ts
@@ -2,13 +2,13 @@
 import { type Sample } from "./slope.js";
 import { secondsPerDay, target } from "./target.js";
 
-/** One generated table of the page, between its markers. */
+/** A generated table of the capacity page, between its markers. */
 interface Section {
     readonly name: string;
     readonly render: (results: CapacityResults) => string;
 }
 
-/** Share of a gateway's one core that requests may take; the rest is for bursts and garbage collection. */
+/** Share of a gateway's core that is planned for requests; the rest is reserved for bursts and garbage collection. */
 const usableCore = 0.6;
 
 const sections: readonly Section[] = [
@@ -19,10 +19,12 @@
 ];
 
 /**
- * Writes the generated tables anew, so that the page can't drift from the measurements.
+ * Regenerates the tables of the capacity page, so that they stay consistent with the measurements.
  *
- * @param page - the page with its markers
- * @param results - the committed measurements
+ * @param page - text of the page, with a pair of markers for each table
+ * @param results - the stored measurements
+ * @returns the page with regenerated tables
+ * @throws Error if a pair of markers is missing
  */
 export function renderCapacityPage(page: string, results: CapacityResults): string {
     let text = page;
@@ -32,7 +34,7 @@
         const from = text.indexOf(begin);
         const to = text.indexOf(end);
         if (from < 0 || to < from) {
-            throw new Error(`the page lacks the markers of ${name}`);
+            throw new Error(`the markers of table ${name} are missing on the page`);
         }
         text = `${text.slice(0, from + begin.length)}\n\n${render(results)}\n\n${text.slice(to)}`;
     }
@@ -42,7 +44,7 @@
 function find(results: CapacityResults, name: string): Measurement {
     const found = results.measurements.find(measurement => measurement.name === name);
     if (found === undefined) {
-        throw new Error(`no measurement is named ${name}`);
+        throw new Error(`there is no measurement ${name}`);
     }
     return found;
 }
@@ -51,7 +53,7 @@
     return find(results, name).slope.perUnit.median;
 }
 
-/** Value at the largest measured size, by the median round. */
+/** @returns the median over the rounds of the value at the largest measured size */
 function atLargest(results: CapacityResults, name: string): number {
     const values = find(results, name).rounds.map(round => round[round.length - 1]?.value ?? Number.NaN);
     return values.sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? Number.NaN;
--- a/scripts/capacity/slope.ts
+++ b/scripts/capacity/slope.ts
@@ -1,13 +1,13 @@
-/** One measured value at one size. */
+/** A value measured at one size. */
 export interface Sample {
     readonly size: number;
     readonly value: number;
 }
 
-/** What a quantity costs for each unit of size, with the spread over the rounds. */
+/** The fitted line of a quantity: its increase per unit of size, with the spread over the rounds. */
 export interface Slope {
     readonly perUnit: { readonly minimum: number; readonly median: number; readonly maximum: number; };
-    /** Value at size zero, by the median round. */
+    /** Value at size zero, of the round with the median slope. */
     readonly fixed: number;
 }
 
@@ -16,7 +16,7 @@
     readonly fixed: number;
 }
 
-/** Fits a straight line by least squares. */
+/** Fits a line to samples by least squares. */
 export function fitLine(samples: readonly Sample[]): Line {
     const count = samples.length;
     const meanSize = sum(samples.map(sample => sample.size)) / count;
@@ -28,9 +28,11 @@
 }
 
 /**
- * Fits each round by itself, so that the page can show how far the rounds differ.
+ * Fits a line to each round separately, so that the page can show the spread over the rounds.
  *
- * @param rounds - samples of each round, at no fewer than four sizes
+ * @param rounds - samples of each round, at four sizes or more
+ * @returns the median slope and its range
+ * @throws Error if there is no round
  */
 export function fitSlope(rounds: readonly (readonly Sample[])[]): Slope {
     const lines = rounds.map(fitLine).sort((a, b) => a.perUnit - b.perUnit);
--- a/scripts/capacity/target.ts
+++ b/scripts/capacity/target.ts
@@ -1,4 +1,4 @@
-/** The size that the system has to carry in two years, as its users wrote it. */
+/** The size that the system has to support in two years, from the users' requirements. */
 export const target = Object.freeze({
     targets: 8_400,
     services: 450,
@@ -19,5 +19,5 @@
     storeValueBytes: 1_000_000,
 });
 
-/** Seconds of a day. */
+/** Seconds per day. */
 export const secondsPerDay = 86_400;
--- a/scripts/capacity/testFleet.ts
+++ b/scripts/capacity/testFleet.ts
@@ -12,7 +12,7 @@
 const bundle = "dist/galenaglade-gateway.mjs";
 const readyPattern = /"ready":true.*"url":"([^"]+)"/;
 
-/** Gateways as processes of their own around one stand-in platform, for measurements. */
+/** Runs gateways as separate processes with one fake platform, for measurements. */
 export class TestFleet {
     readonly gateways: readonly StartedProcess[];
     readonly platform: PlatformServer;
@@ -27,7 +27,7 @@
         this.#coordinator = createChangeCoordinator({ store: new HttpKeyValueStore(this.#connection), fleetKey });
     }
 
-    /** @param count - gateways to start */
+    /** @param count - number of gateways to start */
     static async start(count: number): Promise<TestFleet> {
         const platform = await PlatformServer.start({ hostListLagMs: 0 });
         const folder = mkdtempSync(join(tmpdir(), "galenaglade-capacity-"));
@@ -38,13 +38,17 @@
         return new TestFleet(platform, await Promise.all(starting));
     }
 
-    /** Applies a configuration and waits until it is in force. */
+    /**
+     * Applies a configuration and waits until it is in force.
+     *
+     * @throws Error if it isn't in force after 30 s
+     */
     async apply(configuration: Configuration): Promise<Acceptance> {
         const expectedRevision = this.#revision;
         const req = { changeId: `change-${expectedRevision + 1}`, expectedRevision, configuration };
         const acceptance = (await this.#coordinator.apply(req, 30_000)).unsafeCoerce();
         if (!acceptance.inForce) {
-            throw new Error(`revision ${acceptance.revision} did not come into force`);
+            throw new Error(`revision ${acceptance.revision} did not come into force in time`);
         }
         this.#revision = acceptance.revision;
         return acceptance;
--- a/scripts/edgeBundle/build.ts
+++ b/scripts/edgeBundle/build.ts
@@ -1,11 +1,13 @@
-/** Bundles the program that runs on entry hosts, libraries included, and compiles it, so that it starts quickly. */
+/**
+ * Bundles the program that runs on entry hosts, including its libraries, and creates its code cache for a fast start.
+ */
 import { build, type BuildOptions, type Plugin } from "esbuild";
 import { rmSync } from "node:fs";
 import { createCodeCache } from "./createCodeCache.js";
 
 /**
- * The parts of undici that the edge process uses. The whole package also loads its fetch, cache, WebSocket and cookie
- * modules, about half of its code, which an entry host of 350 MB would hold in memory for nothing.
+ * The parts of undici that the edge process uses. The whole package also loads fetch, cache, WebSocket and cookie
+ * modules, about half of its code, which would waste memory on an entry host with 350 MB.
  */
 const undiciParts = `
 const Dispatcher = require("undici/lib/dispatcher/dispatcher.js");
@@ -21,9 +23,9 @@
     name: "undici-parts",
     setup: context => {
         context.onResolve({ filter: /^undici$/ }, () => ({ path: "undici", namespace: "undici-parts" }));
-        // Node's own HTTP/2 is loaded with it, and nothing here speaks it.
+        // The HTTP/2 client would load Node's HTTP/2 module, and the edge process doesn't use HTTP/2.
         context.onLoad({ filter: /undici\/lib\/dispatcher\/client-h2\.js$/ }, () => ({
-            contents: "module.exports = () => { throw new Error('HTTP/2 is not part of this bundle'); };",
+            contents: "module.exports = () => { throw new Error('this bundle does not support HTTP/2'); };",
         }));
         context.onLoad({ filter: /.*/, namespace: "undici-parts" }, () => ({
             contents: undiciParts,
@@ -33,8 +35,9 @@
 };
 
 /**
- * Node's own modules that are loaded when they are first used: the first request under which a server ends needs a digest, and
- * libraries' assertions need their module only to fail. Loading both takes a tenth of what a start takes beyond node's own.
+ * Built-in modules that are loaded on first use. A digest is first needed when a server crashes during a request, and
+ * the libraries' assertions need their module only when they fail. Loading both eagerly takes a tenth of the start time
+ * beyond that of Node itself.
  */
 const lazyModules: Readonly<Record<string, string>> = {
     "node:crypto": `
@@ -74,7 +77,7 @@
     platform: "node",
     format: "cjs",
     target: "node20",
-    // The libraries' ES modules can be cut down to what is used; their CommonJS files come whole.
+    // Prefers the libraries' ES modules: unlike CommonJS files, they can be tree-shaken.
     mainFields: ["module", "main"],
     minify: true,
     keepNames: true,
--- a/scripts/edgeBundle/constants.ts
+++ b/scripts/edgeBundle/constants.ts
@@ -1,10 +1,13 @@
-/** Flags of node that decide over compiled code; it fits a process that runs with the same ones, as deploy/system.toml has them. */
+/**
+ * Node flags that affect compiled code. A code cache is valid only for processes with the same flags, which
+ * deploy/system.toml sets.
+ */
 export const codeCacheFlags = ["--max-old-space-size=160", "--max-semi-space-size=1", "--liftoff-only"] as const;
 
-/** Set at build time alone: the program writes its compiled code and ends when it gets the signal. */
+/** If this variable is set, as at build time only, the program writes its code cache and exits on this signal. */
 export const codeCacheVariable = "GALENAGLADE_RECORD";
 export const codeCacheSignal = "SIGUSR2";
 
-/** Callers that the program answers before its compiled code is kept, and how long that may take, in milliseconds. */
+/** Number of requests that the program serves before it writes its code cache, and their timeout in milliseconds. */
 export const codeCacheCallers = 24;
 export const codeCacheTimeoutMs = 10_000;
--- a/scripts/edgeBundle/createCodeCache.ts
+++ b/scripts/edgeBundle/createCodeCache.ts
@@ -15,12 +15,12 @@
 import { StandInFleet } from "./standInFleet.js";
 
 /**
- * Starts the bundled program once before stand-ins, lets it answer some callers, and has it keep what was compiled for that.
- * Code of a start without callers lacks all that serves them: after a stop of all hosts each process would compile it while
- * its callers wait.
+ * Starts the bundled program once with a fake fleet, sends it some requests, and lets it write its code cache. A cache
+ * from a start without requests would lack the code that serves them: after an outage of all hosts, each process would
+ * compile it while its callers wait.
  *
- * @param script - the program
- * @throws Error where it ends without having written its code
+ * @param script - path of the program
+ * @throws Error if the program exits without having written its code cache
  */
 export async function createCodeCache(script: string): Promise<void> {
     const dir = mkdtempSync(join(tmpdir(), "galenaglade-build-"));
@@ -30,14 +30,16 @@
         stdio: ["ignore", "ignore", "inherit"],
     });
     const exited = once(child, "exit");
-    // Without answers less is compiled ahead, which is no reason not to build.
+    // Without responses the cache contains less code, which shouldn't fail the build.
     await Promise.race([callAll(fleet), exited, sleep(codeCacheTimeoutMs)]);
     child.kill(codeCacheSignal);
     await exited;
     fleet.close();
     rmSync(dir, { recursive: true });
     if (child.exitCode !== 0) {
-        throw new Error(`the bundled program can't start: exit code ${child.exitCode}, ${child.signalCode}`);
+        throw new Error(
+            `the bundled program wrote no code cache: exit code ${child.exitCode}, signal ${child.signalCode}`,
+        );
     }
 }
 
--- a/scripts/edgeBundle/standInFleet.ts
+++ b/scripts/edgeBundle/standInFleet.ts
@@ -11,18 +11,19 @@
 import { PlatformServerNames, PlatformSystem } from "../../platform/src/standIns/platformSystem.js";
 import { StoreServer } from "../../platform/src/standIns/storeServer.js";
 
-/** Sizes of a fleet of stand-ins. */
+/** Sizes of a fake fleet. */
 export interface FleetSize {
-    /** Gateways that run; each has its ports. */
+    /** Number of gateways that run and thus need ports. */
     readonly running: number;
-    /** Gateways that are registered. */
+    /** Number of gateways that are registered in the store. */
     readonly registered: number;
+    /** Number of backend servers. */
     readonly servers: number;
 }
 
-/** How a request ended for its caller. */
+/** The result of a request for its caller. */
 export interface CallResult {
-    /** `undefined` where no answer came in time. */
+    /** `undefined` if no response arrived in time. */
     readonly status: number | undefined;
     readonly latencyMs: number;
 }
@@ -32,7 +33,7 @@
 const authority = "fleet.example";
 const slots = 2;
 const workMs = 120;
-/** Of the gateways' routes. */
+/** Latency objective of the gateways' routes, in milliseconds. */
 export const objectiveMs = 450;
 const patienceMs = 3_000;
 const retryMs = 25;
@@ -40,13 +41,13 @@
 const system = new PlatformSystem();
 const names = new PlatformServerNames();
 
-/** Stand-ins of the store and of backend servers in this process, and the callers of gateways that are started before them. */
+/** Runs a fake store and fake backend servers in this process, and sends requests to gateways that use them. */
 export class StandInFleet {
     readonly #listening: Server[] = [];
     #storePort = 0;
     #ports: readonly number[] = [];
 
-    /** Opens the stand-ins' ports and fills the store. */
+    /** Starts the fakes and fills the store. */
     static async start(size: FleetSize): Promise<StandInFleet> {
         const fleet = new StandInFleet();
         fleet.#storePort = await fleet.#listen(new StoreServer().createServer());
@@ -59,11 +60,11 @@
     }
 
     /**
-     * Writes the settings of a gateway.
+     * Writes the settings file of a gateway.
      *
-     * @param i - its number
-     * @param dir - where they go
-     * @returns the path
+     * @param i - index of the gateway
+     * @param dir - directory of the file
+     * @returns the path of the file
      */
     writeSettings(i: number, dir: string): string {
         const [callers, readiness, peers, metrics] = this.#portsOf(i).map(port => `127.0.0.1:${port}`);
@@ -82,10 +83,12 @@
     }
 
     /**
-     * Sends a request to a gateway, which need not be there yet: its caller comes back until it is.
+     * Sends a request to a gateway. Retries until the gateway listens, for as long as the caller's patience lasts.
      *
-     * @param i - of the gateway
-     * @param requestId - of the request; every other one has a body and may run once only
+     * @param i - index of the gateway
+     * @param requestId - ID of the request
+     * @param hasBody - whether the request has a body, and isn't idempotent
+     * @returns the result of the request
      */
     async call(i: number, requestId: string, hasBody: boolean): Promise<CallResult> {
         const [port = 0] = this.#portsOf(i);
@@ -106,7 +109,7 @@
                 return { status: res.statusCode, latencyMs: performance.now() - beganAtMs };
             }
             catch {
-                // Not there yet.
+                // The gateway isn't listening yet.
                 await sleep(retryMs);
             }
         }
@@ -145,7 +148,7 @@
                 startedAtEpochMs: 1,
             })
         );
-        // Nobody asks gateways that don't run for changes: their registrations count, and name no address.
+        // Gateways that don't run count as registered, but no gateway queries them for changes: they have no address.
         const registrations = Array.from({ length: registered }, (_, i) => ({
             key: `galenaglade/gateways/gateway-${i}`,
             value: i < running ? this.#renderRegistration(i) : "not running",
--- a/scripts/edgeBundle/start.ts
+++ b/scripts/edgeBundle/start.ts
@@ -1,7 +1,7 @@
 /**
- * Starts the bundled edge process from compiled code. Compiling its scripts takes about a third of a start, and after a
- * power cut every caller waits for that; compiled code is made once, at build time, from a start that is then thrown
- * away. Without it, or where it doesn't fit this node, the scripts are compiled as usual.
+ * Starts the bundled edge process from its code cache. Compiling the scripts takes about a third of a start, for which
+ * all callers wait after a power outage. The cache is created at build time, by a start for this purpose only. If it is
+ * missing or doesn't match the Node version or flags, the scripts are compiled as usual.
  */
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
 import { createRequire, Module } from "node:module";
@@ -21,7 +21,10 @@
 });
 if (script.cachedDataRejected === true) {
     console.error(
-        JSON.stringify({ level: "warn", message: "the compiled code was made with other flags or another node" }),
+        JSON.stringify({
+            level: "warn",
+            message: "code cache rejected: it was created with other flags or another Node version",
+        }),
     );
 }
 const body = script.runInThisContext() as ModuleBody;
--- a/scripts/knownRed.ts
+++ b/scripts/knownRed.ts
@@ -1,6 +1,7 @@
 /**
- * Judges a run of the tests by KNOWN-RED.txt: `tsx scripts/knownRed.ts RESULTS`, where RESULTS is what `npm test` printed.
- * Tests that are listed there fail for faults that are known and open; any other failure fails the run.
+ * Compares the failures of a test run with KNOWN-RED.txt: `tsx scripts/knownRed.ts RESULTS`, where RESULTS is the
+ * output of `npm test`. The tests that are listed there may fail because of known, open faults; any other failure fails
+ * the run.
  */
 import { existsSync, readFileSync } from "node:fs";
 import { parseFailedTests, parseKnownRed, classifyFailures } from "./knownRed/classifyFailures.js";
@@ -19,6 +20,6 @@
 for (const test of verdict.passed) {
     console.log(`listed in ${listPath}, but passed in this run: ${test}`);
 }
-// A run that failed without naming a test was cut off, or its runner failed.
+// A failed run without a failed test was interrupted, or the test runner itself failed.
 const passed = verdict.unexpectedFailures.length === 0 && verdict.knownRed.length > 0;
 process.exitCode = passed ? 0 : 1;
--- a/scripts/knownRed/classifyFailures.ts
+++ b/scripts/knownRed/classifyFailures.ts
@@ -1,28 +1,31 @@
-/** One entry of the list of tests that fail for known faults. */
+/** An entry of the list of tests that fail because of known faults. */
 export interface KnownRed {
-    /** Name of the test, as the runner prints it. */
+    /** Name of the test, as printed by the test runner. */
     readonly test: string;
-    /** The lines below it: command and seed, what was seen, the issue. */
+    /** The remaining lines of the entry: command and seed, observation, issue. */
     readonly entry: string;
 }
 
-/** What a run's failures come to. */
+/** The failures of a test run, compared with the list of known ones. */
 export interface FailureVerdict {
+    /** Listed tests that failed. */
     readonly knownRed: readonly KnownRed[];
+    /** Failed tests that aren't listed. */
     readonly unexpectedFailures: readonly string[];
-    /** Listed tests that did not fail. */
+    /** Listed tests that didn't fail. */
     readonly passed: readonly string[];
 }
 
 const testPrefix = "test: ";
 const failedLine = /^not ok \d+ - (.*)$/;
-/** Marks that the runner puts behind a name. */
+/** TAP directives that the test runner appends to a name. */
 const directive = / # (SKIP|TODO).*$/;
 
 /**
- * Reads the list of known red tests: entries parted by empty lines, each beginning with `test: ` and its name.
+ * Parses the list of known failures: entries separated by empty lines, each beginning with `test: ` and a test's name.
  *
- * @param text - of the list
+ * @param text - text of the list
+ * @returns the entries in their order
  */
 export function parseKnownRed(text: string): readonly KnownRed[] {
     const found: KnownRed[] = [];
@@ -37,10 +40,11 @@
 }
 
 /**
- * Finds the tests that failed in what the runner printed, in the Test Anything Protocol. Tests inside of tests are indented
- * and counted with the one around them.
+ * Finds the failed tests in the output of the test runner, in the Test Anything Protocol. Subtests are indented and
+ * counted as part of the test that contains them.
  *
- * @param results - what it printed
+ * @param results - output of the test runner
+ * @returns names of the failed top-level tests
  */
 export function parseFailedTests(results: string): readonly string[] {
     const failed: string[] = [];
@@ -54,8 +58,11 @@
 }
 
 /**
- * @param failed - names of the tests that failed
- * @param known - the tests that may fail
+ * Classifies failures by the list of known ones.
+ *
+ * @param failed - names of the failed tests
+ * @param known - tests that may fail
+ * @returns the known and the unexpected failures, and the listed tests that passed
  */
 export function classifyFailures(failed: readonly string[], known: readonly KnownRed[]): FailureVerdict {
     const names = new Set(known.map(({ test }) => test));
--- a/scripts/measureStart.ts
+++ b/scripts/measureStart.ts
@@ -1,8 +1,9 @@
 /**
- * Starts some processes of the built program at once, before stand-ins of the store and of backend servers and with callers that
- * all wait for them, and prints when each phase of a start was reached and what processor time it had taken. `--cores` gives each
- * process a share of a core; `--profile DIR` writes a processor profile of each. With `--rate` callers come at that many a second to
- * each process, from `--down` milliseconds before its start on, and the shares answered in time are printed by the time they came.
+ * Starts several processes of the bundled program concurrently, with a fake store, fake backend servers and waiting
+ * callers, and prints when each phase of the start was reached and its processor time. `--cores` limits each process to
+ * a share of a core; `--profile DIR` writes a CPU profile of each. `--rate` also sends that many requests per second to
+ * each process, beginning `--down` milliseconds before its start, and prints the shares that were served in time by
+ * time of arrival.
  */
 import { createRandomSource } from "@galenaglade/routing";
 import { type ChildProcess, fork, spawn } from "node:child_process";
@@ -54,7 +55,7 @@
 const children: ChildProcess[] = [];
 const ends = (await Promise.all(Array.from({ length: processCount }, (_, i) => measure(i)))).flat();
 throttle?.kill();
-// A profile is written at a planned stop only.
+// Node writes a CPU profile only if the process exits by itself, as at a planned stop.
 await Promise.all(children.map(child => {
     child.kill("SIGCONT");
     child.kill(values.profile === undefined ? "SIGKILL" : "SIGTERM");
@@ -86,7 +87,7 @@
     return Promise.all([...first, ...arrivals]);
 }
 
-/** An open load: callers come at their rate whatever became of those before them. */
+/** Sends one request of an open load, whose rate doesn't depend on the outcomes of earlier requests. */
 async function arrive(i: number, n: number): Promise<CallResult> {
     await sleep((n + random.next()) * 1_000 / ratePerSecond);
     const cameAtMs = performance.now();
@@ -102,7 +103,9 @@
         const answered = came.filter(({ status }) => status === okStatus).length;
         const share = (count: number): string => `${(100 * count / Math.max(1, came.length)).toFixed(1)}%`;
         console.log(
-            `came from ${fromMs} to ${toMs} ms: ${came.length}, in time ${share(inTime)}, answered ${share(answered)}`,
+            `arrived from ${fromMs} to ${toMs} ms: ${came.length}, served in time ${share(inTime)}, served ${
+                share(answered)
+            }`,
         );
     }
 }
@@ -113,15 +116,15 @@
         (_, i) =>
             readFileSync(join(dir, `${i}.log`), "utf8").split("\n").find(line => line.includes("\"startTimeline\"")),
     ).flatMap(line => line === undefined ? [] : [JSON.parse(line) as Readonly<Record<string, number>>]);
-    console.log(`${timelines.length} of ${processCount} processes answered`);
+    console.log(`${timelines.length} of ${processCount} processes logged a start timeline`);
     const phases = [...new Set(timelines.flatMap(each => Object.keys(each)))].filter(key => key.endsWith("Ms"));
     for (const phase of phases) {
         const sorted = timelines.flatMap(each => each[phase] ?? []).sort((a, b) => a - b);
-        console.log(`${phase.padEnd(32)} median ${at(sorted, 0.5)}  highest ${at(sorted, 1)}`);
+        console.log(`${phase.padEnd(32)} median ${at(sorted, 0.5)}  max ${at(sorted, 1)}`);
     }
     const took = ends.map(({ latencyMs }) => latencyMs).sort((a, b) => a - b);
     const answered = ends.filter(({ status }) => status === okStatus).length;
-    console.log(`callers: ${answered} of ${ends.length} answered; median ${at(took, 0.5)} ms, last ${at(took, 1)} ms`);
+    console.log(`callers: ${answered} of ${ends.length} served; median ${at(took, 0.5)} ms, max ${at(took, 1)} ms`);
 }
 
 function at(sorted: readonly number[], share: number): number {
--- a/scripts/measureStart/throttle.ts
+++ b/scripts/measureStart/throttle.ts
@@ -1,6 +1,6 @@
 /**
- * Gives each process of a list a share of a core, as a scheduler's quota does: a process that has used up its part of a
- * period stands still until the next one. Runs as a process of its own, so that the measurement's own work doesn't delay it.
+ * Limits processes to a share of a core, like a CFS quota: a process that has used up its quota of a period is stopped
+ * until the next one. Runs as a separate process, so that the work of the measurement doesn't delay it.
  */
 import { readdirSync, readFileSync } from "node:fs";
 
@@ -32,7 +32,7 @@
 function look(each: Throttled, isNewPeriod: boolean): void {
     try {
         if (isNewPeriod) {
-            // What was used beyond the quota between two looks counts in the next period.
+            // Usage beyond the quota, between two checks, is charged to the next period.
             const usedMs = readUsedMs(each.pid);
             each.usedBeforeMs = Math.max(
                 usedMs - periodMs * cores,
@@ -46,7 +46,7 @@
         }
     }
     catch {
-        // It has ended.
+        // The process has ended.
         processes.splice(processes.indexOf(each), 1);
     }
 }
--- a/scripts/options/render.ts
+++ b/scripts/options/render.ts
@@ -3,13 +3,13 @@
 import { adminSettingsSchema, gatewaySettingsSchema } from "@galenaglade/settings";
 import { type z } from "zod";
 
-/** A page of the documentation that lists a schema's options. */
+/** A documentation page that lists the options of a schema. */
 export interface OptionPage {
     readonly path: string;
     readonly schema: z.ZodType;
 }
 
-/** Every page with options. */
+/** All documentation pages with options. */
 export const optionPages: readonly OptionPage[] = [
     { path: "docs/config/gateway.md", schema: gatewaySettingsSchema },
     { path: "docs/config/edge.md", schema: edgeSettingsSchema },
@@ -21,18 +21,18 @@
 const end = "<!-- end of options -->\n";
 
 /**
- * Puts a schema's options in the place of those on a page.
+ * Replaces the options on a page with those of a schema.
  *
- * @param page - the page's text
+ * @param page - text of the page
  * @param schema - the schema
- * @returns the page with the options as the schema has them
- * @throws where the page doesn't mark their place
+ * @returns the page with the options of the schema
+ * @throws Error if the page lacks the markers of its options
  */
 export function renderOptionPage(page: string, schema: z.ZodType): string {
     const from = page.indexOf(begin);
     const to = page.indexOf(end);
     if (from < 0 || to < from) {
-        throw new Error("the page has no place for options");
+        throw new Error("the markers of the options are missing on the page");
     }
     return `${page.slice(0, from)}${begin}\n${formatOptions(schema)}\n\n${page.slice(to)}`;
 }
--- a/scripts/renderCapacity.ts
+++ b/scripts/renderCapacity.ts
@@ -1,4 +1,4 @@
-/** Writes the generated tables of docs/CAPACITY.md anew from docs/capacity/results.json. */
+/** Regenerates the tables of docs/CAPACITY.md from docs/capacity/results.json. */
 import { readFileSync, writeFileSync } from "node:fs";
 import { type CapacityResults } from "./capacity/measurement.js";
 import { renderCapacityPage } from "./capacity/render.js";
--- a/scripts/renderOptions.ts
+++ b/scripts/renderOptions.ts
@@ -1,4 +1,4 @@
-/** Writes the option tables of docs/config anew from the schemas. */
+/** Regenerates the option tables of docs/config from the schemas. */
 import { readFileSync, writeFileSync } from "node:fs";
 import { optionPages, renderOptionPage } from "./options/render.js";
 
--- a/scripts/rollouts.ts
+++ b/scripts/rollouts.ts
@@ -1,11 +1,11 @@
-/** Plays many roll-outs of sound and bad versions beside each kind of trouble, and prints the table. */
+/** Simulates many roll-outs of good and bad versions under each kind of fault, and prints a table of the results. */
 import { renderRolloutTable } from "@galenaglade/replay";
 import { parseArgs } from "node:util";
 
 const { values } = parseArgs({ options: { seeds: { type: "string", default: "24" } } });
 const seeds = Number(values.seeds);
 if (!Number.isInteger(seeds) || seeds < 1) {
-    process.stderr.write(`--seeds: expected a whole number above 0, found ${values.seeds}\n`);
+    process.stderr.write(`--seeds: expected a positive integer, got ${values.seeds}\n`);
     process.exit(2);
 }
 const scenario = {
--- a/scripts/testSetup.ts
+++ b/scripts/testSetup.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded before every test file. Seeded runs begin at one fixed seed, so that a change gets the same verdict each time;
- * `FAST_CHECK_SEED=N npm test` looks elsewhere, and a seed that shows a fault stays in the test as an example.
+ * Loaded before each test file. Property-based tests use a fixed seed, so that a change always gets the same result;
+ * `FAST_CHECK_SEED=N npm test` uses another one. A seed that reveals a fault is added to the test as an example.
  */
 import fc from "fast-check";
 
