--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -51,7 +51,7 @@
         readonly edgeHarmed?: FaultWindows;
     } = {},
 ): readonly string[] {
-    const ends = [served, ...more.ends ?? []].map(outcome => ({ outcome: outcome, killed: false }));
+    const ends = [served, ...more.ends ?? []].map(outcome => ({ outcome, killed: false }));
     return checkSoak(
         {
             history,
@@ -84,7 +84,7 @@
 });
 
 test("a gateway that returns to an older configuration is reported, unless it has restarted", () => {
-    const back = (life: string): readonly HistoryLine[] =>
+    const changeBack = (incarnation: string): readonly HistoryLine[] =>
         record(
             [0, "op", version("configurationWritten", 2)],
             [1, "op", version("configurationAccepted", 2)],
@@ -93,16 +93,16 @@
             [200, "edge-1/1", sent("new")],
             [210, "s2", started("new", "s2")],
             [220, "edge-1/1", answered("new")],
-            [500, life, sent("old")],
+            [500, incarnation, sent("old")],
             [510, "s1", started("old", "s1")],
         );
-    assert.equal(check(back("edge-1/1")).length, 1);
-    assert.deepEqual(check(back("edge-1/2")), []);
+    assert.equal(check(changeBack("edge-1/1")).length, 1);
+    assert.deepEqual(check(changeBack("edge-1/2")), []);
 });
 
 test("a request that hangs, is lost, or is rejected without cause or Retry-After header is reported", () => {
     const end = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 5_000 };
-    const held = { ...end, gaveUp: true };
+    const held = { ...end, timedOut: true };
     assert.equal(check([], { ends: [held] }).length, 1);
     const paused = new FaultWindows();
     paused.begin(2_000)(3_000);
@@ -134,7 +134,7 @@
 });
 
 test("a truncated large response is reported, unless its server corrupted it or exited", () => {
-    const short = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 1_100, brokenOff: true };
+    const short = { ...served, requestId: "r", status: undefined, sentAtMs: 1_000, endedAtMs: 1_100, truncated: true };
     const large = { ...short, route: "large" as const };
     const ran = [1_010, "s1", started("r", "s1")] as const;
     const spoilt = [1_050, "s1", { type: "serverSpoilt", requestId: "r", server: "s1" }] as const;
--- a/packages/soak/src/__tests__/faultProxy.test.ts
+++ b/packages/soak/src/__tests__/faultProxy.test.ts
@@ -3,7 +3,7 @@
 import { test, type TestContext } from "node:test";
 import { FaultProxy } from "../faultProxy.js";
 
-interface World {
+interface Fixture {
     readonly proxy: FaultProxy;
     /** @returns all data that the echo server has sent back */
     readonly echoed: () => string;
@@ -12,7 +12,7 @@
 }
 
 /** Starts an echo server behind a proxy. */
-async function startWorld(t: TestContext): Promise<World> {
+async function startFixture(t: TestContext): Promise<Fixture> {
     let echoed = "";
     const echo = createServer(socket => {
         socket.on("error", () => undefined);
@@ -53,7 +53,7 @@
 }
 
 test("without a fault, data passes in both directions", async t => {
-    const { open } = await startWorld(t);
+    const { open } = await startFixture(t);
     const { socket, received } = await open();
     socket.write("hello");
     await eventually(() => received() === "hello");
@@ -61,7 +61,7 @@
 
 // Data sent after the end of a delay must not overtake delayed data, which would corrupt the stream.
 test("data keeps its order when a delay ends", async t => {
-    const { proxy, open } = await startWorld(t);
+    const { proxy, open } = await startFixture(t);
     const { socket, received } = await open();
     proxy.begin("delay");
     socket.write("one ");
@@ -72,7 +72,7 @@
 });
 
 test("a silenced connection stays silent, while a new one works", async t => {
-    const { proxy, open } = await startWorld(t);
+    const { proxy, open } = await startFixture(t);
     const old = await open();
     old.socket.write("a");
     await eventually(() => old.received() === "a");
@@ -87,7 +87,7 @@
 });
 
 test("a connection is cut in one direction", async t => {
-    const { proxy, open, echoed } = await startWorld(t);
+    const { proxy, open, echoed } = await startFixture(t);
     const { socket, received } = await open();
     const other = await open();
     proxy.begin("cutBack");
@@ -102,7 +102,7 @@
 });
 
 test("a reset fault resets open connections, and new ones work after its end", async t => {
-    const { proxy, open } = await startWorld(t);
+    const { proxy, open } = await startFixture(t);
     const { socket } = await open();
     const late = await open();
     proxy.begin("reset");
@@ -115,7 +115,7 @@
 
 // Guards against a partition of one gateway that affects the others.
 test("a fault of connections from one source address does not affect those from others", async t => {
-    const { proxy, open } = await startWorld(t);
+    const { proxy, open } = await startFixture(t);
     proxy.begin("reset", "127.0.1.1");
     proxy.begin("cutThere", "127.0.1.2");
     const near = await open();
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -64,9 +64,9 @@
 
 const okStatus = 200;
 const unauthenticatedStatus = 401;
-const refusedStatus = 503;
+const unavailableStatus = 503;
 /** Statuses that a gateway may return for a valid request. */
-const fairStatuses: ReadonlySet<number> = new Set([408, 421, 429]);
+const allowedRejectionStatuses: ReadonlySet<number> = new Set([408, 421, 429]);
 
 /**
  * Checks the documented guarantees against what callers and backend servers recorded.
@@ -76,7 +76,7 @@
  */
 export function checkSoak(record: SoakRecord): readonly string[] {
     const { history, faultWindows } = record;
-    const calm = filterFaultFreeArrivals(history, faultWindows, convergenceMs);
+    const faultFree = filterFaultFreeArrivals(history, faultWindows, convergenceMs);
     const versionBounds: VersionBounds = {
         applyMs,
         isSettled: (fromMs, toMs) => faultWindows.isFaultFree(fromMs - convergenceMs, toMs),
@@ -91,17 +91,17 @@
             seats: maxProbesPerServerAndSecond * 10,
         }),
         ...checkColdRate(history, maxColdPerSecond),
-        ...checkDrained(calm, applyMs),
-        ...checkServerLimit(calm, serverLimitBounds),
-        ...checkServerBackoff(calm, serverBackoffBounds),
-        ...checkLeavingRespected(calm, applyMs),
-        ...checkQueryOfDeath(calm, {
+        ...checkDrained(faultFree, applyMs),
+        ...checkServerLimit(faultFree, serverLimitBounds),
+        ...checkServerBackoff(faultFree, serverBackoffBounds),
+        ...checkLeavingRespected(faultFree, applyMs),
+        ...checkQueryOfDeath(faultFree, {
             crashes: maxQueryOfDeathCrashes,
             settleMs: convergenceMs,
             retries: maxQueryOfDeathRetries,
         }),
-        ...checkZoneOut(calm, zoneOutMs),
-        ...checkRollouts(calm, {
+        ...checkZoneOut(faultFree, zoneOutMs),
+        ...checkRollouts(faultFree, {
             serviceOf: record.serviceOf,
             exposureShare,
             exposureSlack,
@@ -111,48 +111,49 @@
         ...checkWorkspaceLimits(history, { ...versionBounds, ...workspaceLimitBounds }),
         ...checkMovingRoute(history, {
             serviceOf: record.serviceOf,
-            faultWindows: faultWindows,
+            faultWindows,
             applyMs,
-            convergenceMs: convergenceMs,
+            convergenceMs,
         }),
     ];
     return [
         ...record.findings,
         ...violations.map(({ invariant, detail }) => `${invariant}: ${detail}`),
-        ...checkCallers(record),
+        ...checkOutcomes(record),
         ...checkRecovered(record),
     ];
 }
 
 /** Checks that no valid request is rejected, hangs, or loses its connection while a server runs it. */
-function checkCallers({ history, edges, faultWindows: anyHarmed }: SoakRecord): readonly string[] {
+function checkOutcomes({ history, edges, faultWindows: fleetFaultWindows }: SoakRecord): readonly string[] {
     const started = new Set(history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []));
-    const excused = findExcused(history);
+    const excused = findExcusedRequests(history);
     // `checkWorkspaceKeys` checks 401 responses against the keys of each configuration version.
     const needsKeys = history.some(line => line.type === "configurationWritten" && line.workspaces !== undefined);
     const found: string[] = [];
-    for (const { outcomes, faultWindows: harmed } of edges) {
+    for (const { outcomes, faultWindows: edgeFaultWindows } of edges) {
         for (const { outcome, killed } of outcomes) {
             const { requestId, status, disconnectedEarly, sentAtMs, endedAtMs } = outcome;
-            const isFair = fairStatuses.has(status ?? 0) || (needsKeys && status === unauthenticatedStatus);
-            if (status !== undefined && status >= 300 && status < 500 && !isFair) {
+            const isAllowedRejection = allowedRejectionStatuses.has(status ?? 0)
+                || (needsKeys && status === unauthenticatedStatus);
+            if (status !== undefined && status >= 300 && status < 500 && !isAllowedRejection) {
                 found.push(`denied: ${requestId} is valid, but got status ${status}`);
             }
-            if (status === refusedStatus && outcome.retryAfter === undefined) {
+            if (status === unavailableStatus && outcome.retryAfter === undefined) {
                 found.push(`refusal: ${requestId} got no Retry-After header`);
             }
             if (status !== undefined || disconnectedEarly || killed || !outcome.connected) {
                 continue;
             }
-            if (outcome.timedOut && harmed.isFaultFree(sentAtMs, endedAtMs)) {
+            if (outcome.timedOut && edgeFaultWindows.isFaultFree(sentAtMs, endedAtMs)) {
                 found.push(`held: ${requestId} got no response within ${Math.round(endedAtMs - sentAtMs)} ms`);
             }
             // The start of a large response has already reached the caller when its server fails, so that the gateway
             // can only abort the response.
-            const isBreakFair = outcome.route === "large" && outcome.truncated
+            const isTruncationExcused = outcome.route === "large" && outcome.truncated
                 && (excused.has(requestId) || endedAtMs - sentAtMs >= routeTimeoutMs
-                    || !anyHarmed.isFaultFree(sentAtMs, endedAtMs));
-            if (!outcome.timedOut && started.has(requestId) && !isBreakFair) {
+                    || !fleetFaultWindows.isFaultFree(sentAtMs, endedAtMs));
+            if (!outcome.timedOut && started.has(requestId) && !isTruncationExcused) {
                 found.push(`lost: ${requestId} ran, but its connection ended without a response`);
             }
         }
@@ -161,7 +162,7 @@
 }
 
 /** @returns IDs of the requests whose response a server corrupted, or whose server exited after it started them */
-function findExcused(history: readonly HistoryLine[]): ReadonlySet<string> {
+function findExcusedRequests(history: readonly HistoryLine[]): ReadonlySet<string> {
     const startedOn = new Map<string, string[]>();
     const excused = new Set<string>();
     for (const line of history) {
@@ -182,13 +183,13 @@
 
 /** Checks that nearly all requests with a valid key succeed once the fleet has had time to recover. */
 function checkRecovered({ edges, endedAtMs }: SoakRecord): readonly string[] {
-    const late = edges.flatMap(({ outcomes }) => outcomes).filter(({ outcome }) =>
+    const finalRequests = edges.flatMap(({ outcomes }) => outcomes).filter(({ outcome }) =>
         outcome.sentAtMs > endedAtMs - recoveryCheckMs && outcome.sentAtMs < endedAtMs - recoveryCheckMs / 2
         && outcome.status !== unauthenticatedStatus
     );
-    const served = late.filter(({ outcome }) => outcome.status === okStatus).length;
-    if (late.length > 0 && served / late.length >= minRecoveredShare) {
+    const served = finalRequests.filter(({ outcome }) => outcome.status === okStatus).length;
+    if (finalRequests.length > 0 && served / finalRequests.length >= minRecoveredShare) {
         return [];
     }
-    return [`recovered: only ${served} of ${late.length} requests succeeded after the last fault`];
+    return [`recovered: only ${served} of ${finalRequests.length} requests succeeded after the last fault`];
 }
--- a/packages/soak/src/faultInjection.ts
+++ b/packages/soak/src/faultInjection.ts
@@ -14,10 +14,10 @@
 /** Injects faults into a backend server for some milliseconds. */
 export async function injectServerFaults(
     backend: SoakBackend,
-    trouble: Partial<ServerFaults>,
-    forMs: number,
+    faults: Partial<ServerFaults>,
+    durationMs: number,
 ): Promise<void> {
-    const end = await backend.injectFaults(trouble);
-    await sleep(forMs);
+    const end = await backend.injectFaults(faults);
+    await sleep(durationMs);
     await end();
 }
--- a/packages/soak/src/faultPlan.ts
+++ b/packages/soak/src/faultPlan.ts
@@ -3,47 +3,47 @@
 import { type Fault, type FaultKind, type LinkFault } from "./faults.js";
 
 /** Relative frequency of a kind of fault, and the range of its duration. */
-interface KindOfFault {
+interface FaultKindOptions {
     readonly weight: number;
-    readonly shortestMs: number;
-    readonly longestMs: number;
+    readonly minDurationMs: number;
+    readonly maxDurationMs: number;
 }
 
-const kinds: Readonly<Record<FaultKind, KindOfFault>> = Object.freeze({
-    edgeTerm: { weight: 3, shortestMs: 300, longestMs: 1_500 },
-    edgeKill: { weight: 2, shortestMs: 200, longestMs: 2_000 },
-    edgePause: { weight: 2, shortestMs: 200, longestMs: 4_000 },
-    edgeHup: { weight: 1, shortestMs: 0, longestMs: 0 },
-    allEdgesKill: { weight: 0.5, shortestMs: 300, longestMs: 1_500 },
-    storeLink: { weight: 3, shortestMs: 500, longestMs: 5_000 },
-    storeRefuse: { weight: 1.5, shortestMs: 500, longestMs: 5_000 },
-    storeHang: { weight: 1.5, shortestMs: 500, longestMs: 5_000 },
-    storeSlow: { weight: 1, shortestMs: 500, longestMs: 4_000 },
-    storeLoseAnswers: { weight: 1, shortestMs: 500, longestMs: 4_000 },
-    storeCompact: { weight: 1, shortestMs: 0, longestMs: 0 },
-    storePause: { weight: 0.5, shortestMs: 500, longestMs: 3_000 },
-    serverLink: { weight: 3, shortestMs: 500, longestMs: 4_000 },
-    serverKill: { weight: 2, shortestMs: 500, longestMs: 3_000 },
-    serverPause: { weight: 1, shortestMs: 300, longestMs: 3_000 },
-    serverSlow: { weight: 2, shortestMs: 500, longestMs: 5_000 },
-    serverFail: { weight: 2, shortestMs: 500, longestMs: 4_000 },
-    serverShed: { weight: 1, shortestMs: 500, longestMs: 4_000 },
-    serverDrain: { weight: 3, shortestMs: 500, longestMs: 3_000 },
-    serverCold: { weight: 2, shortestMs: 0, longestMs: 0 },
-    serverSpoil: { weight: 2, shortestMs: 500, longestMs: 4_000 },
-    configure: { weight: 4, shortestMs: 0, longestMs: 0 },
-    zoneOut: { weight: 1.5, shortestMs: 1_000, longestMs: 8_000 },
-    burst: { weight: 1.5, shortestMs: 500, longestMs: 3_000 },
-    hangUp: { weight: 1, shortestMs: 500, longestMs: 3_000 },
+const faultKinds: Readonly<Record<FaultKind, FaultKindOptions>> = Object.freeze({
+    edgeTerm: { weight: 3, minDurationMs: 300, maxDurationMs: 1_500 },
+    edgeKill: { weight: 2, minDurationMs: 200, maxDurationMs: 2_000 },
+    edgePause: { weight: 2, minDurationMs: 200, maxDurationMs: 4_000 },
+    edgeHup: { weight: 1, minDurationMs: 0, maxDurationMs: 0 },
+    allEdgesKill: { weight: 0.5, minDurationMs: 300, maxDurationMs: 1_500 },
+    storeLink: { weight: 3, minDurationMs: 500, maxDurationMs: 5_000 },
+    storeRefuse: { weight: 1.5, minDurationMs: 500, maxDurationMs: 5_000 },
+    storeHang: { weight: 1.5, minDurationMs: 500, maxDurationMs: 5_000 },
+    storeSlow: { weight: 1, minDurationMs: 500, maxDurationMs: 4_000 },
+    storeLoseAnswers: { weight: 1, minDurationMs: 500, maxDurationMs: 4_000 },
+    storeCompact: { weight: 1, minDurationMs: 0, maxDurationMs: 0 },
+    storePause: { weight: 0.5, minDurationMs: 500, maxDurationMs: 3_000 },
+    serverLink: { weight: 3, minDurationMs: 500, maxDurationMs: 4_000 },
+    serverKill: { weight: 2, minDurationMs: 500, maxDurationMs: 3_000 },
+    serverPause: { weight: 1, minDurationMs: 300, maxDurationMs: 3_000 },
+    serverSlow: { weight: 2, minDurationMs: 500, maxDurationMs: 5_000 },
+    serverFail: { weight: 2, minDurationMs: 500, maxDurationMs: 4_000 },
+    serverShed: { weight: 1, minDurationMs: 500, maxDurationMs: 4_000 },
+    serverDrain: { weight: 3, minDurationMs: 500, maxDurationMs: 3_000 },
+    serverCold: { weight: 2, minDurationMs: 0, maxDurationMs: 0 },
+    serverSpoil: { weight: 2, minDurationMs: 500, maxDurationMs: 4_000 },
+    configure: { weight: 4, minDurationMs: 0, maxDurationMs: 0 },
+    zoneOut: { weight: 1.5, minDurationMs: 1_000, maxDurationMs: 8_000 },
+    burst: { weight: 1.5, minDurationMs: 500, maxDurationMs: 3_000 },
+    hangUp: { weight: 1, minDurationMs: 500, maxDurationMs: 3_000 },
 });
 
 const linkFaults: readonly LinkFault[] = ["delay", "reset", "cutThere", "cutBack", "silence"];
 
-const fewestFaults = 5;
-const mostFaults = 16;
+const minFaults = 5;
+const maxFaults = 16;
 /** Share of the faults that repeat the previous one shortly afterwards. */
 const seriesShare = 0.3;
-const seriesGapMs = 700;
+const maxSeriesGapMs = 700;
 
 /**
  * Draws the faults of a run. Faults may overlap, including faults of the same kind.
@@ -53,14 +53,14 @@
  */
 export function planFaults(seed: number): readonly Fault[] {
     const random = createRandomSource(seed);
-    const count = fewestFaults + random.nextInt(mostFaults - fewestFaults + 1);
+    const count = minFaults + random.nextInt(maxFaults - minFaults + 1);
     const faults: Fault[] = [];
     while (faults.length < count) {
-        const before = faults.at(-1);
-        if (before !== undefined && random.next() < seriesShare) {
-            const atMs = Math.min(faultPhaseMs, before.atMs + random.next() * seriesGapMs);
-            const forMs = Math.min(before.durationMs, faultPhaseMs - atMs);
-            faults.push({ ...before, atMs, durationMs: forMs, target: before.target + random.nextInt(2) });
+        const previous = faults.at(-1);
+        if (previous !== undefined && random.next() < seriesShare) {
+            const atMs = Math.min(faultPhaseMs, previous.atMs + random.next() * maxSeriesGapMs);
+            const durationMs = Math.min(previous.durationMs, faultPhaseMs - atMs);
+            faults.push({ ...previous, atMs, durationMs, target: previous.target + random.nextInt(2) });
             continue;
         }
         faults.push(drawFault(random));
@@ -70,20 +70,20 @@
 
 function drawFault(random: RandomSource): Fault {
     const kind = drawKind(random);
-    const { shortestMs, longestMs } = kinds[kind];
+    const { minDurationMs, maxDurationMs } = faultKinds[kind];
     const atMs = random.next() * faultPhaseMs;
     return {
         kind,
         atMs,
         // Faults end within the fault phase, so that none affects the recovery phase.
-        durationMs: Math.min(shortestMs + random.next() * (longestMs - shortestMs), faultPhaseMs - atMs),
+        durationMs: Math.min(minDurationMs + random.next() * (maxDurationMs - minDurationMs), faultPhaseMs - atMs),
         target: random.nextInt(1_000),
         linkFault: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
     };
 }
 
 function drawKind(random: RandomSource): FaultKind {
-    const all = Object.entries(kinds) as readonly (readonly [FaultKind, KindOfFault])[];
+    const all = Object.entries(faultKinds) as readonly (readonly [FaultKind, FaultKindOptions])[];
     let left = random.next() * all.reduce((sum, [, { weight }]) => sum + weight, 0);
     for (const [kind, { weight }] of all) {
         left -= weight;
--- a/packages/soak/src/faultProxy.ts
+++ b/packages/soak/src/faultProxy.ts
@@ -7,17 +7,17 @@
 interface ActiveFault {
     readonly fault: LinkFault;
     /** Source address of the affected connections; `undefined` affects all. */
-    readonly from: string | undefined;
+    readonly sourceAddress: string | undefined;
 }
 
 interface Link {
     /** Source address. */
-    readonly from: string;
-    readonly near: Socket;
-    readonly far: Socket;
+    readonly sourceAddress: string;
+    readonly downstream: Socket;
+    readonly upstream: Socket;
     silent: boolean;
     /** Number of delayed writes: later data must not overtake them. */
-    late: number;
+    pendingWrites: number;
 }
 
 /** A TCP proxy on loopback that injects network faults, which otherwise need privileges. */
@@ -53,11 +53,15 @@
      * Begins a fault. If the same fault is begun several times, it lasts until it has been ended as often.
      *
      * @param fault - the fault
-     * @param from - source address of the affected connections; all if missing
+     * @param sourceAddress - source address of the affected connections; all if missing
      */
-    begin(fault: LinkFault, from?: string): void {
-        this.#faults.push({ fault, from });
-        for (const link of [...this.#links].filter(each => from === undefined || each.from === from)) {
+    begin(fault: LinkFault, sourceAddress?: string): void {
+        this.#faults.push({ fault, sourceAddress });
+        for (
+            const link of [...this.#links].filter(each =>
+                sourceAddress === undefined || each.sourceAddress === sourceAddress
+            )
+        ) {
             if (fault === "reset") {
                 reset(link);
             }
@@ -65,8 +69,8 @@
         }
     }
 
-    end(fault: LinkFault, from?: string): void {
-        const at = this.#faults.findIndex(each => each.fault === fault && each.from === from);
+    end(fault: LinkFault, sourceAddress?: string): void {
+        const at = this.#faults.findIndex(each => each.fault === fault && each.sourceAddress === sourceAddress);
         if (at >= 0) {
             this.#faults.splice(at, 1);
         }
@@ -79,31 +83,45 @@
         }
     }
 
-    #accept(near: Socket): void {
-        const from = near.remoteAddress ?? "";
-        if (this.#suffers(from, "reset")) {
+    #accept(downstream: Socket): void {
+        const sourceAddress = downstream.remoteAddress ?? "";
+        if (this.#isAffected(sourceAddress, "reset")) {
             // The peer may reset it at the same time.
-            near.on("error", () => near.destroy());
-            near.resetAndDestroy();
+            downstream.on("error", () => downstream.destroy());
+            downstream.resetAndDestroy();
             return;
         }
-        const far = connect(this.#targetPort, "127.0.0.1");
-        const link: Link = { from, near, far, silent: false, late: 0 };
+        const upstream = connect(this.#targetPort, "127.0.0.1");
+        const link: Link = {
+            sourceAddress,
+            downstream,
+            upstream,
+            silent: false,
+            pendingWrites: 0,
+        };
         this.#links.add(link);
-        for (const [source, to, cut] of [[near, far, "cutThere"], [far, near, "cutBack"]] as const) {
-            source.on("data", chunk => this.#pass(link, cut, () => to.write(chunk)));
-            source.on("end", () => this.#pass(link, cut, () => to.end()));
+        for (
+            const [source, to, linkFault] of [[downstream, upstream, "cutThere"], [
+                upstream,
+                downstream,
+                "cutBack",
+            ]] as const
+        ) {
+            source.on("data", chunk => this.#forward(link, linkFault, () => to.write(chunk)));
+            source.on("end", () => this.#forward(link, linkFault, () => to.end()));
             source.on("error", () => reset(link));
             source.on("close", () => this.#forget(link));
         }
     }
 
-    #suffers(from: string, fault: LinkFault): boolean {
-        return this.#faults.some(each => each.fault === fault && (each.from === undefined || each.from === from));
+    #isAffected(sourceAddress: string, fault: LinkFault): boolean {
+        return this.#faults.some(each =>
+            each.fault === fault && (each.sourceAddress === undefined || each.sourceAddress === sourceAddress)
+        );
     }
 
     #forget(link: Link): void {
-        if (link.near.destroyed && link.far.destroyed) {
+        if (link.downstream.destroyed && link.upstream.destroyed) {
             this.#links.delete(link);
         }
     }
@@ -112,27 +130,27 @@
      * Forwards data. Data that arrives while its direction is cut is dropped, and the connection stays silent
      * afterwards: a byte stream can't continue after a gap.
      */
-    #pass(link: Link, cut: LinkFault, write: () => void): void {
-        if (this.#suffers(link.from, cut)) {
+    #forward(link: Link, linkFault: LinkFault, write: () => void): void {
+        if (this.#isAffected(link.sourceAddress, linkFault)) {
             link.silent = true;
         }
         if (link.silent) {
             return;
         }
-        if (link.late === 0 && !this.#suffers(link.from, "delay")) {
+        if (link.pendingWrites === 0 && !this.#isAffected(link.sourceAddress, "delay")) {
             write();
             return;
         }
-        link.late++;
+        link.pendingWrites++;
         setTimeout(() => {
-            link.late--;
+            link.pendingWrites--;
             write();
         }, delayMs);
     }
 }
 
-function reset({ near, far }: Link): void {
-    for (const socket of [near, far]) {
+function reset({ downstream, upstream }: Link): void {
+    for (const socket of [downstream, upstream]) {
         // `resetAndDestroy` on a socket that is already shutting down would leave it open forever.
         if (socket.writableEnded) {
             socket.destroy();
--- a/packages/soak/src/faultWindows.ts
+++ b/packages/soak/src/faultWindows.ts
@@ -9,7 +9,7 @@
 
 /** Records the periods in which a fault was active that excuses violations of a guarantee. */
 export class FaultWindows {
-    readonly #spans: { readonly fromMs: number; toMs: number; }[] = [];
+    readonly #windows: { readonly fromMs: number; toMs: number; }[] = [];
 
     /**
      * Begins a fault period.
@@ -18,7 +18,7 @@
      */
     begin(nowMs: number): (endMs: number) => void {
         const span = { fromMs: nowMs, toMs: Infinity };
-        this.#spans.push(span);
+        this.#windows.push(span);
         return endMs => {
             span.toMs = endMs;
         };
@@ -26,7 +26,7 @@
 
     /** @returns whether no fault was active in a period, including its ends */
     isFaultFree(fromMs: number, toMs: number): boolean {
-        return this.#spans.every(span => span.toMs < fromMs || span.fromMs > toMs);
+        return this.#windows.every(span => span.toMs < fromMs || span.fromMs > toMs);
     }
 }
 
@@ -35,18 +35,18 @@
  * store, a gateway or a connection between them was faulty less than the convergence time before.
  *
  * @param history - all lines of a run
- * @param harmed - when the store, gateways or connections between them were faulty
- * @param settledMs - time without faults after which every gateway must have the store's state, in milliseconds
+ * @param faultWindows - when the store, gateways or connections between them were faulty
+ * @param convergenceMs - time without faults after which every gateway must have the store's state, in milliseconds
  * @returns the history without those arrivals
  */
 export function filterFaultFreeArrivals(
     history: readonly HistoryLine[],
-    harmed: FaultWindows,
-    settledMs: number,
+    faultWindows: FaultWindows,
+    convergenceMs: number,
 ): readonly HistoryLine[] {
     return history.filter(line =>
         (line.type !== "serverStarted" && line.type !== "serverTurnedAway")
-        || harmed.isFaultFree(line.atMs - settledMs, line.atMs)
+        || faultWindows.isFaultFree(line.atMs - convergenceMs, line.atMs)
     );
 }
 
--- a/packages/soak/src/largeResponses.ts
+++ b/packages/soak/src/largeResponses.ts
@@ -1,6 +1,6 @@
 import { routePathPrefixes } from "./soakConfiguration.js";
 
-const usualAnswerBytes = 200;
+const defaultResponseBytes = 200;
 const largePath = new RegExp(`^${routePathPrefixes.large}(\\d+)/`);
 
 /** @returns the path by which a request asks for a response of that size */
@@ -11,5 +11,5 @@
 /** @returns the response size that a path asks for, in bytes */
 export function parseResponseBytes(path: string): number {
     const bytes = largePath.exec(path)?.[1];
-    return bytes === undefined ? usualAnswerBytes : Number(bytes);
+    return bytes === undefined ? defaultResponseBytes : Number(bytes);
 }
--- a/packages/soak/src/movingRouteChecker.ts
+++ b/packages/soak/src/movingRouteChecker.ts
@@ -3,7 +3,7 @@
 import { type FaultWindows } from "./faultWindows.js";
 
 /** How long after a response under one version a gateway may still send under an older one, in milliseconds. */
-const rollbackSlackMs = 250;
+const staleSendGraceMs = 250;
 
 /** The input of the checker besides the history. */
 export interface MovingRouteInput {
@@ -23,13 +23,13 @@
 }
 
 interface MovingRequest {
-    readonly gatewayLife: string;
+    readonly gatewayIncarnation: string;
     readonly sentAtMs: number;
     /** Service of the server that last ran it; `undefined` before the first. */
-    ranIn: string | undefined;
+    lastService: string | undefined;
 }
 
-interface SeenVersion {
+interface ServedVersion {
     readonly atMs: number;
     readonly revision: number;
 }
@@ -60,7 +60,7 @@
     readonly #versions: Version[] = [];
     readonly #requests = new Map<string, MovingRequest>();
     /** Versions that each gateway incarnation has provably served, oldest first. */
-    readonly #seen = new Map<string, SeenVersion[]>();
+    readonly #servedVersions = new Map<string, ServedVersion[]>();
 
     constructor(input: MovingRouteInput) {
         this.#input = input;
@@ -93,7 +93,7 @@
 
     #onSent({ service, requestId, process, atMs }: LineOf<"callerSent">): void {
         if (service === "moving") {
-            this.#requests.set(requestId, { gatewayLife: process, sentAtMs: atMs, ranIn: undefined });
+            this.#requests.set(requestId, { gatewayIncarnation: process, sentAtMs: atMs, lastService: undefined });
         }
     }
 
@@ -103,12 +103,12 @@
         if (request === undefined || service === undefined) {
             return;
         }
-        request.ranIn = service;
-        const least = Math.max(this.#findDue(request, line.atMs), this.#findSeen(request));
-        if (this.#findShown(service, least) === undefined) {
+        request.lastService = service;
+        const minRevision = Math.max(this.#findRequiredRevision(request, line.atMs), this.#findServedRevision(request));
+        if (this.#findRoutingVersion(service, minRevision) === undefined) {
             this.violations.push({
                 invariant: "configurationInForce",
-                detail: `${line.requestId} went to ${service}, which no version since ${least} routes to`,
+                detail: `${line.requestId} went to ${service}, which no version since ${minRevision} routes to`,
                 lines: [line.sequence],
             });
         }
@@ -116,26 +116,26 @@
 
     #onAnswered({ requestId, status, atMs }: LineOf<"callerAnswered">): void {
         const request = this.#requests.get(requestId);
-        if (request?.ranIn === undefined || status !== okStatus) {
+        if (request?.lastService === undefined || status !== okStatus) {
             return;
         }
-        const seen = this.#seen.get(request.gatewayLife) ?? [];
-        this.#seen.set(request.gatewayLife, seen);
-        const shown = this.#findShown(request.ranIn, seen.at(-1)?.revision ?? 0);
-        if (shown !== undefined) {
-            seen.push({ atMs, revision: shown.revision });
+        const served = this.#servedVersions.get(request.gatewayIncarnation) ?? [];
+        this.#servedVersions.set(request.gatewayIncarnation, served);
+        const version = this.#findRoutingVersion(request.lastService, served.at(-1)?.revision ?? 0);
+        if (version !== undefined) {
+            served.push({ atMs, revision: version.revision });
         }
     }
 
     /** @returns the oldest version, not older than `least`, that routes to a service */
-    #findShown(service: string, least: number): Version | undefined {
+    #findRoutingVersion(service: string, minRevision: number): Version | undefined {
         return this.#versions.find(({ revision }) =>
-            revision >= least && resolveService("moving", revision) === service
+            revision >= minRevision && resolveService("moving", revision) === service
         );
     }
 
     /** @returns the newest revision that must be in force for a request; 0 if none, or if a fault excuses it */
-    #findDue({ sentAtMs }: MovingRequest, ranAtMs: number): number {
+    #findRequiredRevision({ sentAtMs }: MovingRequest, ranAtMs: number): number {
         const { faultWindows, applyMs, convergenceMs } = this.#input;
         if (!faultWindows.isFaultFree(sentAtMs - convergenceMs, ranAtMs)) {
             return 0;
@@ -145,8 +145,10 @@
     }
 
     /** @returns the newest revision that the gateway incarnation has served before the request was sent; 0 if none */
-    #findSeen({ gatewayLife, sentAtMs }: MovingRequest): number {
-        const seen = (this.#seen.get(gatewayLife) ?? []).filter(({ atMs }) => atMs + rollbackSlackMs < sentAtMs);
+    #findServedRevision({ gatewayIncarnation, sentAtMs }: MovingRequest): number {
+        const seen = (this.#servedVersions.get(gatewayIncarnation) ?? []).filter(({ atMs }) =>
+            atMs + staleSendGraceMs < sentAtMs
+        );
         return seen.at(-1)?.revision ?? 0;
     }
 }
--- a/packages/soak/src/partitionPlan.ts
+++ b/packages/soak/src/partitionPlan.ts
@@ -15,14 +15,14 @@
     readonly flapPeriodMs: number | undefined;
 }
 
-const cutShare = 0.5;
-const againShare = 0.4;
+const partitionShare = 0.5;
+const repeatShare = 0.4;
 const flapShare = 0.2;
-const shortestMs = 1_500;
-const shortestFlapMs = 300;
-const longestFlapMs = 1_200;
-const mostOthers = 4;
-const links: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
+const minDurationMs = 1_500;
+const minFlapPeriodMs = 300;
+const maxFlapPeriodMs = 1_200;
+const additionalGatewayChoices = 4;
+const linkFaults: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
 /** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x165_667b1;
 
@@ -34,18 +34,18 @@
  */
 export function planPartitions(seed: number): readonly PlannedPartition[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const cuts: PlannedPartition[] = [];
-    for (let share = cutShare; random.next() < share; share = againShare) {
-        const atMs = random.next() * (faultPhaseMs - shortestMs);
+    const partitions: PlannedPartition[] = [];
+    for (let share = partitionShare; random.next() < share; share = repeatShare) {
+        const atMs = random.next() * (faultPhaseMs - minDurationMs);
         const flaps = random.next() < flapShare;
-        cuts.push({
+        partitions.push({
             atMs,
-            durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
+            durationMs: minDurationMs + random.next() * (faultPhaseMs - minDurationMs - atMs),
             target: random.nextInt(1_000),
-            additionalGateways: random.nextInt(mostOthers),
-            linkFault: links[random.nextInt(links.length)] ?? "reset",
-            flapPeriodMs: flaps ? shortestFlapMs + random.next() * (longestFlapMs - shortestFlapMs) : undefined,
+            additionalGateways: random.nextInt(additionalGatewayChoices),
+            linkFault: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
+            flapPeriodMs: flaps ? minFlapPeriodMs + random.next() * (maxFlapPeriodMs - minFlapPeriodMs) : undefined,
         });
     }
-    return cuts;
+    return partitions;
 }
--- a/packages/soak/src/queryOfDeathPlan.ts
+++ b/packages/soak/src/queryOfDeathPlan.ts
@@ -11,10 +11,10 @@
 /** A request whose path contains this crashes its server. */
 export const queryOfDeathMarker = "deadly-";
 
-const deadlyShare = 0.6;
-const fewest = 6;
-const most = 25;
-const latestStartMs = 2_000;
+const queryOfDeathShare = 0.6;
+const minRequests = 6;
+const maxRequests = 25;
+const maxStartMs = 2_000;
 /** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0x85eb_ca6b;
 
@@ -27,11 +27,11 @@
  */
 export function planQueryOfDeath(seed: number, pathPrefix: string): PlannedQueryOfDeath | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    if (random.next() >= deadlyShare) {
+    if (random.next() >= queryOfDeathShare) {
         return undefined;
     }
-    const startMs = random.next() * latestStartMs;
-    const count = fewest + random.nextInt(most - fewest + 1);
+    const startMs = random.next() * maxStartMs;
+    const count = minRequests + random.nextInt(maxRequests - minRequests + 1);
     const atMs = Array.from({ length: count }, () => startMs + random.next() * (faultPhaseMs - startMs));
     return { sendTimesMs: atMs.sort((a, b) => a - b), path: `${pathPrefix}${queryOfDeathMarker}${seed}` };
 }
--- a/packages/soak/src/requestGenerator.ts
+++ b/packages/soak/src/requestGenerator.ts
@@ -25,18 +25,18 @@
     readonly responseBytes: number;
 }
 
-const keylessShare = 0.03;
-const unknownShare = 0.03;
+const noKeyShare = 0.03;
+const unknownKeyShare = 0.03;
 /** Share of the requests with any key of the plan, which may be revoked or not yet issued. */
-const anyKeyShare = 0.06;
+const plannedKeyShare = 0.06;
 /** At about 50 requests per second, this stays below the limit of the limited workspace. */
-const limitedShare = 0.04;
-const claimShare = 0.1;
-const openShare = 0.08;
-const largeShare = 0.08;
-const largestAnswerBytes = 540_000;
+const limitedWorkspaceShare = 0.04;
+const forgedWorkspaceShare = 0.1;
+const openRouteShare = 0.08;
+const largeRouteShare = 0.08;
+const maxResponseBytes = 540_000;
 /** Exponent that makes most responses short: their mean size is 90 KB. */
-const answerSkew = 5;
+const responseSizeExponent = 5;
 const seedFactor = 0x2545_f491;
 
 /**
@@ -56,28 +56,32 @@
     next(workspaces: readonly SoakWorkspace[]): GeneratedRequest {
         const random = this.#random;
         const key = this.#drawKey(workspaces, random.next(), random.next());
-        const claims = random.next() < claimShare;
-        const way = random.next();
+        const forgesWorkspace = random.next() < forgedWorkspaceShare;
+        const routeDraw = random.next();
         return {
-            credentials: { key, claimedWorkspace: claims ? "birch" : undefined },
-            route: way < openShare ? "open" : way < openShare + largeShare ? "large" : undefined,
-            responseBytes: Math.floor(largestAnswerBytes * random.next() ** answerSkew),
+            credentials: { key, claimedWorkspace: forgesWorkspace ? "birch" : undefined },
+            route: routeDraw < openRouteShare
+                ? "open"
+                : routeDraw < openRouteShare + largeRouteShare
+                ? "large"
+                : undefined,
+            responseBytes: Math.floor(maxResponseBytes * random.next() ** responseSizeExponent),
         };
     }
 
-    #drawKey(workspaces: readonly SoakWorkspace[], kind: number, place: number): SoakKey | undefined {
-        const pick = (keys: readonly SoakKey[]): SoakKey | undefined => keys[Math.floor(place * keys.length)];
-        if (kind < keylessShare) {
+    #drawKey(workspaces: readonly SoakWorkspace[], kindDraw: number, keyDraw: number): SoakKey | undefined {
+        const pick = (keys: readonly SoakKey[]): SoakKey | undefined => keys[Math.floor(keyDraw * keys.length)];
+        if (kindDraw < noKeyShare) {
             return undefined;
         }
-        if (kind < keylessShare + unknownShare) {
+        if (kindDraw < noKeyShare + unknownKeyShare) {
             return unknownKey;
         }
-        if (kind < keylessShare + unknownShare + anyKeyShare) {
+        if (kindDraw < noKeyShare + unknownKeyShare + plannedKeyShare) {
             return pick(this.#plan.keys);
         }
-        const isLimited = kind < keylessShare + unknownShare + anyKeyShare + limitedShare;
-        const held = workspaces.filter(({ name }) => (name === limitedWorkspace) === isLimited);
-        return pick(held.flatMap(({ keys }) => keys)) ?? this.#plan.keys[0];
+        const isLimited = kindDraw < noKeyShare + unknownKeyShare + plannedKeyShare + limitedWorkspaceShare;
+        const candidates = workspaces.filter(({ name }) => (name === limitedWorkspace) === isLimited);
+        return pick(candidates.flatMap(({ keys }) => keys)) ?? this.#plan.keys[0];
     }
 }
--- a/packages/soak/src/rolloutPlan.ts
+++ b/packages/soak/src/rolloutPlan.ts
@@ -10,7 +10,7 @@
 }
 
 const rolloutShare = 0.5;
-const latestMs = 3_000;
+const maxStartMs = 3_000;
 /** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0x9e37_79b1;
 
@@ -27,7 +27,7 @@
         return undefined;
     }
     return {
-        atMs: random.next() * latestMs,
+        atMs: random.next() * maxStartMs,
         service: services[random.nextInt(services.length)] ?? "",
         isBad: random.next() < 0.5,
     };
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -69,161 +69,161 @@
     const dir = join(options.dir, `seed-${options.seed}`);
     rmSync(dir, { recursive: true, force: true });
     mkdirSync(dir, { recursive: true });
-    const result = await play({ ...options, dir });
+    const result = await executeRun({ ...options, dir });
     return { ...result, findings: [...result.findings, ...findLeakedKeysInFiles(dir)] };
 }
 
-async function play(
+async function executeRun(
     { system, seed, dir, faults = planFaults(seed), cuts = false, drills = false }: SoakOptions,
 ): Promise<SoakResult> {
     const workspaces = planWorkspaces(seed, enforcesWorkspaceLimits);
-    const world = await SoakFleet.start(system, dir, seed, workspaces?.initial);
-    const abort = (): void => world.abort();
+    const fleet = await SoakFleet.start(system, dir, seed, workspaces?.initial);
+    const abort = (): void => fleet.abort();
     process.once("exit", abort);
     try {
         await sleep(startupSettleMs);
-        const load = new SoakLoad(
-            world,
+        const load = new LoadGenerator(
+            fleet,
             createRandomSource(seed + 2),
             workspaces && new RequestGenerator(workspaces, seed),
         );
-        const faultsOver = Promise.all(faults.map(async fault => {
+        const faultsDone = Promise.all(faults.map(async fault => {
             await sleep(fault.atMs);
-            await world.injectFault(fault);
+            await fleet.injectFault(fault);
         }));
         const rollout = planRollout(seed, services);
-        const rolloutOver = rollout === undefined
+        const rolloutDone = rollout === undefined
             ? Promise.resolve([])
-            : sleep(rollout.atMs).then(() => runRollout(world, system, rollout));
-        // Servers of the version that is rolled out aren't replaced, so that a query of death could crash all of them.
-        const deadly = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
-        const deadlyOver = load.sendDeadly(deadly);
+            : sleep(rollout.atMs).then(() => runRollout(fleet, system, rollout));
+        // Servers of a version that is rolled out aren't replaced: a query of death could crash all of them.
+        const queryOfDeath = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
+        const queryOfDeathDone = load.sendQueriesOfDeath(queryOfDeath);
         const limit = planServerLimit(seed);
-        const limitOver = limit === undefined ? Promise.resolve() : applyServerLimit(world, limit);
+        const limitDone = limit === undefined ? Promise.resolve() : applyServerLimit(fleet, limit);
         // For the same reason, no server leaves during a roll-out.
         const { backoff, leaving } = planServerMetadata(seed);
-        const noticesOver = applyServerMetadata(world, {
+        const serverMetadataDone = applyServerMetadata(fleet, {
             backoff,
             leaving: rollout === undefined ? leaving : undefined,
         });
-        const cutsOver = partitionGateways(world, cuts ? planPartitions(seed) : []);
-        const drillsOver = Promise.all((drills ? planStoreRestores(seed) : []).map(async drill => {
-            await sleep(drill.atMs);
-            await world.restoreStore(drill);
+        const partitionsDone = partitionGateways(fleet, cuts ? planPartitions(seed) : []);
+        const storeRestoresDone = Promise.all((drills ? planStoreRestores(seed) : []).map(async restore => {
+            await sleep(restore.atMs);
+            await fleet.restoreStore(restore);
         }));
-        const workspacesOver = Promise.all([
+        const workspacesDone = Promise.all([
             load.sendOverload(workspaces?.overload),
             ...(workspaces?.changes ?? []).map(async change => {
                 await sleep(change.atMs);
-                await world.changeWorkspaces(change.workspaces);
+                await fleet.changeWorkspaces(change.workspaces);
             }),
         ]);
-        const allOver = Promise.all([
-            faultsOver,
-            rolloutOver,
-            deadlyOver,
-            limitOver,
-            noticesOver,
-            cutsOver,
-            drillsOver,
-            workspacesOver,
+        const allDone = Promise.all([
+            faultsDone,
+            rolloutDone,
+            queryOfDeathDone,
+            limitDone,
+            serverMetadataDone,
+            partitionsDone,
+            storeRestoresDone,
+            workspacesDone,
         ]);
-        const [endedAtMs, [, rolloutFindings]] = await Promise.all([load.run(allOver), allOver]);
+        const [endedAtMs, [, rolloutFindings]] = await Promise.all([load.run(allDone), allDone]);
         const history = mergeHistories(
-            world.backends.map(({ historyPath }) => historyPath),
-            [world.history, ...world.edges.flatMap(({ histories }) => histories)],
+            fleet.backends.map(({ historyPath }) => historyPath),
+            [fleet.history, ...fleet.edges.flatMap(({ histories }) => histories)],
         );
         const findings = checkSoak({
             history,
-            faultWindows: world.faultWindows,
-            edges: world.edges,
-            serviceOf: new Map(world.backends.map(({ info }) => [info.id, info.service])),
+            faultWindows: fleet.faultWindows,
+            edges: fleet.edges,
+            serviceOf: new Map(fleet.backends.map(({ info }) => [info.id, info.service])),
             findings: [
                 ...rolloutFindings,
-                ...world.edges.flatMap(edge => edge.findings),
+                ...fleet.edges.flatMap(edge => edge.findings),
                 ...findLeakedKeys("the history", JSON.stringify(history)),
-                ...await findLeakedKeysInMetrics(world),
+                ...await findLeakedKeysInMetrics(fleet),
             ],
             endedAtMs,
         });
-        const ends = world.edges.flatMap(edge => edge.outcomes);
-        const served = ends.filter(({ outcome }) => outcome.status === 200).length;
+        const outcomes = fleet.edges.flatMap(edge => edge.outcomes);
+        const served = outcomes.filter(({ outcome }) => outcome.status === 200).length;
         return {
             seed,
             faults,
             findings,
             workspaces: workspaces !== undefined,
-            rollout: rollout && `${rollout.isBad ? "bad" : "sound"} ${findEnd(history)}`,
-            requests: ends.length,
+            rollout: rollout && `${rollout.isBad ? "bad" : "sound"} ${findRolloutStage(history)}`,
+            requests: outcomes.length,
             served,
             dir,
         };
     }
     finally {
-        await world.close();
+        await fleet.close();
         process.off("exit", abort);
     }
 }
 
-function findEnd(history: readonly HistoryLine[]): string {
+function findRolloutStage(history: readonly HistoryLine[]): string {
     const end = history.find(line => line.type === "rolloutEnded");
     return end?.type === "rolloutEnded" ? end.stage : "open";
 }
 
 /** Generates the callers' load on all gateways. */
-class SoakLoad {
-    readonly #world: SoakFleet;
+class LoadGenerator {
+    readonly #fleet: SoakFleet;
     readonly #random: RandomSource;
     /** `undefined` in a run without workspaces. */
-    readonly #callers: RequestGenerator | undefined;
-    readonly #open = new Set<Promise<void>>();
+    readonly #requestGenerator: RequestGenerator | undefined;
+    readonly #pending = new Set<Promise<void>>();
     #sent = 0;
 
-    constructor(world: SoakFleet, random: RandomSource, callers: RequestGenerator | undefined) {
-        this.#world = world;
+    constructor(fleet: SoakFleet, random: RandomSource, requestGenerator: RequestGenerator | undefined) {
+        this.#fleet = fleet;
         this.#random = random;
-        this.#callers = callers;
+        this.#requestGenerator = requestGenerator;
     }
 
     /**
      * Sends requests until the recovery phase after the last fault has ended, then waits for the remaining responses.
      * Processes start slowly on a busy machine: by the clock alone, the recovery phase could end before the last fault.
      *
-     * @param faultsOver - settles when the last fault has ended
+     * @param faultsDone - settles when the last fault has ended
      * @returns when it stopped sending, on the monotonic clock
      */
-    async run(faultsOver: Promise<unknown>): Promise<number> {
+    async run(faultsDone: Promise<unknown>): Promise<number> {
         let untilMs = Infinity;
-        const onOver = (): void => {
+        const onFaultsDone = (): void => {
             untilMs = monotonicNow() + recoveryPhaseMs;
         };
-        faultsOver.then(onOver, onOver);
+        faultsDone.then(onFaultsDone, onFaultsDone);
         while (monotonicNow() < untilMs) {
-            const { loadFactor, earlyDisconnectShare } = this.#world.callerBehavior;
+            const { loadFactor, earlyDisconnectShare } = this.#fleet.callerBehavior;
             this.#send(this.#random.next() < earlyDisconnectShare);
             await sleep(this.#random.next() * 2_000 / (requestsPerSecond * loadFactor));
         }
         const stoppedAtMs = monotonicNow();
-        await Promise.all(this.#open);
+        await Promise.all(this.#pending);
         return stoppedAtMs;
     }
 
     /** Sends the run's query of death at each of its planned times. */
-    async sendDeadly(plan: PlannedQueryOfDeath | undefined): Promise<void> {
+    async sendQueriesOfDeath(plan: PlannedQueryOfDeath | undefined): Promise<void> {
         await Promise.all((plan?.sendTimesMs ?? []).map(async (atMs, i) => {
             await sleep(atMs);
             const path = plan?.path;
-            const key = this.#world.workspaces.flatMap(({ keys }) => keys)[0];
+            const key = this.#fleet.workspaces.flatMap(({ keys }) => keys)[0];
             const credentials = key && { key, claimedWorkspace: undefined };
-            const asked = {
+            const request = {
                 requestId: `deadly${i}`,
                 route: "read",
                 disconnectsEarly: false,
-                credentials: credentials,
+                credentials,
                 path,
                 contentId: path,
             } as const;
-            await this.#pickEdge().caller?.send(asked);
+            await this.#pickEdge().caller?.send(request);
         }));
     }
 
@@ -239,39 +239,47 @@
         await sleep(atMs);
         const untilMs = monotonicNow() + durationMs;
         for (let i = 1; monotonicNow() < untilMs; i++) {
-            const sign = { key, claimedWorkspace: undefined };
+            const credentials = { key, claimedWorkspace: undefined };
             const edges = this.#findEdges();
             const caller = edges[i % edges.length]?.caller;
             if (caller !== undefined) {
                 this.#track(
-                    caller.send({ requestId: `over${i}`, route: "read", disconnectsEarly: false, credentials: sign }),
+                    caller.send({
+                        requestId: `over${i}`,
+                        route: "read",
+                        disconnectsEarly: false,
+                        credentials,
+                    }),
                 );
             }
             await sleep(1_000 / perSecond);
         }
     }
 
-    #send(hangsUp: boolean): void {
+    #send(disconnectsEarly: boolean): void {
         const caller = this.#pickEdge().caller;
-        const usual = routes[this.#random.nextInt(routes.length)] ?? "read";
-        const { credentials, route = usual, responseBytes = 0 } = this.#callers?.next(this.#world.workspaces) ?? {};
+        const defaultRoute = routes[this.#random.nextInt(routes.length)] ?? "read";
+        const { credentials, route = defaultRoute, responseBytes = 0 } =
+            this.#requestGenerator?.next(this.#fleet.workspaces) ?? {};
         if (caller === undefined) {
             return;
         }
         const requestId = `r${++this.#sent}`;
         const path = route === "large" ? renderLargeResponsePath(requestId, responseBytes) : undefined;
-        this.#track(caller.send({ requestId, route, disconnectsEarly: hangsUp, credentials: credentials, path }));
+        this.#track(
+            caller.send({ requestId, route, disconnectsEarly, credentials, path }),
+        );
     }
 
     #track(sending: Promise<void>): void {
-        const done = sending.finally(() => this.#open.delete(done));
-        this.#open.add(done);
+        const done = sending.finally(() => this.#pending.delete(done));
+        this.#pending.add(done);
     }
 
     /** @returns the gateways that the balancer sends to: those that are ready, or all if none is */
     #findEdges(): readonly SoakEdge[] {
-        const ready = this.#world.edges.filter(({ inRotation }) => inRotation);
-        return ready.length > 0 ? ready : this.#world.edges;
+        const ready = this.#fleet.edges.filter(({ inRotation }) => inRotation);
+        return ready.length > 0 ? ready : this.#fleet.edges;
     }
 
     #pickEdge(): SoakEdge {
--- a/packages/soak/src/serverLimitPlan.ts
+++ b/packages/soak/src/serverLimitPlan.ts
@@ -13,9 +13,9 @@
 }
 
 const limitShare = 0.4;
-const latestMs = 2_000;
-const shortestMs = 6_000;
-const largest = 4;
+const maxStartMs = 2_000;
+const minDurationMs = 6_000;
+const perSecondRange = 4;
 /** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
 const seedFactor = 0xc2b2_ae35;
 
@@ -30,11 +30,11 @@
     if (random.next() >= limitShare) {
         return undefined;
     }
-    const atMs = random.next() * latestMs;
+    const atMs = random.next() * maxStartMs;
     return {
         atMs,
-        durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
+        durationMs: minDurationMs + random.next() * (faultPhaseMs - minDurationMs - atMs),
         target: random.nextInt(1_000),
-        perSecond: Math.round(10 * (0.3 + random.next() * largest)) / 10,
+        perSecond: Math.round(10 * (0.3 + random.next() * perSecondRange)) / 10,
     };
 }
--- a/packages/soak/src/serverMetadataPlan.ts
+++ b/packages/soak/src/serverMetadataPlan.ts
@@ -23,12 +23,12 @@
     readonly leaving: PlannedLeaving | undefined;
 }
 
-const restShare = 0.4;
+const backoffShare = 0.4;
 const leavingShare = 0.3;
-const latestMs = 4_000;
-const shortestMs = 3_000;
-const shortestRestSeconds = 0.8;
-const longestRestSeconds = 3.2;
+const maxStartMs = 4_000;
+const minDurationMs = 3_000;
+const minBackoffSeconds = 0.8;
+const maxBackoffSeconds = 3.2;
 /** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x27d4_eb2f;
 
@@ -40,16 +40,16 @@
  */
 export function planServerMetadata(seed: number): PlannedServerMetadata {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const rests = random.next() < restShare;
-    const leaves = random.next() < leavingShare;
-    const atMs = random.next() * latestMs;
-    const seconds = shortestRestSeconds + (longestRestSeconds - shortestRestSeconds) * random.next();
-    const rest: PlannedBackoff = {
+    const hasBackoff = random.next() < backoffShare;
+    const hasLeaving = random.next() < leavingShare;
+    const atMs = random.next() * maxStartMs;
+    const seconds = minBackoffSeconds + (maxBackoffSeconds - minBackoffSeconds) * random.next();
+    const backoff: PlannedBackoff = {
         atMs,
-        durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
+        durationMs: minDurationMs + random.next() * (faultPhaseMs - minDurationMs - atMs),
         target: random.nextInt(1_000),
         backoffSeconds: Math.round(10 * seconds) / 10,
     };
-    const leaving: PlannedLeaving = { atMs: random.next() * latestMs, target: random.nextInt(1_000) };
-    return { backoff: rests ? rest : undefined, leaving: leaves ? leaving : undefined };
+    const leaving: PlannedLeaving = { atMs: random.next() * maxStartMs, target: random.nextInt(1_000) };
+    return { backoff: hasBackoff ? backoff : undefined, leaving: hasLeaving ? leaving : undefined };
 }
--- a/packages/soak/src/soakBackend.ts
+++ b/packages/soak/src/soakBackend.ts
@@ -22,24 +22,24 @@
     readonly historyPath: string;
     readonly #process: StartedProcess;
     readonly #startedAtEpochMs = Date.now();
-    readonly #troubles: Partial<ServerFaults>[] = [];
+    readonly #activeFaults: Partial<ServerFaults>[] = [];
 
-    private constructor(place: BackendInfo, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
-        this.info = place;
+    private constructor(info: BackendInfo, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
+        this.info = info;
         this.proxy = proxy;
         this.historyPath = historyPath;
         this.#process = process;
     }
 
-    static async start(place: BackendInfo, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
-        const historyPath = join(dir, `${place.id}.history`);
-        const { id, service, availabilityZone } = place;
+    static async start(info: BackendInfo, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
+        const historyPath = join(dir, `${info.id}.history`);
+        const { id, service, availabilityZone } = info;
         const program = system.resolveServerProgram({ id, service, availabilityZone, historyPath, seed });
-        const process = await startProcess({ name: place.id, ...program });
+        const process = await startProcess({ name: info.id, ...program });
         const proxy = await FaultProxy.start(Number(new URL(process.url).port));
         // Connections to a server that has ended must be refused, as they would be without a proxy.
         void process.exited.then(() => proxy.close());
-        return new SoakBackend(place, process, proxy, historyPath);
+        return new SoakBackend(info, process, proxy, historyPath);
     }
 
     /**
@@ -62,17 +62,17 @@
      *
      * @returns ends these faults
      */
-    async injectFaults(trouble: Partial<ServerFaults>): Promise<() => Promise<void>> {
-        this.#troubles.push(trouble);
-        await this.#order(0);
+    async injectFaults(faults: Partial<ServerFaults>): Promise<() => Promise<void>> {
+        this.#activeFaults.push(faults);
+        await this.#sendFaults(0);
         return async () => {
-            this.#troubles.splice(this.#troubles.indexOf(trouble), 1);
-            await this.#order(0);
+            this.#activeFaults.splice(this.#activeFaults.indexOf(faults), 1);
+            await this.#sendFaults(0);
         };
     }
 
-    setCold(forMs: number): Promise<void> {
-        return this.#order(forMs);
+    setCold(durationMs: number): Promise<void> {
+        return this.#sendFaults(durationMs);
     }
 
     pause(): void {
@@ -102,14 +102,17 @@
         await this.kill();
     }
 
-    async #order(coldMs: number): Promise<void> {
-        const trouble = this.#troubles.reduce<ServerFaults>((sum, each) => ({ ...sum, ...each }), noServerFaults);
-        const order: ServerFaults = { ...trouble, coldMs };
+    async #sendFaults(coldMs: number): Promise<void> {
+        const faults = this.#activeFaults.reduce<ServerFaults>((sum, each) => ({ ...sum, ...each }), noServerFaults);
+        const command: ServerFaults = { ...faults, coldMs };
         if (this.#hasEnded()) {
             return;
         }
         try {
-            const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
+            const res = await request(`${this.#process.url}/control`, {
+                method: "POST",
+                body: JSON.stringify(command),
+            });
             await res.body.dump();
         }
         catch (err) {
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -13,13 +13,13 @@
 const okStatus = 200;
 const connectTimeoutMs = 1_000;
 /** Maximum time after which a caller that disconnects early does so. */
-const hangUpMs = 60;
+const maxDisconnectDelayMs = 60;
 
 /** Share of the requests that are sent on new connections. */
-const freshShare = 0.3;
+const newConnectionShare = 0.3;
 
 /** The response to a request, if any. */
-interface Received {
+interface ResponseResult {
     /** `undefined` if no complete response arrived. */
     readonly status: number | undefined;
     readonly retryAfter: string | undefined;
@@ -30,7 +30,7 @@
 }
 
 /** The outcome of a request for its caller. */
-export interface RequestOutcome extends Received {
+export interface RequestOutcome extends ResponseResult {
     readonly requestId: string;
     readonly route: SoakRoute;
     readonly sentAtMs: number;
@@ -62,8 +62,8 @@
     readonly #system: SoakSystem;
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
-    readonly #kept = new Agent({ connections: 8, connect: { timeout: connectTimeoutMs } });
-    readonly #ends: RequestOutcome[] = [];
+    readonly #pool = new Agent({ connections: 8, connect: { timeout: connectTimeoutMs } });
+    readonly #outcomes: RequestOutcome[] = [];
 
     constructor(
         gateway: string,
@@ -80,44 +80,44 @@
     }
 
     get outcomes(): readonly RequestOutcome[] {
-        return this.#ends;
+        return this.#outcomes;
     }
 
     /** Sends a request and records its outcome. Never rejects. */
-    async send(asked: CallerRequest): Promise<void> {
-        const { requestId, route, disconnectsEarly } = asked;
-        const fresh = this.#random.next() < freshShare;
-        const agent = fresh ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#kept;
-        const givesUp = new AbortController();
+    async send(request: CallerRequest): Promise<void> {
+        const { requestId, route, disconnectsEarly } = request;
+        const usesNewConnection = this.#random.next() < newConnectionShare;
+        const agent = usesNewConnection ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#pool;
+        const abortController = new AbortController();
         // Beyond the caller's patience and a tolerance: without a response by then, the request counts as hanging.
-        const waitMs = disconnectsEarly ? this.#random.next() * hangUpMs : routeTimeoutMs + hangToleranceMs;
-        const timer = setTimeout(() => givesUp.abort(), waitMs);
+        const waitMs = disconnectsEarly ? this.#random.next() * maxDisconnectDelayMs : routeTimeoutMs + hangToleranceMs;
+        const timer = setTimeout(() => abortController.abort(), waitMs);
         const sentAtMs = monotonicNow();
-        const got = await this.#request(agent, asked, givesUp.signal);
+        const result = await this.#request(agent, request, abortController.signal);
         clearTimeout(timer);
-        this.#ends.push({
-            ...got,
+        this.#outcomes.push({
+            ...result,
             requestId,
             route,
             sentAtMs,
             endedAtMs: monotonicNow(),
             disconnectedEarly: disconnectsEarly,
-            timedOut: givesUp.signal.aborted && !disconnectsEarly,
+            timedOut: abortController.signal.aborted && !disconnectsEarly,
         });
-        if (fresh) {
+        if (usesNewConnection) {
             await agent.destroy();
         }
     }
 
     async close(): Promise<void> {
-        await this.#kept.destroy();
+        await this.#pool.destroy();
     }
 
     async #request(
         agent: Agent,
         { requestId, route, credentials, path, contentId }: CallerRequest,
         signal: AbortSignal,
-    ): Promise<Received> {
+    ): Promise<ResponseResult> {
         const idempotent = route !== "file";
         this.#history.record({
             type: "callerSent",
@@ -144,7 +144,7 @@
             });
             hasBegun = true;
             const body = await res.body.text();
-            this.#recordAnswer(requestId, res.statusCode, res.headers, body);
+            this.#recordResponse(requestId, res.statusCode, res.headers, body);
             const retryAfter = readText(res.headers["retry-after"]);
             return { status: res.statusCode, retryAfter, connected: true, truncated: false };
         }
@@ -155,19 +155,19 @@
         }
     }
 
-    #recordAnswer(
+    #recordResponse(
         requestId: string,
         status: number,
         headers: Readonly<Record<string, string | readonly string[] | undefined>>,
         body: string,
     ): void {
-        const marks = this.#system.parseResponseHeaders(headers);
-        const own = status === okStatus ? findRequestId(body) : undefined;
+        const metadata = this.#system.parseResponseHeaders(headers);
+        const bodyRequestId = status === okStatus ? findRequestId(body) : undefined;
         const server = status === okStatus ? findServer(body) : undefined;
-        if (marks.hasLimit && server !== undefined) {
+        if (metadata.hasLimit && server !== undefined) {
             this.#history.record({ type: "limitPassedOn", gateway: this.#gateway, server });
         }
-        if (marks.leaving && server !== undefined) {
+        if (metadata.leaving && server !== undefined) {
             this.#history.record({ type: "leavingPassedOn", gateway: this.#gateway, server });
         }
         this.#history.record({
@@ -175,8 +175,9 @@
             requestId,
             status,
             didRun: notRunStatuses.has(status) ? "no" : undefined,
-            whole: status !== okStatus || (marks.signed && marks.requestId === requestId && own !== undefined),
-            bodyRequestId: own,
+            whole: status !== okStatus
+                || (metadata.signed && metadata.requestId === requestId && bodyRequestId !== undefined),
+            bodyRequestId,
         });
     }
 }
--- a/packages/soak/src/soakConfiguration.ts
+++ b/packages/soak/src/soakConfiguration.ts
@@ -110,7 +110,7 @@
 }
 
 /**
- * @param serversFrom - IP address from which the process connects to backend servers
+ * @param sourceAddress - IP address from which the process connects to backend servers
  * @returns the settings file of an edge process, as YAML
  */
 export function renderEdgeSettings(
@@ -118,7 +118,7 @@
     availabilityZone: string,
     ports: EdgePorts,
     storePort: number,
-    serversFrom: string,
+    sourceAddress: string,
 ): string {
     return stringify({
         name,
@@ -129,7 +129,7 @@
             peers: `127.0.0.1:${ports.peers}`,
             metrics: `127.0.0.1:${ports.metrics}`,
         },
-        servers: { connectFrom: serversFrom },
+        servers: { connectFrom: sourceAddress },
         store: { address: `127.0.0.1:${storePort}`, shortestLeaseSeconds: minLeaseSeconds },
         stopping: { graceSeconds: stopGraceMs / 1_000 },
         repeats: { ratio: repeatRatio, slack: repeatSlack, windowSeconds: repeatWindowMs / 1_000 },
--- a/packages/soak/src/soakEdge.ts
+++ b/packages/soak/src/soakEdge.ts
@@ -12,13 +12,13 @@
 import { monotonicNow, FaultWindows } from "./faultWindows.js";
 
 /** Time beyond the stop's grace period after which a process that hasn't stopped is killed and reported. */
-const killSlackMs = 1_500;
+const killGraceMs = 1_500;
 /** Period of the balancer's readiness probes, and how many consecutive failures take a gateway out of rotation. */
-const readinessMs = 500;
-const missesOut = 2;
-const askTimeoutMs = 400;
+const readinessPeriodMs = 500;
+const unreadyThreshold = 2;
+const httpTimeoutMs = 400;
 
-interface Life {
+interface Incarnation {
     readonly process: StartedProcess;
     readonly caller: SoakCaller;
     readonly history: MemoryHistoryRecorder;
@@ -40,24 +40,24 @@
     readonly #logPath: string;
     readonly #settingsPath: string;
     readonly #ports: EdgePorts;
-    readonly #lives: Life[] = [];
-    #misses = missesOut;
+    readonly #incarnations: Incarnation[] = [];
+    #failedProbes = unreadyThreshold;
     #ended = false;
 
-    private constructor(name: string, system: SoakSystem, random: RandomSource, dir: string, more: {
+    private constructor(name: string, system: SoakSystem, random: RandomSource, dir: string, parts: {
         readonly storeProxy: FaultProxy;
         readonly ports: EdgePorts;
         readonly settingsPath: string;
-        readonly serversFrom: string;
+        readonly sourceAddress: string;
     }) {
         this.name = name;
-        this.storeProxy = more.storeProxy;
-        this.sourceAddress = more.serversFrom;
+        this.storeProxy = parts.storeProxy;
+        this.sourceAddress = parts.sourceAddress;
         this.#system = system;
         this.#random = random;
         this.#logPath = join(dir, `${name}.log`);
-        this.#settingsPath = more.settingsPath;
-        this.#ports = more.ports;
+        this.#settingsPath = parts.settingsPath;
+        this.#ports = parts.ports;
     }
 
     /** Starts its first incarnation. */
@@ -68,45 +68,50 @@
         random: RandomSource,
         dir: string,
         storePort: number,
-        serversFrom: string,
+        sourceAddress: string,
     ): Promise<SoakEdge> {
         const storeProxy = await FaultProxy.start(storePort);
         const [callers = 0, readiness = 0, peers = 0, metrics = 0] = await findFreePorts(4);
         const ports = { callers, readiness, peers, metrics };
         const settingsPath = join(dir, `${name}.yaml`);
-        writeFileSync(settingsPath, renderEdgeSettings(name, availabilityZone, ports, storeProxy.port, serversFrom));
-        const edge = new SoakEdge(name, system, random, dir, { storeProxy, ports, settingsPath, serversFrom });
-        await edge.#live();
-        void edge.#askForReadiness();
+        writeFileSync(settingsPath, renderEdgeSettings(name, availabilityZone, ports, storeProxy.port, sourceAddress));
+        const edge = new SoakEdge(name, system, random, dir, {
+            storeProxy,
+            ports,
+            settingsPath,
+            sourceAddress,
+        });
+        await edge.#startIncarnation();
+        void edge.#probeReadiness();
         return edge;
     }
 
     /** Whether the balancer sends requests to it. */
     get inRotation(): boolean {
-        return this.#misses < missesOut;
+        return this.#failedProbes < unreadyThreshold;
     }
 
     /** Sends requests to the current incarnation. */
     get caller(): SoakCaller | undefined {
-        return this.#lives.at(-1)?.caller;
+        return this.#incarnations.at(-1)?.caller;
     }
 
     /** Request outcomes of all incarnations, and whether the incarnation was killed. */
     get outcomes(): readonly { readonly outcome: RequestOutcome; readonly killed: boolean; }[] {
-        return this.#lives.flatMap(({ caller, ending }) =>
-            caller.outcomes.map(outcome => ({ outcome: outcome, killed: ending === "killed" }))
+        return this.#incarnations.flatMap(({ caller, ending }) =>
+            caller.outcomes.map(outcome => ({ outcome, killed: ending === "killed" }))
         );
     }
 
     get histories(): readonly MemoryHistoryRecorder[] {
-        return this.#lives.map(({ history }) => history);
+        return this.#incarnations.map(({ history }) => history);
     }
 
     /** @returns its metrics as text; empty if it doesn't respond */
     async readMetrics(): Promise<string> {
         try {
             const res = await request(`http://127.0.0.1:${this.#ports.metrics}/metrics`, {
-                signal: AbortSignal.timeout(askTimeoutMs),
+                signal: AbortSignal.timeout(httpTimeoutMs),
             });
             return await res.body.text();
         }
@@ -118,87 +123,89 @@
 
     /** Stops it in a planned manner, and starts the next incarnation `downMs` later. */
     async restart(downMs: number): Promise<void> {
-        const life = this.#lives.at(-1);
-        if (life === undefined || life.process.exitStatus !== undefined || life.ending !== "no") {
+        const incarnation = this.#incarnations.at(-1);
+        if (incarnation === undefined || incarnation.process.exitStatus !== undefined || incarnation.ending !== "no") {
             return;
         }
-        life.ending = "asked";
-        const endHarm = this.faultWindows.begin(monotonicNow());
+        incarnation.ending = "asked";
+        const endFault = this.faultWindows.begin(monotonicNow());
         const beganAtMs = monotonicNow();
-        const exit = await life.process.stop(stopGraceMs + killSlackMs);
+        const exit = await incarnation.process.stop(stopGraceMs + killGraceMs);
         const tookMs = Math.round(monotonicNow() - beganAtMs);
         // Another fault may have killed the process in the meantime.
-        if (this.#wasAsked(life) && (exit.code !== 0 || tookMs > stopGraceMs)) {
+        if (this.#isPlannedStop(incarnation) && (exit.code !== 0 || tookMs > stopGraceMs)) {
             this.findings.push(`${this.name}: planned stop ended with ${JSON.stringify(exit)} after ${tookMs} ms`);
         }
-        await this.#liveAgain(life, downMs);
-        endHarm(monotonicNow());
+        await this.#startNextIncarnation(incarnation, downMs);
+        endFault(monotonicNow());
     }
 
     /** Kills it, and starts the next incarnation `downMs` later. */
     async kill(downMs: number): Promise<void> {
-        const life = this.#lives.at(-1);
-        if (life === undefined || life.process.exitStatus !== undefined || life.ending === "killed") {
+        const incarnation = this.#incarnations.at(-1);
+        if (
+            incarnation === undefined || incarnation.process.exitStatus !== undefined || incarnation.ending === "killed"
+        ) {
             return;
         }
-        const isStopping = life.ending === "asked";
-        life.ending = "killed";
-        const endHarm = this.faultWindows.begin(monotonicNow());
-        life.process.kill();
-        await life.process.exited;
+        const isStopping = incarnation.ending === "asked";
+        incarnation.ending = "killed";
+        const endFault = this.faultWindows.begin(monotonicNow());
+        incarnation.process.kill();
+        await incarnation.process.exited;
         if (!isStopping) {
-            await this.#liveAgain(life, downMs);
+            await this.#startNextIncarnation(incarnation, downMs);
         }
-        endHarm(monotonicNow());
+        endFault(monotonicNow());
     }
 
-    /** Pauses the process for `forMs`. */
-    async pause(forMs: number): Promise<void> {
-        const process = this.#lives.at(-1)?.process;
-        const endHarm = this.faultWindows.begin(monotonicNow());
+    /** Pauses the process for some milliseconds. */
+    async pause(durationMs: number): Promise<void> {
+        const process = this.#incarnations.at(-1)?.process;
+        const endFault = this.faultWindows.begin(monotonicNow());
         process?.pause();
-        await sleep(forMs);
+        await sleep(durationMs);
         process?.resume();
-        endHarm(monotonicNow());
+        endFault(monotonicNow());
     }
 
     /** Sends SIGHUP to the process. */
     sendSighup(): void {
-        this.#lives.at(-1)?.process.hangUp();
+        this.#incarnations.at(-1)?.process.hangUp();
     }
 
     /** Kills it for good, without waiting for its end. */
     abort(): void {
         this.#ended = true;
-        const life = this.#lives.at(-1);
-        if (life !== undefined) {
-            life.ending = "killed";
-            life.process.kill();
+        const incarnation = this.#incarnations.at(-1);
+        if (incarnation !== undefined) {
+            incarnation.ending = "killed";
+            incarnation.process.kill();
         }
     }
 
     /** Kills it for good, and closes its callers and its proxy. */
     async close(): Promise<void> {
         this.abort();
-        await this.#lives.at(-1)?.process.exited;
-        for (const { caller } of this.#lives) {
+        await this.#incarnations.at(-1)?.process.exited;
+        for (const { caller } of this.#incarnations) {
             await caller.close();
         }
         this.storeProxy.close();
     }
 
-    #wasAsked(life: Life): boolean {
-        return life.ending === "asked";
+    #isPlannedStop(incarnation: Incarnation): boolean {
+        return incarnation.ending === "asked";
     }
 
-    async #liveAgain(life: Life, downMs: number): Promise<void> {
+    async #startNextIncarnation(incarnation: Incarnation, downMs: number): Promise<void> {
         await sleep(downMs);
-        if (!this.#ended && this.#lives.at(-1) === life) {
-            await this.#live();
+        if (!this.#ended && this.#incarnations.at(-1) === incarnation) {
+            await this.#startIncarnation();
         }
     }
 
-    async #live(): Promise<void> {
+    async #startIncarnation(): Promise<void> {
         const { script, args, env, nodeFlags } = this.#system.resolveEdgeProgram(this.#settingsPath);
         const process = await startProcess({
             name: this.name,
@@ -209,32 +216,32 @@
             logPath: this.#logPath,
             parseReadyUrl: line => line.includes("\"started\"") ? `http://127.0.0.1:${this.#ports.callers}` : undefined,
         });
-        const history = new MemoryHistoryRecorder(`${this.name}/${this.#lives.length + 1}`);
-        const life: Life = {
+        const history = new MemoryHistoryRecorder(`${this.name}/${this.#incarnations.length + 1}`);
+        const incarnation: Incarnation = {
             process,
             history,
             caller: new SoakCaller(this.name, process.url, this.#system, history, this.#random),
             ending: "no",
         };
-        this.#lives.push(life);
+        this.#incarnations.push(incarnation);
         void process.exited.then(exit => {
-            if (life.ending === "no") {
+            if (incarnation.ending === "no") {
                 this.findings.push(`${this.name} exited unexpectedly with ${JSON.stringify(exit)}`);
             }
         });
     }
 
-    async #askForReadiness(): Promise<void> {
+    async #probeReadiness(): Promise<void> {
         while (!this.#ended) {
-            this.#misses = await this.#isReady() ? 0 : this.#misses + 1;
-            await sleep(readinessMs);
+            this.#failedProbes = await this.#isReady() ? 0 : this.#failedProbes + 1;
+            await sleep(readinessPeriodMs);
         }
     }
 
     async #isReady(): Promise<boolean> {
         try {
             const url = `http://127.0.0.1:${this.#ports.readiness}${this.#system.readinessPath}`;
-            const res = await request(url, { signal: AbortSignal.timeout(askTimeoutMs) });
+            const res = await request(url, { signal: AbortSignal.timeout(httpTimeoutMs) });
             await res.body.dump();
             return res.statusCode === 200;
         }
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -31,13 +31,13 @@
 import { type SoakWorkspace } from "./workspacePlan.js";
 
 /** How long the store keeps the entry of a process that has crashed, in milliseconds. */
-const lostEntryMs = 1_500;
+const entryExpiryMs = 1_500;
 /** How long a drained server continues to serve after its entry is deleted, in milliseconds. */
-const drainedStaysMs = 600;
+const drainedLingerMs = 600;
 /** Time between the removal of a crashed server's entry and the start of its replacement, in milliseconds. */
-const crashedDownMs = 500;
+const crashRestartDelayMs = 500;
 /** How often a fault checks for a live server to affect, in milliseconds. */
-const liveCheckMs = 50;
+const liveCheckPeriodMs = 50;
 const slowdown = 5;
 const storeSlowMs = 400;
 const firstVersion = 2;
@@ -61,17 +61,17 @@
     readonly #dir: string;
     readonly #random: RandomSource;
     readonly #store: SoakStore;
-    readonly #cuts = new ActivePartitions();
-    readonly #live: SoakBackend[] = [];
-    readonly #leaving = new Set<SoakBackend>();
+    readonly #partitions = new ActivePartitions();
+    readonly #liveBackends: SoakBackend[] = [];
+    readonly #leavingBackends = new Set<SoakBackend>();
     readonly #zonesOut = new Set<string>();
     #version = firstVersion;
     #workspaces: readonly SoakWorkspace[] | undefined;
     #acceptedWorkspaces: readonly SoakWorkspace[] = [];
-    #written: Promise<void> = Promise.resolve();
-    #started = 0;
+    #lastWrite: Promise<void> = Promise.resolve();
+    #startedServerCount = 0;
     #closed = false;
-    #mood: CallerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
+    #callerBehavior: CallerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
 
     private constructor(system: SoakSystem, dir: string, random: RandomSource, store: SoakStore) {
         this.#system = system;
@@ -91,17 +91,17 @@
         seed: number,
         workspaces: readonly SoakWorkspace[] | undefined,
     ): Promise<SoakFleet> {
-        const world = new SoakFleet(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
-        world.#workspaces = workspaces;
+        const fleet = new SoakFleet(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
+        fleet.#workspaces = workspaces;
         try {
-            await world.#startAll(seed);
+            await fleet.#startAll(seed);
         }
         catch (err) {
             // If a process fails to start, for instance because its port has been taken, none may be left running.
-            world.abort();
+            fleet.abort();
             throw err;
         }
-        return world;
+        return fleet;
     }
 
     async #startAll(seed: number): Promise<void> {
@@ -132,53 +132,53 @@
     }
 
     get callerBehavior(): CallerBehavior {
-        return this.#mood;
+        return this.#callerBehavior;
     }
 
     /** Injects a fault, and resolves when it has ended. */
     async injectFault(fault: Fault): Promise<void> {
         const { kind, durationMs } = fault;
-        await this.#whenServersLive();
+        await this.#waitForLiveServer();
         const edge = pick(this.edges, fault.target);
-        const backend = pick(this.#live, fault.target);
+        const backend = pick(this.#liveBackends, fault.target);
         switch (kind) {
             case "edgeTerm":
-                return this.#harm(() => edge.restart(durationMs));
+                return this.#recordFault(() => edge.restart(durationMs));
             case "edgeKill":
-                return this.#harm(() => edge.kill(durationMs));
+                return this.#recordFault(() => edge.kill(durationMs));
             case "edgePause":
-                return this.#harm(() => edge.pause(durationMs));
+                return this.#recordFault(() => edge.pause(durationMs));
             case "edgeHup":
                 edge.sendSighup();
                 return;
             case "allEdgesKill":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     await Promise.all(this.edges.map(each => each.kill(durationMs)));
                 });
             case "storeLink":
-                return this.#harm(() => injectLinkFault(edge.storeProxy, fault));
+                return this.#recordFault(() => injectLinkFault(edge.storeProxy, fault));
             case "storeRefuse":
-                return this.#harmStore({ refuses: true }, durationMs);
+                return this.#injectStoreFaults({ refuses: true }, durationMs);
             case "storeHang":
-                return this.#harmStore({ hangs: true }, durationMs);
+                return this.#injectStoreFaults({ hangs: true }, durationMs);
             case "storeSlow":
-                return this.#harmStore({ slowMs: storeSlowMs }, durationMs);
+                return this.#injectStoreFaults({ slowMs: storeSlowMs }, durationMs);
             case "storeLoseAnswers":
-                return this.#harmStore({ losesAnswers: true }, durationMs);
+                return this.#injectStoreFaults({ losesAnswers: true }, durationMs);
             case "storeCompact":
-                return this.#harm(() => this.#store.execute({ compact: true }));
+                return this.#recordFault(() => this.#store.execute({ compact: true }));
             case "storePause":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     this.#store.pause();
                     await sleep(durationMs);
                     this.#store.resume();
                 });
             case "serverLink":
-                return this.#harm(() => injectLinkFault(backend.proxy, fault));
+                return this.#recordFault(() => injectLinkFault(backend.proxy, fault));
             case "serverKill":
                 return this.#replaceKilled(backend, durationMs);
             case "serverPause":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     backend.pause();
                     await sleep(durationMs);
                     backend.resume();
@@ -200,48 +200,48 @@
             case "zoneOut":
                 return this.#takeZoneOut(zoneAt(fault.target), durationMs);
             case "burst":
-                return this.#changeMood({ loadFactor: 5 }, durationMs);
+                return this.#changeCallerBehavior({ loadFactor: 5 }, durationMs);
             case "hangUp":
-                return this.#changeMood({ earlyDisconnectShare: 0.4 }, durationMs);
+                return this.#changeCallerBehavior({ earlyDisconnectShare: 0.4 }, durationMs);
         }
     }
 
-    /** Partitions gateways from all backend servers for `forMs`. */
-    partition(edges: readonly SoakEdge[], link: LinkFault, forMs: number): Promise<void> {
-        return this.#harm(async () => {
-            const end = this.#cuts.begin(edges, this.backends, link);
-            await sleep(forMs);
+    /** Partitions gateways from all backend servers for some milliseconds. */
+    partition(edges: readonly SoakEdge[], linkFault: LinkFault, durationMs: number): Promise<void> {
+        return this.#recordFault(async () => {
+            const end = this.#partitions.begin(edges, this.backends, linkFault);
+            await sleep(durationMs);
             end(this.backends);
         });
     }
 
     /** Makes the store unavailable, then restores it from an older snapshot. */
     restoreStore({ outageKind, outageMs, snapshotAgeMs }: PlannedStoreRestore): Promise<void> {
-        return this.#harm(async () => {
+        return this.#recordFault(async () => {
             const end = await this.#store.injectFaults({ [outageKind]: true });
             await sleep(outageMs);
             await this.#store.execute({ restoreMs: snapshotAgeMs });
             await end();
-            // Only then have operators and servers repeated their lost writes.
+            // Until then, lost writes of operators and servers may be missing.
             await sleep(maxRewriteDelayMs);
         });
     }
 
     /** @returns a server that hasn't begun to leave, once there is one */
     async pickLiveBackend(target: number): Promise<SoakBackend> {
-        await this.#whenServersLive();
-        return pick(this.#live, target);
+        await this.#waitForLiveServer();
+        return pick(this.#liveBackends, target);
     }
 
     /** @returns the servers of a service and version that haven't begun to leave */
     findLiveBackends(service: string, version: string): readonly SoakBackend[] {
-        return this.#live.filter(({ info }) => info.service === service && info.version === version);
+        return this.#liveBackends.filter(({ info }) => info.service === service && info.version === version);
     }
 
     /** Waits for a live server. Faults may end all servers at once; replacements start within seconds. */
-    async #whenServersLive(): Promise<void> {
-        while (this.#live.length === 0 && !this.#closed) {
-            await sleep(liveCheckMs);
+    async #waitForLiveServer(): Promise<void> {
+        while (this.#liveBackends.length === 0 && !this.#closed) {
+            await sleep(liveCheckPeriodMs);
         }
     }
 
@@ -260,7 +260,7 @@
         await Promise.all(
             backends.filter(backend => this.#beginLeaving(backend)).map(async backend => {
                 await backend.kill();
-                await sleep(lostEntryMs);
+                await sleep(entryExpiryMs);
                 await this.#deleteEntry(backend);
             }),
         );
@@ -281,16 +281,16 @@
         await this.#store.close();
     }
 
-    async #harm(run: () => Promise<void>): Promise<void> {
+    async #recordFault(run: () => Promise<void>): Promise<void> {
         const end = this.faultWindows.begin(monotonicNow());
         await run();
         end(monotonicNow());
     }
 
-    #harmStore(trouble: Partial<StoreFaults>, forMs: number): Promise<void> {
-        return this.#harm(async () => {
-            const end = await this.#store.injectFaults(trouble);
-            await sleep(forMs);
+    #injectStoreFaults(faults: Partial<StoreFaults>, durationMs: number): Promise<void> {
+        return this.#recordFault(async () => {
+            const end = await this.#store.injectFaults(faults);
+            await sleep(durationMs);
             await end();
         });
     }
@@ -304,15 +304,15 @@
         availabilityZone: string,
         cold: boolean,
         version = initialServerVersion,
-        trouble: Partial<ServerFaults> = {},
+        faults: Partial<ServerFaults> = {},
     ): Promise<SoakBackend> {
-        const number = ++this.#started;
-        const place = { id: `server-${number}`, service, availabilityZone, version };
-        const backend = await SoakBackend.start(place, this.#system, this.#dir, number);
+        const number = ++this.#startedServerCount;
+        const info = { id: `server-${number}`, service, availabilityZone, version };
+        const backend = await SoakBackend.start(info, this.#system, this.#dir, number);
         this.backends.push(backend);
-        this.#cuts.onBackendStarted(backend);
+        this.#partitions.onBackendStarted(backend);
         void backend.exited.then(() => this.#onExited(backend));
-        await backend.injectFaults(trouble);
+        await backend.injectFaults(faults);
         if (version === initialServerVersion) {
             await this.register(backend, cold);
         }
@@ -324,7 +324,7 @@
         this.history.record({ type: "serverExited", server: backend.info.id });
         try {
             if (!this.#closed) {
-                await this.#replaceKilled(backend, crashedDownMs);
+                await this.#replaceKilled(backend, crashRestartDelayMs);
             }
         }
         catch (err) {
@@ -337,7 +337,7 @@
 
     /** Writes a server's entry to the store, cold or warm. */
     async register(backend: SoakBackend, cold: boolean): Promise<void> {
-        this.#live.push(backend);
+        this.#liveBackends.push(backend);
         const coldForMs = cold ? coldDurationMs : 0;
         await backend.setCold(coldForMs);
         await this.#store.execute({
@@ -356,14 +356,14 @@
             return;
         }
         await backend.kill();
-        await sleep(lostEntryMs);
+        await sleep(entryExpiryMs);
         await this.#deleteEntry(backend);
         await sleep(downMs);
         await this.#replace(backend);
     }
 
     /** Starts a replacement, then drains the server: it announces that it is leaving, continues to serve, and ends. */
-    async #replaceDrained(backend: SoakBackend, staysMs: number): Promise<void> {
+    async #replaceDrained(backend: SoakBackend, lingerMs: number): Promise<void> {
         if (!this.#beginLeaving(backend)) {
             return;
         }
@@ -371,14 +371,14 @@
         await this.#store.execute({ puts: [this.#system.renderServer(backend.createRegistration("draining", 0))] });
         this.history.record({ type: "drainAccepted", server: backend.info.id });
         await backend.injectFaults({ leaves: true });
-        await sleep(applyMs + staysMs);
+        await sleep(applyMs + lingerMs);
         await this.#deleteEntry(backend);
-        await sleep(drainedStaysMs);
+        await sleep(drainedLingerMs);
         await backend.kill();
     }
 
     async #replace({ info: { service, availabilityZone, version } }: SoakBackend): Promise<void> {
-        // The servers of a version that is rolled out are fixed in its order, so that they aren't replaced.
+        // The history lists the servers of a version that is rolled out at its order, so that none may be added later.
         if (version === initialServerVersion) {
             await this.startBackend(service, availabilityZone, true);
         }
@@ -386,11 +386,11 @@
 
     /** @returns whether this is the first call for the server */
     #beginLeaving(backend: SoakBackend): boolean {
-        if (this.#leaving.has(backend)) {
+        if (this.#leavingBackends.has(backend)) {
             return false;
         }
-        this.#leaving.add(backend);
-        this.#live.splice(this.#live.indexOf(backend), 1);
+        this.#leavingBackends.add(backend);
+        this.#liveBackends.splice(this.#liveBackends.indexOf(backend), 1);
         return true;
     }
 
@@ -408,7 +408,7 @@
 
     /** Writes versions one at a time: of two concurrent writes, the store could keep the older version. */
     #writeVersion(): Promise<void> {
-        const [revision, workspaces, before] = [this.#version, this.#workspaces, this.#written];
+        const [revision, workspaces, before] = [this.#version, this.#workspaces, this.#lastWrite];
         const write = async (): Promise<void> => {
             await before;
             const entry = this.#system.renderConfiguration(createSoakConfiguration(revision, workspaces));
@@ -422,11 +422,11 @@
             this.history.record({ type: "configurationAccepted", revision, changeId: "" });
             this.#acceptedWorkspaces = workspaces ?? [];
         };
-        this.#written = write();
-        return this.#written;
+        this.#lastWrite = write();
+        return this.#lastWrite;
     }
 
-    async #takeZoneOut(availabilityZone: string, forMs: number): Promise<void> {
+    async #takeZoneOut(availabilityZone: string, durationMs: number): Promise<void> {
         // With a second zone out, too few servers would remain to distinguish valid rejections from failures.
         if (this.#zonesOut.size > 0) {
             return;
@@ -435,23 +435,23 @@
         const key = this.#system.zoneOutKey(availabilityZone);
         await this.#store.execute({ puts: [{ key, value: "{}" }] });
         this.history.record({ type: "zoneOutAccepted", availabilityZone });
-        await sleep(forMs);
+        await sleep(durationMs);
         this.history.record({ type: "zoneInRequested", availabilityZone });
         await this.#store.execute({ deletes: [key] });
         this.#zonesOut.delete(availabilityZone);
     }
 
-    async #changeMood(mood: Partial<CallerBehavior>, forMs: number): Promise<void> {
-        this.#mood = { ...this.#mood, ...mood };
-        await sleep(forMs);
-        this.#mood = { loadFactor: 1, earlyDisconnectShare: 0 };
+    async #changeCallerBehavior(behavior: Partial<CallerBehavior>, durationMs: number): Promise<void> {
+        this.#callerBehavior = { ...this.#callerBehavior, ...behavior };
+        await sleep(durationMs);
+        this.#callerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
     }
 }
 
-function pick<T>(things: readonly T[], number: number): T {
-    const thing = things[number % things.length];
-    if (thing === undefined) {
+function pick<T>(items: readonly T[], number: number): T {
+    const item = items[number % items.length];
+    if (item === undefined) {
         throw new Error("can't pick from an empty list");
     }
-    return thing;
+    return item;
 }
--- a/packages/soak/src/soakPartitions.ts
+++ b/packages/soak/src/soakPartitions.ts
@@ -5,19 +5,19 @@
 import { type SoakEdge } from "./soakEdge.js";
 import { type SoakFleet } from "./soakFleet.js";
 
-interface ActiveCut {
-    readonly link: LinkFault;
+interface ActivePartition {
+    readonly linkFault: LinkFault;
     /** IP address from which a gateway connects to servers. */
-    readonly from: string;
+    readonly sourceAddress: string;
 }
 
 /** The active partitions between gateways and all backend servers, including servers that start in the meantime. */
 export class ActivePartitions {
-    readonly #cuts = new Set<ActiveCut>();
+    readonly #partitions = new Set<ActivePartition>();
 
     /** Applies the active partitions to a server that has just started. */
     onBackendStarted({ proxy }: SoakBackend): void {
-        for (const { link, from } of this.#cuts) {
+        for (const { linkFault: link, sourceAddress: from } of this.#partitions) {
             proxy.begin(link, from);
         }
     }
@@ -30,34 +30,39 @@
     begin(
         edges: readonly SoakEdge[],
         backends: readonly SoakBackend[],
-        link: LinkFault,
+        linkFault: LinkFault,
     ): (now: readonly SoakBackend[]) => void {
-        const cuts = edges.map(({ sourceAddress }): ActiveCut => ({ link, from: sourceAddress }));
-        for (const cut of cuts) {
-            this.#cuts.add(cut);
-            backends.forEach(({ proxy }) => proxy.begin(link, cut.from));
+        const partitions = edges.map(({ sourceAddress }): ActivePartition => ({
+            linkFault,
+            sourceAddress,
+        }));
+        for (const cut of partitions) {
+            this.#partitions.add(cut);
+            backends.forEach(({ proxy }) => proxy.begin(linkFault, cut.sourceAddress));
         }
         return now => {
-            for (const cut of cuts) {
-                this.#cuts.delete(cut);
-                now.forEach(({ proxy }) => proxy.end(link, cut.from));
+            for (const cut of partitions) {
+                this.#partitions.delete(cut);
+                now.forEach(({ proxy }) => proxy.end(linkFault, cut.sourceAddress));
             }
         };
     }
 }
 
 /** Applies the planned partitions of a run. */
-export async function partitionGateways(world: SoakFleet, cuts: readonly PlannedPartition[]): Promise<void> {
-    await Promise.all(cuts.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
-        await sleep(atMs);
-        const count = Math.min(additionalGateways + 1, world.edges.length);
-        const edges = Array.from({ length: count }, (_, i) => world.edges[(target + i) % world.edges.length])
-            .filter(edge => edge !== undefined);
-        for (let leftMs = durationMs; leftMs > 0;) {
-            const downMs = Math.min(leftMs, flapPeriodMs ?? leftMs);
-            await world.partition(edges, linkFault, downMs);
-            await sleep(Math.min(leftMs - downMs, flapPeriodMs ?? 0));
-            leftMs -= 2 * downMs;
-        }
-    }));
+export async function partitionGateways(fleet: SoakFleet, partitions: readonly PlannedPartition[]): Promise<void> {
+    await Promise.all(
+        partitions.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
+            await sleep(atMs);
+            const count = Math.min(additionalGateways + 1, fleet.edges.length);
+            const edges = Array.from({ length: count }, (_, i) => fleet.edges[(target + i) % fleet.edges.length])
+                .filter(edge => edge !== undefined);
+            for (let leftMs = durationMs; leftMs > 0;) {
+                const downMs = Math.min(leftMs, flapPeriodMs ?? leftMs);
+                await fleet.partition(edges, linkFault, downMs);
+                await sleep(Math.min(leftMs - downMs, flapPeriodMs ?? 0));
+                leftMs -= 2 * downMs;
+            }
+        }),
+    );
 }
--- a/packages/soak/src/soakRollout.ts
+++ b/packages/soak/src/soakRollout.ts
@@ -18,44 +18,44 @@
  * Orders a roll-out as the operator does, waits for its end, and removes the servers that are no longer needed: those
  * of the old version immediately after it completed, those of the new version some seconds after it was rolled back.
  *
- * @param world - the processes of the run
+ * @param fleet - the processes of the run
  * @param system - encodes the order
  * @param rollout - the planned roll-out
  * @returns violations, one line each; empty if it ended in time
  */
 export async function runRollout(
-    world: SoakFleet,
+    fleet: SoakFleet,
     system: SoakSystem,
     { service, isBad }: PlannedRollout,
 ): Promise<readonly string[]> {
-    const fresh = await Promise.all(Array.from(
+    const newServers = await Promise.all(Array.from(
         { length: rolloutServerCount },
-        (_, i) => world.startBackend(service, zoneAt(i), true, rolloutServerVersion, { fails: isBad }),
+        (_, i) => fleet.startBackend(service, zoneAt(i), true, rolloutServerVersion, { fails: isBad }),
     ));
-    const servers = fresh.map(({ info }) => info.id);
-    await world.writeAsOperator(
+    const servers = newServers.map(({ info }) => info.id);
+    await fleet.writeAsOperator(
         system.renderRollout({ service, version: rolloutServerVersion, allowedMs: rolloutTimeoutMs }),
     );
-    world.history.record({ type: "rolloutOrdered", service, version: rolloutServerVersion, servers, isBad });
-    await Promise.all(fresh.map(backend => world.register(backend, true)));
-    const stage = await awaitEnd(world, service);
+    fleet.history.record({ type: "rolloutOrdered", service, version: rolloutServerVersion, servers, isBad });
+    await Promise.all(newServers.map(backend => fleet.register(backend, true)));
+    const stage = await waitForFinalStage(fleet, service);
     if (stage === undefined) {
         return [`rollout: the roll-out of ${service} did not end in time`];
     }
-    world.history.record({ type: "rolloutEnded", service, version: rolloutServerVersion, stage });
+    fleet.history.record({ type: "rolloutEnded", service, version: rolloutServerVersion, stage });
     if (stage === "rolledBack") {
         await sleep(rollbackGraceMs);
     }
     const ended = stage === "completed" ? initialServerVersion : rolloutServerVersion;
-    await world.killBackends(world.findLiveBackends(service, ended));
+    await fleet.killBackends(fleet.findLiveBackends(service, ended));
     return [];
 }
 
 /** @returns the final stage, or `undefined` if there is none when the time limit and some tolerance are over */
-async function awaitEnd(world: SoakFleet, service: string): Promise<"completed" | "rolledBack" | undefined> {
+async function waitForFinalStage(fleet: SoakFleet, service: string): Promise<"completed" | "rolledBack" | undefined> {
     const untilMs = monotonicNow() + rolloutTimeoutMs + convergenceMs;
     while (monotonicNow() < untilMs) {
-        const stage = await world.readRolloutStage(service);
+        const stage = await fleet.readRolloutStage(service);
         if (stage === "completed" || stage === "rolledBack") {
             return stage;
         }
--- a/packages/soak/src/soakServer.ts
+++ b/packages/soak/src/soakServer.ts
@@ -10,38 +10,38 @@
 import { secretPrefix } from "./workspacePlan.js";
 
 /** Share of the requests that a failing server fails and a shedding one rejects, and that a corrupting one corrupts. */
-const troubleShare = 0.5;
-const spoilShare = 0.2;
+const faultShare = 0.5;
+const corruptionShare = 0.2;
 /** Factor of the processing time while a server is cold. */
 const coldSlowdown = 2;
 /** How long a server runs a query of death before it crashes, in milliseconds. */
-const crashMs = 15;
+const crashDelayMs = 15;
 /** Delay of a duplicate response after the original one, in milliseconds. */
-const extraAnswerMs = 30;
+const duplicateDelayMs = 30;
 
 /** How a response is corrupted. */
-const spoilings = ["lost", "cut", "doubled", "unsigned"] as const;
-type Spoiling = typeof spoilings[number];
+const corruptions = ["lost", "cut", "doubled", "unsigned"] as const;
+type Corruption = typeof corruptions[number];
 
 /**
  * A fake backend server with slots, a short queue, load reports and cold starts. Injects faults on command and records
  * its requests.
  */
 export class SoakServer {
-    readonly #order: SoakServerOptions;
-    readonly #names: ServerCodec;
+    readonly #options: SoakServerOptions;
+    readonly #codec: ServerCodec;
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
     readonly #queue: (() => void)[] = [];
-    #trouble: ServerFaults = noServerFaults;
+    #faults: ServerFaults = noServerFaults;
     #coldUntilMs = -Infinity;
     #running = 0;
 
-    constructor(order: SoakServerOptions, names: ServerCodec, history: HistoryRecorder) {
-        this.#order = order;
-        this.#names = names;
+    constructor(options: SoakServerOptions, codec: ServerCodec, history: HistoryRecorder) {
+        this.#options = options;
+        this.#codec = codec;
         this.#history = history;
-        this.#random = createRandomSource(order.seed);
+        this.#random = createRandomSource(options.seed);
     }
 
     /** @returns an HTTP server that isn't listening yet */
@@ -52,39 +52,39 @@
     async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const body = await text(req);
         if (req.url === "/control") {
-            this.#setTrouble({ ...noServerFaults, ...JSON.parse(body) as ServerFaults });
-            this.#coldUntilMs = Math.max(this.#coldUntilMs, performance.now() + this.#trouble.coldMs);
+            this.#setFaults({ ...noServerFaults, ...JSON.parse(body) as ServerFaults });
+            this.#coldUntilMs = Math.max(this.#coldUntilMs, performance.now() + this.#faults.coldMs);
             res.end();
             return;
         }
-        if (req.url === this.#names.healthPath) {
-            this.#history.record({ type: "serverProbed", server: this.#order.id, gateway: "" });
-            const headers = { ...this.#names.renderState(this.#state()), ...this.#renderLeaving() };
-            res.writeHead(this.#trouble.leaves ? 503 : 200, headers).end();
+        if (req.url === this.#codec.healthPath) {
+            this.#history.record({ type: "serverProbed", server: this.#options.id, gateway: "" });
+            const headers = { ...this.#codec.renderState(this.#state()), ...this.#renderLeaving() };
+            res.writeHead(this.#faults.leaves ? 503 : 200, headers).end();
             return;
         }
         await this.#serve(req, res);
     }
 
     async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const request = this.#names.readRequest(req.headers);
+        const request = this.#codec.readRequest(req.headers);
         const { requestId, expectedServer } = request;
         const url = req.url ?? "";
         // Detects keys under any header name by their prefix.
         const keyPassedOn = request.hasKey || JSON.stringify([url, req.rawHeaders]).includes(secretPrefix);
-        if (expectedServer !== undefined && expectedServer !== this.#order.id) {
-            res.writeHead(421, this.#names.renderState(this.#state())).end();
+        if (expectedServer !== undefined && expectedServer !== this.#options.id) {
+            res.writeHead(421, this.#codec.renderState(this.#state())).end();
             return;
         }
-        const sheds = this.#trouble.restSeconds !== undefined
-            || (this.#trouble.sheds && this.#random.next() < troubleShare);
-        if (sheds || this.#queue.length >= maxServerQueue || !await this.#getSlot(res, request.remainingMs)) {
-            this.#turnAway(requestId, keyPassedOn, res);
+        const rejects = this.#faults.restSeconds !== undefined
+            || (this.#faults.sheds && this.#random.next() < faultShare);
+        if (rejects || this.#queue.length >= maxServerQueue || !await this.#acquireSlot(res, request.remainingMs)) {
+            this.#reject(requestId, keyPassedOn, res);
             return;
         }
         this.#recordStart(request, keyPassedOn);
         if (url.includes(queryOfDeathMarker)) {
-            setTimeout(() => this.#crash(requestId), crashMs);
+            setTimeout(() => this.#crash(requestId), crashDelayMs);
         }
         const done = await this.#work(res, request.remainingMs);
         this.#running--;
@@ -92,21 +92,21 @@
         this.#history.record({
             type: "serverEnded",
             requestId,
-            server: this.#order.id,
-            incarnation: this.#order.id,
+            server: this.#options.id,
+            incarnation: this.#options.id,
         });
         if (done) {
-            this.#answer(requestId, parseResponseBytes(url), res);
+            this.#respond(requestId, parseResponseBytes(url), res);
         }
     }
 
     #crash(requestId: string): void {
-        this.#history.record({ type: "serverCrashed", requestId, server: this.#order.id });
+        this.#history.record({ type: "serverCrashed", requestId, server: this.#options.id });
         process.exit(1);
     }
 
     /** @returns whether a slot became available before the deadline and before the gateway disconnected */
-    async #getSlot(res: ServerResponse, remainingMs: number): Promise<boolean> {
+    async #acquireSlot(res: ServerResponse, remainingMs: number): Promise<boolean> {
         if (this.#running < serverSlots) {
             this.#running++;
             return true;
@@ -134,7 +134,7 @@
     /** @returns whether the work finished before the deadline, with the gateway still connected */
     #work(res: ServerResponse, remainingMs: number): Promise<boolean> {
         const cold = this.#isCold() ? coldSlowdown : 1;
-        const tookMs = typicalWorkMs * (0.5 + this.#random.next()) * this.#trouble.slowdown * cold;
+        const tookMs = typicalWorkMs * (0.5 + this.#random.next()) * this.#faults.slowdown * cold;
         return new Promise(resolve => {
             const timer = setTimeout(
                 () => resolve(!res.destroyed && tookMs <= remainingMs),
@@ -147,63 +147,63 @@
         });
     }
 
-    #answer(requestId: string, paddingBytes: number, res: ServerResponse): void {
-        const body = JSON.stringify({ requestId, server: this.#order.id, padding: "x".repeat(paddingBytes) });
-        if (this.#trouble.fails && this.#random.next() < troubleShare) {
-            res.writeHead(500, { ...this.#names.renderDidRun(requestId, true), ...this.#renderNotices() }).end(
+    #respond(requestId: string, paddingBytes: number, res: ServerResponse): void {
+        const body = JSON.stringify({ requestId, server: this.#options.id, padding: "x".repeat(paddingBytes) });
+        if (this.#faults.fails && this.#random.next() < faultShare) {
+            res.writeHead(500, { ...this.#codec.renderDidRun(requestId, true), ...this.#renderMetadata() }).end(
                 "failed",
             );
             return;
         }
-        const spoiling = this.#drawSpoiling();
-        if (spoiling !== undefined) {
-            this.#history.record({ type: "serverSpoilt", requestId, server: this.#order.id });
+        const corruption = this.#drawCorruption();
+        if (corruption !== undefined) {
+            this.#history.record({ type: "serverSpoilt", requestId, server: this.#options.id });
         }
-        if (spoiling === "lost") {
+        if (corruption === "lost") {
             res.socket?.destroy();
             return;
         }
         const headers = {
-            ...this.#names.renderDidRun(requestId, spoiling !== "unsigned"),
-            ...this.#renderNotices(),
+            ...this.#codec.renderDidRun(requestId, corruption !== "unsigned"),
+            ...this.#renderMetadata(),
             "content-length": body.length,
         };
         res.writeHead(200, headers);
-        if (spoiling === "cut") {
+        if (corruption === "cut") {
             const { socket } = res;
             res.write(body.slice(0, body.length / 2), () => socket?.destroy());
             return;
         }
         const { socket } = res;
         res.end(body);
-        if (spoiling === "doubled") {
+        if (corruption === "doubled") {
             const names = Object.entries(headers).map(([name, value]) => `${name}: ${value}`);
             const extra = ["HTTP/1.1 200 OK", ...names, "", body].join("\r\n");
-            setTimeout(() => socket?.write(extra), extraAnswerMs);
+            setTimeout(() => socket?.write(extra), duplicateDelayMs);
         }
     }
 
-    #drawSpoiling(): Spoiling | undefined {
-        if (!this.#trouble.spoils || this.#random.next() >= spoilShare) {
+    #drawCorruption(): Corruption | undefined {
+        if (!this.#faults.spoils || this.#random.next() >= corruptionShare) {
             return undefined;
         }
-        return spoilings[this.#random.nextInt(spoilings.length)];
+        return corruptions[this.#random.nextInt(corruptions.length)];
     }
 
-    #turnAway(requestId: string, keyPassedOn: boolean, res: ServerResponse): void {
-        const { restSeconds } = this.#trouble;
+    #reject(requestId: string, keyPassedOn: boolean, res: ServerResponse): void {
+        const { restSeconds } = this.#faults;
         this.#history.record({
             type: "serverTurnedAway",
             requestId,
-            server: this.#order.id,
-            availabilityZone: this.#order.availabilityZone,
+            server: this.#options.id,
+            availabilityZone: this.#options.availabilityZone,
             cold: this.#isCold(),
             restMs: restSeconds === undefined ? undefined : restSeconds * 1_000,
             keyPassedOn,
         });
         if (!res.destroyed) {
-            const rest = restSeconds === undefined ? {} : this.#names.renderBackoff(restSeconds);
-            res.writeHead(503, { ...this.#names.renderDidNotRun(requestId), ...rest, ...this.#renderNotices() }).end();
+            const rest = restSeconds === undefined ? {} : this.#codec.renderBackoff(restSeconds);
+            res.writeHead(503, { ...this.#codec.renderDidNotRun(requestId), ...rest, ...this.#renderMetadata() }).end();
         }
     }
 
@@ -211,9 +211,9 @@
         this.#history.record({
             type: "serverStarted",
             requestId,
-            server: this.#order.id,
-            availabilityZone: this.#order.availabilityZone,
-            incarnation: this.#order.id,
+            server: this.#options.id,
+            availabilityZone: this.#options.availabilityZone,
+            incarnation: this.#options.id,
             cold: this.#isCold(),
             inFlight: this.#running,
             bears: serverSlots,
@@ -222,22 +222,22 @@
         });
     }
 
-    #setTrouble(trouble: ServerFaults): void {
-        const { limitPerSecond } = trouble;
-        if (limitPerSecond !== this.#trouble.limitPerSecond) {
-            this.#history.record({ type: "serverLimited", server: this.#order.id, perSecond: limitPerSecond });
+    #setFaults(faults: ServerFaults): void {
+        const { limitPerSecond } = faults;
+        if (limitPerSecond !== this.#faults.limitPerSecond) {
+            this.#history.record({ type: "serverLimited", server: this.#options.id, perSecond: limitPerSecond });
         }
-        this.#trouble = trouble;
+        this.#faults = faults;
     }
 
-    #renderNotices(): Readonly<Record<string, string>> {
-        const { limitPerSecond } = this.#trouble;
-        const limit = limitPerSecond === undefined ? {} : this.#names.renderLimit(limitPerSecond);
+    #renderMetadata(): Readonly<Record<string, string>> {
+        const { limitPerSecond } = this.#faults;
+        const limit = limitPerSecond === undefined ? {} : this.#codec.renderLimit(limitPerSecond);
         return { ...limit, ...this.#renderLeaving() };
     }
 
     #renderLeaving(): Readonly<Record<string, string>> {
-        return this.#trouble.saysLeaving ? this.#names.renderLeaving() : {};
+        return this.#faults.saysLeaving ? this.#codec.renderLeaving() : {};
     }
 
     #isCold(): boolean {
@@ -246,11 +246,11 @@
 
     #state(): ServerState {
         return {
-            id: this.#order.id,
+            id: this.#options.id,
             running: this.#running,
             waiting: this.#queue.length,
             slots: serverSlots,
-            slowdown: this.#trouble.slowdown,
+            slowdown: this.#faults.slowdown,
             coldRemainingMs: Math.max(0, this.#coldUntilMs - performance.now()),
         };
     }
--- a/packages/soak/src/soakServerMetadata.ts
+++ b/packages/soak/src/soakServerMetadata.ts
@@ -6,36 +6,36 @@
 
 /** Lets a server advertise a planned rate limit. */
 export async function applyServerLimit(
-    world: SoakFleet,
+    fleet: SoakFleet,
     { atMs, durationMs, target, perSecond }: PlannedServerLimit,
 ): Promise<void> {
     await sleep(atMs);
-    await injectServerFaults(await world.pickLiveBackend(target), { limitPerSecond: perSecond }, durationMs);
+    await injectServerFaults(await fleet.pickLiveBackend(target), { limitPerSecond: perSecond }, durationMs);
 }
 
 /** Lets servers send the planned response metadata. */
 export async function applyServerMetadata(
-    world: SoakFleet,
+    fleet: SoakFleet,
     { backoff, leaving }: PlannedServerMetadata,
 ): Promise<void> {
     await Promise.all([
-        backoff === undefined ? undefined : askForRest(world, backoff),
-        leaving === undefined ? undefined : sayLeaving(world, leaving),
+        backoff === undefined ? undefined : injectBackoff(fleet, backoff),
+        leaving === undefined ? undefined : injectLeaving(fleet, leaving),
     ]);
 }
 
 /** Lets a server reject all requests for some time and ask each gateway to back off. */
-async function askForRest(
-    world: SoakFleet,
-    { atMs, durationMs: forMs, target, backoffSeconds }: PlannedBackoff,
+async function injectBackoff(
+    fleet: SoakFleet,
+    { atMs, durationMs, target, backoffSeconds }: PlannedBackoff,
 ): Promise<void> {
     await sleep(atMs);
-    await injectServerFaults(await world.pickLiveBackend(target), { restSeconds: backoffSeconds }, forMs);
+    await injectServerFaults(await fleet.pickLiveBackend(target), { restSeconds: backoffSeconds }, durationMs);
 }
 
 /** Lets a server announce in its responses that it is leaving, until it ends. */
-async function sayLeaving(world: SoakFleet, { atMs, target }: PlannedLeaving): Promise<void> {
+async function injectLeaving(fleet: SoakFleet, { atMs, target }: PlannedLeaving): Promise<void> {
     await sleep(atMs);
-    const backend = await world.pickLiveBackend(target);
+    const backend = await fleet.pickLiveBackend(target);
     await backend.injectFaults({ saysLeaving: true });
 }
--- a/packages/soak/src/soakStore.ts
+++ b/packages/soak/src/soakStore.ts
@@ -6,9 +6,9 @@
 /** The fake store as a process. Injected faults don't affect commands: the operator and the servers always reach it. */
 export class SoakStore {
     readonly #process: StartedProcess;
-    readonly #troubles: Partial<StoreFaults>[] = [];
+    readonly #activeFaults: Partial<StoreFaults>[] = [];
     /** Serializes commands: concurrent ones could overtake each other on separate connections. */
-    readonly #inOrder = new SerialExecutor();
+    readonly #executor = new SerialExecutor();
 
     private constructor(process: StartedProcess) {
         this.#process = process;
@@ -23,9 +23,12 @@
     }
 
     /** Executes a command regardless of injected faults. Resolves when the store has acknowledged it. */
-    execute(order: StoreCommand): Promise<void> {
-        return this.#inOrder.run(async () => {
-            const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
+    execute(command: StoreCommand): Promise<void> {
+        return this.#executor.run(async () => {
+            const res = await request(`${this.#process.url}/control`, {
+                method: "POST",
+                body: JSON.stringify(command),
+            });
             await res.body.dump();
         });
     }
@@ -35,12 +38,12 @@
      *
      * @returns ends these faults
      */
-    async injectFaults(trouble: Partial<StoreFaults>): Promise<() => Promise<void>> {
-        this.#troubles.push(trouble);
-        await this.#tell();
+    async injectFaults(faults: Partial<StoreFaults>): Promise<() => Promise<void>> {
+        this.#activeFaults.push(faults);
+        await this.#sendFaults();
         return async () => {
-            this.#troubles.splice(this.#troubles.indexOf(trouble), 1);
-            await this.#tell();
+            this.#activeFaults.splice(this.#activeFaults.indexOf(faults), 1);
+            await this.#sendFaults();
         };
     }
 
@@ -62,8 +65,11 @@
         await this.#process.exited;
     }
 
-    #tell(): Promise<void> {
-        const faults = this.#troubles.reduce<StoreFaults>((sum, trouble) => ({ ...sum, ...trouble }), noStoreFaults);
+    #sendFaults(): Promise<void> {
+        const faults = this.#activeFaults.reduce<StoreFaults>(
+            (sum, each) => ({ ...sum, ...each }),
+            noStoreFaults,
+        );
         return this.execute({ faults });
     }
 }
--- a/packages/soak/src/storeRestorePlan.ts
+++ b/packages/soak/src/storeRestorePlan.ts
@@ -11,10 +11,10 @@
     readonly outageKind: "refuses" | "hangs";
 }
 
-const againShare = 0.6;
-const mostDrills = 4;
-const longestAwayMs = 2_500;
-const oldestCopyMs = 12_000;
+const repeatShare = 0.6;
+const maxRestores = 4;
+const maxOutageMs = 2_500;
+const maxSnapshotAgeMs = 12_000;
 /** Decorrelates adjacent seeds, and the other random sequences of a run. */
 const seedFactor = 0x27d4_eb2f;
 
@@ -26,15 +26,15 @@
  */
 export function planStoreRestores(seed: number): readonly PlannedStoreRestore[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const drills: PlannedStoreRestore[] = [];
+    const restores: PlannedStoreRestore[] = [];
     do {
-        drills.push({
-            atMs: random.next() * (faultPhaseMs - longestAwayMs),
-            outageMs: random.next() * longestAwayMs,
-            snapshotAgeMs: random.next() * oldestCopyMs,
+        restores.push({
+            atMs: random.next() * (faultPhaseMs - maxOutageMs),
+            outageMs: random.next() * maxOutageMs,
+            snapshotAgeMs: random.next() * maxSnapshotAgeMs,
             outageKind: random.next() < 0.5 ? "refuses" : "hangs",
         });
     }
-    while (drills.length < mostDrills && random.next() < againShare);
-    return drills.sort((a, b) => a.atMs - b.atMs);
+    while (restores.length < maxRestores && random.next() < repeatShare);
+    return restores.sort((a, b) => a.atMs - b.atMs);
 }
--- a/packages/soak/src/workspacePlan.ts
+++ b/packages/soak/src/workspacePlan.ts
@@ -47,12 +47,12 @@
 export const limitedWorkspace = "cedar";
 
 const workspacesShare = 0.7;
-const fewestChanges = 2;
-const mostChanges = 5;
-const earliestMs = 300;
+const minChanges = 2;
+const maxChanges = 5;
+const minChangeMs = 300;
 /** After the last fault, so that in every run the time until a change is in force is measured once without faults. */
 const lastChangeMs = faultPhaseMs + 2_000;
-const smallestLimit = 3;
+const minLimit = 3;
 const limitSpread = 4;
 /** Factor by which the limited workspace's callers exceed its limit, and how long they do so after the fault phase. */
 const overloadFactor = 4.5;
@@ -83,15 +83,15 @@
     };
     const resolveLimit = (limit: number): SoakWorkspace["limit"] =>
         hasLimits ? { perSecond: limit, burst: limit } : undefined;
-    const perSecond = smallestLimit + random.nextInt(limitSpread);
+    const perSecond = minLimit + random.nextInt(limitSpread);
     const limitedKey = issueKey();
     const first: readonly SoakWorkspace[] = [
         { name: "atlas", keys: [issueKey(), issueKey()] },
         { name: "birch", keys: [issueKey(), issueKey()], priority: 0 },
         { name: limitedWorkspace, keys: [limitedKey], limit: resolveLimit(perSecond) },
     ];
-    const count = fewestChanges + random.nextInt(mostChanges - fewestChanges + 1);
-    const times = Array.from({ length: count }, () => earliestMs + random.next() * (faultPhaseMs - earliestMs));
+    const count = minChanges + random.nextInt(maxChanges - minChanges + 1);
+    const times = Array.from({ length: count }, () => minChangeMs + random.next() * (faultPhaseMs - minChangeMs));
     times[0] = lastChangeMs;
     const lowersLimitAt = random.nextInt(count);
     let workspaces = first;
@@ -119,15 +119,15 @@
     issueKey: () => SoakKey,
 ): readonly SoakWorkspace[] {
     const [from = 0, to = 0] = random.next() < 0.5 ? [0, 1] : [1, 0];
-    const held = workspaces[from]?.keys ?? [];
+    const keys = workspaces[from]?.keys ?? [];
     const kind = random.next();
-    const chosen = held[random.nextInt(Math.max(1, held.length))];
+    const chosen = keys[random.nextInt(Math.max(1, keys.length))];
     const replaceKeys = (at: number, keys: readonly SoakKey[]): readonly SoakWorkspace[] =>
         workspaces.map((workspace, i) => i === at ? { ...workspace, keys } : workspace);
     if (chosen === undefined || kind < 0.35) {
-        return replaceKeys(from, [...held, issueKey()]);
+        return replaceKeys(from, [...keys, issueKey()]);
     }
-    const left = held.filter(key => key !== chosen);
+    const left = keys.filter(key => key !== chosen);
     if (kind < 0.75) {
         return replaceKeys(from, left);
     }
--- a/scripts/__tests__/bench.test.ts
+++ b/scripts/__tests__/bench.test.ts
@@ -61,8 +61,8 @@
 test("a surge of one service does not reduce the offered load on the others", () => {
     const capacities = { total: 100, byService: new Map([["archive-extracts", 20]]) };
     const noisy = loadShapes.find(load => load.name === "noisy");
-    const [calm, surge] = noisy?.phases(capacities, 30_000) ?? [];
-    assert.equal(calm?.requestsPerSecond, 50);
+    const [baseline, surge] = noisy?.phases(capacities, 30_000) ?? [];
+    assert.equal(baseline?.requestsPerSecond, 50);
     const factor = surge?.surge?.factor ?? 0;
     // 40 of the 50 requests per second go to other services; the noisy service's 10 are multiplied by the factor.
     assert.equal(surge?.requestsPerSecond, 40 + 10 * factor);
--- a/scripts/bench/plot.ts
+++ b/scripts/bench/plot.ts
@@ -21,8 +21,8 @@
         variant,
         spread: compareRounds(results.runs, load, kind, variant, variant, result => result.latency.p99).figure,
     }));
-    const longest = Math.max(...rows.map(row => row.spread.max));
-    const scale = (width - labelWidth - figureWidth) / longest;
+    const maxFigure = Math.max(...rows.map(row => row.spread.max));
+    const scale = (width - labelWidth - figureWidth) / maxFigure;
     const height = titleHeight + rows.length * rowHeight;
     const size = results.partial ? "partial run" : "full run";
     return [
--- a/scripts/bench/runLoad.ts
+++ b/scripts/bench/runLoad.ts
@@ -57,7 +57,7 @@
     const before = await takeSnapshot(fleet);
     const faults: string[] = [];
     const zone = load.takesZoneOut === true
-        ? moveZone(options).catch((err: unknown) => faults.push(String(err)))
+        ? takeZoneOutAndIn(options).catch((err: unknown) => faults.push(String(err)))
         : undefined;
     const tally = await runCaller(options, faults);
     await zone;
@@ -76,7 +76,7 @@
         variant,
         load: load.name,
         kinds,
-        gatewayCpuMsPerRequest: (after.cpuMs - before.cpuMs) / countThrough(kinds) * (1 - warmUpShare),
+        gatewayCpuMsPerRequest: (after.cpuMs - before.cpuMs) / countGatewayRequests(kinds) * (1 - warmUpShare),
         gatewayRssMegabytes: after.rssMegabytes,
         storeReadsPerSecond: (after.reads - before.reads) / seconds,
         storeWritesPerSecond: (after.writes - before.writes) / seconds,
@@ -85,7 +85,7 @@
     };
 }
 
-function countThrough(kinds: Readonly<Record<string, KindResult>>): number {
+function countGatewayRequests(kinds: Readonly<Record<string, KindResult>>): number {
     let sent = 0;
     for (const [name, { counts }] of Object.entries(kinds)) {
         sent += name.endsWith("/direct") ? 0 : counts.sent;
@@ -157,7 +157,7 @@
     ];
 }
 
-async function moveZone({ fleet, configurer, seconds }: RunOptions): Promise<void> {
+async function takeZoneOutAndIn({ fleet, configurer, seconds }: RunOptions): Promise<void> {
     const cfg = resolveConfiguration(fleet.configuration).unsafeCoerce();
     const name = cfg.availabilityZones[0]?.name ?? "";
     await sleep(seconds * 1_000 / 3);
--- a/scripts/bench/workload.ts
+++ b/scripts/bench/workload.ts
@@ -97,9 +97,9 @@
 export function overridePatience(cfg: ConfigurationInput, loads: readonly ServiceLoad[]): ConfigurationInput {
     const services = cfg.services.map(service => {
         const kinds = loads.find(load => load.service === service.name)?.kinds ?? [];
-        const longest = Math.max(60_000, ...kinds.map(kind => kind.patienceMs));
+        const maxPatienceMs = Math.max(60_000, ...kinds.map(kind => kind.patienceMs));
         const rules = kinds.map(({ callerKind, patienceMs }) => ({ callerKind, patienceMs }));
-        return { ...service, patience: [{ callerKind: "default", patienceMs: longest }, ...rules] as const };
+        return { ...service, patience: [{ callerKind: "default", patienceMs: maxPatienceMs }, ...rules] as const };
     });
     return { ...cfg, services };
 }
@@ -146,9 +146,9 @@
 function surge(share: number, service: string, factor: number): LoadShape["phases"] {
     return ({ total, byService }, durationMs) => {
         const noisyShare = (byService.get(service) ?? 0) / total;
-        const calm = { durationMs: durationMs / 3, requestsPerSecond: total * share };
-        const requestsPerSecond = calm.requestsPerSecond * (1 + noisyShare * (factor - 1));
-        return [calm, { ...calm, requestsPerSecond, surge: { service, factor } }, calm];
+        const baseline = { durationMs: durationMs / 3, requestsPerSecond: total * share };
+        const requestsPerSecond = baseline.requestsPerSecond * (1 + noisyShare * (factor - 1));
+        return [baseline, { ...baseline, requestsPerSecond, surge: { service, factor } }, baseline];
     };
 }
 
--- a/scripts/capacity/measureFleet.ts
+++ b/scripts/capacity/measureFleet.ts
@@ -78,16 +78,16 @@
 interface Column {
     readonly name: string;
     readonly unit: string;
-    readonly take: (observation: FleetObservation) => number;
+    readonly read: (observation: FleetObservation) => number;
 }
 
 const columns: readonly Column[] = [
-    { name: "controlCorePerGateway", unit: "% of a core", take: observation => observation.corePercent },
-    { name: "residentMemoryPerGateway", unit: "MB", take: observation => observation.residentMegabytes },
-    { name: "writtenBytesPerGateway", unit: "bytes/s", take: observation => observation.writtenBytesPerSecond },
-    { name: "storeCallsPerGateway", unit: "calls/s", take: observation => observation.storeCallsPerSecond },
-    { name: "changeTimePerGateway", unit: "ms", take: observation => observation.changeMs },
-    { name: "changeCpuPerGateway", unit: "ms", take: observation => observation.changeCpuMs },
+    { name: "controlCorePerGateway", unit: "% of a core", read: observation => observation.corePercent },
+    { name: "residentMemoryPerGateway", unit: "MB", read: observation => observation.residentMegabytes },
+    { name: "writtenBytesPerGateway", unit: "bytes/s", read: observation => observation.writtenBytesPerSecond },
+    { name: "storeCallsPerGateway", unit: "calls/s", read: observation => observation.storeCallsPerSecond },
+    { name: "changeTimePerGateway", unit: "ms", read: observation => observation.changeMs },
+    { name: "changeCpuPerGateway", unit: "ms", read: observation => observation.changeCpuMs },
 ];
 
 /** Measures the resource usage per gateway of an idle fleet against its size. Requires `npm run build`. */
@@ -98,8 +98,8 @@
         for (const size of fleetSizes) {
             observations.push([size, await observe(size)]);
         }
-        for (const { name, take } of columns) {
-            samples.get(name)?.push(observations.map(([size, seen]) => ({ size, value: take(seen) })));
+        for (const { name, read } of columns) {
+            samples.get(name)?.push(observations.map(([size, observation]) => ({ size, value: read(observation) })));
         }
     }
     return columns.map(({ name, unit }) => {
--- a/scripts/capacity/measureTables.ts
+++ b/scripts/capacity/measureTables.ts
@@ -32,20 +32,20 @@
 }
 
 /** @returns the heap size that a value retains, in bytes */
-function heapOf(create: () => unknown): number {
+function measureHeapBytes(create: () => unknown): number {
     collectGarbage();
     const before = process.memoryUsage().heapUsed;
-    const kept = create();
+    const retained = create();
     collectGarbage();
     const bytes = process.memoryUsage().heapUsed - before;
     // Using the value after the second reading keeps it from being collected earlier.
-    if (kept === undefined) {
+    if (retained === undefined) {
         throw new Error("nothing was created");
     }
     return bytes;
 }
 
-function cpuMsOf(run: () => void, times: number): number {
+function measureCpuMs(run: () => void, times: number): number {
     const before = process.cpuUsage();
     for (let i = 0; i < times; i++) {
         run();
@@ -76,7 +76,7 @@
     const board = new ServerLoadTracker();
     const policy = createRoutingPolicy("freeSlotFirst");
     const random = createRandomSource(1);
-    return cpuMsOf(() => {
+    return measureCpuMs(() => {
         const candidates = servers.map((server, i) => board.createCandidate(`s/${i}`, server, i % 3 === 0, false, 1));
         policy?.choose(candidates, random);
     }, choices);
@@ -86,7 +86,7 @@
 export function measureTables(): readonly Measurement[] {
     return [
         measure("gatewayMemoryPerTarget", "target", "bytes", configurationSizes, size =>
-            heapOf(() => {
+            measureHeapBytes(() => {
                 const table = createTable(size);
                 return { table, board: createFullBoard(table) };
             })),
@@ -99,7 +99,7 @@
         ),
         measure("applyCpuPerTarget", "target", "ms", configurationSizes, size => {
             const text = JSON.stringify(generateConfiguration(size));
-            return cpuMsOf(() => {
+            return measureCpuMs(() => {
                 const configuration = resolveConfiguration(JSON.parse(text)).unsafeCoerce();
                 createServiceTable({ revision: 1, changeId: "", configuration });
             }, repeats);
--- a/scripts/edgeBundle/createCodeCache.ts
+++ b/scripts/edgeBundle/createCodeCache.ts
@@ -31,7 +31,7 @@
     });
     const exited = once(child, "exit");
     // Without responses the cache contains less code, which shouldn't fail the build.
-    await Promise.race([callAll(fleet), exited, sleep(codeCacheTimeoutMs)]);
+    await Promise.race([sendRequests(fleet), exited, sleep(codeCacheTimeoutMs)]);
     child.kill(codeCacheSignal);
     await exited;
     fleet.close();
@@ -43,6 +43,6 @@
     }
 }
 
-async function callAll(fleet: StandInFleet): Promise<void> {
+async function sendRequests(fleet: StandInFleet): Promise<void> {
     await Promise.all(Array.from({ length: codeCacheCallers }, (_, i) => fleet.call(0, `${i}`, i % 2 === 1)));
 }
--- a/scripts/edgeBundle/standInFleet.ts
+++ b/scripts/edgeBundle/standInFleet.ts
@@ -37,7 +37,7 @@
 export const objectiveMs = 450;
 const patienceMs = 3_000;
 const retryMs = 25;
-const portsEach = 4;
+const portsPerGateway = 4;
 const system = new PlatformSystem();
 const names = new PlatformServerNames();
 
@@ -51,7 +51,7 @@
     static async start(size: FleetSize): Promise<StandInFleet> {
         const fleet = new StandInFleet();
         fleet.#storePort = await fleet.#listen(new StoreServer().createServer());
-        fleet.#ports = await findFreePorts(portsEach * size.running);
+        fleet.#ports = await findFreePorts(portsPerGateway * size.running);
         const servers = await Promise.all(
             Array.from({ length: size.servers }, (_, i) => fleet.#listen(createBackend(`server-${i}`))),
         );
@@ -166,7 +166,7 @@
     }
 
     #portsOf(i: number): readonly number[] {
-        return this.#ports.slice(portsEach * i, portsEach * (i + 1));
+        return this.#ports.slice(portsPerGateway * i, portsPerGateway * (i + 1));
     }
 
     #listen(server: Server): Promise<number> {
--- a/scripts/measureStart.ts
+++ b/scripts/measureStart.ts
@@ -37,7 +37,7 @@
 const downMs = Number(values.down);
 const loadMs = 6_000;
 const random = createRandomSource(1);
-const arrived: (CallResult & { readonly cameAtMs: number; })[] = [];
+const arrived: (CallResult & { readonly arrivedAtMs: number; })[] = [];
 
 const dir = mkdtempSync(join(tmpdir(), "galenaglade-start-"));
 const fleet = await StandInFleet.start({
@@ -74,7 +74,7 @@
         : ["--cpu-prof", "--cpu-prof-interval=200", `--cpu-prof-dir=${resolve(values.profile)}`];
     const arrivals = Array.from(
         { length: Math.round(ratePerSecond * (downMs + loadMs) / 1_000) },
-        (_, n) => arrive(i, n),
+        (_, n) => sendArrival(i, n),
     );
     await sleep(downMs);
     const child = spawn(process.execPath, [...codeCacheFlags, ...profile, "target/galenaglade-edge.cjs"], {
@@ -88,22 +88,24 @@
 }
 
 /** Sends one request of an open load, whose rate doesn't depend on the outcomes of earlier requests. */
-async function arrive(i: number, n: number): Promise<CallResult> {
+async function sendArrival(i: number, n: number): Promise<CallResult> {
     await sleep((n + random.next()) * 1_000 / ratePerSecond);
-    const cameAtMs = performance.now();
+    const arrivedAtMs = performance.now();
     const end = await fleet.call(i, `${i}-load-${n}`, n % 2 === 1);
-    arrived.push({ ...end, cameAtMs: cameAtMs - beganAtMs - downMs });
+    arrived.push({ ...end, arrivedAtMs: arrivedAtMs - beganAtMs - downMs });
     return end;
 }
 
 function reportLoad(): void {
     for (const [fromMs, toMs] of [[-downMs, 0], [0, 2_000], [2_000, 4_000], [4_000, loadMs]] as const) {
-        const came = arrived.filter(({ cameAtMs }) => cameAtMs >= fromMs && cameAtMs < toMs);
-        const inTime = came.filter(({ status, latencyMs }) => status === okStatus && latencyMs <= objectiveMs).length;
-        const answered = came.filter(({ status }) => status === okStatus).length;
-        const share = (count: number): string => `${(100 * count / Math.max(1, came.length)).toFixed(1)}%`;
+        const arrivals = arrived.filter(({ arrivedAtMs }) => arrivedAtMs >= fromMs && arrivedAtMs < toMs);
+        const inTime = arrivals.filter(({ status, latencyMs }) =>
+            status === okStatus && latencyMs <= objectiveMs
+        ).length;
+        const answered = arrivals.filter(({ status }) => status === okStatus).length;
+        const share = (count: number): string => `${(100 * count / Math.max(1, arrivals.length)).toFixed(1)}%`;
         console.log(
-            `arrived from ${fromMs} to ${toMs} ms: ${came.length}, served in time ${share(inTime)}, served ${
+            `arrived from ${fromMs} to ${toMs} ms: ${arrivals.length}, served in time ${share(inTime)}, served ${
                 share(answered)
             }`,
         );
--- a/scripts/measureStart/throttle.ts
+++ b/scripts/measureStart/throttle.ts
@@ -6,40 +6,40 @@
 
 const cores = Number(process.argv[2]);
 const periodMs = 100;
-const lookMs = 3;
+const checkPeriodMs = 3;
 const nsPerMs = 1_000_000;
 
-interface Throttled {
+interface ThrottledProcess {
     readonly pid: number;
-    usedBeforeMs: number;
+    chargedMs: number;
     stopped: boolean;
 }
 
-const processes: Throttled[] = [];
+const processes: ThrottledProcess[] = [];
 let periodEndsAtMs = performance.now() + periodMs;
 
 process.on("message", (pid: number) => {
-    processes.push({ pid, usedBeforeMs: 0, stopped: false });
+    processes.push({ pid, chargedMs: 0, stopped: false });
 });
 setInterval(() => {
     const isNewPeriod = performance.now() >= periodEndsAtMs;
     periodEndsAtMs += isNewPeriod ? periodMs : 0;
     for (const each of processes) {
-        look(each, isNewPeriod);
+        updateThrottle(each, isNewPeriod);
     }
-}, lookMs);
+}, checkPeriodMs);
 
-function look(each: Throttled, isNewPeriod: boolean): void {
+function updateThrottle(each: ThrottledProcess, isNewPeriod: boolean): void {
     try {
         if (isNewPeriod) {
             // Usage beyond the quota, between two checks, is charged to the next period.
             const usedMs = readUsedMs(each.pid);
-            each.usedBeforeMs = Math.max(
+            each.chargedMs = Math.max(
                 usedMs - periodMs * cores,
-                Math.min(usedMs, each.usedBeforeMs + periodMs * cores),
+                Math.min(usedMs, each.chargedMs + periodMs * cores),
             );
         }
-        const mayRun = readUsedMs(each.pid) - each.usedBeforeMs < periodMs * cores;
+        const mayRun = readUsedMs(each.pid) - each.chargedMs < periodMs * cores;
         if (mayRun === each.stopped) {
             process.kill(each.pid, mayRun ? "SIGCONT" : "SIGSTOP");
             each.stopped = !mayRun;
