--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -163,17 +163,17 @@
 
 /** @returns IDs of the requests whose response a server corrupted, or whose server exited after it started them */
 function findExcusedRequests(history: readonly HistoryLine[]): ReadonlySet<string> {
-    const startedOn = new Map<string, string[]>();
+    const startedByServer = new Map<string, string[]>();
     const excused = new Set<string>();
     for (const line of history) {
         if (line.type === "serverStarted") {
-            startedOn.set(line.server, [...startedOn.get(line.server) ?? [], line.requestId]);
+            startedByServer.set(line.server, [...startedByServer.get(line.server) ?? [], line.requestId]);
         }
         if (line.type === "serverSpoilt") {
             excused.add(line.requestId);
         }
         if (line.type === "serverExited") {
-            for (const requestId of startedOn.get(line.server)?.slice(-serverSlots) ?? []) {
+            for (const requestId of startedByServer.get(line.server)?.slice(-serverSlots) ?? []) {
                 excused.add(requestId);
             }
         }
--- a/packages/soak/src/constants.ts
+++ b/packages/soak/src/constants.ts
@@ -110,7 +110,10 @@
 export const maxQueryOfDeathCrashes = 3;
 export const maxQueryOfDeathRetries = 3;
 
-/** Bounds of the requests to a server that advertises a rate limit, with the required tolerance. */
+/**
+ * Bounds of the requests to a server that advertises a rate limit, from the gateways that it has informed, with the
+ * required tolerance.
+ */
 export const serverLimitBounds = Object.freeze({
     factor: 1.5,
     slack: 5,
@@ -125,5 +128,5 @@
 /** Bounds of the requests of a workspace with a rate limit, with the required tolerance. */
 export const workspaceLimitBounds = Object.freeze({ windowMs: 5_000, overshoot: 0.1, slack: 20 });
 
-/** Bounds of the requests from a gateway to a server that asked it to back off. */
+/** Bounds of the requests to a server from a gateway that it has asked to back off. */
 export const serverBackoffBounds = Object.freeze({ inFlightGraceMs: 500, maxRequests: 2 });
--- a/packages/soak/src/faultProxy.ts
+++ b/packages/soak/src/faultProxy.ts
@@ -101,16 +101,16 @@
         };
         this.#links.add(link);
         for (
-            const [source, to, linkFault] of [[downstream, upstream, "cutThere"], [
+            const [src, dst, cut] of [[downstream, upstream, "cutThere"], [
                 upstream,
                 downstream,
                 "cutBack",
             ]] as const
         ) {
-            source.on("data", chunk => this.#forward(link, linkFault, () => to.write(chunk)));
-            source.on("end", () => this.#forward(link, linkFault, () => to.end()));
-            source.on("error", () => reset(link));
-            source.on("close", () => this.#forget(link));
+            src.on("data", chunk => this.#forward(link, cut, () => dst.write(chunk)));
+            src.on("end", () => this.#forward(link, cut, () => dst.end()));
+            src.on("error", () => reset(link));
+            src.on("close", () => this.#forget(link));
         }
     }
 
--- a/packages/soak/src/faultWindows.ts
+++ b/packages/soak/src/faultWindows.ts
@@ -17,10 +17,10 @@
      * @returns ends the period at the given time
      */
     begin(nowMs: number): (endMs: number) => void {
-        const span = { fromMs: nowMs, toMs: Infinity };
-        this.#windows.push(span);
+        const window = { fromMs: nowMs, toMs: Infinity };
+        this.#windows.push(window);
         return endMs => {
-            span.toMs = endMs;
+            window.toMs = endMs;
         };
     }
 
--- a/packages/soak/src/leakedKeys.ts
+++ b/packages/soak/src/leakedKeys.ts
@@ -9,7 +9,7 @@
     return count === 0 ? [] : [`keys: ${name} has callers' keys in ${count} places`];
 }
 
-/** Searches all files that the processes of a run wrote: logs, settings and histories. */
+/** Searches all files of a run, such as the logs and histories of its processes. */
 export function findLeakedKeysInFiles(dir: string): readonly string[] {
     return readdirSync(dir).flatMap(name => findLeakedKeys(name, readFileSync(join(dir, name), "utf8")));
 }
--- a/packages/soak/src/movingRouteChecker.ts
+++ b/packages/soak/src/movingRouteChecker.ts
@@ -1,5 +1,5 @@
 import { type HistoryLine, type Violation } from "@galenaglade/history";
-import { resolveRouteService as resolveService } from "./soakConfiguration.js";
+import { resolveRouteService } from "./soakConfiguration.js";
 import { type FaultWindows } from "./faultWindows.js";
 
 /** How long after a response under one version a gateway may still send under an older one, in milliseconds. */
@@ -127,10 +127,10 @@
         }
     }
 
-    /** @returns the oldest version, not older than `least`, that routes to a service */
+    /** @returns the oldest version, not older than `minRevision`, that routes to a service */
     #findRoutingVersion(service: string, minRevision: number): Version | undefined {
         return this.#versions.find(({ revision }) =>
-            revision >= minRevision && resolveService("moving", revision) === service
+            revision >= minRevision && resolveRouteService("moving", revision) === service
         );
     }
 
@@ -146,9 +146,9 @@
 
     /** @returns the newest revision that the gateway incarnation has served before the request was sent; 0 if none */
     #findServedRevision({ gatewayIncarnation, sentAtMs }: MovingRequest): number {
-        const seen = (this.#servedVersions.get(gatewayIncarnation) ?? []).filter(({ atMs }) =>
+        const served = (this.#servedVersions.get(gatewayIncarnation) ?? []).filter(({ atMs }) =>
             atMs + staleSendGraceMs < sentAtMs
         );
-        return seen.at(-1)?.revision ?? 0;
+        return served.at(-1)?.revision ?? 0;
     }
 }
--- a/packages/soak/src/partitionPlan.ts
+++ b/packages/soak/src/partitionPlan.ts
@@ -23,7 +23,7 @@
 const maxFlapPeriodMs = 1_200;
 const additionalGatewayChoices = 4;
 const linkFaults: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
-/** Decorrelates adjacent seeds, and the other random sequences of a run. */
+/** Seed multiplier. Decorrelates adjacent seeds, and this plan from the other random choices of a run. */
 const seedFactor = 0x165_667b1;
 
 /**
--- a/packages/soak/src/queryOfDeathPlan.ts
+++ b/packages/soak/src/queryOfDeathPlan.ts
@@ -15,7 +15,10 @@
 const minRequests = 6;
 const maxRequests = 25;
 const maxStartMs = 2_000;
-/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
+/**
+ * Seed multiplier. Adjacent seeds would have similar first random numbers, and the plans of a run must be independent
+ * of each other.
+ */
 const seedFactor = 0x85eb_ca6b;
 
 /**
--- a/packages/soak/src/rolloutPlan.ts
+++ b/packages/soak/src/rolloutPlan.ts
@@ -11,7 +11,10 @@
 
 const rolloutShare = 0.5;
 const maxStartMs = 3_000;
-/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
+/**
+ * Seed multiplier. Adjacent seeds would have similar first random numbers, and the plans of a run must be independent
+ * of each other.
+ */
 const seedFactor = 0x9e37_79b1;
 
 /**
--- a/packages/soak/src/serverLimitPlan.ts
+++ b/packages/soak/src/serverLimitPlan.ts
@@ -16,7 +16,10 @@
 const maxStartMs = 2_000;
 const minDurationMs = 6_000;
 const perSecondRange = 4;
-/** Decorrelates adjacent seeds, whose first random numbers are similar, and the other random sequences of a run. */
+/**
+ * Seed multiplier. Adjacent seeds would have similar first random numbers, and the plans of a run must be independent
+ * of each other.
+ */
 const seedFactor = 0xc2b2_ae35;
 
 /**
--- a/packages/soak/src/serverMetadataPlan.ts
+++ b/packages/soak/src/serverMetadataPlan.ts
@@ -29,7 +29,7 @@
 const minDurationMs = 3_000;
 const minBackoffSeconds = 0.8;
 const maxBackoffSeconds = 3.2;
-/** Decorrelates adjacent seeds, and the other random sequences of a run. */
+/** Seed multiplier. Decorrelates adjacent seeds, and this plan from the other random choices of a run. */
 const seedFactor = 0x27d4_eb2f;
 
 /**
--- a/packages/soak/src/soakEdge.ts
+++ b/packages/soak/src/soakEdge.ts
@@ -32,7 +32,7 @@
     readonly storeProxy: FaultProxy;
     /** IP address from which it connects to backend servers; their proxies identify gateways by it. */
     readonly sourceAddress: string;
-    /** When it was stopped, paused or killed; the outcomes of requests at that time aren't checked. */
+    /** When it was stopped, paused or killed, which excuses requests that get no response. */
     readonly faultWindows = new FaultWindows();
     readonly findings: string[] = [];
     readonly #system: SoakSystem;
--- a/packages/soak/src/soakPartitions.ts
+++ b/packages/soak/src/soakPartitions.ts
@@ -17,8 +17,8 @@
 
     /** Applies the active partitions to a server that has just started. */
     onBackendStarted({ proxy }: SoakBackend): void {
-        for (const { linkFault: link, sourceAddress: from } of this.#partitions) {
-            proxy.begin(link, from);
+        for (const { linkFault, sourceAddress } of this.#partitions) {
+            proxy.begin(linkFault, sourceAddress);
         }
     }
 
@@ -31,19 +31,19 @@
         edges: readonly SoakEdge[],
         backends: readonly SoakBackend[],
         linkFault: LinkFault,
-    ): (now: readonly SoakBackend[]) => void {
+    ): (currentBackends: readonly SoakBackend[]) => void {
         const partitions = edges.map(({ sourceAddress }): ActivePartition => ({
             linkFault,
             sourceAddress,
         }));
-        for (const cut of partitions) {
-            this.#partitions.add(cut);
-            backends.forEach(({ proxy }) => proxy.begin(linkFault, cut.sourceAddress));
+        for (const partition of partitions) {
+            this.#partitions.add(partition);
+            backends.forEach(({ proxy }) => proxy.begin(linkFault, partition.sourceAddress));
         }
-        return now => {
-            for (const cut of partitions) {
-                this.#partitions.delete(cut);
-                now.forEach(({ proxy }) => proxy.end(linkFault, cut.sourceAddress));
+        return currentBackends => {
+            for (const partition of partitions) {
+                this.#partitions.delete(partition);
+                currentBackends.forEach(({ proxy }) => proxy.end(linkFault, partition.sourceAddress));
             }
         };
     }
--- a/packages/soak/src/storeRestorePlan.ts
+++ b/packages/soak/src/storeRestorePlan.ts
@@ -15,7 +15,7 @@
 const maxRestores = 4;
 const maxOutageMs = 2_500;
 const maxSnapshotAgeMs = 12_000;
-/** Decorrelates adjacent seeds, and the other random sequences of a run. */
+/** Seed multiplier. Decorrelates adjacent seeds, and this plan from the other random choices of a run. */
 const seedFactor = 0x27d4_eb2f;
 
 /**
--- a/packages/soak/src/workspacePlan.ts
+++ b/packages/soak/src/workspacePlan.ts
@@ -57,7 +57,7 @@
 /** Factor by which the limited workspace's callers exceed its limit, and how long they do so after the fault phase. */
 const overloadFactor = 4.5;
 const overloadTailMs = 3_000;
-/** Decorrelates adjacent seeds, and the other random sequences of a run. */
+/** Seed multiplier. Decorrelates adjacent seeds, and this plan from the other random choices of a run. */
 const seedFactor = 0x1656_67b1;
 
 /**
@@ -119,15 +119,15 @@
     issueKey: () => SoakKey,
 ): readonly SoakWorkspace[] {
     const [from = 0, to = 0] = random.next() < 0.5 ? [0, 1] : [1, 0];
-    const keys = workspaces[from]?.keys ?? [];
+    const sourceKeys = workspaces[from]?.keys ?? [];
     const kind = random.next();
-    const chosen = keys[random.nextInt(Math.max(1, keys.length))];
+    const chosen = sourceKeys[random.nextInt(Math.max(1, sourceKeys.length))];
     const replaceKeys = (at: number, keys: readonly SoakKey[]): readonly SoakWorkspace[] =>
         workspaces.map((workspace, i) => i === at ? { ...workspace, keys } : workspace);
     if (chosen === undefined || kind < 0.35) {
-        return replaceKeys(from, [...keys, issueKey()]);
+        return replaceKeys(from, [...sourceKeys, issueKey()]);
     }
-    const left = keys.filter(key => key !== chosen);
+    const left = sourceKeys.filter(key => key !== chosen);
     if (kind < 0.75) {
         return replaceKeys(from, left);
     }
--- a/scripts/edgeBundle/constants.ts
+++ b/scripts/edgeBundle/constants.ts
@@ -8,6 +8,6 @@
 export const codeCacheVariable = "GALENAGLADE_RECORD";
 export const codeCacheSignal = "SIGUSR2";
 
-/** Number of requests that the program serves before it writes its code cache, and their timeout in milliseconds. */
+/** Number of requests that the program serves before it writes its code cache, and the time limit for them. */
 export const codeCacheCallers = 24;
 export const codeCacheTimeoutMs = 10_000;
