--- a/packages/soak/src/regressionSeeds.ts
+++ b/packages/soak/src/regressionSeeds.ts
@@ -3,7 +3,7 @@
     {
         seed: 100,
         cause:
-            "only 62 of 79 requests succeeded after the last fault, on a fully loaded machine; cause unknown, logs lost. "
+            "only 62 of 79 requests succeeded after the last fault, on a fully loaded machine; cause unknown: no logs. "
             + "Passes alone; its former schedule, which could exceed the fault phase, passes beside eight bench days",
     },
     {
