--- a/packages/soak/src/faultInjection.ts
+++ b/packages/soak/src/faultInjection.ts
@@ -4,20 +4,20 @@
 import { type ServerFaults } from "./soakSystem.js";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Lets a link fail for a while. */
+/** Injects a fault into a link for the fault's duration. */
 export async function injectLinkFault(proxy: SoakEdge["storeProxy"], { linkFault, durationMs }: Fault): Promise<void> {
     proxy.begin(linkFault);
     await sleep(durationMs);
     proxy.end(linkFault);
 }
 
-/** Lets a server be in trouble for a while. */
+/** Injects faults into a backend server for some milliseconds. */
 export async function injectServerFaults(
     backend: SoakBackend,
-    trouble: Partial<ServerFaults>,
-    forMs: number,
+    faults: Partial<ServerFaults>,
+    durationMs: number,
 ): Promise<void> {
-    const end = await backend.injectFaults(trouble);
-    await sleep(forMs);
+    const end = await backend.injectFaults(faults);
+    await sleep(durationMs);
     await end();
 }
--- a/packages/soak/src/faultProxy.ts
+++ b/packages/soak/src/faultProxy.ts
@@ -1,26 +1,26 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import { type LinkFault } from "./faults.js";
 
-/** How late bytes come while a link is delayed, in milliseconds: above the time to answer a question for load. */
+/** Delay of bytes on a delayed link, in milliseconds: longer than the first timeout of a load probe. */
 const delayMs = 120;
 
 interface ActiveFault {
     readonly fault: LinkFault;
-    /** Only connections from there are harmed; all where it is missing. */
-    readonly from: string | undefined;
+    /** Source address of the affected connections; `undefined` affects all. */
+    readonly sourceAddress: string | undefined;
 }
 
 interface Link {
-    /** Where it comes from. */
-    readonly from: string;
-    readonly near: Socket;
-    readonly far: Socket;
+    /** Source address. */
+    readonly sourceAddress: string;
+    readonly downstream: Socket;
+    readonly upstream: Socket;
     silent: boolean;
-    /** Writes that were put off: what comes after them must not overtake them. */
-    late: number;
+    /** Number of delayed writes: later data must not overtake them. */
+    pendingWrites: number;
 }
 
-/** A proxy on loopback that harms what passes, so that faults of the network need no privileges. */
+/** A TCP proxy on loopback that injects network faults, which otherwise need privileges. */
 export class FaultProxy {
     readonly #server: Server;
     readonly #links = new Set<Link>();
@@ -33,7 +33,11 @@
         this.#server = createServer(near => this.#accept(near));
     }
 
-    /** Starts one on a free port. @param targetPort - on 127.0.0.1 */
+    /**
+     * Starts a proxy on a free port.
+     *
+     * @param targetPort - port on 127.0.0.1 to which connections are forwarded
+     */
     static async start(targetPort: number): Promise<FaultProxy> {
         const proxy = new FaultProxy(targetPort);
         await new Promise<void>(resolve => proxy.#server.listen(0, "127.0.0.1", resolve));
@@ -46,14 +50,18 @@
     }
 
     /**
-     * Begins a fault. The same one may be begun several times, and ends as often.
+     * Begins a fault. If the same fault is begun several times, it lasts until it has been ended as often.
      *
-     * @param fault - what to do
-     * @param from - address whose connections are harmed; all where it is missing
+     * @param fault - the fault
+     * @param sourceAddress - source address of the affected connections; all if missing
      */
-    begin(fault: LinkFault, from?: string): void {
-        this.#faults.push({ fault, from });
-        for (const link of [...this.#links].filter(each => from === undefined || each.from === from)) {
+    begin(fault: LinkFault, sourceAddress?: string): void {
+        this.#faults.push({ fault, sourceAddress });
+        for (
+            const link of [...this.#links].filter(each =>
+                sourceAddress === undefined || each.sourceAddress === sourceAddress
+            )
+        ) {
             if (fault === "reset") {
                 reset(link);
             }
@@ -61,8 +69,8 @@
         }
     }
 
-    end(fault: LinkFault, from?: string): void {
-        const at = this.#faults.findIndex(each => each.fault === fault && each.from === from);
+    end(fault: LinkFault, sourceAddress?: string): void {
+        const at = this.#faults.findIndex(each => each.fault === fault && each.sourceAddress === sourceAddress);
         if (at >= 0) {
             this.#faults.splice(at, 1);
         }
@@ -75,58 +83,75 @@
         }
     }
 
-    #accept(near: Socket): void {
-        const from = near.remoteAddress ?? "";
-        if (this.#suffers(from, "reset")) {
-            // Its peer may reset it at the same moment.
-            near.on("error", () => near.destroy());
-            near.resetAndDestroy();
+    #accept(downstream: Socket): void {
+        const sourceAddress = downstream.remoteAddress ?? "";
+        if (this.#isAffected(sourceAddress, "reset")) {
+            // The peer may reset it at the same time.
+            downstream.on("error", () => downstream.destroy());
+            downstream.resetAndDestroy();
             return;
         }
-        const far = connect(this.#targetPort, "127.0.0.1");
-        const link: Link = { from, near, far, silent: false, late: 0 };
+        const upstream = connect(this.#targetPort, "127.0.0.1");
+        const link: Link = {
+            sourceAddress,
+            downstream,
+            upstream,
+            silent: false,
+            pendingWrites: 0,
+        };
         this.#links.add(link);
-        for (const [source, to, cut] of [[near, far, "cutThere"], [far, near, "cutBack"]] as const) {
-            source.on("data", chunk => this.#pass(link, cut, () => to.write(chunk)));
-            source.on("end", () => this.#pass(link, cut, () => to.end()));
-            source.on("error", () => reset(link));
-            source.on("close", () => this.#forget(link));
+        for (
+            const [src, dst, cut] of [[downstream, upstream, "cutThere"], [
+                upstream,
+                downstream,
+                "cutBack",
+            ]] as const
+        ) {
+            src.on("data", chunk => this.#forward(link, cut, () => dst.write(chunk)));
+            src.on("end", () => this.#forward(link, cut, () => dst.end()));
+            src.on("error", () => reset(link));
+            src.on("close", () => this.#forget(link));
         }
     }
 
-    #suffers(from: string, fault: LinkFault): boolean {
-        return this.#faults.some(each => each.fault === fault && (each.from === undefined || each.from === from));
+    #isAffected(sourceAddress: string, fault: LinkFault): boolean {
+        return this.#faults.some(each =>
+            each.fault === fault && (each.sourceAddress === undefined || each.sourceAddress === sourceAddress)
+        );
     }
 
     #forget(link: Link): void {
-        if (link.near.destroyed && link.far.destroyed) {
+        if (link.downstream.destroyed && link.upstream.destroyed) {
             this.#links.delete(link);
         }
     }
 
-    /** What comes while nothing passes is lost, and with it the rest of the connection: a stream can't go on after a gap. */
-    #pass(link: Link, cut: LinkFault, write: () => void): void {
-        if (this.#suffers(link.from, cut)) {
+    /**
+     * Forwards data. Data that arrives while its direction is cut is dropped, and the connection stays silent
+     * afterwards: a byte stream can't continue after a gap.
+     */
+    #forward(link: Link, linkFault: LinkFault, write: () => void): void {
+        if (this.#isAffected(link.sourceAddress, linkFault)) {
             link.silent = true;
         }
         if (link.silent) {
             return;
         }
-        if (link.late === 0 && !this.#suffers(link.from, "delay")) {
+        if (link.pendingWrites === 0 && !this.#isAffected(link.sourceAddress, "delay")) {
             write();
             return;
         }
-        link.late++;
+        link.pendingWrites++;
         setTimeout(() => {
-            link.late--;
+            link.pendingWrites--;
             write();
         }, delayMs);
     }
 }
 
-function reset({ near, far }: Link): void {
-    for (const socket of [near, far]) {
-        // A socket that is shutting down can't be reset any more; asked to, it would stay open for good.
+function reset({ downstream, upstream }: Link): void {
+    for (const socket of [downstream, upstream]) {
+        // `resetAndDestroy` on a socket that is already shutting down would leave it open forever.
         if (socket.writableEnded) {
             socket.destroy();
             continue;
--- a/packages/soak/src/movingRouteChecker.ts
+++ b/packages/soak/src/movingRouteChecker.ts
@@ -1,18 +1,19 @@
 import { type HistoryLine, type Violation } from "@galenaglade/history";
-import { resolveRouteService as resolveService } from "./soakConfiguration.js";
+import { resolveRouteService } from "./soakConfiguration.js";
 import { type FaultWindows } from "./faultWindows.js";
 
-/** How long after an answer under one version a gateway may still send under an older one, in milliseconds. */
-const rollbackSlackMs = 250;
+/** How long after a response under one version a gateway may still send under an older one, in milliseconds. */
+const staleSendGraceMs = 250;
 
-/** What the checker needs to know besides the history. */
+/** The input of the checker besides the history. */
 export interface MovingRouteInput {
-    /** Service of each backend server. */
+    /** Service of each backend server, by server ID. */
     readonly serviceOf: ReadonlyMap<string, string>;
+    /** When a fault affected the store, a gateway, or a connection between them. */
     readonly faultWindows: FaultWindows;
-    /** Time after its acceptance in which a version must be in force. */
+    /** Time after its acceptance until a version must be in force, in milliseconds. */
     readonly applyMs: number;
-    /** Calm time after which every gateway must know what the store says. */
+    /** Time without faults after which every gateway must have the store's state, in milliseconds. */
     readonly convergenceMs: number;
 }
 
@@ -22,13 +23,13 @@
 }
 
 interface MovingRequest {
-    readonly gatewayLife: string;
+    readonly gatewayIncarnation: string;
     readonly sentAtMs: number;
-    /** Service of the server that ran it last. */
-    ranIn: string | undefined;
+    /** Service of the server that last ran it; `undefined` before the first. */
+    lastService: string | undefined;
 }
 
-interface SeenVersion {
+interface ServedVersion {
     readonly atMs: number;
     readonly revision: number;
 }
@@ -38,12 +39,12 @@
 const okStatus = 200;
 
 /**
- * Checks the route that goes to another service with each version: an accepted version is in force in time, and no life
- * of a gateway goes back to an older one after its callers have seen a newer one.
+ * Checks the route whose service changes with each configuration version: an accepted version is in force in time, and
+ * no incarnation of a gateway returns to an older version after its callers have seen a newer one.
  *
- * @param history - every line of a run, in the order of its times
- * @param input - what is known besides
- * @returns what was found against it; empty where the invariant held
+ * @param history - all lines of a run, in chronological order
+ * @param input - further input of the checker
+ * @returns the violations; empty if there are none
  */
 export function checkMovingRoute(history: readonly HistoryLine[], input: MovingRouteInput): readonly Violation[] {
     const checker = new MovingRouteChecker(input);
@@ -58,8 +59,8 @@
     readonly #input: MovingRouteInput;
     readonly #versions: Version[] = [];
     readonly #requests = new Map<string, MovingRequest>();
-    /** What each life of a gateway has surely shown, oldest first. */
-    readonly #seen = new Map<string, SeenVersion[]>();
+    /** Versions that each gateway incarnation has provably served, oldest first. */
+    readonly #servedVersions = new Map<string, ServedVersion[]>();
 
     constructor(input: MovingRouteInput) {
         this.#input = input;
@@ -92,7 +93,7 @@
 
     #onSent({ service, requestId, process, atMs }: LineOf<"callerSent">): void {
         if (service === "moving") {
-            this.#requests.set(requestId, { gatewayLife: process, sentAtMs: atMs, ranIn: undefined });
+            this.#requests.set(requestId, { gatewayIncarnation: process, sentAtMs: atMs, lastService: undefined });
         }
     }
 
@@ -102,12 +103,12 @@
         if (request === undefined || service === undefined) {
             return;
         }
-        request.ranIn = service;
-        const least = Math.max(this.#findDue(request, line.atMs), this.#findSeen(request));
-        if (this.#findShown(service, least) === undefined) {
+        request.lastService = service;
+        const minRevision = Math.max(this.#findRequiredRevision(request, line.atMs), this.#findServedRevision(request));
+        if (this.#findRoutingVersion(service, minRevision) === undefined) {
             this.violations.push({
                 invariant: "configurationInForce",
-                detail: `${line.requestId} went to ${service}, as no version from ${least} on says`,
+                detail: `${line.requestId} went to ${service}, which no version since ${minRevision} routes to`,
                 lines: [line.sequence],
             });
         }
@@ -115,26 +116,26 @@
 
     #onAnswered({ requestId, status, atMs }: LineOf<"callerAnswered">): void {
         const request = this.#requests.get(requestId);
-        if (request?.ranIn === undefined || status !== okStatus) {
+        if (request?.lastService === undefined || status !== okStatus) {
             return;
         }
-        const seen = this.#seen.get(request.gatewayLife) ?? [];
-        this.#seen.set(request.gatewayLife, seen);
-        const shown = this.#findShown(request.ranIn, seen.at(-1)?.revision ?? 0);
-        if (shown !== undefined) {
-            seen.push({ atMs, revision: shown.revision });
+        const served = this.#servedVersions.get(request.gatewayIncarnation) ?? [];
+        this.#servedVersions.set(request.gatewayIncarnation, served);
+        const version = this.#findRoutingVersion(request.lastService, served.at(-1)?.revision ?? 0);
+        if (version !== undefined) {
+            served.push({ atMs, revision: version.revision });
         }
     }
 
-    /** @returns the oldest version, from one on, by which the route goes to a service */
-    #findShown(service: string, least: number): Version | undefined {
+    /** @returns the oldest version, not older than `minRevision`, that routes to a service */
+    #findRoutingVersion(service: string, minRevision: number): Version | undefined {
         return this.#versions.find(({ revision }) =>
-            revision >= least && resolveService("moving", revision) === service
+            revision >= minRevision && resolveRouteService("moving", revision) === service
         );
     }
 
-    /** @returns the oldest version by which a request may be handled, for all that was accepted; 0 where nothing is due */
-    #findDue({ sentAtMs }: MovingRequest, ranAtMs: number): number {
+    /** @returns the newest revision that must be in force for a request; 0 if none, or if a fault excuses it */
+    #findRequiredRevision({ sentAtMs }: MovingRequest, ranAtMs: number): number {
         const { faultWindows, applyMs, convergenceMs } = this.#input;
         if (!faultWindows.isFaultFree(sentAtMs - convergenceMs, ranAtMs)) {
             return 0;
@@ -143,9 +144,11 @@
         return Math.max(0, ...due.map(({ revision }) => revision));
     }
 
-    /** @returns the newest version that this life of the gateway has surely shown before the request was sent */
-    #findSeen({ gatewayLife, sentAtMs }: MovingRequest): number {
-        const seen = (this.#seen.get(gatewayLife) ?? []).filter(({ atMs }) => atMs + rollbackSlackMs < sentAtMs);
-        return seen.at(-1)?.revision ?? 0;
+    /** @returns the newest revision that the gateway incarnation has served before the request was sent; 0 if none */
+    #findServedRevision({ gatewayIncarnation, sentAtMs }: MovingRequest): number {
+        const served = (this.#servedVersions.get(gatewayIncarnation) ?? []).filter(({ atMs }) =>
+            atMs + staleSendGraceMs < sentAtMs
+        );
+        return served.at(-1)?.revision ?? 0;
     }
 }
--- a/packages/soak/src/partitionPlan.ts
+++ b/packages/soak/src/partitionPlan.ts
@@ -2,50 +2,50 @@
 import { faultPhaseMs } from "./constants.js";
 import { type LinkFault } from "./faults.js";
 
-/** Gateways of a run that reach no backend server for a while. */
+/** A partition between some gateways and all backend servers. */
 export interface PlannedPartition {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which gateway comes first, modulo their number, and how many after it are cut off as well. */
+    /** Index of the first gateway, modulo the number of gateways, and how many after it are partitioned as well. */
     readonly target: number;
     readonly additionalGateways: number;
     readonly linkFault: LinkFault;
-    /** How often the links come back and go again meanwhile, in milliseconds; `undefined` where they stay away. */
+    /** How long the links stay down and then up in turn, in milliseconds; `undefined` if they stay down. */
     readonly flapPeriodMs: number | undefined;
 }
 
-const cutShare = 0.5;
-const againShare = 0.4;
+const partitionShare = 0.5;
+const repeatShare = 0.4;
 const flapShare = 0.2;
-const shortestMs = 1_500;
-const shortestFlapMs = 300;
-const longestFlapMs = 1_200;
-const mostOthers = 4;
-const links: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
-/** Spreads neighbouring seeds, and keeps apart from those of everything else in a run. */
+const minDurationMs = 1_500;
+const minFlapPeriodMs = 300;
+const maxFlapPeriodMs = 1_200;
+const additionalGatewayChoices = 4;
+const linkFaults: readonly LinkFault[] = ["reset", "cutThere", "cutBack"];
+/** Seed multiplier. Decorrelates adjacent seeds, and this plan from the other random choices of a run. */
 const seedFactor = 0x165_667b1;
 
 /**
- * Draws which gateways of a run are cut off from all backend servers. Cuts may overlap.
+ * Draws which gateways of a run are partitioned from all backend servers. Partitions may overlap.
  *
- * @param seed - of the run
- * @returns the same for the same seed
+ * @param seed - seed of the run
+ * @returns the partitions; the same for the same seed
  */
 export function planPartitions(seed: number): readonly PlannedPartition[] {
     const random = createRandomSource(Math.imul(seed, seedFactor));
-    const cuts: PlannedPartition[] = [];
-    for (let share = cutShare; random.next() < share; share = againShare) {
-        const atMs = random.next() * (faultPhaseMs - shortestMs);
+    const partitions: PlannedPartition[] = [];
+    for (let share = partitionShare; random.next() < share; share = repeatShare) {
+        const atMs = random.next() * (faultPhaseMs - minDurationMs);
         const flaps = random.next() < flapShare;
-        cuts.push({
+        partitions.push({
             atMs,
-            durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
+            durationMs: minDurationMs + random.next() * (faultPhaseMs - minDurationMs - atMs),
             target: random.nextInt(1_000),
-            additionalGateways: random.nextInt(mostOthers),
-            linkFault: links[random.nextInt(links.length)] ?? "reset",
-            flapPeriodMs: flaps ? shortestFlapMs + random.next() * (longestFlapMs - shortestFlapMs) : undefined,
+            additionalGateways: random.nextInt(additionalGatewayChoices),
+            linkFault: linkFaults[random.nextInt(linkFaults.length)] ?? "reset",
+            flapPeriodMs: flaps ? minFlapPeriodMs + random.next() * (maxFlapPeriodMs - minFlapPeriodMs) : undefined,
         });
     }
-    return cuts;
+    return partitions;
 }
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -27,206 +27,210 @@
 import { monotonicNow } from "./faultWindows.js";
 import { type PlannedOverload, planWorkspaces } from "./workspacePlan.js";
 
-/** What one run found. */
+/** The result of a run. */
 export interface SoakResult {
     readonly seed: number;
     readonly faults: readonly Fault[];
-    /** One line each; empty where every promise held. */
+    /** Violations, one line each; empty if there is none. */
     readonly findings: readonly string[];
-    /** Whether callers needed keys. */
+    /** Whether the run had workspaces, so that callers needed keys. */
     readonly workspaces: boolean;
-    /** The roll-out that was ordered and how it ended; `undefined` for a run without one. */
+    /** Quality and final stage of the roll-out; `undefined` for a run without one. */
     readonly rollout: string | undefined;
     readonly requests: number;
     readonly served: number;
-    /** Histories and logs of all processes; gone where nothing was found. */
+    /** Directory of the histories and logs of all processes; the command removes it if there are no findings. */
     readonly dir: string;
 }
 
-/** What a run is told. */
+/** Options of a run. */
 export interface SoakOptions {
     readonly system: SoakSystem;
     readonly seed: number;
-    /** Where runs keep their files. */
+    /** Directory in which each run creates a directory of its own. */
     readonly dir: string;
-    /** Takes the place of the faults that the seed draws. */
+    /** Replaces the faults that are drawn from the seed. */
     readonly faults?: readonly Fault[] | undefined;
-    /** Whether gateways are cut off from all servers as well, as the seed draws it. */
+    /** Whether to partition gateways from all servers as well, as drawn from the seed. Default: no. */
     readonly cuts?: boolean | undefined;
-    /** Whether the store comes back from older copies as well, as the seed draws it. */
+    /** Whether to restore the store from older snapshots as well, as drawn from the seed. Default: no. */
     readonly drills?: boolean | undefined;
 }
 
 const routes: readonly SoakRoute[] = ["read", "read", "file", "moving"];
 
 /**
- * Plays one run: starts every process, lets callers in, brings the faults, waits until all is calm again, and checks.
+ * Executes a run: starts all processes, generates load, injects faults, waits for recovery, and checks the guarantees.
  *
- * @param options - what the run is told
- * @returns what it found
+ * @param options - options of the run
+ * @returns the result, with all violations
  */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const dir = join(options.dir, `seed-${options.seed}`);
     rmSync(dir, { recursive: true, force: true });
     mkdirSync(dir, { recursive: true });
-    const result = await play({ ...options, dir });
+    const result = await executeRun({ ...options, dir });
     return { ...result, findings: [...result.findings, ...findLeakedKeysInFiles(dir)] };
 }
 
-async function play(
+async function executeRun(
     { system, seed, dir, faults = planFaults(seed), cuts = false, drills = false }: SoakOptions,
 ): Promise<SoakResult> {
     const workspaces = planWorkspaces(seed, enforcesWorkspaceLimits);
-    const world = await SoakFleet.start(system, dir, seed, workspaces?.initial);
-    const abort = (): void => world.abort();
+    const fleet = await SoakFleet.start(system, dir, seed, workspaces?.initial);
+    const abort = (): void => fleet.abort();
     process.once("exit", abort);
     try {
         await sleep(startupSettleMs);
-        const load = new SoakLoad(
-            world,
+        const load = new LoadGenerator(
+            fleet,
             createRandomSource(seed + 2),
             workspaces && new RequestGenerator(workspaces, seed),
         );
-        const faultsOver = Promise.all(faults.map(async fault => {
+        const faultsDone = Promise.all(faults.map(async fault => {
             await sleep(fault.atMs);
-            await world.injectFault(fault);
+            await fleet.injectFault(fault);
         }));
         const rollout = planRollout(seed, services);
-        const rolloutOver = rollout === undefined
+        const rolloutDone = rollout === undefined
             ? Promise.resolve([])
-            : sleep(rollout.atMs).then(() => runRollout(world, system, rollout));
-        // Servers of a version that is rolled out are not replaced: callers that end them would leave none.
-        const deadly = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
-        const deadlyOver = load.sendDeadly(deadly);
+            : sleep(rollout.atMs).then(() => runRollout(fleet, system, rollout));
+        // Servers of a version that is rolled out aren't replaced: a query of death could crash all of them.
+        const queryOfDeath = rollout === undefined ? planQueryOfDeath(seed, routePathPrefixes.read) : undefined;
+        const queryOfDeathDone = load.sendQueriesOfDeath(queryOfDeath);
         const limit = planServerLimit(seed);
-        const limitOver = limit === undefined ? Promise.resolve() : applyServerLimit(world, limit);
-        // Servers of a version that is rolled out must not leave by themselves either.
+        const limitDone = limit === undefined ? Promise.resolve() : applyServerLimit(fleet, limit);
+        // For the same reason, no server leaves during a roll-out.
         const { backoff, leaving } = planServerMetadata(seed);
-        const noticesOver = applyServerMetadata(world, {
+        const serverMetadataDone = applyServerMetadata(fleet, {
             backoff,
             leaving: rollout === undefined ? leaving : undefined,
         });
-        const cutsOver = partitionGateways(world, cuts ? planPartitions(seed) : []);
-        const drillsOver = Promise.all((drills ? planStoreRestores(seed) : []).map(async drill => {
-            await sleep(drill.atMs);
-            await world.restoreStore(drill);
+        const partitionsDone = partitionGateways(fleet, cuts ? planPartitions(seed) : []);
+        const storeRestoresDone = Promise.all((drills ? planStoreRestores(seed) : []).map(async restore => {
+            await sleep(restore.atMs);
+            await fleet.restoreStore(restore);
         }));
-        const workspacesOver = Promise.all([
+        const workspacesDone = Promise.all([
             load.sendOverload(workspaces?.overload),
             ...(workspaces?.changes ?? []).map(async change => {
                 await sleep(change.atMs);
-                await world.changeWorkspaces(change.workspaces);
+                await fleet.changeWorkspaces(change.workspaces);
             }),
         ]);
-        const allOver = Promise.all([
-            faultsOver,
-            rolloutOver,
-            deadlyOver,
-            limitOver,
-            noticesOver,
-            cutsOver,
-            drillsOver,
-            workspacesOver,
+        const allDone = Promise.all([
+            faultsDone,
+            rolloutDone,
+            queryOfDeathDone,
+            limitDone,
+            serverMetadataDone,
+            partitionsDone,
+            storeRestoresDone,
+            workspacesDone,
         ]);
-        const [endedAtMs, [, rolloutFindings]] = await Promise.all([load.run(allOver), allOver]);
+        const [endedAtMs, [, rolloutFindings]] = await Promise.all([load.run(allDone), allDone]);
         const history = mergeHistories(
-            world.backends.map(({ historyPath }) => historyPath),
-            [world.history, ...world.edges.flatMap(({ histories }) => histories)],
+            fleet.backends.map(({ historyPath }) => historyPath),
+            [fleet.history, ...fleet.edges.flatMap(({ histories }) => histories)],
         );
         const findings = checkSoak({
             history,
-            faultWindows: world.faultWindows,
-            edges: world.edges,
-            serviceOf: new Map(world.backends.map(({ info }) => [info.id, info.service])),
+            faultWindows: fleet.faultWindows,
+            edges: fleet.edges,
+            serviceOf: new Map(fleet.backends.map(({ info }) => [info.id, info.service])),
             findings: [
                 ...rolloutFindings,
-                ...world.edges.flatMap(edge => edge.findings),
+                ...fleet.edges.flatMap(edge => edge.findings),
                 ...findLeakedKeys("the history", JSON.stringify(history)),
-                ...await findLeakedKeysInMetrics(world),
+                ...await findLeakedKeysInMetrics(fleet),
             ],
             endedAtMs,
         });
-        const ends = world.edges.flatMap(edge => edge.outcomes);
-        const served = ends.filter(({ outcome }) => outcome.status === 200).length;
+        const outcomes = fleet.edges.flatMap(edge => edge.outcomes);
+        const served = outcomes.filter(({ outcome }) => outcome.status === 200).length;
         return {
             seed,
             faults,
             findings,
             workspaces: workspaces !== undefined,
-            rollout: rollout && `${rollout.isBad ? "bad" : "sound"} ${findEnd(history)}`,
-            requests: ends.length,
+            rollout: rollout && `${rollout.isBad ? "bad" : "sound"} ${findRolloutStage(history)}`,
+            requests: outcomes.length,
             served,
             dir,
         };
     }
     finally {
-        await world.close();
+        await fleet.close();
         process.off("exit", abort);
     }
 }
 
-function findEnd(history: readonly HistoryLine[]): string {
+function findRolloutStage(history: readonly HistoryLine[]): string {
     const end = history.find(line => line.type === "rolloutEnded");
     return end?.type === "rolloutEnded" ? end.stage : "open";
 }
 
-/** Callers' load on all gateways. */
-class SoakLoad {
-    readonly #world: SoakFleet;
+/** Generates the callers' load on all gateways. */
+class LoadGenerator {
+    readonly #fleet: SoakFleet;
     readonly #random: RandomSource;
     /** `undefined` in a run without workspaces. */
-    readonly #callers: RequestGenerator | undefined;
-    readonly #open = new Set<Promise<void>>();
+    readonly #requestGenerator: RequestGenerator | undefined;
+    readonly #pending = new Set<Promise<void>>();
     #sent = 0;
 
-    constructor(world: SoakFleet, random: RandomSource, callers: RequestGenerator | undefined) {
-        this.#world = world;
+    constructor(fleet: SoakFleet, random: RandomSource, requestGenerator: RequestGenerator | undefined) {
+        this.#fleet = fleet;
         this.#random = random;
-        this.#callers = callers;
+        this.#requestGenerator = requestGenerator;
     }
 
     /**
-     * Sends until all faults are over and the calm time after them too, then waits for the last answers. Processes start
-     * slowly on a busy machine: ended by the clock alone, the calm time would be over before the last fault is.
+     * Sends requests until the recovery phase after the last fault has ended, then waits for the remaining responses.
+     * Processes start slowly on a busy machine: by the clock alone, the recovery phase could end before the last fault.
      *
-     * @returns when it stopped sending
+     * @param faultsDone - settles when the last fault has ended
+     * @returns when it stopped sending, on the monotonic clock
      */
-    async run(faultsOver: Promise<unknown>): Promise<number> {
+    async run(faultsDone: Promise<unknown>): Promise<number> {
         let untilMs = Infinity;
-        const onOver = (): void => {
+        const onFaultsDone = (): void => {
             untilMs = monotonicNow() + recoveryPhaseMs;
         };
-        faultsOver.then(onOver, onOver);
+        faultsDone.then(onFaultsDone, onFaultsDone);
         while (monotonicNow() < untilMs) {
-            const { loadFactor, earlyDisconnectShare } = this.#world.callerBehavior;
+            const { loadFactor, earlyDisconnectShare } = this.#fleet.callerBehavior;
             this.#send(this.#random.next() < earlyDisconnectShare);
             await sleep(this.#random.next() * 2_000 / (requestsPerSecond * loadFactor));
         }
         const stoppedAtMs = monotonicNow();
-        await Promise.all(this.#open);
+        await Promise.all(this.#pending);
         return stoppedAtMs;
     }
 
-    /** Sends the run's deadly requests, each when it is due. */
-    async sendDeadly(plan: PlannedQueryOfDeath | undefined): Promise<void> {
+    /** Sends the run's query of death at each of its planned times. */
+    async sendQueriesOfDeath(plan: PlannedQueryOfDeath | undefined): Promise<void> {
         await Promise.all((plan?.sendTimesMs ?? []).map(async (atMs, i) => {
             await sleep(atMs);
             const path = plan?.path;
-            const key = this.#world.workspaces.flatMap(({ keys }) => keys)[0];
+            const key = this.#fleet.workspaces.flatMap(({ keys }) => keys)[0];
             const credentials = key && { key, claimedWorkspace: undefined };
-            const asked = {
+            const request = {
                 requestId: `deadly${i}`,
                 route: "read",
                 disconnectsEarly: false,
-                credentials: credentials,
+                credentials,
                 path,
                 contentId: path,
             } as const;
-            await this.#pickEdge().caller?.send(asked);
+            await this.#pickEdge().caller?.send(request);
         }));
     }
 
-    /** Sends what exceeds a workspace's limit, over gateways in turn so that nothing else in the run is drawn otherwise. */
+    /**
+     * Sends requests that exceed a workspace's limit. Selects gateways round-robin, so that the run's other random
+     * choices stay the same.
+     */
     async sendOverload(plan: PlannedOverload | undefined): Promise<void> {
         if (plan === undefined) {
             return;
@@ -235,46 +239,54 @@
         await sleep(atMs);
         const untilMs = monotonicNow() + durationMs;
         for (let i = 1; monotonicNow() < untilMs; i++) {
-            const sign = { key, claimedWorkspace: undefined };
+            const credentials = { key, claimedWorkspace: undefined };
             const edges = this.#findEdges();
             const caller = edges[i % edges.length]?.caller;
             if (caller !== undefined) {
                 this.#track(
-                    caller.send({ requestId: `over${i}`, route: "read", disconnectsEarly: false, credentials: sign }),
+                    caller.send({
+                        requestId: `over${i}`,
+                        route: "read",
+                        disconnectsEarly: false,
+                        credentials,
+                    }),
                 );
             }
             await sleep(1_000 / perSecond);
         }
     }
 
-    #send(hangsUp: boolean): void {
+    #send(disconnectsEarly: boolean): void {
         const caller = this.#pickEdge().caller;
-        const usual = routes[this.#random.nextInt(routes.length)] ?? "read";
-        const { credentials, route = usual, responseBytes = 0 } = this.#callers?.next(this.#world.workspaces) ?? {};
+        const defaultRoute = routes[this.#random.nextInt(routes.length)] ?? "read";
+        const { credentials, route = defaultRoute, responseBytes = 0 } =
+            this.#requestGenerator?.next(this.#fleet.workspaces) ?? {};
         if (caller === undefined) {
             return;
         }
         const requestId = `r${++this.#sent}`;
         const path = route === "large" ? renderLargeResponsePath(requestId, responseBytes) : undefined;
-        this.#track(caller.send({ requestId, route, disconnectsEarly: hangsUp, credentials: credentials, path }));
+        this.#track(
+            caller.send({ requestId, route, disconnectsEarly, credentials, path }),
+        );
     }
 
     #track(sending: Promise<void>): void {
-        const done = sending.finally(() => this.#open.delete(done));
-        this.#open.add(done);
+        const done = sending.finally(() => this.#pending.delete(done));
+        this.#pending.add(done);
     }
 
-    /** The balancer sends to gateways that are ready, and to all where none is. */
+    /** @returns the gateways that the balancer sends to: those that are ready, or all if none is */
     #findEdges(): readonly SoakEdge[] {
-        const ready = this.#world.edges.filter(({ inRotation }) => inRotation);
-        return ready.length > 0 ? ready : this.#world.edges;
+        const ready = this.#fleet.edges.filter(({ inRotation }) => inRotation);
+        return ready.length > 0 ? ready : this.#fleet.edges;
     }
 
     #pickEdge(): SoakEdge {
         const choice = this.#findEdges();
         const edge = choice[this.#random.nextInt(choice.length)];
         if (edge === undefined) {
-            throw new Error("a run needs a gateway");
+            throw new Error("no gateway has been started");
         }
         return edge;
     }
--- a/packages/soak/src/serverLimitPlan.ts
+++ b/packages/soak/src/serverLimitPlan.ts
@@ -1,28 +1,31 @@
 import { createRandomSource } from "@galenaglade/routing";
 import { faultPhaseMs } from "./constants.js";
 
-/** A server of a run that names a limit for a while. */
+/** A server that advertises a rate limit for some time. */
 export interface PlannedServerLimit {
-    /** Since callers were let in, in milliseconds. */
+    /** Milliseconds after the load begins. */
     readonly atMs: number;
     readonly durationMs: number;
-    /** Which server: taken modulo their number. */
+    /** Index of the server, modulo the number of servers. */
     readonly target: number;
-    /** Requests a second that it takes from all gateways together. */
+    /** Advertised limit for all gateways together, in requests per second. */
     readonly perSecond: number;
 }
 
 const limitShare = 0.4;
-const latestMs = 2_000;
-const shortestMs = 6_000;
-const largest = 4;
-/** Spreads neighbouring seeds, whose first numbers are alike, and keeps apart from those of everything else in a run. */
+const maxStartMs = 2_000;
+const minDurationMs = 6_000;
+const perSecondRange = 4;
+/**
+ * Seed multiplier. Adjacent seeds would have similar first random numbers, and the plans of a run must be independent
+ * of each other.
+ */
 const seedFactor = 0xc2b2_ae35;
 
 /**
- * Draws whether a server of a run names a limit.
+ * Draws whether a server of a run advertises a rate limit.
  *
- * @param seed - of the run
+ * @param seed - seed of the run
  * @returns the limit, or `undefined` for a run without one
  */
 export function planServerLimit(seed: number): PlannedServerLimit | undefined {
@@ -30,11 +33,11 @@
     if (random.next() >= limitShare) {
         return undefined;
     }
-    const atMs = random.next() * latestMs;
+    const atMs = random.next() * maxStartMs;
     return {
         atMs,
-        durationMs: shortestMs + random.next() * (faultPhaseMs - shortestMs - atMs),
+        durationMs: minDurationMs + random.next() * (faultPhaseMs - minDurationMs - atMs),
         target: random.nextInt(1_000),
-        perSecond: Math.round(10 * (0.3 + random.next() * largest)) / 10,
+        perSecond: Math.round(10 * (0.3 + random.next() * perSecondRange)) / 10,
     };
 }
--- a/packages/soak/src/soakBackend.ts
+++ b/packages/soak/src/soakBackend.ts
@@ -6,43 +6,46 @@
 import { FaultProxy } from "./faultProxy.js";
 import { type ServerFaults, type SoakSystem, noServerFaults } from "./soakSystem.js";
 
-/** Where a backend server of a run stands. */
+/** Identity and placement of a backend server. */
 export interface BackendInfo {
     readonly id: string;
     readonly service: string;
     readonly availabilityZone: string;
-    /** Of its software. */
+    /** Version of the server software. */
     readonly version: string;
 }
 
-/** One start of one backend server, behind the proxy through which all gateways reach it. */
+/** One incarnation of a backend server, behind the proxy through which all gateways reach it. */
 export class SoakBackend {
     readonly info: BackendInfo;
     readonly proxy: FaultProxy;
     readonly historyPath: string;
     readonly #process: StartedProcess;
     readonly #startedAtEpochMs = Date.now();
-    readonly #troubles: Partial<ServerFaults>[] = [];
+    readonly #activeFaults: Partial<ServerFaults>[] = [];
 
-    private constructor(place: BackendInfo, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
-        this.info = place;
+    private constructor(info: BackendInfo, process: StartedProcess, proxy: FaultProxy, historyPath: string) {
+        this.info = info;
         this.proxy = proxy;
         this.historyPath = historyPath;
         this.#process = process;
     }
 
-    static async start(place: BackendInfo, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
-        const historyPath = join(dir, `${place.id}.history`);
-        const { id, service, availabilityZone } = place;
+    static async start(info: BackendInfo, system: SoakSystem, dir: string, seed: number): Promise<SoakBackend> {
+        const historyPath = join(dir, `${info.id}.history`);
+        const { id, service, availabilityZone } = info;
         const program = system.resolveServerProgram({ id, service, availabilityZone, historyPath, seed });
-        const process = await startProcess({ name: place.id, ...program });
+        const process = await startProcess({ name: info.id, ...program });
         const proxy = await FaultProxy.start(Number(new URL(process.url).port));
-        // The port of a server that has ended refuses, as without a proxy.
+        // Connections to a server that has ended must be refused, as they would be without a proxy.
         void process.exited.then(() => proxy.close());
-        return new SoakBackend(place, process, proxy, historyPath);
+        return new SoakBackend(info, process, proxy, historyPath);
     }
 
-    /** @returns what it writes into the store */
+    /**
+     * @param coldRemainingMs - how long the server stays cold, in milliseconds
+     * @returns the registration that the server writes to the store
+     */
     createRegistration(state: RegisteredServer["state"], coldRemainingMs: number): RegisteredServer {
         return {
             ...this.info,
@@ -54,18 +57,22 @@
         };
     }
 
-    /** Begins a trouble. @returns ends it */
-    async injectFaults(trouble: Partial<ServerFaults>): Promise<() => Promise<void>> {
-        this.#troubles.push(trouble);
-        await this.#order(0);
+    /**
+     * Injects faults, in addition to those that are active.
+     *
+     * @returns ends these faults
+     */
+    async injectFaults(faults: Partial<ServerFaults>): Promise<() => Promise<void>> {
+        this.#activeFaults.push(faults);
+        await this.#sendFaults(0);
         return async () => {
-            this.#troubles.splice(this.#troubles.indexOf(trouble), 1);
-            await this.#order(0);
+            this.#activeFaults.splice(this.#activeFaults.indexOf(faults), 1);
+            await this.#sendFaults(0);
         };
     }
 
-    setCold(forMs: number): Promise<void> {
-        return this.#order(forMs);
+    setCold(durationMs: number): Promise<void> {
+        return this.#sendFaults(durationMs);
     }
 
     pause(): void {
@@ -76,12 +83,12 @@
         this.#process.resume();
     }
 
-    /** Settles once its process has ended, whatever ended it. */
+    /** Settles once its process has ended for any reason. */
     get exited(): Promise<unknown> {
         return this.#process.exited;
     }
 
-    /** Ends it without waiting for its end. */
+    /** Kills the process without waiting for its end. */
     abort(): void {
         this.#process.kill();
     }
@@ -95,18 +102,21 @@
         await this.kill();
     }
 
-    async #order(coldMs: number): Promise<void> {
-        const trouble = this.#troubles.reduce<ServerFaults>((sum, each) => ({ ...sum, ...each }), noServerFaults);
-        const order: ServerFaults = { ...trouble, coldMs };
+    async #sendFaults(coldMs: number): Promise<void> {
+        const faults = this.#activeFaults.reduce<ServerFaults>((sum, each) => ({ ...sum, ...each }), noServerFaults);
+        const command: ServerFaults = { ...faults, coldMs };
         if (this.#hasEnded()) {
             return;
         }
         try {
-            const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
+            const res = await request(`${this.#process.url}/control`, {
+                method: "POST",
+                body: JSON.stringify(command),
+            });
             await res.body.dump();
         }
         catch (err) {
-            // Killed between the question and its answer, by another fault of the run.
+            // Another fault of the run may have killed the server before it responded.
             if (!this.#hasEnded()) {
                 throw err;
             }
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -7,63 +7,63 @@
 import { type SoakSystem } from "./soakSystem.js";
 import { monotonicNow } from "./faultWindows.js";
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and never will. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 const okStatus = 200;
 const connectTimeoutMs = 1_000;
-/** A caller that hangs up does so within this time. */
-const hangUpMs = 60;
+/** Maximum time after which a caller that disconnects early does so. */
+const maxDisconnectDelayMs = 60;
 
-/** Share of the requests that are sent on a connection of their own. */
-const freshShare = 0.3;
+/** Share of the requests that are sent on new connections. */
+const newConnectionShare = 0.3;
 
-/** What came back. */
-interface Received {
-    /** `undefined` where no answer came. */
+/** The response to a request, if any. */
+interface ResponseResult {
+    /** `undefined` if no complete response arrived. */
     readonly status: number | undefined;
     readonly retryAfter: string | undefined;
-    /** Whether the caller could connect at all. */
+    /** Whether a connection was established. */
     readonly connected: boolean;
-    /** Whether an answer began and didn't come to its end. */
+    /** Whether a response began, but was not completed. */
     readonly truncated: boolean;
 }
 
-/** How one request ended for its caller. */
-export interface RequestOutcome extends Received {
+/** The outcome of a request for its caller. */
+export interface RequestOutcome extends ResponseResult {
     readonly requestId: string;
     readonly route: SoakRoute;
     readonly sentAtMs: number;
     readonly endedAtMs: number;
-    /** Whether it left early. */
+    /** Whether the caller disconnected early. */
     readonly disconnectedEarly: boolean;
-    /** Whether it waited in vain. */
+    /** Whether the caller's time ran out. */
     readonly timedOut: boolean;
 }
 
-/** What a caller asks. */
+/** A request of a caller. */
 export interface CallerRequest {
     readonly requestId: string;
     readonly route: SoakRoute;
-    /** Whether it leaves early. */
+    /** Whether the caller disconnects before a response is likely. */
     readonly disconnectsEarly: boolean;
-    /** `undefined` in runs without workspaces. */
+    /** Absent in runs without workspaces. */
     readonly credentials?: CallerCredentials | undefined;
-    /** By itself one that no other request has. */
+    /** Path of the request. Default: one that no other request has. */
     readonly path?: string | undefined;
-    /** The same for requests that ask the same of a server; `undefined` where no other request does. */
+    /** Identifies requests with the same content; absent if no other request has it. */
     readonly contentId?: string | undefined;
 }
 
-/** Sends requests to one life of one gateway over kept and over new connections, and records what came of each. */
+/** Sends requests to one incarnation of a gateway over pooled and over new connections, and records their outcomes. */
 export class SoakCaller {
     readonly #gateway: string;
     readonly #url: string;
     readonly #system: SoakSystem;
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
-    readonly #kept = new Agent({ connections: 8, connect: { timeout: connectTimeoutMs } });
-    readonly #ends: RequestOutcome[] = [];
+    readonly #pool = new Agent({ connections: 8, connect: { timeout: connectTimeoutMs } });
+    readonly #outcomes: RequestOutcome[] = [];
 
     constructor(
         gateway: string,
@@ -80,44 +80,44 @@
     }
 
     get outcomes(): readonly RequestOutcome[] {
-        return this.#ends;
+        return this.#outcomes;
     }
 
-    /** Sends one request and waits for its end, which it never fails. */
-    async send(asked: CallerRequest): Promise<void> {
-        const { requestId, route, disconnectsEarly } = asked;
-        const fresh = this.#random.next() < freshShare;
-        const agent = fresh ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#kept;
-        const givesUp = new AbortController();
-        // Past its patience and what is allowed beyond it: whoever is silent for so long holds the request.
-        const waitMs = disconnectsEarly ? this.#random.next() * hangUpMs : routeTimeoutMs + hangToleranceMs;
-        const timer = setTimeout(() => givesUp.abort(), waitMs);
+    /** Sends a request and records its outcome. Never rejects. */
+    async send(request: CallerRequest): Promise<void> {
+        const { requestId, route, disconnectsEarly } = request;
+        const usesNewConnection = this.#random.next() < newConnectionShare;
+        const agent = usesNewConnection ? new Agent({ connect: { timeout: connectTimeoutMs } }) : this.#pool;
+        const abortController = new AbortController();
+        // Beyond the caller's patience and a tolerance: without a response by then, the request counts as hanging.
+        const waitMs = disconnectsEarly ? this.#random.next() * maxDisconnectDelayMs : routeTimeoutMs + hangToleranceMs;
+        const timer = setTimeout(() => abortController.abort(), waitMs);
         const sentAtMs = monotonicNow();
-        const got = await this.#request(agent, asked, givesUp.signal);
+        const result = await this.#request(agent, request, abortController.signal);
         clearTimeout(timer);
-        this.#ends.push({
-            ...got,
+        this.#outcomes.push({
+            ...result,
             requestId,
             route,
             sentAtMs,
             endedAtMs: monotonicNow(),
             disconnectedEarly: disconnectsEarly,
-            timedOut: givesUp.signal.aborted && !disconnectsEarly,
+            timedOut: abortController.signal.aborted && !disconnectsEarly,
         });
-        if (fresh) {
+        if (usesNewConnection) {
             await agent.destroy();
         }
     }
 
     async close(): Promise<void> {
-        await this.#kept.destroy();
+        await this.#pool.destroy();
     }
 
     async #request(
         agent: Agent,
         { requestId, route, credentials, path, contentId }: CallerRequest,
         signal: AbortSignal,
-    ): Promise<Received> {
+    ): Promise<ResponseResult> {
         const idempotent = route !== "file";
         this.#history.record({
             type: "callerSent",
@@ -144,7 +144,7 @@
             });
             hasBegun = true;
             const body = await res.body.text();
-            this.#recordAnswer(requestId, res.statusCode, res.headers, body);
+            this.#recordResponse(requestId, res.statusCode, res.headers, body);
             const retryAfter = readText(res.headers["retry-after"]);
             return { status: res.statusCode, retryAfter, connected: true, truncated: false };
         }
@@ -155,19 +155,19 @@
         }
     }
 
-    #recordAnswer(
+    #recordResponse(
         requestId: string,
         status: number,
         headers: Readonly<Record<string, string | readonly string[] | undefined>>,
         body: string,
     ): void {
-        const marks = this.#system.parseResponseHeaders(headers);
-        const own = status === okStatus ? findRequestId(body) : undefined;
+        const metadata = this.#system.parseResponseHeaders(headers);
+        const bodyRequestId = status === okStatus ? findRequestId(body) : undefined;
         const server = status === okStatus ? findServer(body) : undefined;
-        if (marks.hasLimit && server !== undefined) {
+        if (metadata.hasLimit && server !== undefined) {
             this.#history.record({ type: "limitPassedOn", gateway: this.#gateway, server });
         }
-        if (marks.leaving && server !== undefined) {
+        if (metadata.leaving && server !== undefined) {
             this.#history.record({ type: "leavingPassedOn", gateway: this.#gateway, server });
         }
         this.#history.record({
@@ -175,18 +175,19 @@
             requestId,
             status,
             didRun: notRunStatuses.has(status) ? "no" : undefined,
-            whole: status !== okStatus || (marks.signed && marks.requestId === requestId && own !== undefined),
-            bodyRequestId: own,
+            whole: status !== okStatus
+                || (metadata.signed && metadata.requestId === requestId && bodyRequestId !== undefined),
+            bodyRequestId,
         });
     }
 }
 
-/** @returns whose answer a body is; `undefined` for a body that is not whole */
+/** @returns the ID of the request that a body responds to; `undefined` for a truncated body */
 function findRequestId(body: string): string | undefined {
     return readBody(body)?.requestId;
 }
 
-/** @returns the server that made a body; `undefined` for a body that is not whole */
+/** @returns the ID of the server that created a body; `undefined` for a truncated body */
 function findServer(body: string): string | undefined {
     return readBody(body)?.server;
 }
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -30,30 +30,30 @@
 import { monotonicNow, FaultWindows } from "./faultWindows.js";
 import { type SoakWorkspace } from "./workspacePlan.js";
 
-/** A process that is gone without a word keeps its entry for about this long, in milliseconds. */
-const lostEntryMs = 1_500;
-/** How long a drained server serves on after its entry is gone, in milliseconds. */
-const drainedStaysMs = 600;
-/** How long a server that crashed is away before its successor starts, in milliseconds. */
-const crashedDownMs = 500;
-/** How often a fault looks for a server that it can befall, in milliseconds. */
-const liveCheckMs = 50;
+/** How long the store keeps the entry of a process that has crashed, in milliseconds. */
+const entryExpiryMs = 1_500;
+/** How long a drained server continues to serve after its entry is deleted, in milliseconds. */
+const drainedLingerMs = 600;
+/** Time between the removal of a crashed server's entry and the start of its replacement, in milliseconds. */
+const crashRestartDelayMs = 500;
+/** How often a fault checks for a live server to affect, in milliseconds. */
+const liveCheckPeriodMs = 50;
 const slowdown = 5;
 const storeSlowMs = 400;
 const firstVersion = 2;
 
-/** How callers behave at a moment. */
+/** Current behavior of the callers. */
 export interface CallerBehavior {
-    /** Times the usual number of requests. */
+    /** Multiplies the usual request rate. */
     readonly loadFactor: number;
-    /** Share of the callers who leave early. */
+    /** Share of the callers that disconnect early. */
     readonly earlyDisconnectShare: number;
 }
 
-/** All processes of a run, and what is done to them. */
+/** All processes of a run, and the faults that are injected into them. */
 export class SoakFleet {
     readonly history = new MemoryHistoryRecorder("operator");
-    /** When the store, a gateway or a way between them was harmed, or a way to a server. */
+    /** When a fault affected the store, a gateway, a connection between them, or a connection to a server. */
     readonly faultWindows = new FaultWindows();
     readonly backends: SoakBackend[] = [];
     readonly edges: SoakEdge[] = [];
@@ -61,17 +61,17 @@
     readonly #dir: string;
     readonly #random: RandomSource;
     readonly #store: SoakStore;
-    readonly #cuts = new ActivePartitions();
-    readonly #live: SoakBackend[] = [];
-    readonly #leaving = new Set<SoakBackend>();
+    readonly #partitions = new ActivePartitions();
+    readonly #liveBackends: SoakBackend[] = [];
+    readonly #leavingBackends = new Set<SoakBackend>();
     readonly #zonesOut = new Set<string>();
     #version = firstVersion;
     #workspaces: readonly SoakWorkspace[] | undefined;
     #acceptedWorkspaces: readonly SoakWorkspace[] = [];
-    #written: Promise<void> = Promise.resolve();
-    #started = 0;
+    #lastWrite: Promise<void> = Promise.resolve();
+    #startedServerCount = 0;
     #closed = false;
-    #mood: CallerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
+    #callerBehavior: CallerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
 
     private constructor(system: SoakSystem, dir: string, random: RandomSource, store: SoakStore) {
         this.#system = system;
@@ -83,7 +83,7 @@
     /**
      * Starts all processes.
      *
-     * @param workspaces - of the first version; `undefined` where callers need no keys
+     * @param workspaces - workspaces of the first configuration version; `undefined` if callers need no keys
      */
     static async start(
         system: SoakSystem,
@@ -91,17 +91,17 @@
         seed: number,
         workspaces: readonly SoakWorkspace[] | undefined,
     ): Promise<SoakFleet> {
-        const world = new SoakFleet(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
-        world.#workspaces = workspaces;
+        const fleet = new SoakFleet(system, dir, createRandomSource(seed + 1), await SoakStore.start(system));
+        fleet.#workspaces = workspaces;
         try {
-            await world.#startAll(seed);
+            await fleet.#startAll(seed);
         }
         catch (err) {
-            // A process that can't start, for instance because its port was taken meanwhile, must leave none of the others behind.
-            world.abort();
+            // If a process fails to start, for instance because its port has been taken, none may be left running.
+            fleet.abort();
             throw err;
         }
-        return world;
+        return fleet;
     }
 
     async #startAll(seed: number): Promise<void> {
@@ -126,59 +126,59 @@
         }
     }
 
-    /** Workspaces of the version that the store acknowledged last. */
+    /** Workspaces of the configuration version that the store acknowledged last. */
     get workspaces(): readonly SoakWorkspace[] {
         return this.#acceptedWorkspaces;
     }
 
     get callerBehavior(): CallerBehavior {
-        return this.#mood;
+        return this.#callerBehavior;
     }
 
-    /** Carries out one fault, from its beginning to its end. */
+    /** Injects a fault, and resolves when it has ended. */
     async injectFault(fault: Fault): Promise<void> {
         const { kind, durationMs } = fault;
-        await this.#whenServersLive();
+        await this.#waitForLiveServer();
         const edge = pick(this.edges, fault.target);
-        const backend = pick(this.#live, fault.target);
+        const backend = pick(this.#liveBackends, fault.target);
         switch (kind) {
             case "edgeTerm":
-                return this.#harm(() => edge.restart(durationMs));
+                return this.#recordFault(() => edge.restart(durationMs));
             case "edgeKill":
-                return this.#harm(() => edge.kill(durationMs));
+                return this.#recordFault(() => edge.kill(durationMs));
             case "edgePause":
-                return this.#harm(() => edge.pause(durationMs));
+                return this.#recordFault(() => edge.pause(durationMs));
             case "edgeHup":
                 edge.sendSighup();
                 return;
             case "allEdgesKill":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     await Promise.all(this.edges.map(each => each.kill(durationMs)));
                 });
             case "storeLink":
-                return this.#harm(() => injectLinkFault(edge.storeProxy, fault));
+                return this.#recordFault(() => injectLinkFault(edge.storeProxy, fault));
             case "storeRefuse":
-                return this.#harmStore({ refuses: true }, durationMs);
+                return this.#injectStoreFaults({ refuses: true }, durationMs);
             case "storeHang":
-                return this.#harmStore({ hangs: true }, durationMs);
+                return this.#injectStoreFaults({ hangs: true }, durationMs);
             case "storeSlow":
-                return this.#harmStore({ slowMs: storeSlowMs }, durationMs);
+                return this.#injectStoreFaults({ slowMs: storeSlowMs }, durationMs);
             case "storeLoseAnswers":
-                return this.#harmStore({ losesAnswers: true }, durationMs);
+                return this.#injectStoreFaults({ losesAnswers: true }, durationMs);
             case "storeCompact":
-                return this.#harm(() => this.#store.execute({ compact: true }));
+                return this.#recordFault(() => this.#store.execute({ compact: true }));
             case "storePause":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     this.#store.pause();
                     await sleep(durationMs);
                     this.#store.resume();
                 });
             case "serverLink":
-                return this.#harm(() => injectLinkFault(backend.proxy, fault));
+                return this.#recordFault(() => injectLinkFault(backend.proxy, fault));
             case "serverKill":
                 return this.#replaceKilled(backend, durationMs);
             case "serverPause":
-                return this.#harm(async () => {
+                return this.#recordFault(async () => {
                     backend.pause();
                     await sleep(durationMs);
                     backend.resume();
@@ -200,73 +200,73 @@
             case "zoneOut":
                 return this.#takeZoneOut(zoneAt(fault.target), durationMs);
             case "burst":
-                return this.#changeMood({ loadFactor: 5 }, durationMs);
+                return this.#changeCallerBehavior({ loadFactor: 5 }, durationMs);
             case "hangUp":
-                return this.#changeMood({ earlyDisconnectShare: 0.4 }, durationMs);
+                return this.#changeCallerBehavior({ earlyDisconnectShare: 0.4 }, durationMs);
         }
     }
 
-    /** Gateways reach no backend server for a while. */
-    partition(edges: readonly SoakEdge[], link: LinkFault, forMs: number): Promise<void> {
-        return this.#harm(async () => {
-            const end = this.#cuts.begin(edges, this.backends, link);
-            await sleep(forMs);
+    /** Partitions gateways from all backend servers for some milliseconds. */
+    partition(edges: readonly SoakEdge[], linkFault: LinkFault, durationMs: number): Promise<void> {
+        return this.#recordFault(async () => {
+            const end = this.#partitions.begin(edges, this.backends, linkFault);
+            await sleep(durationMs);
             end(this.backends);
         });
     }
 
-    /** The store is away and comes back from an older copy. */
+    /** Makes the store unavailable, then restores it from an older snapshot. */
     restoreStore({ outageKind, outageMs, snapshotAgeMs }: PlannedStoreRestore): Promise<void> {
-        return this.#harm(async () => {
+        return this.#recordFault(async () => {
             const end = await this.#store.injectFaults({ [outageKind]: true });
             await sleep(outageMs);
             await this.#store.execute({ restoreMs: snapshotAgeMs });
             await end();
-            // What operators and servers wrote is there again only then.
+            // Until then, lost writes of operators and servers may be missing.
             await sleep(maxRewriteDelayMs);
         });
     }
 
-    /** @returns a server that has not begun to leave, once there is one */
+    /** @returns a server that hasn't begun to leave, once there is one */
     async pickLiveBackend(target: number): Promise<SoakBackend> {
-        await this.#whenServersLive();
-        return pick(this.#live, target);
+        await this.#waitForLiveServer();
+        return pick(this.#liveBackends, target);
     }
 
-    /** @returns the servers of a service and version that have not begun to leave */
+    /** @returns the servers of a service and version that haven't begun to leave */
     findLiveBackends(service: string, version: string): readonly SoakBackend[] {
-        return this.#live.filter(({ info }) => info.service === service && info.version === version);
+        return this.#liveBackends.filter(({ info }) => info.service === service && info.version === version);
     }
 
-    /** Faults and deadly requests may have ended all servers at once; their successors come within seconds. */
-    async #whenServersLive(): Promise<void> {
-        while (this.#live.length === 0 && !this.#closed) {
-            await sleep(liveCheckMs);
+    /** Waits for a live server. Faults may end all servers at once; replacements start within seconds. */
+    async #waitForLiveServer(): Promise<void> {
+        while (this.#liveBackends.length === 0 && !this.#closed) {
+            await sleep(liveCheckPeriodMs);
         }
     }
 
-    /** Writes to the store as the operator does, past all faults. */
+    /** Writes to the store as the operator does, regardless of injected faults. */
     writeAsOperator(write: StoreWrite): Promise<void> {
         return this.#store.execute({ puts: [write] });
     }
 
-    /** @returns how far a service's roll-out is by the store */
+    /** @returns the stage of a service's roll-out in the store; `undefined` if there is none */
     readRolloutStage(service: string): Promise<RolloutStage | undefined> {
         return this.#system.readRolloutStage(this.#store.port, service);
     }
 
-    /** Servers end at once, and their entries lapse. */
+    /** Kills servers, and deletes their entries after the time in which they would expire. */
     async killBackends(backends: readonly SoakBackend[]): Promise<void> {
         await Promise.all(
             backends.filter(backend => this.#beginLeaving(backend)).map(async backend => {
                 await backend.kill();
-                await sleep(lostEntryMs);
+                await sleep(entryExpiryMs);
                 await this.#deleteEntry(backend);
             }),
         );
     }
 
-    /** Ends every process of the run without waiting, as where the soak itself is told to end: none may be left behind. */
+    /** Kills all processes without waiting for their end, so that none is left running when the soak test exits. */
     abort(): void {
         this.#closed = true;
         for (const each of [...this.edges, ...this.backends, this.#store]) {
@@ -274,67 +274,70 @@
         }
     }
 
-    /** Ends every process of the run. */
+    /** Kills all processes of the run. */
     async close(): Promise<void> {
         this.#closed = true;
         await Promise.all([...this.edges, ...this.backends].map(each => each.close()));
         await this.#store.close();
     }
 
-    async #harm(run: () => Promise<void>): Promise<void> {
+    async #recordFault(run: () => Promise<void>): Promise<void> {
         const end = this.faultWindows.begin(monotonicNow());
         await run();
         end(monotonicNow());
     }
 
-    #harmStore(trouble: Partial<StoreFaults>, forMs: number): Promise<void> {
-        return this.#harm(async () => {
-            const end = await this.#store.injectFaults(trouble);
-            await sleep(forMs);
+    #injectStoreFaults(faults: Partial<StoreFaults>, durationMs: number): Promise<void> {
+        return this.#recordFault(async () => {
+            const end = await this.#store.injectFaults(faults);
+            await sleep(durationMs);
             await end();
         });
     }
 
-    /** Starts a server; one of a version that is to be rolled out is registered by `register`, after its order. */
+    /**
+     * Starts a server. One of a version that is to be rolled out has to be registered with `register`, after the order
+     * of its roll-out.
+     */
     async startBackend(
         service: string,
         availabilityZone: string,
         cold: boolean,
         version = initialServerVersion,
-        trouble: Partial<ServerFaults> = {},
+        faults: Partial<ServerFaults> = {},
     ): Promise<SoakBackend> {
-        const number = ++this.#started;
-        const place = { id: `server-${number}`, service, availabilityZone, version };
-        const backend = await SoakBackend.start(place, this.#system, this.#dir, number);
+        const number = ++this.#startedServerCount;
+        const info = { id: `server-${number}`, service, availabilityZone, version };
+        const backend = await SoakBackend.start(info, this.#system, this.#dir, number);
         this.backends.push(backend);
-        this.#cuts.onBackendStarted(backend);
+        this.#partitions.onBackendStarted(backend);
         void backend.exited.then(() => this.#onExited(backend));
-        await backend.injectFaults(trouble);
+        await backend.injectFaults(faults);
         if (version === initialServerVersion) {
             await this.register(backend, cold);
         }
         return backend;
     }
 
-    /** A server that ended by itself is replaced like one that was killed. */
+    /** Replaces a server that exited, like one that was killed. */
     async #onExited(backend: SoakBackend): Promise<void> {
         this.history.record({ type: "serverExited", server: backend.info.id });
         try {
             if (!this.#closed) {
-                await this.#replaceKilled(backend, crashedDownMs);
+                await this.#replaceKilled(backend, crashRestartDelayMs);
             }
         }
         catch (err) {
-            // The run may end meanwhile, and with it the store.
+            // The run, and with it the store, may have ended in the meantime.
             if (!this.#closed) {
                 throw err;
             }
         }
     }
 
-    /** Writes a server's entry, cold or warm. */
+    /** Writes a server's entry to the store, cold or warm. */
     async register(backend: SoakBackend, cold: boolean): Promise<void> {
-        this.#live.push(backend);
+        this.#liveBackends.push(backend);
         const coldForMs = cold ? coldDurationMs : 0;
         await backend.setCold(coldForMs);
         await this.#store.execute({
@@ -347,20 +350,20 @@
         return this.#store.execute({ deletes: [key] });
     }
 
-    /** The server crashes; its entry lapses, and another one comes up in its place, cold. */
+    /** Kills a server, deletes its entry after the time in which it would expire, and starts a cold replacement. */
     async #replaceKilled(backend: SoakBackend, downMs: number): Promise<void> {
         if (!this.#beginLeaving(backend)) {
             return;
         }
         await backend.kill();
-        await sleep(lostEntryMs);
+        await sleep(entryExpiryMs);
         await this.#deleteEntry(backend);
         await sleep(downMs);
         await this.#replace(backend);
     }
 
-    /** Its successor starts first; then the server says that it leaves, serves on, and ends. */
-    async #replaceDrained(backend: SoakBackend, staysMs: number): Promise<void> {
+    /** Starts a replacement, then drains the server: it announces that it is leaving, continues to serve, and ends. */
+    async #replaceDrained(backend: SoakBackend, lingerMs: number): Promise<void> {
         if (!this.#beginLeaving(backend)) {
             return;
         }
@@ -368,30 +371,30 @@
         await this.#store.execute({ puts: [this.#system.renderServer(backend.createRegistration("draining", 0))] });
         this.history.record({ type: "drainAccepted", server: backend.info.id });
         await backend.injectFaults({ leaves: true });
-        await sleep(applyMs + staysMs);
+        await sleep(applyMs + lingerMs);
         await this.#deleteEntry(backend);
-        await sleep(drainedStaysMs);
+        await sleep(drainedLingerMs);
         await backend.kill();
     }
 
     async #replace({ info: { service, availabilityZone, version } }: SoakBackend): Promise<void> {
-        // Of a version that is rolled out no more servers come: which ones they are is told with the order.
+        // The history lists the servers of a version that is rolled out at its order, so that none may be added later.
         if (version === initialServerVersion) {
             await this.startBackend(service, availabilityZone, true);
         }
     }
 
-    /** @returns whether it is the first to end this server */
+    /** @returns whether this is the first call for the server */
     #beginLeaving(backend: SoakBackend): boolean {
-        if (this.#leaving.has(backend)) {
+        if (this.#leavingBackends.has(backend)) {
             return false;
         }
-        this.#leaving.add(backend);
-        this.#live.splice(this.#live.indexOf(backend), 1);
+        this.#leavingBackends.add(backend);
+        this.#liveBackends.splice(this.#liveBackends.indexOf(backend), 1);
         return true;
     }
 
-    /** Writes a version with other workspaces. The moving route stays where it is, as it would be without this version. */
+    /** Writes a configuration version with other workspaces. The service of the moving route stays the same. */
     changeWorkspaces(workspaces: readonly SoakWorkspace[]): Promise<void> {
         this.#workspaces = workspaces;
         this.#version += services.length;
@@ -403,9 +406,9 @@
         return this.#writeVersion();
     }
 
-    /** One version after the other: of two at once the store might keep the earlier one. */
+    /** Writes versions one at a time: of two concurrent writes, the store could keep the older version. */
     #writeVersion(): Promise<void> {
-        const [revision, workspaces, before] = [this.#version, this.#workspaces, this.#written];
+        const [revision, workspaces, before] = [this.#version, this.#workspaces, this.#lastWrite];
         const write = async (): Promise<void> => {
             await before;
             const entry = this.#system.renderConfiguration(createSoakConfiguration(revision, workspaces));
@@ -419,12 +422,12 @@
             this.history.record({ type: "configurationAccepted", revision, changeId: "" });
             this.#acceptedWorkspaces = workspaces ?? [];
         };
-        this.#written = write();
-        return this.#written;
+        this.#lastWrite = write();
+        return this.#lastWrite;
     }
 
-    async #takeZoneOut(availabilityZone: string, forMs: number): Promise<void> {
-        // With a second zone out too little would be left to tell a refusal from a fault.
+    async #takeZoneOut(availabilityZone: string, durationMs: number): Promise<void> {
+        // With a second zone out, too few servers would remain to distinguish valid rejections from failures.
         if (this.#zonesOut.size > 0) {
             return;
         }
@@ -432,23 +435,23 @@
         const key = this.#system.zoneOutKey(availabilityZone);
         await this.#store.execute({ puts: [{ key, value: "{}" }] });
         this.history.record({ type: "zoneOutAccepted", availabilityZone });
-        await sleep(forMs);
+        await sleep(durationMs);
         this.history.record({ type: "zoneInRequested", availabilityZone });
         await this.#store.execute({ deletes: [key] });
         this.#zonesOut.delete(availabilityZone);
     }
 
-    async #changeMood(mood: Partial<CallerBehavior>, forMs: number): Promise<void> {
-        this.#mood = { ...this.#mood, ...mood };
-        await sleep(forMs);
-        this.#mood = { loadFactor: 1, earlyDisconnectShare: 0 };
+    async #changeCallerBehavior(behavior: Partial<CallerBehavior>, durationMs: number): Promise<void> {
+        this.#callerBehavior = { ...this.#callerBehavior, ...behavior };
+        await sleep(durationMs);
+        this.#callerBehavior = { loadFactor: 1, earlyDisconnectShare: 0 };
     }
 }
 
-function pick<T>(things: readonly T[], number: number): T {
-    const thing = things[number % things.length];
-    if (thing === undefined) {
-        throw new Error("a run needs at least one of each");
+function pick<T>(items: readonly T[], number: number): T {
+    const item = items[number % items.length];
+    if (item === undefined) {
+        throw new Error("can't pick from an empty list");
     }
-    return thing;
+    return item;
 }
--- a/packages/soak/src/soakPartitions.ts
+++ b/packages/soak/src/soakPartitions.ts
@@ -5,55 +5,64 @@
 import { type SoakEdge } from "./soakEdge.js";
 import { type SoakFleet } from "./soakFleet.js";
 
-interface ActiveCut {
-    readonly link: LinkFault;
-    /** The address from which a gateway connects to servers. */
-    readonly from: string;
+interface ActivePartition {
+    readonly linkFault: LinkFault;
+    /** IP address from which a gateway connects to servers. */
+    readonly sourceAddress: string;
 }
 
-/** Gateways that are cut off from all backend servers at the moment, those that start meanwhile included. */
+/** The active partitions between gateways and all backend servers, including servers that start in the meantime. */
 export class ActivePartitions {
-    readonly #cuts = new Set<ActiveCut>();
+    readonly #partitions = new Set<ActivePartition>();
 
-    /** A server has started: cut-off gateways don't reach it either. */
+    /** Applies the active partitions to a server that has just started. */
     onBackendStarted({ proxy }: SoakBackend): void {
-        for (const { link, from } of this.#cuts) {
-            proxy.begin(link, from);
+        for (const { linkFault, sourceAddress } of this.#partitions) {
+            proxy.begin(linkFault, sourceAddress);
         }
     }
 
-    /** Cuts gateways off. @returns ends it */
+    /**
+     * Partitions gateways from all backend servers.
+     *
+     * @returns ends the partition; takes the backend servers at that time
+     */
     begin(
         edges: readonly SoakEdge[],
         backends: readonly SoakBackend[],
-        link: LinkFault,
-    ): (now: readonly SoakBackend[]) => void {
-        const cuts = edges.map(({ sourceAddress }): ActiveCut => ({ link, from: sourceAddress }));
-        for (const cut of cuts) {
-            this.#cuts.add(cut);
-            backends.forEach(({ proxy }) => proxy.begin(link, cut.from));
+        linkFault: LinkFault,
+    ): (currentBackends: readonly SoakBackend[]) => void {
+        const partitions = edges.map(({ sourceAddress }): ActivePartition => ({
+            linkFault,
+            sourceAddress,
+        }));
+        for (const partition of partitions) {
+            this.#partitions.add(partition);
+            backends.forEach(({ proxy }) => proxy.begin(linkFault, partition.sourceAddress));
         }
-        return now => {
-            for (const cut of cuts) {
-                this.#cuts.delete(cut);
-                now.forEach(({ proxy }) => proxy.end(link, cut.from));
+        return currentBackends => {
+            for (const partition of partitions) {
+                this.#partitions.delete(partition);
+                currentBackends.forEach(({ proxy }) => proxy.end(linkFault, partition.sourceAddress));
             }
         };
     }
 }
 
-/** Cuts gateways off as a run's plan has it. */
-export async function partitionGateways(world: SoakFleet, cuts: readonly PlannedPartition[]): Promise<void> {
-    await Promise.all(cuts.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
-        await sleep(atMs);
-        const count = Math.min(additionalGateways + 1, world.edges.length);
-        const edges = Array.from({ length: count }, (_, i) => world.edges[(target + i) % world.edges.length])
-            .filter(edge => edge !== undefined);
-        for (let leftMs = durationMs; leftMs > 0;) {
-            const downMs = Math.min(leftMs, flapPeriodMs ?? leftMs);
-            await world.partition(edges, linkFault, downMs);
-            await sleep(Math.min(leftMs - downMs, flapPeriodMs ?? 0));
-            leftMs -= 2 * downMs;
-        }
-    }));
+/** Applies the planned partitions of a run. */
+export async function partitionGateways(fleet: SoakFleet, partitions: readonly PlannedPartition[]): Promise<void> {
+    await Promise.all(
+        partitions.map(async ({ atMs, durationMs, target, additionalGateways, linkFault, flapPeriodMs }) => {
+            await sleep(atMs);
+            const count = Math.min(additionalGateways + 1, fleet.edges.length);
+            const edges = Array.from({ length: count }, (_, i) => fleet.edges[(target + i) % fleet.edges.length])
+                .filter(edge => edge !== undefined);
+            for (let leftMs = durationMs; leftMs > 0;) {
+                const downMs = Math.min(leftMs, flapPeriodMs ?? leftMs);
+                await fleet.partition(edges, linkFault, downMs);
+                await sleep(Math.min(leftMs - downMs, flapPeriodMs ?? 0));
+                leftMs -= 2 * downMs;
+            }
+        }),
+    );
 }
--- a/packages/soak/src/soakServerMetadata.ts
+++ b/packages/soak/src/soakServerMetadata.ts
@@ -4,38 +4,38 @@
 import { type PlannedLeaving, type PlannedServerMetadata, type PlannedBackoff } from "./serverMetadataPlan.js";
 import { type SoakFleet } from "./soakFleet.js";
 
-/** A server names a limit for a while. */
+/** Lets a server advertise a planned rate limit. */
 export async function applyServerLimit(
-    world: SoakFleet,
+    fleet: SoakFleet,
     { atMs, durationMs, target, perSecond }: PlannedServerLimit,
 ): Promise<void> {
     await sleep(atMs);
-    await injectServerFaults(await world.pickLiveBackend(target), { limitPerSecond: perSecond }, durationMs);
+    await injectServerFaults(await fleet.pickLiveBackend(target), { limitPerSecond: perSecond }, durationMs);
 }
 
-/** Servers say of themselves what a run's plan has. */
+/** Lets servers send the planned response metadata. */
 export async function applyServerMetadata(
-    world: SoakFleet,
+    fleet: SoakFleet,
     { backoff, leaving }: PlannedServerMetadata,
 ): Promise<void> {
     await Promise.all([
-        backoff === undefined ? undefined : askForRest(world, backoff),
-        leaving === undefined ? undefined : sayLeaving(world, leaving),
+        backoff === undefined ? undefined : injectBackoff(fleet, backoff),
+        leaving === undefined ? undefined : injectLeaving(fleet, leaving),
     ]);
 }
 
-/** A server turns gateways away for a while, and asks each for rest. */
-async function askForRest(
-    world: SoakFleet,
-    { atMs, durationMs: forMs, target, backoffSeconds }: PlannedBackoff,
+/** Lets a server reject all requests for some time and ask each gateway to back off. */
+async function injectBackoff(
+    fleet: SoakFleet,
+    { atMs, durationMs, target, backoffSeconds }: PlannedBackoff,
 ): Promise<void> {
     await sleep(atMs);
-    await injectServerFaults(await world.pickLiveBackend(target), { restSeconds: backoffSeconds }, forMs);
+    await injectServerFaults(await fleet.pickLiveBackend(target), { restSeconds: backoffSeconds }, durationMs);
 }
 
-/** A server says in its answers that it leaves, to its end. */
-async function sayLeaving(world: SoakFleet, { atMs, target }: PlannedLeaving): Promise<void> {
+/** Lets a server announce in its responses that it is leaving, until it ends. */
+async function injectLeaving(fleet: SoakFleet, { atMs, target }: PlannedLeaving): Promise<void> {
     await sleep(atMs);
-    const backend = await world.pickLiveBackend(target);
+    const backend = await fleet.pickLiveBackend(target);
     await backend.injectFaults({ saysLeaving: true });
 }
--- a/packages/soak/src/soakStore.ts
+++ b/packages/soak/src/soakStore.ts
@@ -3,12 +3,12 @@
 import { SerialExecutor } from "./serialExecutor.js";
 import { noStoreFaults, type SoakSystem, type StoreCommand, type StoreFaults } from "./soakSystem.js";
 
-/** The stand-in store as a process. The operator and the servers reach it past all faults, as they do in production. */
+/** The fake store as a process. Injected faults don't affect commands: the operator and the servers always reach it. */
 export class SoakStore {
     readonly #process: StartedProcess;
-    readonly #troubles: Partial<StoreFaults>[] = [];
-    /** Orders under way at once may overtake each other on their connections. */
-    readonly #inOrder = new SerialExecutor();
+    readonly #activeFaults: Partial<StoreFaults>[] = [];
+    /** Serializes commands: concurrent ones could overtake each other on separate connections. */
+    readonly #executor = new SerialExecutor();
 
     private constructor(process: StartedProcess) {
         this.#process = process;
@@ -22,21 +22,28 @@
         return Number(new URL(this.#process.url).port);
     }
 
-    /** Writes past all faults; the store's answer is the acknowledgement. */
-    execute(order: StoreCommand): Promise<void> {
-        return this.#inOrder.run(async () => {
-            const res = await request(`${this.#process.url}/control`, { method: "POST", body: JSON.stringify(order) });
+    /** Executes a command regardless of injected faults. Resolves when the store has acknowledged it. */
+    execute(command: StoreCommand): Promise<void> {
+        return this.#executor.run(async () => {
+            const res = await request(`${this.#process.url}/control`, {
+                method: "POST",
+                body: JSON.stringify(command),
+            });
             await res.body.dump();
         });
     }
 
-    /** Begins a trouble. @returns ends it */
-    async injectFaults(trouble: Partial<StoreFaults>): Promise<() => Promise<void>> {
-        this.#troubles.push(trouble);
-        await this.#tell();
+    /**
+     * Injects faults, in addition to those that are active.
+     *
+     * @returns ends these faults
+     */
+    async injectFaults(faults: Partial<StoreFaults>): Promise<() => Promise<void>> {
+        this.#activeFaults.push(faults);
+        await this.#sendFaults();
         return async () => {
-            this.#troubles.splice(this.#troubles.indexOf(trouble), 1);
-            await this.#tell();
+            this.#activeFaults.splice(this.#activeFaults.indexOf(faults), 1);
+            await this.#sendFaults();
         };
     }
 
@@ -48,7 +55,7 @@
         this.#process.resume();
     }
 
-    /** Ends it without waiting for its end. */
+    /** Kills the process without waiting for its end. */
     abort(): void {
         this.#process.kill();
     }
@@ -58,8 +65,11 @@
         await this.#process.exited;
     }
 
-    #tell(): Promise<void> {
-        const faults = this.#troubles.reduce<StoreFaults>((sum, trouble) => ({ ...sum, ...trouble }), noStoreFaults);
+    #sendFaults(): Promise<void> {
+        const faults = this.#activeFaults.reduce<StoreFaults>(
+            (sum, each) => ({ ...sum, ...each }),
+            noStoreFaults,
+        );
         return this.execute({ faults });
     }
 }
--- a/scripts/bench/plot.ts
+++ b/scripts/bench/plot.ts
@@ -8,9 +8,9 @@
 const figureWidth = 150;
 
 /**
- * Draws the p99 of one kind of caller under one load: a bar to the median, a line from minimum to maximum.
+ * Plots the p99 latency of one caller kind under one load: a bar for the median, a line from minimum to maximum.
  *
- * @param results - a run of the bench
+ * @param results - results of a benchmark
  * @param load - name of the load
  * @param kind - `service/callerKind`
  * @returns an SVG document
@@ -21,8 +21,8 @@
         variant,
         spread: compareRounds(results.runs, load, kind, variant, variant, result => result.latency.p99).figure,
     }));
-    const longest = Math.max(...rows.map(row => row.spread.max));
-    const scale = (width - labelWidth - figureWidth) / longest;
+    const maxFigure = Math.max(...rows.map(row => row.spread.max));
+    const scale = (width - labelWidth - figureWidth) / maxFigure;
     const height = titleHeight + rows.length * rowHeight;
     const size = results.partial ? "partial run" : "full run";
     return [
--- a/scripts/capacity/measureFleet.ts
+++ b/scripts/capacity/measureFleet.ts
@@ -5,24 +5,24 @@
 import { fitSlope, type Sample } from "./slope.js";
 import { TestFleet } from "./testFleet.js";
 
-/** Sizes of the fleet, in gateways. */
+/** Fleet sizes, in gateways. */
 const fleetSizes = [2, 4, 8, 16];
 const rounds = 3;
 const settleMs = 6_000;
 const observeMs = 12_000;
 const changes = 5;
-/** The targets declared while the fleet is measured: about the larger of the brief's deployments. */
+/** Targets in the configuration during the measurement: about those of the larger deployment in the requirements. */
 const declaredTargets = 28;
 
-/** What one fleet showed while nothing but control went on, for an average gateway. */
+/** Resource usage of a fleet with control traffic only, per gateway unless the name says otherwise. */
 interface FleetObservation {
     readonly corePercent: number;
     readonly residentMegabytes: number;
     readonly writtenBytesPerSecond: number;
     readonly storeCallsPerSecond: number;
-    /** From the operator's call until the change is in force everywhere. */
+    /** Time from the operator's call until the change is in force on all gateways. */
     readonly changeMs: number;
-    /** Processor time that one change costs one gateway. */
+    /** Processor time of one change on one gateway. */
     readonly changeCpuMs: number;
 }
 
@@ -78,19 +78,19 @@
 interface Column {
     readonly name: string;
     readonly unit: string;
-    readonly take: (observation: FleetObservation) => number;
+    readonly read: (observation: FleetObservation) => number;
 }
 
 const columns: readonly Column[] = [
-    { name: "controlCorePerGateway", unit: "% of a core", take: observation => observation.corePercent },
-    { name: "residentMemoryPerGateway", unit: "MB", take: observation => observation.residentMegabytes },
-    { name: "writtenBytesPerGateway", unit: "bytes/s", take: observation => observation.writtenBytesPerSecond },
-    { name: "storeCallsPerGateway", unit: "calls/s", take: observation => observation.storeCallsPerSecond },
-    { name: "changeTimePerGateway", unit: "ms", take: observation => observation.changeMs },
-    { name: "changeCpuPerGateway", unit: "ms", take: observation => observation.changeCpuMs },
+    { name: "controlCorePerGateway", unit: "% of a core", read: observation => observation.corePercent },
+    { name: "residentMemoryPerGateway", unit: "MB", read: observation => observation.residentMegabytes },
+    { name: "writtenBytesPerGateway", unit: "bytes/s", read: observation => observation.writtenBytesPerSecond },
+    { name: "storeCallsPerGateway", unit: "calls/s", read: observation => observation.storeCallsPerSecond },
+    { name: "changeTimePerGateway", unit: "ms", read: observation => observation.changeMs },
+    { name: "changeCpuPerGateway", unit: "ms", read: observation => observation.changeCpuMs },
 ];
 
-/** Measures what an idle fleet costs each gateway, against the number of gateways. Needs `npm run build` first. */
+/** Measures the resource usage per gateway of an idle fleet against its size. Requires `npm run build`. */
 export async function measureFleet(): Promise<readonly Measurement[]> {
     const samples = new Map<string, Sample[][]>(columns.map(({ name }) => [name, []]));
     for (let round = 0; round < rounds; round++) {
@@ -98,8 +98,8 @@
         for (const size of fleetSizes) {
             observations.push([size, await observe(size)]);
         }
-        for (const { name, take } of columns) {
-            samples.get(name)?.push(observations.map(([size, seen]) => ({ size, value: take(seen) })));
+        for (const { name, read } of columns) {
+            samples.get(name)?.push(observations.map(([size, observation]) => ({ size, value: read(observation) })));
         }
     }
     return columns.map(({ name, unit }) => {
--- a/scripts/measureStart/throttle.ts
+++ b/scripts/measureStart/throttle.ts
@@ -1,52 +1,52 @@
 /**
- * Gives each process of a list a share of a core, as a scheduler's quota does: a process that has used up its part of a
- * period stands still until the next one. Runs as a process of its own, so that the measurement's own work doesn't delay it.
+ * Limits processes to a share of a core, like a CFS quota: a process that has used up its quota of a period is stopped
+ * until the next one. Runs as a separate process, so that the work of the measurement doesn't delay it.
  */
 import { readdirSync, readFileSync } from "node:fs";
 
 const cores = Number(process.argv[2]);
 const periodMs = 100;
-const lookMs = 3;
+const checkPeriodMs = 3;
 const nsPerMs = 1_000_000;
 
-interface Throttled {
+interface ThrottledProcess {
     readonly pid: number;
-    usedBeforeMs: number;
+    chargedMs: number;
     stopped: boolean;
 }
 
-const processes: Throttled[] = [];
+const processes: ThrottledProcess[] = [];
 let periodEndsAtMs = performance.now() + periodMs;
 
 process.on("message", (pid: number) => {
-    processes.push({ pid, usedBeforeMs: 0, stopped: false });
+    processes.push({ pid, chargedMs: 0, stopped: false });
 });
 setInterval(() => {
     const isNewPeriod = performance.now() >= periodEndsAtMs;
     periodEndsAtMs += isNewPeriod ? periodMs : 0;
     for (const each of processes) {
-        look(each, isNewPeriod);
+        updateThrottle(each, isNewPeriod);
     }
-}, lookMs);
+}, checkPeriodMs);
 
-function look(each: Throttled, isNewPeriod: boolean): void {
+function updateThrottle(each: ThrottledProcess, isNewPeriod: boolean): void {
     try {
         if (isNewPeriod) {
-            // What was used beyond the quota between two looks counts in the next period.
+            // Usage beyond the quota, between two checks, is charged to the next period.
             const usedMs = readUsedMs(each.pid);
-            each.usedBeforeMs = Math.max(
+            each.chargedMs = Math.max(
                 usedMs - periodMs * cores,
-                Math.min(usedMs, each.usedBeforeMs + periodMs * cores),
+                Math.min(usedMs, each.chargedMs + periodMs * cores),
             );
         }
-        const mayRun = readUsedMs(each.pid) - each.usedBeforeMs < periodMs * cores;
+        const mayRun = readUsedMs(each.pid) - each.chargedMs < periodMs * cores;
         if (mayRun === each.stopped) {
             process.kill(each.pid, mayRun ? "SIGCONT" : "SIGSTOP");
             each.stopped = !mayRun;
         }
     }
     catch {
-        // It has ended.
+        // The process has ended.
         processes.splice(processes.indexOf(each), 1);
     }
 }
