--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -28,7 +28,7 @@
 
 const file = (t: TestContext, text = yaml) => writeTemporaryFile(t, text);
 /** An address that nothing listens on: binding port 1 requires privileges that tests don't have. */
-const nobody = "http://127.0.0.1:1";
+const unreachableUrl = "http://127.0.0.1:1";
 
 test("the help lists every command, and every command has its own help", async t => {
     const { code, out } = await runCli(t, [], ["--help"]);
@@ -45,7 +45,7 @@
 });
 
 test("all errors in the command line are reported, with exit code 2", async t => {
-    const wrong = [
+    const invalidArgs = [
         "apply",
         "--admin",
         "ftp://x",
@@ -56,7 +56,7 @@
         "--change-id",
         "#",
     ];
-    const { code, err } = await runCli(t, [], wrong);
+    const { code, err } = await runCli(t, [], invalidArgs);
     assert.equal(code, 2);
     for (const part of ["FILE", "--admin ftp://x", "--key-file /none", "--expected-revision", "--change-id"]) {
         assert.ok(err.some(line => line.includes(part)), part);
@@ -64,7 +64,7 @@
     for (const args of [[], ["nothing"], ["check"], ["get"], ["status", "--colour"], ["get", "--change-id", "x"]]) {
         assert.equal((await runCli(t, [], args)).code, 2, args.join(" "));
     }
-    assert.equal((await runCli(t, [nobody], ["zone", "up", "a"])).code, 2);
+    assert.equal((await runCli(t, [unreachableUrl], ["zone", "up", "a"])).code, 2);
 });
 
 test("check reports each fault with its line", async t => {
@@ -164,13 +164,13 @@
 
 test("an unreachable admin server is skipped for the next one", async t => {
     const { url, coordinator } = await startAdmin(t);
-    const { code } = await runCli(t, [nobody, url], ["zone", "out", "a"]);
+    const { code } = await runCli(t, [unreachableUrl, url], ["zone", "out", "a"]);
     assert.equal(code, 0);
     assert.equal(coordinator.present.revision, 2);
 });
 
 test("a change without a response exits with 5 and prints how to retry it", async t => {
-    const { code, err, pauses } = await runCli(t, [nobody], ["zone", "out", "a", "--change-id", "tonight"]);
+    const { code, err, pauses } = await runCli(t, [unreachableUrl], ["zone", "out", "a", "--change-id", "tonight"]);
     assert.equal(code, 5);
     assert.equal(pauses.length, maxCallAttempts - 1);
     assert.match(err.join("\n"), /--change-id tonight/);
@@ -311,9 +311,9 @@
 // which it is needed. Without --yes, the command prints the consequences and makes no call.
 test("host forget does nothing without --yes but explain the consequences", async t => {
     const { url, coordinator } = await startAdmin(t);
-    const asked = await runCli(t, [url], ["host", "forget", "entry-2"]);
-    assert.deepEqual([asked.code, asked.out, coordinator.forgotten], [2, [], []]);
-    assert.match(asked.err.join("\n"), /no longer runs[^]*never received[^]*--yes/);
+    const unconfirmed = await runCli(t, [url], ["host", "forget", "entry-2"]);
+    assert.deepEqual([unconfirmed.code, unconfirmed.out, coordinator.forgotten], [2, [], []]);
+    assert.match(unconfirmed.err.join("\n"), /no longer runs[^]*never received[^]*--yes/);
     const done = await runCli(t, [url], ["host", "forget", "entry-2", "--yes"]);
     assert.deepEqual([done.code, done.out, coordinator.forgotten], [0, ["forgotten: entry-2"], ["entry-2"]]);
     const refused = await runCli(t, [url], ["host", "forget", "entry-1", "--yes"]);
--- a/packages/cli/src/__tests__/explain.test.ts
+++ b/packages/cli/src/__tests__/explain.test.ts
@@ -38,10 +38,15 @@
 });
 
 test("explaining a request includes other requests with the same content id, on any host", () => {
-    const lost = (requestId: string, process: string, contentId: string): string =>
+    const renderLostSend = (requestId: string, process: string, contentId: string): string =>
         render(3_100, process, "sendLost", { requestId, contentId, from: "i-7", server: "ended" });
     const { lines } = readLog(
-        [log, lost("r1", "host-1", "c1"), lost("r8", "host-9", "c1"), lost("r9", "host-9", "c2")].join("\n"),
+        [
+            log,
+            renderLostSend("r1", "host-1", "c1"),
+            renderLostSend("r8", "host-9", "c1"),
+            renderLostSend("r9", "host-9", "c2"),
+        ].join("\n"),
     );
     const story = explainRequest("r1", lines).filter(({ message }) => message === "sendLost");
     assert.deepEqual(story.map(({ fields }) => fields["requestId"]), ["r1", "r8"]);
--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -25,7 +25,7 @@
 /** Calls the admin servers and retries calls that get no response. */
 export class AdminClient {
     readonly #options: AdminClientOptions;
-    #next = 0;
+    #nextAddress = 0;
 
     constructor(options: AdminClientOptions) {
         this.#options = options;
@@ -53,28 +53,32 @@
      * attempt or apply the change twice. `make` therefore sends the same message, with the same change id, in every
      * attempt, and the server detects the duplicate.
      *
-     * @param make - makes one attempt
+     * @param makeCall - makes one attempt
      * @returns the response, or the failure of the last attempt
      */
-    async call<T>(make: (operator: OperatorClient, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
-        for (let i = 1;; i++) {
-            const tried = await this.#try(make);
-            if (tried.isRight()) {
-                return tried;
+    async call<T>(
+        makeCall: (operator: OperatorClient, options: CallOptions) => Promise<T>,
+    ): Promise<Either<CallError, T>> {
+        for (let attempt = 1;; attempt++) {
+            const result = await this.#attempt(makeCall);
+            if (result.isRight()) {
+                return result;
             }
-            const error = tried.extract() as CallError;
-            if (!error.retryable || i === maxCallAttempts || this.isInterrupted) {
+            const error = result.extract() as CallError;
+            if (!error.retryable || attempt === maxCallAttempts || this.isInterrupted) {
                 return Left(error);
             }
             await this.pause(Math.min(error.retryAfterMs ?? retryDelayMs, maxRetryDelayMs));
         }
     }
 
-    async #try<T>(make: (operator: OperatorClient, options: CallOptions) => Promise<T>): Promise<Either<CallError, T>> {
+    async #attempt<T>(
+        makeCall: (operator: OperatorClient, options: CallOptions) => Promise<T>,
+    ): Promise<Either<CallError, T>> {
         const { operator, close } = this.#connect();
         const timeoutMs = this.#options.callTimeoutMs ?? callTimeoutMs;
         try {
-            return Right(await make(operator, { timeoutMs, signal: this.#options.signal }));
+            return Right(await makeCall(operator, { timeoutMs, signal: this.#options.signal }));
         }
         catch (err) {
             return Left(toCallError(err));
@@ -113,7 +117,7 @@
     /** Opens a new connection for every attempt, since the previous one may have become unresponsive. */
     #connect(): { readonly operator: OperatorClient; readonly close: () => void; } {
         const { addresses, fleetKey } = this.#options;
-        const baseUrl = addresses[this.#next++ % addresses.length] ?? "";
+        const baseUrl = addresses[this.#nextAddress++ % addresses.length] ?? "";
         const sessionManager = new Http2SessionManager(baseUrl, { pingIntervalMs });
         const authorize: Interceptor = next => req => {
             req.header.set("authorization", `Bearer ${fleetKey.reveal()}`);
--- a/packages/cli/src/callOutcome.ts
+++ b/packages/cli/src/callOutcome.ts
@@ -25,7 +25,7 @@
 ]);
 
 /** Codes that the Connect library uses if there was no response; errors from the server carry a Failure message. */
-const unansweredCodes: ReadonlySet<Code> = new Set([
+const noResponseCodes: ReadonlySet<Code> = new Set([
     Code.Unavailable,
     Code.Aborted,
     Code.DeadlineExceeded,
@@ -35,7 +35,7 @@
 ]);
 
 /** Codes of errors that the server returns before it handles the call, and so without a Failure message. */
-const kindsOfCodes = new Map<Code, ErrorKind>([
+const errorKindsByCode = new Map<Code, ErrorKind>([
     [Code.Unauthenticated, "unauthenticated"],
     [Code.ResourceExhausted, "bodyTooLarge"],
     [Code.InvalidArgument, "badRequest"],
@@ -50,18 +50,18 @@
 export function toCallError(err: unknown): CallError {
     const error = ConnectError.from(err);
     const failure = error.findDetails(FailureSchema)[0];
-    const kind = failure === undefined ? kindsOfCodes.get(error.code) : toKind(failure);
+    const kind = failure === undefined ? errorKindsByCode.get(error.code) : toErrorKind(failure);
     return {
         kind,
         detail: error.rawMessage,
-        retryable: kind === undefined ? unansweredCodes.has(error.code) : retryableKinds.has(kind),
+        retryable: kind === undefined ? noResponseCodes.has(error.code) : retryableKinds.has(kind),
         retryAfterMs: failure?.retryAfterSeconds === undefined ? undefined : failure.retryAfterSeconds * 1_000,
         presentRevision: failure?.presentRevision,
     };
 }
 
 /** Maps kinds that are added by newer servers to `internal`. */
-function toKind(failure: FailureMessage): ErrorKind {
+function toErrorKind(failure: FailureMessage): ErrorKind {
     return errorKinds.find(kind => kind === failure.kind) ?? "internal";
 }
 
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -40,10 +40,10 @@
     }
     const { values, positionals } = parsed;
     if (values.help === true) {
-        return Right({ ...nothing, command, help: true });
+        return Right({ ...emptyCommandLine, command, help: true });
     }
     const faults: string[] = [];
-    if (!fits(positionals.length, command.operands)) {
+    if (!matchesOperandCount(positionals.length, command.operands)) {
         faults.push(`${command.name}: expected ${command.operands.join(" ") || "no operands"}`);
     }
     const expectedRevision = parseRevision(values["expected-revision"], faults);
@@ -68,11 +68,11 @@
 }
 
 /** A last operand that ends with `...` accepts one or more values. */
-function fits(given: number, operands: readonly string[]): boolean {
+function matchesOperandCount(given: number, operands: readonly string[]): boolean {
     return operands.at(-1)?.endsWith("...") === true ? given >= operands.length : given === operands.length;
 }
 
-const nothing = {
+const emptyCommandLine = {
     operands: [],
     json: false,
     expectedRevision: undefined,
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -37,7 +37,7 @@
         });
     }
 
-    /** Without `--expected-revision`, the change replaces only the current revision and conflicts with any later one. */
+    /** Without `--expected-revision`, the change replaces the current revision and conflicts with any later one. */
     async #findExpectedRevision({ client, expectedRevision }: CommandContext): Promise<Either<CallError, number>> {
         if (expectedRevision !== undefined) {
             return Right(expectedRevision);
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -16,7 +16,9 @@
         const code = readConfigurationFile(file).caseOf<ExitCode>({
             Left: faults => reportFileFaults(context, faults),
             Right: ({ resolved }) => {
-                context.terminal.out(context.json ? JSON.stringify({ file, valid: true }) : count(file, resolved));
+                context.terminal.out(
+                    context.json ? JSON.stringify({ file, valid: true }) : summarizeConfiguration(file, resolved),
+                );
                 return exitCodes.ok;
             },
         });
@@ -24,7 +26,7 @@
     }
 }
 
-function count(file: string, cfg: Configuration): string {
+function summarizeConfiguration(file: string, cfg: Configuration): string {
     const servers = cfg.services.reduce((sum, service) => sum + service.backendServers.length, 0);
     const zones = cfg.availabilityZones.length;
     return `${file}: valid, ${zones} availability zones, ${cfg.services.length} services, ${servers} backend servers`;
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -6,7 +6,7 @@
 import { replaceControlCharacters } from "../terminal.js";
 
 /** Operand that selects all failed requests, instead of a request id. */
-const everything = "all";
+const allFailures = "all";
 
 /** Explains the outcome of a request from the logs of several hosts. */
 export class ExplainCommand extends Command {
@@ -21,10 +21,10 @@
         const lines: LogLine[] = [];
         for (const file of files) {
             try {
-                const read = readLog(readTextFile(file));
-                lines.push(...read.lines);
-                if (read.unreadable > 0) {
-                    terminal.err(`${file}: skipped ${read.unreadable} lines that are not log lines`);
+                const parsed = readLog(readTextFile(file));
+                lines.push(...parsed.lines);
+                if (parsed.unreadable > 0) {
+                    terminal.err(`${file}: skipped ${parsed.unreadable} lines that are not log lines`);
                 }
             }
             catch (err) {
@@ -33,7 +33,7 @@
             }
         }
         return Promise.resolve(
-            requestId === everything ? this.#summarize(context, lines) : this.#tell(context, requestId, lines),
+            requestId === allFailures ? this.#summarize(context, lines) : this.#explain(context, requestId, lines),
         );
     }
 
@@ -51,13 +51,13 @@
         return exitCodes.ok;
     }
 
-    #tell({ json, terminal }: CommandContext, requestId: string, lines: readonly LogLine[]): ExitCode {
-        const story = explainRequest(requestId, lines);
-        if (story.length === 0) {
+    #explain({ json, terminal }: CommandContext, requestId: string, lines: readonly LogLine[]): ExitCode {
+        const relevantLines = explainRequest(requestId, lines);
+        if (relevantLines.length === 0) {
             terminal.err(`no log line has the request id ${replaceControlCharacters(requestId)}`);
             return exitCodes.badInput;
         }
-        for (const line of story) {
+        for (const line of relevantLines) {
             terminal.out(json ? JSON.stringify(line) : replaceControlCharacters(formatLine(line)));
         }
         return exitCodes.ok;
--- a/packages/cli/src/commands/host.ts
+++ b/packages/cli/src/commands/host.ts
@@ -2,11 +2,11 @@
 import { type ExitCode, exitCodes } from "../exitCodes.js";
 import { replaceControlCharacters } from "../terminal.js";
 
-const danger = [
+const forgetWarning = [
     "Forget a host only if it no longer runs: its machine is off, or its gateway process has ended.",
-    "The gateway then counts as having agreed to leave the fleet. If it still serves, cut off along with others, changes",
-    "are reported as in force that these gateways never received, and they may send requests to an availability zone",
-    "that was taken out. Run the command again with --yes to forget the host.",
+    "The gateway then counts as having agreed to leave the fleet. If it still serves, cut off along with others,",
+    "changes are reported as in force that these gateways never received, and they may send requests to an",
+    "availability zone that was taken out. Run the command again with --yes to forget the host.",
 ];
 
 const options: readonly CommandOption[] = [
@@ -32,7 +32,7 @@
             return exitCodes.badInput;
         }
         if (!isConfirmed) {
-            danger.forEach(line => terminal.err(line));
+            forgetWarning.forEach(line => terminal.err(line));
             return exitCodes.badInput;
         }
         const answer = await client.call((operator, callOptions) => operator.forgetHost({ name }, callOptions));
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -45,12 +45,12 @@
         return answer.caseOf<ExitCode>({
             Left: error => reportCallError(context, error),
             Right: ({ standing, hosts, servers }) =>
-                standing === undefined ? exitCodes.failed : report(context, standing, hosts, servers),
+                standing === undefined ? exitCodes.failed : printStatus(context, standing, hosts, servers),
         });
     }
 }
 
-function report(
+function printStatus(
     { json, terminal }: CommandContext,
     standing: Standing,
     hosts: readonly Host[],
@@ -77,7 +77,7 @@
                 ["SERVICE", "BACKEND SERVER", "ZONE", "ADDRESS", "HOST", "STATE"],
                 servers.backendServers.map(formatServer),
             ),
-            ...describeGaps(servers),
+            ...describeMissingData(servers),
         ];
     lines.forEach(line => terminal.out(line));
     return standing.inForce ? exitCodes.ok : exitCodes.notInForce;
@@ -100,12 +100,12 @@
         port: backendServer?.port,
         zoneOut: zoneState === ZoneState.OUT,
         host: hostStates[hostState],
-        observations: observations.map(seen => ({
-            gateway: seen.gateway,
-            state: serverStates[seen.state],
-            inFlight: seen.inFlight,
-            reportedInFlight: seen.reportedInFlight,
-            reportedAgeMs: seen.reportedAgeMs,
+        observations: observations.map(observation => ({
+            gateway: observation.gateway,
+            state: serverStates[observation.state],
+            inFlight: observation.inFlight,
+            reportedInFlight: observation.reportedInFlight,
+            reportedAgeMs: observation.reportedAgeMs,
         })),
     };
 }
@@ -139,27 +139,27 @@
     }
     const states = [...counts].map(([state, count]) => `${state} (${count})`).join(", ");
     const inFlight = observations.reduce((sum, observation) => sum + observation.inFlight, 0);
-    return [states, `${inFlight} in flight`, ...describeReport(observations)].join(", ");
+    return [states, `${inFlight} in flight`, ...describeLoadReport(observations)].join(", ");
 }
 
 /** A server's load report counts the requests of all gateways, so only the most recent report is printed. */
-function describeReport(observations: readonly BackendServerObservation[]): readonly string[] {
-    let freshest: { readonly inFlight: number; readonly ageMs: number; } | undefined;
+function describeLoadReport(observations: readonly BackendServerObservation[]): readonly string[] {
+    let latest: { readonly inFlight: number; readonly ageMs: number; } | undefined;
     for (const { reportedInFlight, reportedAgeMs } of observations) {
         if (reportedInFlight === undefined || reportedAgeMs === undefined) {
             continue;
         }
-        if (freshest === undefined || reportedAgeMs < freshest.ageMs) {
-            freshest = { inFlight: reportedInFlight, ageMs: reportedAgeMs };
+        if (latest === undefined || reportedAgeMs < latest.ageMs) {
+            latest = { inFlight: reportedInFlight, ageMs: reportedAgeMs };
         }
     }
-    return freshest === undefined
+    return latest === undefined
         ? []
-        : [`server reports ${freshest.inFlight} (${(freshest.ageMs / 1_000).toFixed(1)} s ago)`];
+        : [`server reports ${latest.inFlight} (${(latest.ageMs / 1_000).toFixed(1)} s ago)`];
 }
 
 /** Warns about missing data: without it, a table without the requests of some gateways would look complete. */
-function describeGaps(servers: ListBackendServersResponse): readonly string[] {
+function describeMissingData(servers: ListBackendServersResponse): readonly string[] {
     const { unansweredGateways, omittedObservations, observationFailure } = servers;
     const lines: string[] = [];
     if (observationFailure !== "") {
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -20,7 +20,7 @@
         for (;;) {
             const error = await client.followStream(
                 (operator, options) => operator.watchChanges({}, options),
-                response => print(context, response),
+                response => printEvent(context, response),
             );
             if (client.isInterrupted) {
                 return exitCodes.ok;
@@ -28,13 +28,13 @@
             if (!error.retryable) {
                 return reportCallError(context, error);
             }
-            reportGap(context, error);
+            reportLostConnection(context, error);
             await client.pause(error.retryAfterMs ?? retryDelayMs);
         }
     }
 }
 
-function print(context: CommandContext, { event }: WatchChangesResponse): void {
+function printEvent(context: CommandContext, { event }: WatchChangesResponse): void {
     const { json, terminal } = context;
     if (event.case === "standing") {
         const standing = event.value;
@@ -52,7 +52,7 @@
 }
 
 /** Reports a lost connection: changes made until it is restored appear only in the next state that is received. */
-function reportGap({ json, terminal }: CommandContext, { kind, detail }: CallError): void {
+function reportLostConnection({ json, terminal }: CommandContext, { kind, detail }: CallError): void {
     if (json) {
         terminal.out(JSON.stringify({ error: { kind: kind ?? "unanswered", detail } }));
     }
--- a/packages/cli/src/explain/logLine.ts
+++ b/packages/cli/src/explain/logLine.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-const schema = z.looseObject({
+const logLineSchema = z.looseObject({
     time: z.string(),
     level: z.string(),
     process: z.string(),
@@ -54,7 +54,7 @@
     catch {
         return undefined;
     }
-    const parsed = schema.safeParse(value);
+    const parsed = logLineSchema.safeParse(value);
     if (!parsed.success) {
         return undefined;
     }
--- a/packages/cli/src/help.ts
+++ b/packages/cli/src/help.ts
@@ -53,7 +53,7 @@
 const remoteOptions: readonly (readonly string[])[] = [
     [
         "--admin URL",
-        `URL of an admin server, may be repeated; defaults to the comma-separated list in ${environmentVariables.admin}`,
+        `URL of an admin server, repeatable; defaults to the comma-separated list in ${environmentVariables.admin}`,
     ],
     ["--key-file FILE", `file with the fleet's key; defaults to ${environmentVariables.keyFile}`],
 ];
--- a/packages/cli/src/standingOutput.ts
+++ b/packages/cli/src/standingOutput.ts
@@ -32,7 +32,7 @@
 }
 
 /**
- * Converts a standing message to the object that is printed as JSON.
+ * Converts a `Standing` message to the object that is printed as JSON.
  *
  * @param standing - the message
  * @returns an object with plain values
@@ -48,15 +48,15 @@
 }
 
 /**
- * Formats a one-line summary of a standing.
+ * Formats a one-line summary of a `Standing` message.
  *
  * @param standing - the revision and its state on each gateway
  * @returns one line of text
  */
 export function summarizeStanding({ revision, inForce, gateways }: Standing): string {
-    const holding = gateways.filter(({ state }) => state === GatewayState.IN_FORCE).length;
+    const inForceCount = gateways.filter(({ state }) => state === GatewayState.IN_FORCE).length;
     const state = inForce ? "in force" : "stored, not in force yet";
-    return `revision ${revision}: ${state}, held by ${holding} of ${gateways.length} gateways`;
+    return `revision ${revision}: ${state}, held by ${inForceCount} of ${gateways.length} gateways`;
 }
 
 /**
@@ -67,8 +67,8 @@
  * @returns lines of text; empty if there are none
  */
 export function describeProblems({ gateways, zonesOut, unservedServices }: Standing): readonly string[] {
-    const late = gateways.filter(({ state }) => state !== GatewayState.IN_FORCE);
-    const lines = late.length === 0 ? [] : [...formatGateways(late)];
+    const notInForce = gateways.filter(({ state }) => state !== GatewayState.IN_FORCE);
+    const lines = notInForce.length === 0 ? [] : [...formatGateways(notInForce)];
     if (zonesOut.length > 0) {
         lines.push(`availability zones out: ${zonesOut.join(", ")}`);
     }
--- a/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
+++ b/packages/endToEnd/src/__tests__/gatewayEnds.test.ts
@@ -20,12 +20,12 @@
 // has requests in flight; each of them must get its complete response, and later requests are rejected before they run.
 test("a planned stop cuts no request in flight", async () => {
     const stopping = run.gateway(2);
-    const slow = Array.from({ length: 12 }, (_, i) => run.fileReturn(stopping, `stop-${i}`, 700));
+    const pending = Array.from({ length: 12 }, (_, i) => run.fileReturn(stopping, `stop-${i}`, 700));
     await sleep(300);
     const exit = await stopping.process.stop();
-    const told = await Promise.all(slow);
+    const responses = await Promise.all(pending);
     assert.equal(exit.code, 0);
-    assert.deepEqual(told.map(answer => answer?.status), told.map(() => 200));
+    assert.deepEqual(responses.map(answer => answer?.status), responses.map(() => 200));
     assert.deepEqual(checkResponseIntegrity(run.history()), []);
 });
 
@@ -40,20 +40,20 @@
     await sleep(300);
     killed.process.kill();
     killedName = killed.name;
-    const firstTold = await Promise.all(first);
-    const again = await Promise.all(keys.map(key => run.fileReturn(other, key, 5)));
+    const firstResponses = await Promise.all(first);
+    const retries = await Promise.all(keys.map(key => run.fileReturn(other, key, 5)));
     await run.fileReturn(other, "fresh", 5);
 
     const history = run.history();
     assert.deepEqual(checkAtMostOnce(history), []);
     assert.deepEqual(checkDidRunAccuracy(history), []);
     assert.ok(
-        firstTold.some(answer => answer === undefined),
+        firstResponses.some(answer => answer === undefined),
         "callers lose their connections when the gateway is killed",
     );
     const ran = history.filter(line => line.type === "serverStarted" && line.idempotencyKey?.startsWith("return-"));
     assert.ok(ran.length > 0, "requests were running when the gateway was killed");
-    for (const [i, answer] of again.entries()) {
+    for (const [i, answer] of retries.entries()) {
         assert.ok(answer !== undefined, `${keys[i] ?? ""} gets a response to the retry`);
     }
 });
--- a/packages/endToEnd/src/__tests__/zoneOut.test.ts
+++ b/packages/endToEnd/src/__tests__/zoneOut.test.ts
@@ -9,7 +9,7 @@
 /** Longer than a gateway may serve without contact to the store or a majority, and longer than its lease. */
 const longPauseMs = 12_000;
 /** Enough requests that some of them would be routed to the zone that is out. */
-const patientCallers = 12;
+const idleConnectionCount = 12;
 
 let run: FleetRun;
 
@@ -33,7 +33,7 @@
     const reading = run.sendReads(6_000, 60);
     await sleep(1_000);
     await run.takeZoneOut("north");
-    const outAt = run.history().length;
+    const eventsBeforeZoneOut = run.history().length;
     const tally = await reading;
     await run.bringZoneIn("north");
     await run.setPlatformFaults({});
@@ -42,8 +42,14 @@
     const history = run.history();
     assert.deepEqual(checkZoneOut(history, graceMs), []);
     assert.deepEqual(checkResponseIntegrity(history), []);
-    assert.ok(countStarts(history.slice(0, outAt), "north") > 0, "the zone receives requests before it is taken out");
-    assert.ok(countStarts(history.slice(outAt), "north") > 0, "the zone receives requests after its return");
+    assert.ok(
+        countStarts(history.slice(0, eventsBeforeZoneOut), "north") > 0,
+        "the zone receives requests before it is taken out",
+    );
+    assert.ok(
+        countStarts(history.slice(eventsBeforeZoneOut), "north") > 0,
+        "the zone receives requests after its return",
+    );
     const counts = tally.getCounts("tables/default");
     assert.equal(counts.whole, counts.sent, "every caller gets a complete response throughout");
 });
@@ -56,15 +62,15 @@
     const paused = run.gateway(0);
     const others = [run.gateway(1), run.gateway(2)];
     await run.sendReads(500, 60);
-    const readPatiently = await run.openIdleConnections(paused, patientCallers);
+    const readOnAll = await run.openIdleConnections(paused, idleConnectionCount);
     paused.process.pause();
-    const atDoor = readPatiently();
+    const pendingReads = readOnAll();
     const reading = run.sendReads(longPauseMs, 30, others);
     await sleep(1_000);
     await run.takeZoneOut("south");
     await reading;
     paused.process.resume();
-    const statuses = await atDoor;
+    const statuses = await pendingReads;
     await run.fleet.waitUntilReady();
     await run.sendReads(1_000, 60);
 
--- a/packages/endToEnd/src/fleetRun.ts
+++ b/packages/endToEnd/src/fleetRun.ts
@@ -24,10 +24,10 @@
 const serversPerZone = 2;
 const patienceMs = 4_000;
 /** Work time of the requests that open the connections of {@link FleetRun.openIdleConnections}, in milliseconds. */
-const openingWorkMs = 200;
+const connectWorkMs = 200;
 /** Timeout until the roster holds every gateway, in milliseconds. */
-const rosterWithinMs = 60_000;
-const warmWithinMs = 60_000;
+const rosterTimeoutMs = 60_000;
+const warmUpTimeoutMs = 60_000;
 const warmUpMs = 1_500;
 const warmUpRequestsPerSecond = 60;
 
@@ -38,7 +38,7 @@
 }
 
 /** Configuration of the test deployment: one service in three availability zones. */
-function describeDeployment(): ConfigurationInput {
+function createConfiguration(): ConfigurationInput {
     return {
         availabilityZones: zones.map(name => ({ name })),
         services: [{
@@ -88,7 +88,7 @@
      */
     static async startCold(gateways: number, startsCold = true): Promise<FleetRun> {
         const fleet = await Fleet.start({
-            configuration: describeDeployment(),
+            configuration: createConfiguration(),
             gateways,
             admin: false,
             recordsHistory: true,
@@ -103,10 +103,10 @@
         return run;
     }
 
-    gateway(place: number): FleetGateway {
-        const gateway = this.fleet.gateways[place];
+    gateway(index: number): FleetGateway {
+        const gateway = this.fleet.gateways[index];
         if (gateway === undefined) {
-            throw new Error(`there is no gateway ${place}`);
+            throw new Error(`there is no gateway ${index}`);
         }
         return gateway;
     }
@@ -169,7 +169,7 @@
         const readOnAll = (workMs: number): Promise<readonly number[]> =>
             Promise.all(Array.from({ length: count }, () => read(workMs)));
         // Long enough that no request completes before the last connection is open, so that none is reused.
-        await readOnAll(openingWorkMs);
+        await readOnAll(connectWorkMs);
         return async () => {
             const statuses = await readOnAll(1);
             await agent.close();
@@ -224,7 +224,7 @@
     async #waitForRoster(gateways: number): Promise<void> {
         const connection = new PlatformClient({ addresses: [this.fleet.platformUrl], client: "observer" });
         const store = new HttpKeyValueStore(connection);
-        const untilMs = performance.now() + rosterWithinMs;
+        const untilMs = performance.now() + rosterTimeoutMs;
         try {
             while (performance.now() < untilMs) {
                 const stored = (await store.get(storeKeys.roster)).toMaybe().extract();
@@ -243,7 +243,7 @@
 
     /** Sends requests until all succeed and every backend server has handled one. */
     async #warmUp(): Promise<void> {
-        const untilMs = performance.now() + warmWithinMs;
+        const untilMs = performance.now() + warmUpTimeoutMs;
         while (performance.now() < untilMs) {
             const tally = await this.sendReads(warmUpMs, warmUpRequestsPerSecond);
             const { sent, whole } = tally.getCounts("tables/default");
--- a/packages/standIns/src/backendServer/backendServer.ts
+++ b/packages/standIns/src/backendServer/backendServer.ts
@@ -46,20 +46,20 @@
     readonly coldOverloads: number;
 }
 
-const defaultConnections = 200;
+const defaultMaxConnections = 200;
 const defaultWorkTime: WorkTimeDistribution = { medianMs: 20, sigma: 0.5 };
 /** Delay of the error responses that an overloaded cold server sends, in milliseconds. */
-const lateErrorMs = 1_000;
+const overloadErrorDelayMs = 1_000;
 /** The stand-in backend server: an HTTP server with limited slots, cold start, draining and fault injection. */
 export class BackendServer {
     readonly #options: BackendServerOptions;
     readonly #history: HistoryRecorder;
     readonly #random: RandomSource;
     readonly #model: ServerModel;
-    readonly #firstLife = process.pid;
+    readonly #pid = process.pid;
     readonly #queue: SlotQueue;
-    readonly #reports = new LoadReportHistory();
-    readonly #silentSockets = new WeakSet<Socket>();
+    readonly #loadHistory = new LoadReportHistory();
+    readonly #unresponsiveSockets = new WeakSet<Socket>();
     readonly #sockets = new Set<Socket>();
     /** Connections of `/faults` requests; a simulated restart keeps them open so that the request is answered. */
     readonly #controlSockets = new WeakSet<Socket>();
@@ -81,8 +81,8 @@
             options.listen ?? { host: "127.0.0.1", port: 0 },
             (req, res) => server.#handle(req, res),
         );
-        server.#listening.server.maxConnections = options.maxConnections ?? defaultConnections;
-        server.#listening.server.on("connection", (socket: Socket) => server.#keep(socket));
+        server.#listening.server.maxConnections = options.maxConnections ?? defaultMaxConnections;
+        server.#listening.server.on("connection", (socket: Socket) => server.#trackSocket(socket));
         return server;
     }
 
@@ -105,7 +105,7 @@
             state,
             inFlight,
             bears: concurrencyLimit,
-            incarnation: `${this.#firstLife}-${this.#model.incarnationCount}`,
+            incarnation: `${this.#pid}-${this.#model.incarnationCount}`,
         };
     }
 
@@ -116,11 +116,11 @@
             this.#turnCold(this.#faults.turnCold === "restarted");
         }
         if (this.#faults.leave) {
-            this.#leave();
+            this.#startLeaving();
         }
         if (this.#faults.silent === "openConnections") {
             for (const socket of this.#sockets) {
-                this.#silentSockets.add(socket);
+                this.#unresponsiveSockets.add(socket);
             }
         }
     }
@@ -130,7 +130,7 @@
      * flight, then stops.
      */
     async drain(graceMs: number): Promise<void> {
-        this.#leave();
+        this.#startLeaving();
         const untilMs = performance.now() + graceMs;
         while (performance.now() < untilMs || this.#model.inFlight > 0) {
             await new Promise(resolve => setTimeout(resolve, 10));
@@ -145,7 +145,7 @@
         }
     }
 
-    #leave(): void {
+    #startLeaving(): void {
         if (this.#model.state !== "leaving") {
             this.#model.startLeaving();
             this.#history.record({ type: "serverLeaving", server: this.#options.name });
@@ -166,7 +166,7 @@
         }
     }
 
-    #keep(socket: Socket): void {
+    #trackSocket(socket: Socket): void {
         this.#sockets.add(socket);
         socket.once("close", () => this.#sockets.delete(socket));
     }
@@ -183,70 +183,70 @@
                 return;
             case "/load":
             case "/health":
-                this.#answerProbe(req, res);
+                this.#handleProbe(req, res);
                 return;
             default:
                 await this.#serve(req, res);
         }
     }
 
-    #answerProbe(req: IncomingMessage, res: ServerResponse): void {
+    #handleProbe(req: IncomingMessage, res: ServerResponse): void {
         this.#counters.probes++;
         const gateway = readHeader(req, clientHeader) ?? "unknown";
         this.#history.record({ type: "serverProbed", server: this.#options.name, gateway });
-        if (this.#isSilent(req)) {
+        if (this.#isUnresponsive(req)) {
             return;
         }
-        const report = this.#reports.createReport(this.load, this.#faults, performance.now());
-        this.#describe(res, report);
+        const report = this.#loadHistory.createReport(this.load, this.#faults, performance.now());
+        this.#setLoadHeaders(res, report);
         sendJson(res, 200, report);
     }
 
     async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const arrivedAtMs = performance.now();
-        const facts = readRequestMetadata(req);
+        const metadata = readRequestMetadata(req);
         const body = await readBody(req);
         if (this.#faults.closeOnRead > 0) {
             this.#faults = { ...this.#faults, closeOnRead: this.#faults.closeOnRead - 1 };
             req.socket.destroy();
             return;
         }
-        if (this.#isSilent(req)) {
+        if (this.#isUnresponsive(req)) {
             return;
         }
         const admission = this.#faults.shed ? "shed" : this.#model.admit(arrivedAtMs);
-        this.#reports.record(this.load, arrivedAtMs);
+        this.#loadHistory.record(this.load, arrivedAtMs);
         if (admission === "shed") {
-            this.#shed(res, "too many requests in flight");
+            this.#sendShed(res, "too many requests in flight");
             return;
         }
-        if (admission === "queue" && !await this.#queue.wait(res, computeRemainingMs(facts, arrivedAtMs))) {
-            this.#shed(res, "it waited for a slot in vain");
+        if (admission === "queue" && !await this.#queue.wait(res, computeRemainingMs(metadata, arrivedAtMs))) {
+            this.#sendShed(res, "it waited for a slot in vain");
             return;
         }
-        await this.#run(req, res, facts, body, arrivedAtMs, admission === "fallOver");
+        await this.#run(req, res, metadata, body, arrivedAtMs, admission === "fallOver");
     }
 
     async #run(
         req: IncomingMessage,
         res: ServerResponse,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         body: Buffer,
         arrivedAtMs: number,
-        fallen: boolean,
+        isOverloaded: boolean,
     ): Promise<void> {
-        this.#recordStart(facts);
-        const failing = fallen || this.#faults.failFast;
+        this.#recordStart(metadata);
+        const isFailing = isOverloaded || this.#faults.failFast;
         const outcome = await simulateWork(
             res,
-            this.#resolveWorkMs(facts, fallen),
-            computeRemainingMs(facts, arrivedAtMs),
+            this.#computeWorkMs(metadata, isOverloaded),
+            computeRemainingMs(metadata, arrivedAtMs),
         );
-        this.#model.onRequestEnded(outcome === "done" && !failing);
-        this.#reports.record(this.load, performance.now());
+        this.#model.onRequestEnded(outcome === "done" && !isFailing);
+        this.#loadHistory.record(this.load, performance.now());
         this.#history.record({
             type: "serverEnded",
-            requestId: facts.requestId,
+            requestId: metadata.requestId,
             server: this.#options.name,
             incarnation: this.load.incarnation,
         });
@@ -255,37 +255,37 @@
             this.#counters.cancelled++;
             return;
         }
-        if (this.#isSilent(req)) {
+        if (this.#isUnresponsive(req)) {
             return;
         }
-        this.#describe(res, this.load);
-        res.setHeader(backendHeaders.requestId, facts.requestId);
+        this.#setLoadHeaders(res, this.load);
+        res.setHeader(backendHeaders.requestId, metadata.requestId);
         if (outcome === "deadline") {
             sendJson(res, 504, { error: "the deadline passed while it ran" });
             return;
         }
-        if (failing) {
-            sendJson(res, 500, { error: fallen ? "overloaded while cold" : "failing" });
+        if (isFailing) {
+            sendJson(res, 500, { error: isOverloaded ? "overloaded while cold" : "failing" });
             return;
         }
         this.#counters.finished++;
-        this.#answer(res, facts, body);
+        this.#sendResponse(res, metadata, body);
     }
 
-    #answer(res: ServerResponse, facts: RequestMetadata, body: Buffer): void {
+    #sendResponse(res: ServerResponse, metadata: RequestMetadata, body: Buffer): void {
         if (this.#faults.closeAfterRun > 0) {
             this.#faults = { ...this.#faults, closeAfterRun: this.#faults.closeAfterRun - 1 };
             res.socket?.destroy();
             return;
         }
-        const answer: BackendResponse = {
-            requestId: facts.requestId,
+        const responseBody: BackendResponse = {
+            requestId: metadata.requestId,
             server: this.#options.name,
             incarnation: this.load.incarnation,
             requestDigest: computeDigest(body),
-            padding: "x".repeat(facts.answerBytes),
+            padding: "x".repeat(metadata.answerBytes),
         };
-        const text = Buffer.from(JSON.stringify(answer));
+        const text = Buffer.from(JSON.stringify(responseBody));
         res.writeHead(200, {
             "content-type": "application/json",
             "content-length": text.length,
@@ -299,30 +299,30 @@
         res.end(text);
     }
 
-    #shed(res: ServerResponse, reason: string): void {
+    #sendShed(res: ServerResponse, reason: string): void {
         this.#counters.shed++;
-        this.#describe(res, this.load);
+        this.#setLoadHeaders(res, this.load);
         res.setHeader(backendHeaders.didRun, "no");
         sendJson(res, 503, { error: reason });
     }
 
-    #resolveWorkMs(facts: RequestMetadata, fallen: boolean): number {
-        if (fallen) {
-            return lateErrorMs;
+    #computeWorkMs(metadata: RequestMetadata, isOverloaded: boolean): number {
+        if (isOverloaded) {
+            return overloadErrorDelayMs;
         }
         if (this.#faults.failFast) {
             return 0;
         }
-        const drawn = facts.workMs ?? drawWorkMs(this.#options.workTime ?? defaultWorkTime, this.#random);
+        const drawn = metadata.workMs ?? drawWorkMs(this.#options.workTime ?? defaultWorkTime, this.#random);
         return drawn * this.#faults.slowFactor;
     }
 
-    #recordStart(facts: RequestMetadata): void {
+    #recordStart(metadata: RequestMetadata): void {
         this.#counters.started++;
         this.#history.record({
             type: "serverStarted",
-            requestId: facts.requestId,
-            idempotencyKey: facts.idempotencyKey,
+            requestId: metadata.requestId,
+            idempotencyKey: metadata.idempotencyKey,
             server: this.#options.name,
             availabilityZone: this.#options.availabilityZone,
             incarnation: this.load.incarnation,
@@ -332,21 +332,21 @@
         });
     }
 
-    #describe(res: ServerResponse, report: LoadReport): void {
+    #setLoadHeaders(res: ServerResponse, report: LoadReport): void {
         res.setHeader(backendHeaders.state, report.state);
         res.setHeader(backendHeaders.inFlight, report.inFlight);
         res.setHeader(backendHeaders.incarnation, report.incarnation);
         res.setHeader(backendHeaders.bears, report.bears);
     }
 
-    #isSilent(req: IncomingMessage): boolean {
+    #isUnresponsive(req: IncomingMessage): boolean {
         switch (this.#faults.silent) {
             case "no":
                 return false;
             case "all":
                 return true;
             case "openConnections":
-                return this.#silentSockets.has(req.socket);
+                return this.#unresponsiveSockets.has(req.socket);
         }
     }
 }
--- a/packages/standIns/src/backendServer/loadReportHistory.ts
+++ b/packages/standIns/src/backendServer/loadReportHistory.ts
@@ -15,7 +15,7 @@
 }
 
 /** Number of past reports that are kept to simulate a lagging load report. */
-const reportsKept = 10_000;
+const maxReports = 10_000;
 
 /** Past loads of a server, from which faulty load reports are made. */
 export class LoadReportHistory {
@@ -24,26 +24,26 @@
     /** Records the load at a point in time. */
     record(report: LoadReport, atMs: number): void {
         this.#reports.push({ atMs, report });
-        if (this.#reports.length > reportsKept) {
-            this.#reports.splice(0, reportsKept / 2);
+        if (this.#reports.length > maxReports) {
+            this.#reports.splice(0, maxReports / 2);
         }
     }
 
     /**
-     * @param truth - the actual load
+     * @param actual - the actual load
      * @param faults - the injected faults
      * @param nowMs - the current time in milliseconds
      * @returns the load to report
      */
-    createReport(truth: LoadReport, faults: BackendFaults, nowMs: number): LoadReport {
+    createReport(actual: LoadReport, faults: BackendFaults, nowMs: number): LoadReport {
         switch (faults.loadReport) {
             case "true":
-                return truth;
+                return actual;
             case "zero":
-                return { ...truth, inFlight: 0 };
+                return { ...actual, inFlight: 0 };
             case "lagging": {
-                const told = this.#reports.findLast(({ atMs }) => atMs <= nowMs - faults.loadLagMs);
-                return told?.report ?? { ...truth, inFlight: 0 };
+                const pastReport = this.#reports.findLast(({ atMs }) => atMs <= nowMs - faults.loadLagMs);
+                return pastReport?.report ?? { ...actual, inFlight: 0 };
             }
         }
     }
--- a/packages/standIns/src/backendServer/serverModel.ts
+++ b/packages/standIns/src/backendServer/serverModel.ts
@@ -30,34 +30,34 @@
 /** State machine of the stand-in backend server: admission, warm-up and overload while cold. */
 export class ServerModel {
     readonly #capacity: ServerCapacity;
-    #warm: boolean;
-    #leaving = false;
-    #goodAnswers = 0;
+    #isWarm: boolean;
+    #isLeaving = false;
+    #successfulResponses = 0;
     #running = 0;
     #queued = 0;
-    #fallenUntilMs = -Infinity;
-    #lives = 1;
-    #overloads = 0;
+    #overloadedUntilMs = -Infinity;
+    #incarnationCount = 1;
+    #coldOverloads = 0;
 
     constructor(capacity: ServerCapacity, startsWarm: boolean) {
         this.#capacity = capacity;
-        this.#warm = startsWarm;
+        this.#isWarm = startsWarm;
     }
 
     get state(): ServerState {
-        if (this.#leaving) {
+        if (this.#isLeaving) {
             return "leaving";
         }
-        return this.#warm ? "warm" : "cold";
+        return this.#isWarm ? "warm" : "cold";
     }
 
     get isCold(): boolean {
-        return !this.#warm;
+        return !this.#isWarm;
     }
 
     /** Number of incarnations; increases with each restart. */
     get incarnationCount(): number {
-        return this.#lives;
+        return this.#incarnationCount;
     }
 
     /** Running and queued requests. */
@@ -67,34 +67,34 @@
 
     /** Requests that exceeded the concurrency limit of the cold server. */
     get coldOverloads(): number {
-        return this.#overloads;
+        return this.#coldOverloads;
     }
 
     /** Current limit on requests in flight; while cold, it grows with each successful response. */
     get concurrencyLimit(): number {
         const { slots, coldConcurrency, answersToWarm } = this.#capacity;
-        if (this.#warm) {
+        if (this.#isWarm) {
             return slots;
         }
-        return coldConcurrency + Math.floor(this.#goodAnswers * (slots - coldConcurrency) / answersToWarm);
+        return coldConcurrency + Math.floor(this.#successfulResponses * (slots - coldConcurrency) / answersToWarm);
     }
 
     /**
-     * Decides on one request. `run` and `fallOver` hold a slot until {@link onRequestEnded} is called; `queue` waits for a slot
-     * from {@link startQueued}.
+     * Decides on one request. `run` and `fallOver` hold a slot until {@link onRequestEnded} is called; `queue` waits for
+     * a slot from {@link startQueued}.
      *
      * @param nowMs - the current time in milliseconds
      * @returns the decision
      */
     admit(nowMs: number): AdmissionDecision {
-        if (this.#warm && this.inFlight >= this.#capacity.slots + this.#capacity.queueLimit) {
+        if (this.#isWarm && this.inFlight >= this.#capacity.slots + this.#capacity.queueLimit) {
             return "shed";
         }
-        if (nowMs < this.#fallenUntilMs) {
+        if (nowMs < this.#overloadedUntilMs) {
             this.#running++;
             return "fallOver";
         }
-        if (!this.#warm) {
+        if (!this.#isWarm) {
             return this.#admitCold(nowMs);
         }
         if (this.#running < this.#capacity.slots) {
@@ -120,27 +120,27 @@
         this.#queued--;
     }
 
-    /** Frees the slot of a running request. @param good - whether the request succeeded */
-    onRequestEnded(good: boolean): void {
+    /** Frees the slot of a running request. @param succeeded - whether the request succeeded */
+    onRequestEnded(succeeded: boolean): void {
         this.#running--;
-        if (!good || this.#warm) {
+        if (!succeeded || this.#isWarm) {
             return;
         }
-        this.#goodAnswers++;
-        this.#warm = this.#goodAnswers >= this.#capacity.answersToWarm;
+        this.#successfulResponses++;
+        this.#isWarm = this.#successfulResponses >= this.#capacity.answersToWarm;
     }
 
     /** @param restarted - whether a new incarnation is reported; otherwise the change is unannounced */
     turnCold(restarted: boolean): void {
-        this.#warm = false;
-        this.#goodAnswers = 0;
+        this.#isWarm = false;
+        this.#successfulResponses = 0;
         if (restarted) {
-            this.#lives++;
+            this.#incarnationCount++;
         }
     }
 
     startLeaving(): void {
-        this.#leaving = true;
+        this.#isLeaving = true;
     }
 
     #admitCold(nowMs: number): AdmissionDecision {
@@ -148,9 +148,9 @@
         if (this.#running + this.#queued <= this.concurrencyLimit) {
             return "run";
         }
-        this.#overloads++;
-        this.#goodAnswers = 0;
-        this.#fallenUntilMs = nowMs + this.#capacity.overloadRecoveryMs;
+        this.#coldOverloads++;
+        this.#successfulResponses = 0;
+        this.#overloadedUntilMs = nowMs + this.#capacity.overloadRecoveryMs;
         return "fallOver";
     }
 }
--- a/packages/standIns/src/backendServer/simulateWork.ts
+++ b/packages/standIns/src/backendServer/simulateWork.ts
@@ -5,12 +5,12 @@
 export type WorkOutcome = "done" | "cancelled" | "deadline";
 
 /**
- * @param facts - the request
+ * @param metadata - the request
  * @param arrivedAtMs - arrival time on the process's monotonic clock, in milliseconds
  * @returns the time left until its deadline in milliseconds, or `undefined` if it has none
  */
-export function computeRemainingMs(facts: RequestMetadata, arrivedAtMs: number): number | undefined {
-    return facts.deadlineMs === undefined ? undefined : arrivedAtMs + facts.deadlineMs - performance.now();
+export function computeRemainingMs(metadata: RequestMetadata, arrivedAtMs: number): number | undefined {
+    return metadata.deadlineMs === undefined ? undefined : arrivedAtMs + metadata.deadlineMs - performance.now();
 }
 
 /**
@@ -31,8 +31,11 @@
             resolve("cancelled");
             return;
         }
-        const late = deadlineMs !== undefined && deadlineMs < workMs;
-        const timer = setTimeout(() => settle(late ? "deadline" : "done"), late ? deadlineMs : workMs);
+        const missesDeadline = deadlineMs !== undefined && deadlineMs < workMs;
+        const timer = setTimeout(
+            () => settle(missesDeadline ? "deadline" : "done"),
+            missesDeadline ? deadlineMs : workMs,
+        );
         const cancel = (): void => settle("cancelled");
         const settle = (outcome: WorkOutcome): void => {
             clearTimeout(timer);
--- a/packages/standIns/src/backendServer/slotQueue.ts
+++ b/packages/standIns/src/backendServer/slotQueue.ts
@@ -22,18 +22,18 @@
         return new Promise(resolve => {
             const settle = (started: boolean): void => {
                 clearTimeout(timer);
-                res.off("close", giveUp);
+                res.off("close", cancel);
                 resolve(started);
             };
             const start = (): void => settle(true);
-            const giveUp = (): void => {
+            const cancel = (): void => {
                 this.#waiting.delete(start);
                 this.#model.removeQueued();
                 settle(false);
             };
-            this.#waiting.set(start, giveUp);
-            res.once("close", giveUp);
-            const timer = deadlineMs === undefined ? undefined : setTimeout(giveUp, deadlineMs);
+            this.#waiting.set(start, cancel);
+            res.once("close", cancel);
+            const timer = deadlineMs === undefined ? undefined : setTimeout(cancel, deadlineMs);
         });
     }
 
@@ -50,8 +50,8 @@
 
     /** Cancels all queued requests. */
     cancelAll(): void {
-        for (const giveUp of [...this.#waiting.values()]) {
-            giveUp();
+        for (const cancel of [...this.#waiting.values()]) {
+            cancel();
         }
     }
 }
--- a/packages/standIns/src/caller/caller.ts
+++ b/packages/standIns/src/caller/caller.ts
@@ -12,7 +12,7 @@
     readonly #history: HistoryRecorder;
     readonly #agent: Agent;
     readonly #tally = new OutcomeTally();
-    readonly #open = new Set<Promise<void>>();
+    readonly #openRequests = new Set<Promise<void>>();
 
     constructor(plan: CallerPlan, history: HistoryRecorder = new NoopHistoryRecorder()) {
         this.#plan = plan;
@@ -31,18 +31,18 @@
             await sleepUntil(startMs + scheduled.atMs);
             this.#start(scheduled, startMs + scheduled.atMs);
         }
-        await Promise.all(this.#open);
+        await Promise.all(this.#openRequests);
         await this.#agent.destroy();
         return this.#tally;
     }
 
     #start(scheduled: ScheduledRequest, dueMs: number): void {
-        if (this.#open.size >= this.#plan.maximumOpen) {
-            this.#count(scheduled, { type: "notSent" }, 0);
+        if (this.#openRequests.size >= this.#plan.maximumOpen) {
+            this.#addToTally(scheduled, { type: "notSent" }, 0);
             return;
         }
-        const done = this.#send(scheduled, dueMs).finally(() => this.#open.delete(done));
-        this.#open.add(done);
+        const done = this.#send(scheduled, dueMs).finally(() => this.#openRequests.delete(done));
+        this.#openRequests.add(done);
     }
 
     async #send(scheduled: ScheduledRequest, dueMs: number): Promise<void> {
@@ -57,19 +57,19 @@
         });
         const outcome = await this.#exchange(scheduled, dueMs);
         this.#recordOutcome(requestId, outcome);
-        this.#count(scheduled, outcome, performance.now() - dueMs);
+        this.#addToTally(scheduled, outcome, performance.now() - dueMs);
     }
 
     async #exchange(scheduled: ScheduledRequest, dueMs: number): Promise<RequestOutcome> {
-        const giveUpAtMs = dueMs + scheduled.mix.patienceMs + this.#plan.listenBeyondMs;
-        const giveUp = AbortSignal.timeout(Math.max(1, Math.ceil(giveUpAtMs - performance.now())));
+        const timeoutAtMs = dueMs + scheduled.mix.patienceMs + this.#plan.listenBeyondMs;
+        const timeoutSignal = AbortSignal.timeout(Math.max(1, Math.ceil(timeoutAtMs - performance.now())));
         try {
             const res = await request(scheduled.target + scheduled.mix.path, {
                 method: scheduled.mix.method,
                 dispatcher: this.#agent,
-                headers: this.#resolveHeaders(scheduled),
+                headers: this.#createHeaders(scheduled),
                 body: scheduled.mix.bodyBytes === 0 ? undefined : "x".repeat(scheduled.mix.bodyBytes),
-                signal: giveUp,
+                signal: timeoutSignal,
             });
             return classifyResponse(scheduled.requestId, {
                 status: res.statusCode,
@@ -79,11 +79,11 @@
             });
         }
         catch {
-            return giveUp.aborted ? { type: "gaveUp" } : { type: "cutOff" };
+            return timeoutSignal.aborted ? { type: "gaveUp" } : { type: "cutOff" };
         }
     }
 
-    #resolveHeaders({ requestId, mix, workMs, idempotencyKey }: ScheduledRequest): Record<string, string> {
+    #createHeaders({ requestId, mix, workMs, idempotencyKey }: ScheduledRequest): Record<string, string> {
         return {
             host: mix.authority,
             [this.#plan.callerKindHeader]: mix.callerKind,
@@ -116,7 +116,7 @@
         }
     }
 
-    #count({ atMs, mix }: ScheduledRequest, outcome: RequestOutcome, tookMs: number): void {
+    #addToTally({ atMs, mix }: ScheduledRequest, outcome: RequestOutcome, tookMs: number): void {
         if (atMs >= this.#plan.warmUpMs) {
             this.#tally.add(`${mix.service}/${mix.callerKind}`, outcome, tookMs, mix.patienceMs);
         }
@@ -125,8 +125,8 @@
 
 /** Rechecks the clock after each timer, which may fire up to a millisecond early: latencies could become negative. */
 async function sleepUntil(dueMs: number): Promise<void> {
-    for (let aheadMs = dueMs - performance.now(); aheadMs > 0; aheadMs = dueMs - performance.now()) {
-        await new Promise(resolve => setTimeout(resolve, Math.ceil(aheadMs)));
+    for (let remainingMs = dueMs - performance.now(); remainingMs > 0; remainingMs = dueMs - performance.now()) {
+        await new Promise(resolve => setTimeout(resolve, Math.ceil(remainingMs)));
     }
 }
 
--- a/packages/standIns/src/caller/classifyResponse.ts
+++ b/packages/standIns/src/caller/classifyResponse.ts
@@ -33,20 +33,20 @@
  */
 export function classifyResponse(requestId: string, received: ReceivedResponse): RequestOutcome {
     if (received.status >= 400) {
-        return { type: "refused", status: received.status, didRun: resolveDidRun(received.didRun) };
+        return { type: "refused", status: received.status, didRun: parseDidRun(received.didRun) };
     }
-    const bodyRequestId = findRequestId(received.text);
+    const bodyRequestId = parseRequestId(received.text);
     if (bodyRequestId !== requestId || computeDigest(received.text) !== received.bodyDigest) {
         return { type: "wrong", status: received.status, bodyRequestId };
     }
     return { type: "whole", status: received.status, bodyRequestId };
 }
 
-function resolveDidRun(text: string | undefined): DidRun | undefined {
+function parseDidRun(text: string | undefined): DidRun | undefined {
     return text === "no" || text === "yes" || text === "unknown" ? text : undefined;
 }
 
-function findRequestId(text: string): string | undefined {
+function parseRequestId(text: string): string | undefined {
     try {
         return backendResponseSchema.parse(JSON.parse(text)).requestId;
     }
--- a/packages/standIns/src/caller/generateSchedule.ts
+++ b/packages/standIns/src/caller/generateSchedule.ts
@@ -28,7 +28,7 @@
             phase.surge?.service === mix.service ? mix.weight * phase.surge.factor : mix.weight
         );
         const endMs = phaseStartMs + phase.durationMs;
-        let atMs = phaseStartMs + drawGapMs(phase.requestsPerSecond, random);
+        let atMs = phaseStartMs + drawInterarrivalMs(phase.requestsPerSecond, random);
         while (atMs < endMs) {
             if (count >= plan.maximumRequests) {
                 return;
@@ -44,21 +44,21 @@
                 workMs: drawWorkMs(mix.work, random),
                 idempotencyKey: mix.keyed ? `key-${requestId}` : undefined,
             };
-            atMs += drawGapMs(phase.requestsPerSecond, random);
+            atMs += drawInterarrivalMs(phase.requestsPerSecond, random);
         }
         phaseStartMs = endMs;
     }
 }
 
-function drawGapMs(perSecond: number, random: RandomSource): number {
+function drawInterarrivalMs(perSecond: number, random: RandomSource): number {
     return -Math.log(1 - random.next()) * 1_000 / perSecond;
 }
 
 function drawMix(mixes: readonly CallerMixEntry[], weights: readonly number[], random: RandomSource): CallerMixEntry {
-    let left = random.next() * weights.reduce((sum, weight) => sum + weight, 0);
+    let remaining = random.next() * weights.reduce((sum, weight) => sum + weight, 0);
     for (const [i, mix] of mixes.entries()) {
-        left -= weights[i] ?? 0;
-        if (left < 0) {
+        remaining -= weights[i] ?? 0;
+        if (remaining < 0) {
             return mix;
         }
     }
--- a/packages/standIns/src/caller/outcomeTally.ts
+++ b/packages/standIns/src/caller/outcomeTally.ts
@@ -4,7 +4,7 @@
 
 /** Resolution of the histograms: hundredths of a millisecond. */
 const unitsPerMs = 100;
-const longestMs = 600_000;
+const maxLatencyMs = 600_000;
 
 const counts = z.object({
     sent: z.number(),
@@ -23,7 +23,7 @@
 /** Outcomes of the requests of one service and kind of caller. */
 export type OutcomeCounts = z.output<typeof counts>;
 
-const kindTally = z.object({
+const kindTallySchema = z.object({
     counts,
     /** Latency of complete and timed-out requests, from the scheduled time; an HDR histogram in base64. */
     latency: z.string(),
@@ -32,7 +32,7 @@
 });
 
 /** Schema of the results of one caller, by `service/callerKind`. */
-export const tallySchema = z.record(z.string(), kindTally);
+export const tallySchema = z.record(z.string(), kindTallySchema);
 
 /** The results of one caller, by `service/callerKind`. */
 export type TallyDocument = z.output<typeof tallySchema>;
@@ -61,7 +61,7 @@
         const tally = new OutcomeTally();
         for (const document of documents) {
             for (const [name, written] of Object.entries(document)) {
-                const kind = tally.#kindOf(name);
+                const kind = tally.#getKind(name);
                 for (const key of Object.keys(kind.counts) as (keyof OutcomeCounts)[]) {
                     kind.counts[key] += written.counts[key];
                 }
@@ -78,10 +78,10 @@
 
     /** @param tookMs - time from the scheduled time to the end of the request */
     add(name: string, outcome: RequestOutcome, tookMs: number, patienceMs: number): void {
-        const kind = this.#kindOf(name);
+        const kind = this.#getKind(name);
         kind.counts.sent++;
         kind.counts[outcome.type]++;
-        const units = Math.round(Math.min(tookMs, longestMs) * unitsPerMs);
+        const units = Math.round(Math.min(tookMs, maxLatencyMs) * unitsPerMs);
         switch (outcome.type) {
             case "whole":
                 kind.latency.recordValue(units);
@@ -105,17 +105,17 @@
 
     /** @returns counts of one kind; all zero if no request of that kind was made */
     getCounts(name: string): OutcomeCounts {
-        return { ...this.#kindOf(name).counts };
+        return { ...this.#getKind(name).counts };
     }
 
     /** @returns latency of one kind, over complete and timed-out requests */
     getLatency(name: string): Percentiles {
-        return resolvePercentiles(this.#kindOf(name).latency);
+        return computePercentiles(this.#getKind(name).latency);
     }
 
     /** @returns time to an error response of one kind */
     getRefusalLatency(name: string): Percentiles {
-        return resolvePercentiles(this.#kindOf(name).refusal);
+        return computePercentiles(this.#getKind(name).refusal);
     }
 
     toDocument(): TallyDocument {
@@ -130,7 +130,7 @@
         return document;
     }
 
-    #kindOf(name: string): KindTally {
+    #getKind(name: string): KindTally {
         let kind = this.#kinds.get(name);
         if (kind === undefined) {
             kind = {
@@ -157,18 +157,18 @@
 function createHistogram(): Histogram {
     return build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: longestMs * unitsPerMs,
+        highestTrackableValue: maxLatencyMs * unitsPerMs,
         numberOfSignificantValueDigits: 3,
         bitBucketSize: 32,
     });
 }
 
-function resolvePercentiles(histogram: Histogram): Percentiles {
-    const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / unitsPerMs;
+function computePercentiles(histogram: Histogram): Percentiles {
+    const valueAt = (percentile: number): number => histogram.getValueAtPercentile(percentile) / unitsPerMs;
     return {
-        p50: at(50),
-        p99: at(99),
-        p999: at(99.9),
+        p50: valueAt(50),
+        p99: valueAt(99),
+        p999: valueAt(99.9),
         max: histogram.maxValue / unitsPerMs,
         count: histogram.totalCount,
     };
--- a/packages/standIns/src/fakes/fakeStore.ts
+++ b/packages/standIns/src/fakes/fakeStore.ts
@@ -18,12 +18,12 @@
 export class FakeStore {
     readonly #engine: KeyValueEngine;
     readonly #time: VirtualClock;
-    readonly #fateOf: StoreCallOutcomeResolver;
+    readonly #resolveOutcome: StoreCallOutcomeResolver;
 
-    constructor(engine: KeyValueEngine, time: VirtualClock, fateOf: StoreCallOutcomeResolver) {
+    constructor(engine: KeyValueEngine, time: VirtualClock, resolveOutcome: StoreCallOutcomeResolver) {
         this.#engine = engine;
         this.#time = time;
-        this.#fateOf = fateOf;
+        this.#resolveOutcome = resolveOutcome;
     }
 
     /**
@@ -38,20 +38,20 @@
         run: (engine: KeyValueEngine, nowMs: number) => T,
         answer: (result: Either<Failure, T>) => void,
     ): void {
-        const fate = this.#fateOf(client, this.#time.nowMs);
-        if (fate.type === "requestLost") {
+        const outcome = this.#resolveOutcome(client, this.#time.nowMs);
+        if (outcome.type === "requestLost") {
             // A client can't distinguish a lost request from a lost response, so both fail with the same error.
-            this.#time.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+            this.#time.schedule(outcome.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
-        this.#time.schedule(fate.outMs, () => {
+        this.#time.schedule(outcome.outMs, () => {
             const result = run(this.#engine, this.#time.nowMs);
-            if (fate.type === "answered") {
-                this.#time.schedule(fate.backMs, () => answer(Right(result)));
+            if (outcome.type === "answered") {
+                this.#time.schedule(outcome.backMs, () => answer(Right(result)));
                 return;
             }
             this.#time.schedule(
-                fate.timeoutMs - fate.outMs,
+                outcome.timeoutMs - outcome.outMs,
                 () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))),
             );
         });
--- a/packages/standIns/src/fakes/virtualClock.ts
+++ b/packages/standIns/src/fakes/virtualClock.ts
@@ -1,4 +1,4 @@
-interface Scheduled {
+interface ScheduledEvent {
     readonly atMs: number;
     readonly order: number;
     readonly run: () => void;
@@ -6,7 +6,7 @@
 
 /** A clock that is advanced by the test, with scheduled events. Events at the same time run in the order added. */
 export class VirtualClock {
-    readonly #queue: Scheduled[] = [];
+    readonly #queue: ScheduledEvent[] = [];
     #nowMs = 0;
     #order = 0;
 
@@ -40,6 +40,6 @@
     }
 }
 
-function isLater(a: Scheduled | undefined, b: Scheduled): boolean {
+function isLater(a: ScheduledEvent | undefined, b: ScheduledEvent): boolean {
     return a !== undefined && (a.atMs > b.atMs || (a.atMs === b.atMs && a.order > b.order));
 }
--- a/packages/standIns/src/fleet/fleet.ts
+++ b/packages/standIns/src/fleet/fleet.ts
@@ -59,7 +59,7 @@
 }
 
 /** Each start takes about half a second of CPU time; starting more at once would only queue for the CPUs. */
-const startedAtOnce = 4;
+const maxConcurrentStarts = 4;
 const portsPerGateway = 3;
 
 const scripts = {
@@ -171,18 +171,18 @@
      * @returns names of the processes that didn't exit with code 0
      */
     async stop(): Promise<readonly string[]> {
-        const waves = [
+        const shutdownOrder = [
             this.#admin === undefined ? [] : [this.#admin],
             this.#gateways.map(gateway => gateway.process),
             this.#backendServers.map(server => server.process),
             this.#platform === undefined ? [] : [this.#platform],
         ];
         const failed: string[] = [];
-        for (const wave of waves) {
-            const exits = await Promise.all(wave.map(started => started.stop()));
+        for (const processes of shutdownOrder) {
+            const exits = await Promise.all(processes.map(started => started.stop()));
             for (const [i, exit] of exits.entries()) {
                 if (exit.code !== 0) {
-                    failed.push(`${wave[i]?.name ?? ""} (${exit.code ?? exit.signal ?? ""})`);
+                    failed.push(`${processes[i]?.name ?? ""} (${exit.code ?? exit.signal ?? ""})`);
                 }
             }
         }
@@ -211,7 +211,7 @@
         );
         this.#progress(`${declared.length} backend servers`);
         const workTime = this.#options.workTime;
-        await eachOf(declared, async ({ service, server }, i) => {
+        await forEachConcurrently(declared, async ({ service, server }, i) => {
             const process = await this.#startProcess({
                 name: `${service}/${server.name}`,
                 script: scripts.backendServer,
@@ -242,20 +242,20 @@
         const zones = this.#options.configuration.availabilityZones;
         const numbers = Array.from({ length: this.#options.gateways }, (_, i) => i);
         const allPorts = numbers.map(i => resolvePorts(ports.slice(i * portsPerGateway)));
-        await eachOf(allPorts, async (own, i) => {
+        await forEachConcurrently(allPorts, async (ownPorts, i) => {
             const name = `gateway-${i + 1}`;
             const availabilityZone = zones[i % zones.length]?.name ?? "";
-            const others = allPorts.map(({ peers }) => peers).filter(port => port !== own.peers);
+            const others = allPorts.map(({ peers }) => peers).filter(port => port !== ownPorts.peers);
             const settings = this.#writeSettings(
                 name,
-                renderGatewaySettings(name, availabilityZone, own, others, this.#shared),
+                renderGatewaySettings(name, availabilityZone, ownPorts, others, this.#shared),
             );
             const process = await this.#startProcess({
                 name,
                 script: program.script,
                 args: ["--settings", settings, ...program.args],
             });
-            const operationsUrl = `http://127.0.0.1:${own.operations}`;
+            const operationsUrl = `http://127.0.0.1:${ownPorts.operations}`;
             this.#gateways.push({ name, availabilityZone, process, operationsUrl });
         });
     }
@@ -334,18 +334,21 @@
  * Runs with limited concurrency. Waits for all runs also after a failure, so that no process is started after
  * {@link Fleet.stop} has stopped the others.
  */
-async function eachOf<T>(items: readonly T[], run: (item: T, i: number) => Promise<void>): Promise<void> {
-    const left = [...items.entries()];
-    const work = async (): Promise<void> => {
-        for (let next = left.shift(); next !== undefined; next = left.shift()) {
+async function forEachConcurrently<T>(
+    items: readonly T[],
+    handle: (item: T, i: number) => Promise<void>,
+): Promise<void> {
+    const remaining = [...items.entries()];
+    const worker = async (): Promise<void> => {
+        for (let next = remaining.shift(); next !== undefined; next = remaining.shift()) {
             const [i, item] = next;
-            await run(item, i);
+            await handle(item, i);
         }
     };
-    const ends = await Promise.allSettled(Array.from({ length: startedAtOnce }, work));
-    for (const end of ends) {
-        if (end.status === "rejected") {
-            throw end.reason;
+    const results = await Promise.allSettled(Array.from({ length: maxConcurrentStarts }, worker));
+    for (const result of results) {
+        if (result.status === "rejected") {
+            throw result.reason;
         }
     }
 }
--- a/packages/standIns/src/fleet/fleetConfiguration.ts
+++ b/packages/standIns/src/fleet/fleetConfiguration.ts
@@ -11,7 +11,7 @@
  * @returns a copy of the configuration
  */
 export function limitBackendServers(cfg: ConfigurationInput, perService: number): ConfigurationInput {
-    return mapServers(cfg, service => service.backendServers.slice(0, perService));
+    return mapBackendServers(cfg, service => service.backendServers.slice(0, perService));
 }
 
 /**
@@ -25,7 +25,7 @@
     cfg: ConfigurationInput,
     portOf: (service: string, server: string) => number,
 ): ConfigurationInput {
-    return mapServers(cfg, service =>
+    return mapBackendServers(cfg, service =>
         service.backendServers.map(server => ({
             ...server,
             address: "127.0.0.1",
@@ -33,7 +33,7 @@
         })));
 }
 
-function mapServers(
+function mapBackendServers(
     cfg: ConfigurationInput,
     map: (service: ServiceInput) => readonly BackendServerInput[],
 ): ConfigurationInput {
--- a/packages/standIns/src/fleet/fleetConfigurer.ts
+++ b/packages/standIns/src/fleet/fleetConfigurer.ts
@@ -5,7 +5,7 @@
 import { randomUUID } from "node:crypto";
 import { type Fleet } from "./fleet.js";
 
-const waitMs = 20_000;
+const applyTimeoutMs = 20_000;
 
 /** Applies configurations through the store as the admin server does, for fleets without an admin server. */
 export class FleetConfigurer {
@@ -27,11 +27,11 @@
     async apply(cfg: ConfigurationInput | Configuration): Promise<Acceptance> {
         const configuration = resolveConfiguration(cfg).mapLeft(faults => new Error(JSON.stringify(faults)))
             .unsafeCoerce();
-        const present = (await this.#coordinator.read()).mapLeft(failure => new Error(failure.detail)).unsafeCoerce();
+        const current = (await this.#coordinator.read()).mapLeft(failure => new Error(failure.detail)).unsafeCoerce();
         const changeId = randomUUID();
         const applied = await this.#coordinator.apply(
-            { changeId, expectedRevision: present.revision, configuration },
-            waitMs,
+            { changeId, expectedRevision: current.revision, configuration },
+            applyTimeoutMs,
         );
         return applied.mapLeft(failure => new Error(`${failure.kind}: ${failure.detail}`)).unsafeCoerce();
     }
--- a/packages/standIns/src/fleet/waitUntilReady.ts
+++ b/packages/standIns/src/fleet/waitUntilReady.ts
@@ -1,7 +1,7 @@
 import { request } from "undici";
 import { type StartedProcess } from "../processes/startProcess.js";
 
-const askAgainMs = 100;
+const pollIntervalMs = 100;
 
 /**
  * Polls a gateway's readiness endpoint until it reports ready.
@@ -13,19 +13,19 @@
  */
 export async function waitUntilReady(process: StartedProcess, operationsUrl: string, untilMs: number): Promise<void> {
     for (;;) {
-        const reason = await readReadiness(operationsUrl);
+        const reason = await fetchUnreadyReason(operationsUrl);
         if (reason === undefined) {
             return;
         }
         if (performance.now() > untilMs || process.exitStatus !== undefined) {
             throw new Error(`${process.name} is not ready: ${reason}`);
         }
-        await new Promise(resolve => setTimeout(resolve, askAgainMs));
+        await new Promise(resolve => setTimeout(resolve, pollIntervalMs));
     }
 }
 
 /** @returns the reason why the gateway isn't ready, or `undefined` if it is */
-async function readReadiness(operationsUrl: string): Promise<string | undefined> {
+async function fetchUnreadyReason(operationsUrl: string): Promise<string | undefined> {
     try {
         const res = await request(`${operationsUrl}/readyz`);
         const reason = await res.body.text();
--- a/packages/standIns/src/platform/callRateLimiter.ts
+++ b/packages/standIns/src/platform/callRateLimiter.ts
@@ -16,24 +16,24 @@
     readonly rateLimited: number;
 }
 
-type Counts = { -readonly [K in keyof CallCounts]: number; };
+type MutableCallCounts = { -readonly [K in keyof CallCounts]: number; };
 
 /** A token bucket whose capacity is the refill of one second. */
 class TokenBucket {
     readonly #perSecond: number;
     #tokens: number;
-    #filledAtMs: number;
+    #refilledAtMs: number;
 
     constructor(perSecond: number, nowMs: number) {
         this.#perSecond = perSecond;
         this.#tokens = perSecond;
-        this.#filledAtMs = nowMs;
+        this.#refilledAtMs = nowMs;
     }
 
-    take(nowMs: number): boolean {
-        const filled = this.#tokens + (nowMs - this.#filledAtMs) * this.#perSecond / 1_000;
-        this.#tokens = Math.min(this.#perSecond, filled);
-        this.#filledAtMs = nowMs;
+    tryTake(nowMs: number): boolean {
+        const refilled = this.#tokens + (nowMs - this.#refilledAtMs) * this.#perSecond / 1_000;
+        this.#tokens = Math.min(this.#perSecond, refilled);
+        this.#refilledAtMs = nowMs;
         if (this.#tokens < 1) {
             return false;
         }
@@ -46,7 +46,7 @@
 export class CallRateLimiter {
     readonly #writes: TokenBucket;
     readonly #reads: TokenBucket;
-    readonly #byClient = new Map<string, Counts>();
+    readonly #byClient = new Map<string, MutableCallCounts>();
 
     constructor(limits: CallLimits, nowMs: number) {
         this.#writes = new TokenBucket(limits.writesPerSecond, nowMs);
@@ -62,8 +62,8 @@
      * @returns whether the call is within the rate limit
      */
     admit(client: string, kind: "read" | "write" | "watch", nowMs: number): boolean {
-        const counts = this.#countsOf(client);
-        const admitted = kind === "write" ? this.#writes.take(nowMs) : this.#reads.take(nowMs);
+        const counts = this.#getCounts(client);
+        const admitted = kind === "write" ? this.#writes.tryTake(nowMs) : this.#reads.tryTake(nowMs);
         if (kind === "write") {
             counts.writes++;
         }
@@ -81,7 +81,7 @@
 
     /** @returns the counts over all clients, and of each client */
     snapshot(): { readonly total: CallCounts; readonly byClient: Readonly<Record<string, CallCounts>>; } {
-        const total: Counts = { reads: 0, writes: 0, watches: 0, rateLimited: 0 };
+        const total: MutableCallCounts = { reads: 0, writes: 0, watches: 0, rateLimited: 0 };
         for (const counts of this.#byClient.values()) {
             total.reads += counts.reads;
             total.writes += counts.writes;
@@ -91,7 +91,7 @@
         return { total, byClient: Object.fromEntries(this.#byClient) };
     }
 
-    #countsOf(client: string): Counts {
+    #getCounts(client: string): MutableCallCounts {
         let counts = this.#byClient.get(client);
         if (counts === undefined) {
             counts = { reads: 0, writes: 0, watches: 0, rateLimited: 0 };
--- a/packages/standIns/src/platform/delayedHostList.ts
+++ b/packages/standIns/src/platform/delayedHostList.ts
@@ -1,13 +1,13 @@
 import { type HostEntry } from "@galenaglade/platform";
 
-interface Version {
+interface HostListVersion {
     readonly atMs: number;
     readonly hosts: readonly HostEntry[];
 }
 
 /** A host list in which each change becomes visible only after a delay. */
 export class DelayedHostList {
-    #versions: readonly Version[] = [];
+    #versions: readonly HostListVersion[] = [];
     /** Delay until a change becomes visible, in milliseconds. */
     lagMs: number;
 
@@ -21,7 +21,7 @@
 
     /** @returns the list as it was `lagMs` ago; the first list is visible immediately */
     read(nowMs: number): readonly HostEntry[] {
-        const shown = this.#versions.findLast(version => version.atMs + this.lagMs <= nowMs);
-        return (shown ?? this.#versions[0])?.hosts ?? [];
+        const visible = this.#versions.findLast(version => version.atMs + this.lagMs <= nowMs);
+        return (visible ?? this.#versions[0])?.hosts ?? [];
     }
 }
--- a/packages/standIns/src/platform/keyValueEngine.ts
+++ b/packages/standIns/src/platform/keyValueEngine.ts
@@ -6,7 +6,7 @@
     type WatchEvents,
 } from "@galenaglade/platform";
 
-interface HeldLease {
+interface LeaseRecord {
     readonly ttlMs: number;
     expiresAtMs: number;
 }
@@ -22,7 +22,7 @@
  */
 export class KeyValueEngine {
     readonly #keys = new Map<string, KeyValue>();
-    readonly #leases = new Map<string, HeldLease>();
+    readonly #leases = new Map<string, LeaseRecord>();
     readonly #deletions: Deletion[] = [];
     #revision = 0;
     #leaseCount = 0;
@@ -108,7 +108,7 @@
     revokeLease(id: string, nowMs: number): void {
         this.expire(nowMs);
         if (this.#leases.delete(id)) {
-            this.#dropKeysOf(id);
+            this.#deleteLeaseKeys(id);
         }
     }
 
@@ -127,12 +127,12 @@
         for (const [id, lease] of this.#leases) {
             if (lease.expiresAtMs <= nowMs) {
                 this.#leases.delete(id);
-                this.#dropKeysOf(id);
+                this.#deleteLeaseKeys(id);
             }
         }
     }
 
-    #dropKeysOf(leaseId: string): void {
+    #deleteLeaseKeys(leaseId: string): void {
         for (const entry of [...this.#keys.values()]) {
             if (entry.leaseId === leaseId) {
                 this.#delete(entry.key);
--- a/packages/standIns/src/platform/platformServer.ts
+++ b/packages/standIns/src/platform/platformServer.ts
@@ -24,12 +24,12 @@
 }
 
 /** How often waiting watches check for expired leases, in milliseconds. */
-const watchSweepMs = 25;
+const watchCheckIntervalMs = 25;
 
 /** `hung` sends no response, `lost` closes the connection after the call took effect. */
-type Fate = "answered" | "refused" | "hung" | "lost";
+type CallDisposition = "answered" | "refused" | "hung" | "lost";
 
-type Perform = (engine: KeyValueEngine, nowMs: number) => unknown;
+type StoreOperation = (engine: KeyValueEngine, nowMs: number) => unknown;
 
 /** The stand-in platform: key-value service and host list over HTTP, with fault injection. */
 export class PlatformServer {
@@ -37,11 +37,11 @@
     readonly #engine = new KeyValueEngine();
     readonly #meter: CallRateLimiter;
     readonly #hosts: DelayedHostList;
-    readonly #waiting = new Set<() => void>();
-    #frozen: KeyValueEngine | undefined;
+    readonly #pendingWatches = new Set<() => void>();
+    #staleSnapshot: KeyValueEngine | undefined;
     #faults: PlatformFaults = platformFaultsSchema.parse({});
     #listening: ListeningServer | undefined;
-    #sweep: NodeJS.Timeout | undefined;
+    #watchTimer: NodeJS.Timeout | undefined;
 
     private constructor(options: PlatformServerOptions) {
         this.#now = options.now ?? (() => performance.now());
@@ -56,7 +56,7 @@
             options.listen ?? { host: "127.0.0.1", port: 0 },
             (req, res) => platform.#handle(req, res),
         );
-        platform.#sweep = setInterval(() => platform.#wake(), watchSweepMs);
+        platform.#watchTimer = setInterval(() => platform.#checkWatches(), watchCheckIntervalMs);
         return platform;
     }
 
@@ -72,8 +72,8 @@
     /** Replaces all injected faults. */
     setFaults(faults: Partial<PlatformFaults>): void {
         this.#faults = platformFaultsSchema.parse(faults);
-        this.#frozen = this.#faults.staleReads ? this.#frozen ?? this.#engine.snapshot() : undefined;
-        this.#wake();
+        this.#staleSnapshot = this.#faults.staleReads ? this.#staleSnapshot ?? this.#engine.snapshot() : undefined;
+        this.#checkWatches();
     }
 
     /** Replaces the host list; the change becomes visible after the configured delay. */
@@ -88,7 +88,7 @@
 
     /** Closes every connection and stops listening. */
     async stop(): Promise<void> {
-        clearInterval(this.#sweep);
+        clearInterval(this.#watchTimer);
         if (this.#listening !== undefined) {
             await closeServer(this.#listening.server);
         }
@@ -160,23 +160,23 @@
         res: ServerResponse,
         operation: Operation<Req, Res>,
         body: unknown,
-        prepare: (asked: Req) => Perform,
+        prepare: (params: Req) => StoreOperation,
     ): Promise<void> {
-        const perform = prepare(operation.request.parse(body));
-        const arrival = await this.#arrive(req, res, operation.writes ? "write" : "read");
-        if (arrival !== "answered") {
+        const storeOperation = prepare(operation.request.parse(body));
+        const admission = await this.#admit(req, res, operation.writes ? "write" : "read");
+        if (admission !== "answered") {
             return;
         }
-        const result = perform(operation.writes ? this.#engine : this.#readable, this.#now());
+        const result = storeOperation(operation.writes ? this.#engine : this.#readEngine, this.#now());
         if (operation.writes) {
-            this.#wake();
+            this.#checkWatches();
         }
-        const departure = this.#resolveDeparture(req, operation.writes);
-        if (departure === "lost") {
+        const disposition = this.#applyResponseFaults(req, operation.writes);
+        if (disposition === "lost") {
             req.socket.destroy();
             return;
         }
-        if (departure === "answered") {
+        if (disposition === "answered") {
             sendJson(res, result === undefined ? 404 : 200, result ?? { error: "not found" });
         }
     }
@@ -184,71 +184,75 @@
     /** A long poll: responds when a key under the prefix has changed, or with no changes after `waitMs`. */
     async #watch(req: IncomingMessage, res: ServerResponse, body: unknown): Promise<void> {
         const { prefix, afterRevision, waitMs } = operations.watch.request.parse(body);
-        if (await this.#arrive(req, res, "watch") !== "answered") {
+        if (await this.#admit(req, res, "watch") !== "answered") {
             return;
         }
         const untilMs = this.#now() + waitMs;
-        const look = (): void => {
-            const fate = this.#resolveArrival(req);
-            if (fate !== "answered") {
-                this.#waiting.delete(look);
-                this.#refuse(res, fate);
+        const check = (): void => {
+            const disposition = this.#applyRequestFaults(req);
+            if (disposition !== "answered") {
+                this.#pendingWatches.delete(check);
+                this.#sendUnavailable(res, disposition);
                 return;
             }
-            const events = this.#readable.changesSince(prefix, afterRevision, this.#now());
-            const found = events.changed.length + events.deleted.length > 0;
-            if (!found && this.#now() < untilMs) {
+            const events = this.#readEngine.changesSince(prefix, afterRevision, this.#now());
+            const hasChanges = events.changed.length + events.deleted.length > 0;
+            if (!hasChanges && this.#now() < untilMs) {
                 return;
             }
-            this.#waiting.delete(look);
-            if (this.#resolveDeparture(req, false) === "answered") {
+            this.#pendingWatches.delete(check);
+            if (this.#applyResponseFaults(req, false) === "answered") {
                 sendJson(res, 200, events);
             }
         };
-        this.#waiting.add(look);
-        res.once("close", () => this.#waiting.delete(look));
-        look();
+        this.#pendingWatches.add(check);
+        res.once("close", () => this.#pendingWatches.delete(check));
+        check();
     }
 
-    get #readable(): KeyValueEngine {
-        return this.#frozen ?? this.#engine;
+    get #readEngine(): KeyValueEngine {
+        return this.#staleSnapshot ?? this.#engine;
     }
 
-    #wake(): void {
-        for (const look of [...this.#waiting]) {
-            look();
+    #checkWatches(): void {
+        for (const check of [...this.#pendingWatches]) {
+            check();
         }
     }
 
     /** Applies the rate limit and the faults that affect a call before it takes effect. */
-    async #arrive(req: IncomingMessage, res: ServerResponse, kind: "read" | "write" | "watch"): Promise<Fate> {
+    async #admit(
+        req: IncomingMessage,
+        res: ServerResponse,
+        kind: "read" | "write" | "watch",
+    ): Promise<CallDisposition> {
         if (this.#faults.slowMs > 0) {
             await new Promise(resolve => setTimeout(resolve, this.#faults.slowMs));
         }
-        const fate = this.#resolveArrival(req);
-        if (fate !== "answered") {
-            this.#refuse(res, fate);
-            return fate;
+        const disposition = this.#applyRequestFaults(req);
+        if (disposition !== "answered") {
+            this.#sendUnavailable(res, disposition);
+            return disposition;
         }
-        if (!this.#meter.admit(clientOf(req), kind, this.#now())) {
+        if (!this.#meter.admit(getClient(req), kind, this.#now())) {
             sendJson(res, 429, { error: "too many calls" });
             return "refused";
         }
-        return fate;
+        return disposition;
     }
 
-    #resolveArrival(req: IncomingMessage): Fate {
+    #applyRequestFaults(req: IncomingMessage): CallDisposition {
         if (this.#faults.down === "refusing") {
             return "refused";
         }
-        if (this.#faults.down === "silent" || this.#isCut(req, "toStore")) {
+        if (this.#faults.down === "silent" || this.#isPartitioned(req, "toStore")) {
             return "hung";
         }
         return "answered";
     }
 
-    #resolveDeparture(req: IncomingMessage, writes: boolean): Fate {
-        if (this.#isCut(req, "fromStore")) {
+    #applyResponseFaults(req: IncomingMessage, writes: boolean): CallDisposition {
+        if (this.#isPartitioned(req, "fromStore")) {
             return "hung";
         }
         if (writes && this.#faults.loseAnswers > 0) {
@@ -258,19 +262,19 @@
         return "answered";
     }
 
-    #isCut(req: IncomingMessage, direction: "toStore" | "fromStore"): boolean {
-        const client = clientOf(req);
+    #isPartitioned(req: IncomingMessage, direction: "toStore" | "fromStore"): boolean {
+        const client = getClient(req);
         return this.#faults.cuts.some(cut => cut.client === client && cut.direction === direction);
     }
 
-    #refuse(res: ServerResponse, fate: Fate): void {
-        if (fate === "refused") {
+    #sendUnavailable(res: ServerResponse, disposition: CallDisposition): void {
+        if (disposition === "refused") {
             sendJson(res, 503, { error: "down" });
         }
     }
 }
 
-function clientOf(req: IncomingMessage): string {
+function getClient(req: IncomingMessage): string {
     const client = req.headers[clientHeader];
     return typeof client === "string" ? client : "unknown";
 }
--- a/packages/standIns/src/processes/startProcess.ts
+++ b/packages/standIns/src/processes/startProcess.ts
@@ -32,8 +32,8 @@
     readonly signal: string | undefined;
 }
 
-const defaultReadyWithinMs = 60_000;
-const linesKept = 40;
+const defaultReadyTimeoutMs = 60_000;
+const maxLastLines = 40;
 
 /** A running child process. Signals are sent to its process id only. */
 export class StartedProcess {
@@ -42,15 +42,15 @@
     readonly exited: Promise<ExitStatus>;
     readonly #child: ChildProcess;
     #url = "";
-    #exit: ExitStatus | undefined;
+    #exitStatus: ExitStatus | undefined;
 
     constructor(name: string, child: ChildProcess) {
         this.name = name;
         this.#child = child;
         this.exited = new Promise(resolve => {
             child.once("exit", (code, signal) => {
-                this.#exit = { code: code ?? undefined, signal: signal ?? undefined };
-                resolve(this.#exit);
+                this.#exitStatus = { code: code ?? undefined, signal: signal ?? undefined };
+                resolve(this.#exitStatus);
             });
         });
     }
@@ -66,7 +66,7 @@
 
     /** `undefined` while the process runs. */
     get exitStatus(): ExitStatus | undefined {
-        return this.#exit;
+        return this.#exitStatus;
     }
 
     /** @internal */
@@ -126,14 +126,14 @@
     const started = new StartedProcess(options.name, child);
     const log = options.logPath === undefined ? undefined : createWriteStream(options.logPath, { flags: "a" });
     const lastLines: string[] = [];
-    const findReady = options.parseReadyUrl ?? parseReadyLine;
+    const parseUrl = options.parseReadyUrl ?? parseReadyLine;
     const ready = new Promise<string>(resolve => {
         for (const output of [child.stdout, child.stderr]) {
             createInterface({ input: output }).on("line", line => {
                 log?.write(`${line}\n`);
                 lastLines.push(line);
-                lastLines.splice(0, lastLines.length - linesKept);
-                const url = findReady(line);
+                lastLines.splice(0, lastLines.length - maxLastLines);
+                const url = parseUrl(line);
                 if (url !== undefined) {
                     resolve(url);
                 }
@@ -141,7 +141,7 @@
         }
     });
     void started.exited.then(() => log?.end());
-    const url = await settleFirst(ready, started, options.readyTimeoutMs ?? defaultReadyWithinMs);
+    const url = await waitForReady(ready, started, options.readyTimeoutMs ?? defaultReadyTimeoutMs);
     if (url === undefined) {
         started.kill();
         await started.exited;
@@ -165,16 +165,16 @@
     }
 }
 
-async function settleFirst(
+async function waitForReady(
     ready: Promise<string>,
     started: StartedProcess,
-    withinMs: number,
+    timeoutMs: number,
 ): Promise<string | undefined> {
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<undefined>(resolve => {
-        timer = setTimeout(() => resolve(undefined), withinMs);
+    const timeout = new Promise<undefined>(resolve => {
+        timer = setTimeout(() => resolve(undefined), timeoutMs);
     });
-    const url = await Promise.race([ready, late, started.exited.then(() => undefined)]);
+    const url = await Promise.race([ready, timeout, started.exited.then(() => undefined)]);
     clearTimeout(timer);
     return url;
 }
--- a/packages/standIns/src/raw/rawBackend.ts
+++ b/packages/standIns/src/raw/rawBackend.ts
@@ -27,10 +27,10 @@
 export async function startRawBackend(t: TestContext, serve: (req: RawRequest) => void): Promise<RawBackend> {
     const requests: RawRequest[] = [];
     const sockets = new Set<Socket>();
-    let connections = 0;
+    let connectionCount = 0;
     const server = createServer(socket => {
-        const connection = ++connections;
-        let turn = 0;
+        const connection = ++connectionCount;
+        let requestCount = 0;
         let received = "";
         sockets.add(socket);
         socket.on("error", () => socket.destroy());
@@ -39,7 +39,7 @@
             received += chunk.toString("latin1");
             for (let parsed = parseRequest(received); parsed !== undefined; parsed = parseRequest(received)) {
                 received = received.slice(parsed.bytes);
-                const req = { ...parsed, connection, requestNumber: ++turn, socket };
+                const req = { ...parsed, connection, requestNumber: ++requestCount, socket };
                 requests.push(req);
                 serve(req);
             }
