--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -133,10 +133,10 @@
         signal: new AbortController().signal,
         callTimeoutMs: 500,
     });
-    const answer = await client.call((operator, options) =>
+    const result = await client.call((operator, options) =>
         operator.takeZoneOut({ name: "a", changeId: "x" }, options)
     );
-    assert.equal(answer.unsafeCoerce().standing?.revision, 2);
+    assert.equal(result.unsafeCoerce().standing?.revision, 2);
     assert.equal(coordinator.history.length, 2);
 });
 
--- a/packages/cli/src/__tests__/endToEnd.test.ts
+++ b/packages/cli/src/__tests__/endToEnd.test.ts
@@ -53,16 +53,16 @@
 test("a change during a store outage exits with 5, and takes effect once when it is repeated", async t => {
     // The store rejects every call. The command must fail immediately instead of leaving the operator waiting. After
     // the outage, the same command is run again with the same change id, and then once more by mistake.
-    const zone = () =>
+    const runZoneCommand = () =>
         runCli(t, [fleet.adminUrl], ["zone", "in", "a", "--change-id", "outage"], { key: fleet.fleetKey });
     await setPlatformFaults({ down: "refusing" });
-    const during = await zone();
+    const during = await runZoneCommand();
     assert.equal(during.code, 5);
     assert.match(during.err.join("\n"), /^storeUnavailable/);
     await setPlatformFaults({});
-    for (const ended of [await zone(), await zone()]) {
-        assert.equal(ended.code, 0);
-        assert.match(ended.out.join(), /^revision 3: in force/);
+    for (const result of [await runZoneCommand(), await runZoneCommand()]) {
+        assert.equal(result.code, 0);
+        assert.match(result.out.join(), /^revision 3: in force/);
     }
 });
 
@@ -73,11 +73,11 @@
 }
 
 test("two operators concurrently take both zones out of service and return them", async t => {
-    const zone = (state: string, name: string) =>
+    const runZoneCommand = (state: string, name: string) =>
         runCli(t, [fleet.adminUrl], ["zone", state, name], { key: fleet.fleetKey });
     for (const state of ["out", "in"]) {
-        const ended = await Promise.all([zone(state, "a"), zone(state, "b")]);
-        assert.deepEqual(ended.map(({ code }) => code), [0, 0]);
+        const results = await Promise.all([runZoneCommand(state, "a"), runZoneCommand(state, "b")]);
+        assert.deepEqual(results.map(({ code }) => code), [0, 0]);
     }
     const { code, out } = await runCli(t, [fleet.adminUrl], ["status"], { key: fleet.fleetKey });
     assert.equal(code, 0);
--- a/packages/cli/src/__tests__/explain.test.ts
+++ b/packages/cli/src/__tests__/explain.test.ts
@@ -28,8 +28,8 @@
 test("explaining a request returns its lines and its host's preceding events about its servers and the store", () => {
     const { lines, unreadable } = readLog(log);
     assert.equal(unreadable, 1);
-    const story = explainRequest("r1", lines).map(({ message, fields }) => [message, fields["name"]]);
-    assert.deepEqual(story, [
+    const relevantLines = explainRequest("r1", lines).map(({ message, fields }) => [message, fields["name"]]);
+    assert.deepEqual(relevantLines, [
         ["belief", "i-1"],
         ["storeLost", undefined],
         ["retry", undefined],
@@ -48,8 +48,8 @@
             renderLostSend("r9", "host-9", "c2"),
         ].join("\n"),
     );
-    const story = explainRequest("r1", lines).filter(({ message }) => message === "sendLost");
-    assert.deepEqual(story.map(({ fields }) => fields["requestId"]), ["r1", "r8"]);
+    const relevantLines = explainRequest("r1", lines).filter(({ message }) => message === "sendLost");
+    assert.deepEqual(relevantLines.map(({ fields }) => fields["requestId"]), ["r1", "r8"]);
 });
 
 test("explaining a request that no log line mentions returns nothing", () => {
@@ -81,8 +81,8 @@
             handedTo: "host-2",
         }),
     ].join("\n"));
-    const story = explainRequest("r1", lines).map(({ process, message }) => `${process} ${message}`);
-    assert.deepEqual(story, [
+    const relevantLines = explainRequest("r1", lines).map(({ process, message }) => `${process} ${message}`);
+    assert.deepEqual(relevantLines, [
         "host-1 serverReach",
         "host-2 requestFailed",
         "host-1 handedOver",
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -30,8 +30,8 @@
             changeId,
             configuration: toConfigurationMessage(read.unsafeCoerce().declared),
         };
-        const answer = await client.call((operator, options) => operator.applyConfiguration(request, options));
-        return answer.caseOf<ExitCode>({
+        const result = await client.call((operator, options) => operator.applyConfiguration(request, options));
+        return result.caseOf<ExitCode>({
             Left: error => reportCallError(context, error, changeId),
             Right: ({ standing }) => standing === undefined ? exitCodes.failed : reportStanding(context, standing),
         });
@@ -42,7 +42,7 @@
         if (expectedRevision !== undefined) {
             return Right(expectedRevision);
         }
-        const answer = await client.call((operator, options) => operator.getConfiguration({}, options));
-        return answer.map(({ revision }) => revision);
+        const result = await client.call((operator, options) => operator.getConfiguration({}, options));
+        return result.map(({ revision }) => revision);
     }
 }
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -12,8 +12,8 @@
     readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
-        const answer = await context.client.call((operator, options) => operator.getConfiguration({}, options));
-        return answer.caseOf<ExitCode>({
+        const result = await context.client.call((operator, options) => operator.getConfiguration({}, options));
+        return result.caseOf<ExitCode>({
             Left: error => reportCallError(context, error),
             Right: response => {
                 context.terminal.out(context.json ? formatJson(response) : formatYaml(response));
--- a/packages/cli/src/commands/host.ts
+++ b/packages/cli/src/commands/host.ts
@@ -35,8 +35,8 @@
             forgetWarning.forEach(line => terminal.err(line));
             return exitCodes.badInput;
         }
-        const answer = await client.call((operator, callOptions) => operator.forgetHost({ name }, callOptions));
-        return answer.caseOf<ExitCode>({
+        const result = await client.call((operator, callOptions) => operator.forgetHost({ name }, callOptions));
+        return result.caseOf<ExitCode>({
             Left: error => reportCallError(context, error),
             Right: () => {
                 terminal.out(
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -37,12 +37,12 @@
     readonly usesAdmin = true;
 
     override async run(context: CommandContext): Promise<ExitCode> {
-        const answer = await context.client.call(async (operator, options) => ({
+        const result = await context.client.call(async (operator, options) => ({
             standing: (await operator.getStanding({}, options)).standing,
             hosts: (await operator.listHosts({}, options)).hosts,
             servers: await operator.listBackendServers({}, options),
         }));
-        return answer.caseOf<ExitCode>({
+        return result.caseOf<ExitCode>({
             Left: error => reportCallError(context, error),
             Right: ({ standing, hosts, servers }) =>
                 standing === undefined ? exitCodes.failed : printStatus(context, standing, hosts, servers),
--- a/packages/cli/src/commands/zone.ts
+++ b/packages/cli/src/commands/zone.ts
@@ -19,8 +19,8 @@
             context.terminal.err("zone: expected out or in, followed by the name of the availability zone");
             return exitCodes.badInput;
         }
-        const answer = await this.#change(context, state, name);
-        return answer.caseOf<ExitCode>({
+        const result = await this.#change(context, state, name);
+        return result.caseOf<ExitCode>({
             Left: error => reportCallError(context, error, context.changeId),
             Right: ({ standing }) => standing === undefined ? exitCodes.failed : reportStanding(context, standing),
         });
--- a/packages/standIns/src/__tests__/backendServer.test.ts
+++ b/packages/standIns/src/__tests__/backendServer.test.ts
@@ -44,7 +44,7 @@
 }
 
 /** Polls until a condition holds; fails after 20 seconds. */
-async function until(holds: () => boolean): Promise<void> {
+async function waitUntil(holds: () => boolean): Promise<void> {
     const limitMs = performance.now() + 20_000;
     while (!holds()) {
         assert.ok(performance.now() < limitMs, "the condition did not become true in time");
@@ -56,9 +56,9 @@
     const server = await startServer();
     const res = await send(server, createAgent());
     const text = await res.body.text();
-    const answer = backendResponseSchema.parse(JSON.parse(text));
-    assert.equal(answer.requestId, "r1");
-    assert.equal(answer.requestDigest, computeDigest("two carats"));
+    const responseBody = backendResponseSchema.parse(JSON.parse(text));
+    assert.equal(responseBody.requestId, "r1");
+    assert.equal(responseBody.requestDigest, computeDigest("two carats"));
     assert.equal(res.headers[backendHeaders.bodyDigest], computeDigest(text));
     assert.equal(res.headers[backendHeaders.state], "warm");
     assert.equal(res.headers[backendHeaders.inFlight], "0");
@@ -71,7 +71,7 @@
     const agent = createAgent();
     const first = send(server, agent, { id: "first", workMs: 60_000 });
     first.catch(() => undefined);
-    await until(() => server.load.inFlight === 1);
+    await waitUntil(() => server.load.inFlight === 1);
     const second = await send(server, agent, { id: "second" });
     assert.equal(second.statusCode, 503);
     assert.equal(second.headers[backendHeaders.didRun], "no");
@@ -82,11 +82,11 @@
 test("a caller that disconnects frees its slot", async () => {
     const server = await startServer({ capacity: { slots: 1 } });
     const agent = createAgent();
-    const control = new AbortController();
-    const given = send(server, agent, { workMs: 60_000, signal: control.signal });
-    given.catch(() => undefined);
-    await until(() => server.load.inFlight === 1);
-    control.abort();
+    const controller = new AbortController();
+    const cancelledRequest = send(server, agent, { workMs: 60_000, signal: controller.signal });
+    cancelledRequest.catch(() => undefined);
+    await waitUntil(() => server.load.inFlight === 1);
+    controller.abort();
     const next = await send(server, agent, { id: "next" });
     assert.equal(next.statusCode, 200);
     assert.equal(server.counters.cancelled, 1);
@@ -96,7 +96,7 @@
     const server = await startServer({ capacity: { slots: 1 } });
     const agent = createAgent();
     const running = send(server, agent, { workMs: 60_000, deadlineMs: 1_000 });
-    await until(() => server.load.inFlight === 1);
+    await waitUntil(() => server.load.inFlight === 1);
     const waiting = await send(server, agent, { id: "waiting", deadlineMs: 50 });
     assert.equal(waiting.statusCode, 503);
     assert.equal(waiting.headers[backendHeaders.didRun], "no");
@@ -110,11 +110,11 @@
     const history = new MemoryHistoryRecorder("catalog-1");
     const server = await startServer({ startsCold: true, history });
     const agent = createAgent();
-    const answers = await Promise.all([send(server, agent, { workMs: 500 }), send(server, agent, { workMs: 500 })]);
-    assert.deepEqual(answers.map(res => res.statusCode).sort(), [200, 500]);
+    const responses = await Promise.all([send(server, agent, { workMs: 500 }), send(server, agent, { workMs: 500 })]);
+    assert.deepEqual(responses.map(res => res.statusCode).sort(), [200, 500]);
     assert.equal(server.counters.coldOverloads, 1);
-    const over = history.lines.filter(line => line.type === "serverStarted" && line.cold && line.inFlight > 1);
-    assert.equal(over.length, 1);
+    const overloads = history.lines.filter(line => line.type === "serverStarted" && line.cold && line.inFlight > 1);
+    assert.equal(overloads.length, 1);
 });
 
 test("a truncated response ends one byte short", async () => {
@@ -147,7 +147,7 @@
     const server = await startServer();
     const agent = createAgent();
     send(server, agent, { workMs: 60_000 }).catch(() => undefined);
-    await until(() => server.load.inFlight === 1);
+    await waitUntil(() => server.load.inFlight === 1);
     const readLoad = async () => (await request(`${server.url}/load`, { dispatcher: agent })).body.json();
     const { incarnation } = server.load;
     assert.deepEqual(await readLoad(), { state: "warm", inFlight: 1, bears: 3, incarnation });
@@ -162,7 +162,7 @@
     const agent = createAgent();
     const running = send(server, agent, { workMs: 60_000 });
     const cut = assert.rejects(running);
-    await until(() => server.load.inFlight === 1);
+    await waitUntil(() => server.load.inFlight === 1);
     const before = server.load.incarnation;
     const res = await request(`${server.url}/faults`, {
         method: "PUT",
@@ -171,7 +171,7 @@
     assert.equal(res.statusCode, 200);
     await res.body.dump();
     await cut;
-    await until(() => server.load.inFlight === 0);
+    await waitUntil(() => server.load.inFlight === 0);
     const next = await send(server, agent);
     assert.equal(next.headers[backendHeaders.state], "cold");
     assert.notEqual(next.headers[backendHeaders.incarnation], before);
@@ -181,7 +181,7 @@
     const server = await startServer();
     const agent = createAgent();
     const running = send(server, agent, { workMs: 200 });
-    await until(() => server.load.inFlight === 1);
+    await waitUntil(() => server.load.inFlight === 1);
     const drained = server.drain(0);
     const res = await running;
     assert.equal(res.statusCode, 200);
--- a/packages/standIns/src/__tests__/caller.test.ts
+++ b/packages/standIns/src/__tests__/caller.test.ts
@@ -38,12 +38,12 @@
 
 test("a seed gives the same schedule for any target, at the configured rate", () => {
     const phases = [{ durationMs: 60_000, requestsPerSecond: 100 }];
-    const strip = (plan: CallerPlan) => [...generateSchedule(plan)].map(({ atMs, workMs }) => ({ atMs, workMs }));
-    const first = strip(createPlan({ phases }));
-    const second = strip(createPlan({ phases, targets: ["http://127.0.0.1:2"] }));
+    const getTimes = (plan: CallerPlan) => [...generateSchedule(plan)].map(({ atMs, workMs }) => ({ atMs, workMs }));
+    const first = getTimes(createPlan({ phases }));
+    const second = getTimes(createPlan({ phases, targets: ["http://127.0.0.1:2"] }));
     assert.deepEqual(first, second);
     assert.ok(first.length > 5_700 && first.length < 6_300, String(first.length));
-    assert.notDeepEqual(first, strip(createPlan({ phases, seed: 8 })));
+    assert.notDeepEqual(first, getTimes(createPlan({ phases, seed: 8 })));
 });
 
 test("a surge of one service raises its share of requests by the configured factor", () => {
--- a/packages/standIns/src/__tests__/fleet.test.ts
+++ b/packages/standIns/src/__tests__/fleet.test.ts
@@ -36,7 +36,7 @@
     return request(url, { headers });
 }
 
-async function untilStarted(fleet: Fleet, requestId: string): Promise<void> {
+async function waitUntilStarted(fleet: Fleet, requestId: string): Promise<void> {
     const limitMs = performance.now() + 30_000;
     const isStart = (line: HistoryLine): boolean => line.type === "serverStarted" && line.requestId === requestId;
     while (!mergeHistories(fleet.historyFiles).some(isStart)) {
@@ -72,7 +72,7 @@
         assert.equal(quick.statusCode, 200);
         await quick.body.dump();
         const inFlight = send(first.process.url, "slow", 1_500);
-        await untilStarted(fleet, "slow");
+        await waitUntilStarted(fleet, "slow");
         stopped = fleet.stop();
         const res = await inFlight;
         const bodyDigest = String(res.headers[backendHeaders.bodyDigest]);
--- a/packages/standIns/src/__tests__/platformServer.test.ts
+++ b/packages/standIns/src/__tests__/platformServer.test.ts
@@ -30,7 +30,7 @@
     return new HttpKeyValueStore(connect(address, more));
 }
 
-function kindOf(answer: Either<Failure, unknown>): string {
+function getFailureKind(answer: Either<Failure, unknown>): string {
     return answer.caseOf({ Left: failure => failure.kind, Right: () => "no failure" });
 }
 
@@ -42,8 +42,8 @@
     const { url } = await startPlatform();
     const store = createStore(url);
     assert.deepEqual((await write(store, "a", "1")).extract(), { swapped: true, revision: 1 });
-    const lost = (await write(store, "a", "2")).unsafeCoerce();
-    assert.equal(lost.swapped ? "swapped" : lost.current?.value, "1");
+    const conflict = (await write(store, "a", "2")).unsafeCoerce();
+    assert.equal(conflict.swapped ? "swapped" : conflict.current?.value, "1");
     assert.equal((await store.get("none")).unsafeCoerce(), undefined);
     assert.equal((await store.list("a")).unsafeCoerce().entries.length, 1);
 });
@@ -55,21 +55,21 @@
     const lease = (await store.grantLease(1_000)).unsafeCoerce();
     const waiting = store.watch({ prefix: "seat/", afterRevision: 0, waitMs: 30_000 });
     await store.compareAndSwap({ key: "seat/1", value: "x", expectedRevision: 0, leaseId: lease.id });
-    const seen = (await waiting).unsafeCoerce();
-    assert.deepEqual(seen.changed.map(entry => entry.key), ["seat/1"]);
+    const events = (await waiting).unsafeCoerce();
+    assert.deepEqual(events.changed.map(entry => entry.key), ["seat/1"]);
 
-    const fall = store.watch({ prefix: "seat/", afterRevision: seen.revision, waitMs: 30_000 });
+    const expiryWatch = store.watch({ prefix: "seat/", afterRevision: events.revision, waitMs: 30_000 });
     nowMs = 1_001;
-    assert.deepEqual((await fall).unsafeCoerce().deleted, ["seat/1"]);
-    assert.equal(kindOf(await store.renewLease(lease.id)), "notFound");
+    assert.deepEqual((await expiryWatch).unsafeCoerce().deleted, ["seat/1"]);
+    assert.equal(getFailureKind(await store.renewLease(lease.id)), "notFound");
 });
 
 test("a watch can be cancelled", async () => {
     const { url } = await startPlatform();
-    const control = new AbortController();
-    const waiting = createStore(url).watch({ prefix: "", afterRevision: 0, waitMs: 30_000, signal: control.signal });
-    control.abort();
-    assert.equal(kindOf(await waiting), "storeUnavailable");
+    const controller = new AbortController();
+    const waiting = createStore(url).watch({ prefix: "", afterRevision: 0, waitMs: 30_000, signal: controller.signal });
+    controller.abort();
+    assert.equal(getFailureKind(await waiting), "storeUnavailable");
 });
 
 test("a lost response leaves the outcome of a write unknown", async () => {
@@ -78,7 +78,7 @@
     const platform = await startPlatform();
     const store = createStore(platform.url);
     platform.setFaults({ loseAnswers: 1 });
-    assert.equal(kindOf(await write(store, "a", "1")), "storeOutcomeUnknown");
+    assert.equal(getFailureKind(await write(store, "a", "1")), "storeOutcomeUnknown");
     assert.equal((await store.get("a")).unsafeCoerce()?.value, "1");
 });
 
@@ -88,19 +88,19 @@
     const platform = await startPlatform();
     const store = createStore(platform.url);
     platform.setFaults({ down: "refusing" });
-    assert.equal(kindOf(await write(store, "a", "1")), "storeUnavailable");
+    assert.equal(getFailureKind(await write(store, "a", "1")), "storeUnavailable");
     assert.equal(platform.engine.revision, 0);
     await platform.stop();
-    assert.equal(kindOf(await write(createStore(platform.url), "a", "1")), "storeUnavailable");
+    assert.equal(getFailureKind(await write(createStore(platform.url), "a", "1")), "storeUnavailable");
 });
 
 test("an address that refuses connections is skipped", async () => {
-    const gone = await startPlatform();
+    const stopped = await startPlatform();
     const platform = await startPlatform();
-    await gone.stop();
-    const connection = new PlatformClient({ addresses: [gone.url, platform.url], client: "gateway-1" });
+    await stopped.stop();
+    const connection = new PlatformClient({ addresses: [stopped.url, platform.url], client: "gateway-1" });
     stops.push(() => connection.close());
-    assert.equal(kindOf(await write(new HttpKeyValueStore(connection), "a", "1")), "no failure");
+    assert.equal(getFailureKind(await write(new HttpKeyValueStore(connection), "a", "1")), "no failure");
     assert.equal(platform.engine.revision, 1);
 });
 
@@ -110,25 +110,25 @@
     const platform = await startPlatform();
     const store = createStore(platform.url, { timeoutMs: 500 });
     platform.setFaults({ down: "silent" });
-    assert.equal(kindOf(await write(store, "a", "1")), "storeOutcomeUnknown");
-    assert.equal(kindOf(await store.get("a")), "storeUnavailable");
+    assert.equal(getFailureKind(await write(store, "a", "1")), "storeOutcomeUnknown");
+    assert.equal(getFailureKind(await store.get("a")), "storeUnavailable");
     platform.setFaults({});
-    const patient = createStore(platform.url);
-    assert.equal(kindOf(await write(patient, "a", "1")), "no failure");
+    const newStore = createStore(platform.url);
+    assert.equal(getFailureKind(await write(newStore, "a", "1")), "no failure");
 });
 
 test("a network partition affects one client in one direction", async () => {
     // Gateway 1 is partitioned from the store in one direction. If its calls don't arrive, nothing is written; if the
     // responses don't arrive, everything is. Gateway 2 is unaffected.
     const platform = await startPlatform();
-    const cut = createStore(platform.url, { client: "gateway-1", timeoutMs: 500 });
-    const well = createStore(platform.url, { client: "gateway-2" });
+    const partitioned = createStore(platform.url, { client: "gateway-1", timeoutMs: 500 });
+    const connected = createStore(platform.url, { client: "gateway-2" });
     platform.setFaults({ cuts: [{ client: "gateway-1", direction: "toStore" }] });
-    assert.equal(kindOf(await write(cut, "a", "1")), "storeOutcomeUnknown");
-    assert.equal((await well.get("a")).unsafeCoerce(), undefined);
+    assert.equal(getFailureKind(await write(partitioned, "a", "1")), "storeOutcomeUnknown");
+    assert.equal((await connected.get("a")).unsafeCoerce(), undefined);
     platform.setFaults({ cuts: [{ client: "gateway-1", direction: "fromStore" }] });
-    assert.equal(kindOf(await write(cut, "a", "1")), "storeOutcomeUnknown");
-    assert.equal((await well.get("a")).unsafeCoerce()?.value, "1");
+    assert.equal(getFailureKind(await write(partitioned, "a", "1")), "storeOutcomeUnknown");
+    assert.equal((await connected.get("a")).unsafeCoerce()?.value, "1");
 });
 
 test("stale reads return old values until the fault is removed", async () => {
@@ -146,15 +146,15 @@
     let nowMs = 0;
     const platform = await startPlatform({ now: () => nowMs, limits: { writesPerSecond: 2, readsPerSecond: 2 } });
     const store = createStore(platform.url);
-    assert.equal(kindOf(await write(store, "a", "1")), "no failure");
-    assert.equal(kindOf(await write(store, "b", "1")), "no failure");
-    assert.equal(kindOf(await write(store, "c", "1")), "storeRateLimited");
+    assert.equal(getFailureKind(await write(store, "a", "1")), "no failure");
+    assert.equal(getFailureKind(await write(store, "b", "1")), "no failure");
+    assert.equal(getFailureKind(await write(store, "c", "1")), "storeRateLimited");
     assert.equal(platform.engine.revision, 2);
-    assert.equal(kindOf(await store.watch({ prefix: "", afterRevision: 0, waitMs: 0 })), "no failure");
-    assert.equal(kindOf(await store.get("a")), "no failure");
-    assert.equal(kindOf(await store.get("a")), "storeRateLimited");
+    assert.equal(getFailureKind(await store.watch({ prefix: "", afterRevision: 0, waitMs: 0 })), "no failure");
+    assert.equal(getFailureKind(await store.get("a")), "no failure");
+    assert.equal(getFailureKind(await store.get("a")), "storeRateLimited");
     nowMs += 1_000;
-    assert.equal(kindOf(await write(store, "c", "1")), "no failure");
+    assert.equal(getFailureKind(await write(store, "c", "1")), "no failure");
     assert.deepEqual(platform.counters().total, { reads: 3, writes: 4, watches: 1, rateLimited: 2 });
 });
 
--- a/packages/standIns/src/__tests__/startProcess.test.ts
+++ b/packages/standIns/src/__tests__/startProcess.test.ts
@@ -32,14 +32,14 @@
     try {
         server.pause();
         let answered = false;
-        const answer = request(`${server.url}/load`).then(async res => {
+        const response = request(`${server.url}/load`).then(async res => {
             answered = true;
             await res.body.dump();
         });
         await new Promise(resolve => setTimeout(resolve, 100));
         assert.equal(answered, false);
         server.resume();
-        await answer;
+        await response;
     }
     finally {
         server.kill();
--- a/packages/standIns/src/fakes/fakeStore.ts
+++ b/packages/standIns/src/fakes/fakeStore.ts
@@ -31,28 +31,31 @@
      *
      * @param client - name of the calling client
      * @param run - performs the call on the engine
-     * @param answer - receives the result, or the failure that a client would get
+     * @param onResult - receives the result, or the failure that a client would get
      */
     call<T>(
         client: string,
         run: (engine: KeyValueEngine, nowMs: number) => T,
-        answer: (result: Either<Failure, T>) => void,
+        onResult: (result: Either<Failure, T>) => void,
     ): void {
         const outcome = this.#resolveOutcome(client, this.#time.nowMs);
         if (outcome.type === "requestLost") {
             // A client can't distinguish a lost request from a lost response, so both fail with the same error.
-            this.#time.schedule(outcome.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+            this.#time.schedule(
+                outcome.timeoutMs,
+                () => onResult(Left(createFailure("storeOutcomeUnknown", "timeout"))),
+            );
             return;
         }
         this.#time.schedule(outcome.outMs, () => {
             const result = run(this.#engine, this.#time.nowMs);
             if (outcome.type === "answered") {
-                this.#time.schedule(outcome.backMs, () => answer(Right(result)));
+                this.#time.schedule(outcome.backMs, () => onResult(Right(result)));
                 return;
             }
             this.#time.schedule(
                 outcome.timeoutMs - outcome.outMs,
-                () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))),
+                () => onResult(Left(createFailure("storeOutcomeUnknown", "timeout"))),
             );
         });
     }
--- a/packages/standIns/src/platform/platformServer.ts
+++ b/packages/standIns/src/platform/platformServer.ts
@@ -35,7 +35,7 @@
 export class PlatformServer {
     readonly #now: () => number;
     readonly #engine = new KeyValueEngine();
-    readonly #meter: CallRateLimiter;
+    readonly #rateLimiter: CallRateLimiter;
     readonly #hosts: DelayedHostList;
     readonly #pendingWatches = new Set<() => void>();
     #staleSnapshot: KeyValueEngine | undefined;
@@ -45,7 +45,7 @@
 
     private constructor(options: PlatformServerOptions) {
         this.#now = options.now ?? (() => performance.now());
-        this.#meter = new CallRateLimiter(options.limits ?? defaultCallLimits, this.#now());
+        this.#rateLimiter = new CallRateLimiter(options.limits ?? defaultCallLimits, this.#now());
         this.#hosts = new DelayedHostList(options.hostListLagMs ?? 0);
         this.#hosts.set(options.hosts ?? [], this.#now());
     }
@@ -83,7 +83,7 @@
 
     /** @returns calls counted since the start */
     counters(): ReturnType<CallRateLimiter["snapshot"]> {
-        return this.#meter.snapshot();
+        return this.#rateLimiter.snapshot();
     }
 
     /** Closes every connection and stops listening. */
@@ -234,7 +234,7 @@
             this.#sendUnavailable(res, disposition);
             return disposition;
         }
-        if (!this.#meter.admit(getClient(req), kind, this.#now())) {
+        if (!this.#rateLimiter.admit(getClient(req), kind, this.#now())) {
             sendJson(res, 429, { error: "too many calls" });
             return "refused";
         }
--- a/packages/standIns/src/raw/rawBackend.ts
+++ b/packages/standIns/src/raw/rawBackend.ts
@@ -37,9 +37,13 @@
         socket.on("close", () => sockets.delete(socket));
         socket.on("data", chunk => {
             received += chunk.toString("latin1");
-            for (let parsed = parseRequest(received); parsed !== undefined; parsed = parseRequest(received)) {
-                received = received.slice(parsed.bytes);
-                const req = { ...parsed, connection, requestNumber: ++requestCount, socket };
+            for (
+                let parsedRequest = parseRequest(received);
+                parsedRequest !== undefined;
+                parsedRequest = parseRequest(received)
+            ) {
+                received = received.slice(parsedRequest.bytes);
+                const req = { ...parsedRequest, connection, requestNumber: ++requestCount, socket };
                 requests.push(req);
                 serve(req);
             }
@@ -75,13 +79,13 @@
         const colon = line.indexOf(":");
         return [line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim()];
     }));
-    const length = Number(headers.get("content-length") ?? 0);
-    const bytes = headEnd + 4 + length;
+    const contentLength = Number(headers.get("content-length") ?? 0);
+    const bytes = headEnd + 4 + contentLength;
     if (received.length < bytes) {
         return undefined;
     }
     const [method = "", path = ""] = requestLine.split(" ");
-    return { bytes, method, path, headers, body: received.slice(headEnd + 4).slice(0, length) };
+    return { bytes, method, path, headers, body: received.slice(headEnd + 4).slice(0, contentLength) };
 }
 
 /** @returns a complete HTTP/1.1 response with a Content-Length header */
