--- a/packages/endToEnd/src/__tests__/zoneOut.test.ts
+++ b/packages/endToEnd/src/__tests__/zoneOut.test.ts
@@ -26,8 +26,8 @@
 }
 
 // Guards against a gateway that uses an outdated configuration. A zone is taken out of service while one gateway can't
-// reach the store but serves callers. The gateway must get the change from its peers or from the offer, or reject
-// requests; it must not send any to the zone. When the zone is returned to service, it receives requests again.
+// reach the store but serves callers. The gateway must get the change from its peers or from the coordinator's offer,
+// or reject requests; it must not send any to the zone. Once returned to service, the zone receives requests again.
 test("a zone taken out of service gets no requests from a gateway that can't reach the store", async () => {
     await run.setPlatformFaults({ cuts: [{ client: "gateway-2", direction: "toStore" }] });
     const reading = run.sendReads(6_000, 60);
--- a/packages/standIns/src/backendServer/requestMetadata.ts
+++ b/packages/standIns/src/backendServer/requestMetadata.ts
@@ -13,6 +13,7 @@
 
 const defaultAnswerBytes = 256;
 
+/** Reads the metadata from the headers of a request; missing or invalid numbers are `undefined`. */
 export function readRequestMetadata(req: IncomingMessage): RequestMetadata {
     return {
         requestId: readHeader(req, backendHeaders.requestId) ?? "",
