--- a/packages/standIns/src/backendServer/serverModel.ts
+++ b/packages/standIns/src/backendServer/serverModel.ts
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Decides on one request. `run` and `fallOver` hold a slot until {@link onRequestEnded}; `queue` waits for a slot from
-     * {@link startQueued}.
+     * Decides on one request. `run` and `fallOver` hold a slot until {@link onRequestEnded}; `queue` waits for a slot
+     * from {@link startQueued}.
      *
      * @param nowMs - the current time in milliseconds
      * @returns the decision
