--- a/packages/cli/src/__tests__/cli.test.ts
+++ b/packages/cli/src/__tests__/cli.test.ts
@@ -115,9 +115,9 @@
     // the first attempt, and the operator would get the error that another change was made first.
     const { url, coordinator } = await startAdmin(t);
     coordinator.responsesToLose = 2;
-    const { code, pauses } = await runCli(t, [url], ["apply", file(t)]);
+    const { code, sleepsMs } = await runCli(t, [url], ["apply", file(t)]);
     assert.equal(code, 0);
-    assert.equal(pauses.length, 2);
+    assert.equal(sleepsMs.length, 2);
     assert.equal(coordinator.history.length, 2);
 });
 
@@ -129,7 +129,7 @@
     const client = new AdminClient({
         addresses: [await startProxy(t, Number(new URL(url).port))],
         fleetKey: new Secret(fleetKey),
-        pause: () => Promise.resolve(),
+        sleep: () => Promise.resolve(),
         signal: new AbortController().signal,
         callTimeoutMs: 500,
     });
@@ -170,16 +170,16 @@
 });
 
 test("a change without a response exits with 5 and prints how to retry it", async t => {
-    const { code, err, pauses } = await runCli(t, [unreachableUrl], ["zone", "out", "a", "--change-id", "tonight"]);
+    const { code, err, sleepsMs } = await runCli(t, [unreachableUrl], ["zone", "out", "a", "--change-id", "tonight"]);
     assert.equal(code, 5);
-    assert.equal(pauses.length, maxCallAttempts - 1);
+    assert.equal(sleepsMs.length, maxCallAttempts - 1);
     assert.match(err.join("\n"), /--change-id tonight/);
 });
 
 test("a wrong key exits with 1 without a retry", async t => {
     const { url } = await startAdmin(t);
-    const { code, err, pauses } = await runCli(t, [url], ["get"], { key: `${fleetKey}0` });
-    assert.deepEqual([code, pauses.length], [1, 0]);
+    const { code, err, sleepsMs } = await runCli(t, [url], ["get"], { key: `${fleetKey}0` });
+    assert.deepEqual([code, sleepsMs.length], [1, 0]);
     assert.match(err.join("\n"), /^unauthenticated/);
 });
 
--- a/packages/cli/src/__tests__/runCli.ts
+++ b/packages/cli/src/__tests__/runCli.ts
@@ -65,14 +65,14 @@
     readonly out: readonly string[];
     readonly err: readonly string[];
     /** Durations of the sleeps that the command requested, in milliseconds. */
-    readonly pauses: readonly number[];
+    readonly sleepsMs: readonly number[];
 }
 
 export interface RunCliOptions {
     readonly key?: string;
     readonly signal?: AbortSignal;
     readonly onOut?: (line: string) => void;
-    readonly onPause?: () => void;
+    readonly onSleep?: () => void;
 }
 
 /** Runs the program against admin servers. Sleeps are recorded in `pauses` and return immediately. */
@@ -99,11 +99,11 @@
             err: line => err.push(line),
         },
         signal: options.signal ?? new AbortController().signal,
-        pause: ms => {
+        sleep: ms => {
             pauses.push(ms);
-            options.onPause?.();
+            options.onSleep?.();
             return Promise.resolve();
         },
     });
-    return { code, out, err, pauses };
+    return { code, out, err, sleepsMs: pauses };
 }
--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -15,7 +15,7 @@
     readonly addresses: readonly string[];
     readonly fleetKey: Secret;
     /** Sleeps for a number of milliseconds; returns early if the command is interrupted. */
-    readonly pause: (ms: number) => Promise<void>;
+    readonly sleep: (ms: number) => Promise<void>;
     /** Aborted when the command is interrupted. */
     readonly signal: AbortSignal;
     /** Timeout of one call, in milliseconds. */
@@ -41,8 +41,8 @@
      *
      * @param ms - duration in milliseconds
      */
-    async pause(ms: number): Promise<void> {
-        await this.#options.pause(ms);
+    async sleep(ms: number): Promise<void> {
+        await this.#options.sleep(ms);
     }
 
     /**
@@ -68,7 +68,7 @@
             if (!error.retryable || attempt === maxCallAttempts || this.isInterrupted) {
                 return Left(error);
             }
-            await this.pause(Math.min(error.retryAfterMs ?? retryDelayMs, maxRetryDelayMs));
+            await this.sleep(Math.min(error.retryAfterMs ?? retryDelayMs, maxRetryDelayMs));
         }
     }
 
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -29,7 +29,7 @@
                 return reportCallError(context, error);
             }
             reportLostConnection(context, error);
-            await client.pause(error.retryAfterMs ?? retryDelayMs);
+            await client.sleep(error.retryAfterMs ?? retryDelayMs);
         }
     }
 }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -37,7 +37,7 @@
     /** Aborted when the program is interrupted. */
     readonly signal: AbortSignal;
     /** Replaces sleeping, for tests. */
-    readonly pause?: ((ms: number) => Promise<void>) | undefined;
+    readonly sleep?: ((ms: number) => Promise<void>) | undefined;
 }
 
 /**
@@ -68,7 +68,7 @@
     });
 }
 
-function run(line: CommandLine, { terminal, signal, pause: wait }: MainOptions): ExitCode | Promise<ExitCode> {
+function run(line: CommandLine, { terminal, signal, sleep: wait }: MainOptions): ExitCode | Promise<ExitCode> {
     if (line.help) {
         formatCommandHelp(line.command).forEach(text => terminal.out(text));
         return exitCodes.ok;
@@ -76,7 +76,7 @@
     const client = new AdminClient({
         addresses: line.addresses,
         fleetKey: line.fleetKey ?? new Secret(""),
-        pause: wait ?? (ms => pauseUnlessInterrupted(ms, signal)),
+        sleep: wait ?? (ms => pauseUnlessInterrupted(ms, signal)),
         signal,
     });
     return line.command.run({
--- a/packages/gateway/src/callers/callerHandler.ts
+++ b/packages/gateway/src/callers/callerHandler.ts
@@ -4,7 +4,7 @@
 import { type IncomingMessage, type ServerResponse } from "node:http";
 import { type Either, Left } from "purify-ts";
 import { type Clock, writeFailure } from "@galenaglade/http-parts";
-import { type CallerRequest, resolveCallerRequest } from "../requests/callerRequest.js";
+import { type CallerRequest, parseCallerRequest } from "../requests/callerRequest.js";
 import { type Forwarder, traceIdOf } from "../requests/forwarder.js";
 import { type ServiceTable } from "../requests/serviceTable.js";
 import { type RequestTelemetry } from "../telemetry/requestTelemetry.js";
@@ -96,7 +96,7 @@
             return Left(createFailure("notFresh", "the configuration can't be shown to be current"));
         }
         const head = { method: req.method ?? "GET", url: req.url ?? "/", headers: req.headers };
-        return resolveCallerRequest(head, services, { monotonicMs: arrivedAtMs, epochMs: clock.epochMs() });
+        return parseCallerRequest(head, services, { monotonicMs: arrivedAtMs, epochMs: clock.epochMs() });
     }
 
     async #forward(
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -16,7 +16,7 @@
 import { ServerGate } from "../requests/serverGate.js";
 import { type Target } from "../requests/serviceTable.js";
 import { gateHeartbeatPeriodMs, gateCheckPeriodMs } from "./constants.js";
-import { runStoreCommand } from "./storeCalls.js";
+import { runStoreCommand } from "./runStoreCommand.js";
 
 /** Access to the other gateways for coordinating cold starts. */
 export abstract class ColdStartPeers {
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -46,7 +46,7 @@
  * @param arrival - arrival time
  * @returns the request, or why it is refused
  */
-export function resolveCallerRequest(
+export function parseCallerRequest(
     head: RequestHead,
     table: ServiceTable,
     arrival: Arrival,
--- a/packages/gateway/src/requests/grant.ts
+++ b/packages/gateway/src/requests/grant.ts
@@ -12,7 +12,7 @@
 }
 
 /** Result of a granted request. */
-export interface GrantEnd {
+export interface GrantResult {
     /** Time until the response headers, in milliseconds; `undefined` without a complete response. */
     readonly latencyMs: number | undefined;
     readonly succeeded: boolean;
--- a/packages/gateway/src/requests/scheduler.ts
+++ b/packages/gateway/src/requests/scheduler.ts
@@ -11,7 +11,7 @@
 import { type Clock } from "@galenaglade/http-parts";
 import { initialServiceTimeMs, serviceTimeEwmaWeight, warmUpProbability } from "../constants.js";
 import { type CallerRequest } from "./callerRequest.js";
-import { type Grant, type GrantEnd } from "./grant.js";
+import { type Grant, type GrantResult } from "./grant.js";
 import { type ServerGate } from "./serverGate.js";
 import { type ServiceRoute, type ServiceTable, type Target } from "./serviceTable.js";
 
@@ -89,7 +89,7 @@
     }
 
     /** Ends a grant and gives its slot to the next queued request. */
-    release(request: CallerRequest, grant: Grant, end: GrantEnd): void {
+    release(request: CallerRequest, grant: Grant, end: GrantResult): void {
         const { board, clock } = this.#deps;
         const now = clock.monotonicMs();
         const state = this.#stateOf(request.route.service.name);
--- a/packages/soak/src/serverCodec.ts
+++ b/packages/soak/src/serverCodec.ts
@@ -26,7 +26,7 @@
 /** Encodes and decodes the headers that a backend server of the system under test uses. */
 export abstract class ServerCodec {
     abstract readonly healthPath: string;
-    abstract readRequest(headers: IncomingHttpHeaders): ReceivedRequest;
+    abstract parseRequestHeaders(headers: IncomingHttpHeaders): ReceivedRequest;
     abstract renderState(state: ServerState): Readonly<Record<string, string>>;
     /** @returns headers of a response to a request that ran */
     abstract renderDidRun(requestId: string, signed: boolean): Readonly<Record<string, string>>;
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -314,7 +314,7 @@
         void backend.exited.then(() => this.#onExited(backend));
         await backend.injectFaults(faults);
         if (version === initialServerVersion) {
-            await this.register(backend, cold);
+            await this.registerBackend(backend, cold);
         }
         return backend;
     }
@@ -336,7 +336,7 @@
     }
 
     /** Writes a server's entry to the store, cold or warm. */
-    async register(backend: SoakBackend, cold: boolean): Promise<void> {
+    async registerBackend(backend: SoakBackend, cold: boolean): Promise<void> {
         this.#liveBackends.push(backend);
         const coldForMs = cold ? coldDurationMs : 0;
         await backend.setCold(coldForMs);
--- a/packages/soak/src/soakRollout.ts
+++ b/packages/soak/src/soakRollout.ts
@@ -37,7 +37,7 @@
         system.renderRollout({ service, version: rolloutServerVersion, allowedMs: rolloutTimeoutMs }),
     );
     fleet.history.record({ type: "rolloutOrdered", service, version: rolloutServerVersion, servers, isBad });
-    await Promise.all(newServers.map(backend => fleet.register(backend, true)));
+    await Promise.all(newServers.map(backend => fleet.registerBackend(backend, true)));
     const stage = await waitForFinalStage(fleet, service);
     if (stage === undefined) {
         return [`rollout: the roll-out of ${service} did not end in time`];
--- a/packages/soak/src/soakServer.ts
+++ b/packages/soak/src/soakServer.ts
@@ -67,7 +67,7 @@
     }
 
     async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        const request = this.#codec.readRequest(req.headers);
+        const request = this.#codec.parseRequestHeaders(req.headers);
         const { requestId, expectedServer } = request;
         const url = req.url ?? "";
         // Detects keys under any header name by their prefix.
--- a/scripts/edgeBundle/standInFleet.ts
+++ b/scripts/edgeBundle/standInFleet.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import { stringify } from "yaml";
-import { PlatformServerNames, PlatformSystem } from "../../platform/src/standIns/platformSystem.js";
+import { PlatformServerCodec, PlatformSystem } from "../../platform/src/standIns/platformSystem.js";
 import { StoreServer } from "../../platform/src/standIns/storeServer.js";
 
 /** Sizes of a fake fleet. */
@@ -39,7 +39,7 @@
 const retryMs = 25;
 const portsPerGateway = 4;
 const system = new PlatformSystem();
-const names = new PlatformServerNames();
+const names = new PlatformServerCodec();
 
 /** Runs a fake store and fake backend servers in this process, and sends requests to gateways that use them. */
 export class StandInFleet {
@@ -202,7 +202,7 @@
             res.writeHead(200, renderState()).end();
             return;
         }
-        const { requestId } = names.readRequest(req.headers);
+        const { requestId } = names.parseRequestHeaders(req.headers);
         req.resume();
         running++;
         setTimeout(() => {
