--- a/packages/admin/src/__tests__/fakeFleet.ts
+++ b/packages/admin/src/__tests__/fakeFleet.ts
@@ -5,7 +5,7 @@
     type ConfigurationRevision,
 } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
-import { type Acceptance, ChangeCoordinator, type ChangeRequest } from "@galenaglade/membership";
+import { type ChangeStatus, ChangeCoordinator, type ChangeRequest } from "@galenaglade/membership";
 import { type HostEntry, HostList } from "@galenaglade/platform";
 import { type Either, Left, Right } from "purify-ts";
 
@@ -60,7 +60,7 @@
         return Right(this.present);
     }
 
-    override async apply(req: ChangeRequest): Promise<Either<Failure, Acceptance>> {
+    override async apply(req: ChangeRequest): Promise<Either<Failure, ChangeStatus>> {
         await this.beforeStep("apply");
         const previous = this.history.find(change => change.changeId === req.changeId);
         if (previous === undefined && req.expectedRevision !== this.present.revision) {
@@ -83,7 +83,7 @@
         return Right(this.#createAcceptance(written));
     }
 
-    override async standing(): Promise<Either<Failure, Acceptance>> {
+    override async changeStatus(): Promise<Either<Failure, ChangeStatus>> {
         await this.beforeStep("standing");
         return Right(this.#createAcceptance(this.present));
     }
@@ -96,7 +96,7 @@
         return Promise.resolve(Right(undefined));
     }
 
-    #createAcceptance({ revision, changeId }: ConfigurationRevision): Acceptance {
+    #createAcceptance({ revision, changeId }: ConfigurationRevision): ChangeStatus {
         const state = this.inForce ? "inForce" : "behind";
         const held = this.inForce ? revision : revision - 1;
         return { revision, changeId, inForce: this.inForce, gateways: [{ gateway, state, revision: held }] };
--- a/packages/admin/src/operatorCalls.ts
+++ b/packages/admin/src/operatorCalls.ts
@@ -8,7 +8,7 @@
     type ZoneState,
 } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
-import { type Acceptance, type ChangeCoordinator } from "@galenaglade/membership";
+import { type ChangeStatus, type ChangeCoordinator } from "@galenaglade/membership";
 import { type ServerObservation } from "@galenaglade/peers";
 import { type HostList } from "@galenaglade/platform";
 import { HostState } from "@galenaglade/schema";
@@ -145,7 +145,7 @@
         return Left(await this.#toCallFailure(lastFailure ?? createFailure("internal", "no try was made")));
     }
 
-    async #tryZoneChange(change: ZoneChange, storedId: string): Promise<Either<Failure, Acceptance>> {
+    async #tryZoneChange(change: ZoneChange, storedId: string): Promise<Either<Failure, ChangeStatus>> {
         const current = await this.#options.coordinator.read();
         if (current.isLeft()) {
             return Left(current.extract());
@@ -176,7 +176,7 @@
      * @returns its standing on the gateways
      */
     async getStanding(): Answer<StandingInit> {
-        const acceptance = await this.#options.coordinator.standing();
+        const acceptance = await this.#options.coordinator.changeStatus();
         if (acceptance.isLeft()) {
             return Left(toCallFailure(acceptance.extract()));
         }
@@ -191,7 +191,7 @@
     async listHosts(): Answer<ReturnType<typeof toHostInits>> {
         const [hosts, acceptance] = await Promise.all([
             this.#options.hosts.list(),
-            this.#options.coordinator.standing(),
+            this.#options.coordinator.changeStatus(),
         ]);
         const joined = hosts.chain(list => acceptance.map(({ gateways }) => toHostInits(list, gateways)));
         return joined.mapLeft(toCallFailure);
@@ -260,13 +260,13 @@
         changeId: string,
         expectedRevision: number,
         configuration: Configuration,
-    ): Promise<Either<Failure, Acceptance>> {
+    ): Promise<Either<Failure, ChangeStatus>> {
         const req = { changeId, expectedRevision, configuration };
         return this.#options.coordinator.apply(req, this.#options.acceptWaitMs);
     }
 
     /** Adds details from the configuration of that revision, unless it has been replaced or can't be read. */
-    async #toStanding(acceptance: Acceptance): Promise<StandingInit> {
+    async #toStanding(acceptance: ChangeStatus): Promise<StandingInit> {
         const current = await this.#options.coordinator.read();
         const { revision, configuration } = current.orDefault({ revision: -1, changeId: "", configuration: noZones });
         return toStandingInit(acceptance, revision === acceptance.revision ? configuration : undefined);
--- a/packages/admin/src/standingMessages.ts
+++ b/packages/admin/src/standingMessages.ts
@@ -1,10 +1,10 @@
 import { type Configuration, findUnservedServices } from "@galenaglade/configuration";
-import { type Acceptance, type GatewayStanding } from "@galenaglade/membership";
+import { type ChangeStatus, type GatewayChangeStatus } from "@galenaglade/membership";
 import { GatewayState, HostState } from "@galenaglade/schema";
 import { type HostEntry } from "@galenaglade/platform";
 import { parseOperatorChangeId } from "./changeId.js";
 
-const gatewayStates: Readonly<Record<GatewayStanding["state"], GatewayState>> = {
+const gatewayStates: Readonly<Record<GatewayChangeStatus["state"], GatewayState>> = {
     inForce: GatewayState.IN_FORCE,
     behind: GatewayState.BEHIND,
     unreachable: GatewayState.UNREACHABLE,
@@ -23,7 +23,7 @@
  * @param cfg - the configuration of that revision; `undefined` if it has been replaced or can't be read
  * @returns initial values of a Standing message
  */
-export function toStandingInit(acceptance: Acceptance, cfg: Configuration | undefined) {
+export function toStandingInit(acceptance: ChangeStatus, cfg: Configuration | undefined) {
     const zonesOut = cfg?.availabilityZones.filter(zone => zone.state === "out").map(zone => zone.name) ?? [];
     return {
         revision: acceptance.revision,
@@ -38,7 +38,7 @@
 /** Initial values of a Standing message. */
 export type StandingInit = ReturnType<typeof toStandingInit>;
 
-function toGatewayStandingInit(standing: GatewayStanding) {
+function toGatewayStandingInit(standing: GatewayChangeStatus) {
     return {
         name: standing.gateway.name,
         availabilityZone: standing.gateway.availabilityZone,
@@ -69,7 +69,7 @@
  * @param gateways - the registered gateways
  * @returns initial values of Host messages; gateways whose hosts aren't listed come last
  */
-export function toHostInits(hosts: readonly HostEntry[], gateways: readonly GatewayStanding[]) {
+export function toHostInits(hosts: readonly HostEntry[], gateways: readonly GatewayChangeStatus[]) {
     const byName = new Map(gateways.map(standing => [standing.gateway.name, standing]));
     const listed = hosts.map(host => {
         const standing = byName.get(host.name);
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,7 +1,7 @@
 import { type ServerStanding } from "@galenaglade/cold-start";
 import { FailureError } from "@galenaglade/errors";
 import { resolveFleetTimings } from "@galenaglade/membership";
-import { createFleetMember, type FleetMembership } from "@galenaglade/peers";
+import { createFleetMembership, type FleetMembership } from "@galenaglade/peers";
 import { HttpHostList, HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { createRoutingPolicy, ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 import { type Program, type ResolvedGatewaySettings } from "@galenaglade/settings";
@@ -37,7 +37,7 @@
     const store = new HttpKeyValueStore(connection);
     const incarnation = randomUUID();
     const self = formatIncarnationId({ name: settings.name, incarnation });
-    const fleet = createFleetMember({
+    const fleet = createFleetMembership({
         store,
         incarnation,
         hosts: new HttpHostList(connection),
@@ -54,10 +54,10 @@
         ? new ColdStartGate({ self, clock: systemClock, store, peers: new FleetColdStartPeers(fleet) })
         : undefined;
     if (gate !== undefined) {
-        fleet.answerColdStart(heartbeat => gate.onHeartbeat(heartbeat));
+        fleet.setColdStartHandler(heartbeat => gate.onHeartbeat(heartbeat));
     }
     const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.permitGate.stateOf(serverId);
-    fleet.answerObservations(service =>
+    fleet.setObservationHandler(service =>
         describeServers({ configuration: fleet.current(), board, stateOf }, service, performance.now())
     );
     const gateway = createGateway({
--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -5,13 +5,13 @@
     type FleetSurvey,
     type GatewayIdentity,
     type Heartbeat,
-    type HoldingAnswer,
+    type VersionReport,
     type Roster,
 } from "../index.js";
 
 export const timings = defaultFleetTimings;
 /** Until this long after a majority held a change, a gateway may not have heard of it and go on. */
-export const settledMs = timings.freshForMs + timings.marginMs;
+export const majorityWaitMs = timings.freshForMs + timings.marginMs;
 
 export function gateway(name: string, incarnation = "1"): GatewayIdentity {
     return { name, incarnation, availabilityZone: "a", peerAddress: `127.0.0.1:${10_000 + Number(name.slice(2))}` };
@@ -25,7 +25,7 @@
     };
 }
 
-export function revised(revision: number): ConfigurationRevision {
+export function createRevision(revision: number): ConfigurationRevision {
     return {
         revision,
         changeId: `change-${revision}`,
@@ -47,7 +47,7 @@
     };
 }
 
-export function answer(from: string, revision: number, startedAtMs: number, more: Partial<HoldingAnswer> = {}) {
+export function answer(from: string, revision: number, startedAtMs: number, more: Partial<VersionReport> = {}) {
     return {
         gateway: gateway(from),
         revision,
@@ -77,12 +77,12 @@
 /** The store was read: first the roster, then the head. */
 export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, present: Roster) {
     return member.handle(
-        { type: "storeRead", startedAtMs, head: revised(head), roster: present, survey: undefined },
+        { type: "storeRead", startedAtMs, head: createRevision(head), roster: present, survey: undefined },
         nowMs,
     );
 }
 
-export function heard(member: FleetMember, startedAtMs: number, nowMs: number, peer: Heartbeat) {
+export function heartbeatAnswered(member: FleetMember, startedAtMs: number, nowMs: number, peer: Heartbeat) {
     const event = { type: "heartbeatAnswered", address: peer.from.peerAddress, startedAtMs, heartbeat: peer } as const;
     return member.handle(event, nowMs);
 }
--- a/packages/membership/src/__tests__/fleetMember.test.ts
+++ b/packages/membership/src/__tests__/fleetMember.test.ts
@@ -1,7 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { controlBurstBytes, controlBytesPerSecond, heartbeatBytes } from "../constants.js";
-import { createMember, gateway, heard, heartbeat, revised, roster, storeRead, timings } from "./fleetBuilders.js";
+import {
+    createMember,
+    gateway,
+    heartbeatAnswered,
+    heartbeat,
+    createRevision,
+    roster,
+    storeRead,
+    timings,
+} from "./fleetBuilders.js";
 
 const three = roster(1, ["gw1", "gw2", "gw3"]);
 
@@ -18,7 +27,7 @@
 test("what a peer says counts from before it was asked", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
-    heard(member, 6_000, 9_000, heartbeat("gw2", 1));
+    heartbeatAnswered(member, 6_000, 9_000, heartbeat("gw2", 1));
     assert.ok(member.mayTakeNewWork(11_000));
     assert.ok(!member.mayTakeNewWork(11_001));
 });
@@ -29,12 +38,12 @@
 test("a peer that holds something newer counts once this gateway holds it too", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
-    heard(member, 4_000, 4_001, heartbeat("gw2", 1));
-    const commands = heard(member, 8_000, 8_001, heartbeat("gw2", 2));
+    heartbeatAnswered(member, 4_000, 4_001, heartbeat("gw2", 1));
+    const commands = heartbeatAnswered(member, 8_000, 8_001, heartbeat("gw2", 2));
     assert.deepEqual(commands, [{ type: "fetch", address: gateway("gw2").peerAddress }]);
     assert.ok(member.mayTakeNewWork(9_000), "by the answer of 4,000");
     assert.ok(!member.mayTakeNewWork(9_001), "the answer of 8,000 told of a newer revision");
-    const offer = { offered: revised(2), roster: three };
+    const offer = { offered: createRevision(2), roster: three };
     member.handle({ type: "fetched", address: gateway("gw2").peerAddress, offer }, 9_100);
     assert.ok(member.mayTakeNewWork(9_100));
     assert.equal(member.configuration?.revision, 2);
@@ -44,7 +53,7 @@
 test("a lower revision is never applied, whoever offers it", () => {
     const member = createMember();
     storeRead(member, 0, 1, 3, three);
-    assert.deepEqual(member.answerOffer({ offered: revised(2), roster: undefined }, 2).commands, []);
+    assert.deepEqual(member.answerOffer({ offered: createRevision(2), roster: undefined }, 2).commands, []);
     assert.deepEqual(storeRead(member, 2, 3, 2, three), []);
     assert.equal(member.configuration?.revision, 3);
 });
@@ -88,7 +97,7 @@
 test("a peer's word on the store is taken over with its age", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, roster(1, ["gw1", "gw2", "gw3", "gw4", "gw5"]));
-    heard(member, 10_000, 10_002, heartbeat("gw2", 1, { freshnessAgeMs: 3_000 }));
+    heartbeatAnswered(member, 10_000, 10_002, heartbeat("gw2", 1, { freshnessAgeMs: 3_000 }));
     assert.ok(member.mayTakeNewWork(12_000));
     assert.ok(!member.mayTakeNewWork(12_001));
     assert.equal(member.answerHeartbeat(heartbeat("gw3", 1), 11_000).answer.freshnessAgeMs, 4_000);
--- a/packages/membership/src/acceptanceTracker.ts
+++ b/packages/membership/src/acceptanceTracker.ts
@@ -1,7 +1,7 @@
-import { type GatewayStanding } from "./changeCoordinator.js";
+import { type GatewayChangeStatus } from "./changeCoordinator.js";
 import { type FleetTimings } from "./constants.js";
 import { type GatewayIdentity, type Roster } from "./messages.js";
-import { hasMajority, resolveRosterGateways } from "./roster.js";
+import { hasMajority, listRosterGateways } from "./roster.js";
 
 /** What everybody has to hold. */
 export interface AcceptanceTarget {
@@ -10,7 +10,7 @@
 }
 
 /** What a gateway said when asked. */
-export interface HoldingAnswer {
+export interface VersionReport {
     readonly gateway: GatewayIdentity;
     readonly revision: number;
     readonly rosterVersion: number;
@@ -21,7 +21,7 @@
 }
 
 interface Answered {
-    readonly newest: HoldingAnswer;
+    readonly newest: VersionReport;
     /** When the first answer came in that showed the target held by this same incarnation. */
     readonly heldSinceMs: number | undefined;
     readonly reached: boolean;
@@ -56,7 +56,7 @@
      * @param registered - gateways registered in the store at that time
      * @param vouchedFor - names of gateways that are known to run no more; they count as holding the target
      */
-    surveyed(
+    onSurvey(
         roster: Roster | undefined,
         registered: readonly GatewayIdentity[],
         vouchedFor: ReadonlySet<string> = new Set(),
@@ -66,7 +66,7 @@
         this.#vouchedFor = vouchedFor;
     }
 
-    answered(answer: HoldingAnswer): void {
+    onVersionReport(answer: VersionReport): void {
         const before = this.#answers.get(answer.gateway.name);
         if (before !== undefined && answer.startedAtMs < before.newest.startedAtMs) {
             return;
@@ -84,7 +84,7 @@
     }
 
     /** A call of a gateway failed. */
-    failed(name: string): void {
+    onCallFailed(name: string): void {
         const before = this.#answers.get(name);
         if (before !== undefined) {
             this.#answers.set(name, { ...before, reached: false });
@@ -94,7 +94,7 @@
     /** @returns everybody who may serve, as far as is known: to be asked again and again until the change is in force */
     get gateways(): readonly GatewayIdentity[] {
         const byName = new Map<string, GatewayIdentity>();
-        for (const gateway of resolveRosterGateways(this.#roster)) {
+        for (const gateway of listRosterGateways(this.#roster)) {
             byName.set(gateway.name, gateway);
         }
         for (const { newest } of this.#answers.values()) {
@@ -110,7 +110,7 @@
     }
 
     isInForce(nowMs: number): boolean {
-        return this.isHeldByAll() || this.isHeldByMajorityForLong(nowMs);
+        return this.isHeldByAll() || this.isMajorityWaitOver(nowMs);
     }
 
     /** Whether everybody held the target at one and the same time. */
@@ -132,13 +132,13 @@
     }
 
     /** Whether a majority has held the target for so long that whoever doesn't has either heard of it or stopped. */
-    isHeldByMajorityForLong(nowMs: number): boolean {
+    isMajorityWaitOver(nowMs: number): boolean {
         const heldAtMs = this.#majorityHeldAtMs();
         return heldAtMs !== undefined && nowMs >= heldAtMs + this.#timings.freshForMs + this.#timings.marginMs;
     }
 
-    standings(nowMs: number): readonly GatewayStanding[] {
-        const lapsed = this.isHeldByMajorityForLong(nowMs);
+    gatewayStatuses(nowMs: number): readonly GatewayChangeStatus[] {
+        const lapsed = this.isMajorityWaitOver(nowMs);
         return this.gateways.map(gateway => {
             const answered = this.#answers.get(gateway.name);
             return { gateway, state: resolveState(answered, lapsed), revision: answered?.newest.revision };
@@ -181,7 +181,7 @@
     }
 }
 
-function resolveState(answered: Answered | undefined, lapsed: boolean): GatewayStanding["state"] {
+function resolveState(answered: Answered | undefined, lapsed: boolean): GatewayChangeStatus["state"] {
     if (answered?.heldSinceMs !== undefined) {
         return "inForce";
     }
--- a/packages/membership/src/changeCoordinator.ts
+++ b/packages/membership/src/changeCoordinator.ts
@@ -13,7 +13,7 @@
 }
 
 /** Where one gateway stands with respect to a change. */
-export interface GatewayStanding {
+export interface GatewayChangeStatus {
     readonly gateway: GatewayIdentity;
     /** `lapsed`: not reached, and out of touch for so long that it takes no new work. */
     readonly state: "inForce" | "behind" | "unreachable" | "lapsed";
@@ -22,12 +22,12 @@
 }
 
 /** How far a stored change has come. */
-export interface Acceptance {
+export interface ChangeStatus {
     readonly revision: number;
     readonly changeId: string;
     /** Whether no gateway can take new work under an older revision any more. */
     readonly inForce: boolean;
-    readonly gateways: readonly GatewayStanding[];
+    readonly gateways: readonly GatewayChangeStatus[];
 }
 
 /** Orders operators' changes through the store and finds out when they are in force. */
@@ -35,9 +35,9 @@
     /** Reads the present configuration; revision 0 where none was ever written. */
     abstract read(): Promise<Either<Failure, ConfigurationRevision>>;
     /** Writes a change, then waits, at most `waitMs`, until it is in force. */
-    abstract apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, Acceptance>>;
+    abstract apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, ChangeStatus>>;
     /** Says how far the present configuration has come. */
-    abstract standing(): Promise<Either<Failure, Acceptance>>;
+    abstract changeStatus(): Promise<Either<Failure, ChangeStatus>>;
     /**
      * Takes an operator's word that a gateway runs nowhere any more and won't be started again under its name without
      * the store. Saying so again has no second effect.
--- a/packages/membership/src/configurationHead.ts
+++ b/packages/membership/src/configurationHead.ts
@@ -2,7 +2,7 @@
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type Either, Left, Right } from "purify-ts";
 import { type ChangeRequest } from "./changeCoordinator.js";
-import { rememberedChanges } from "./constants.js";
+import { maxRecentChanges } from "./constants.js";
 
 /** A change that was written, whether or not later ones followed. */
 export interface WrittenChange {
@@ -54,6 +54,6 @@
         revision: written.revision,
         changeId: written.changeId,
         configuration: req.configuration,
-        recentChanges: [...head?.recentChanges ?? [], written].slice(-rememberedChanges),
+        recentChanges: [...head?.recentChanges ?? [], written].slice(-maxRecentChanges),
     });
 }
--- a/packages/membership/src/constants.ts
+++ b/packages/membership/src/constants.ts
@@ -15,7 +15,7 @@
     /** How long a registration has to be gone until its gateway leaves the roster; longer than a restart takes. */
     readonly removeAfterMs: number;
     /** How much longer the next in line waits before it changes the roster, so that not all try at once. */
-    readonly rosterTurnMs: number;
+    readonly rosterUpdateStaggerMs: number;
 }
 
 /** The times that are used where settings name none. */
@@ -27,7 +27,7 @@
     callTimeoutMs: 1_000,
     leaseTtlMs: 10_000,
     removeAfterMs: 30_000,
-    rosterTurnMs: 2_000,
+    rosterUpdateStaggerMs: 2_000,
 });
 
 /** Control traffic that one gateway may send, in bytes a second. */
@@ -40,7 +40,7 @@
 export const heartbeatEntryBytes = 110;
 
 /** Changes that are remembered beside the head, so that a repeated call is recognised after later ones. */
-export const rememberedChanges = 64;
+export const maxRecentChanges = 64;
 
 /** Keys of the platform's store. */
 export const storeKeys = Object.freeze({
--- a/packages/membership/src/fleetEvents.ts
+++ b/packages/membership/src/fleetEvents.ts
@@ -1,7 +1,7 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ServerLoad, type ServerSignal } from "@galenaglade/routing";
 import { type ConfigurationOffer, type Heartbeat, type Roster } from "./messages.js";
-import { type FleetSurvey, type RosterSwap } from "./rosterKeeper.js";
+import { type FleetSurvey, type RosterSwap } from "./rosterReconciler.js";
 
 /** What a gateway is told. Times are monotonic, in milliseconds. */
 export type FleetEvent =
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -1,10 +1,10 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type FleetTimings, heartbeatBytes, heartbeatEntryBytes } from "./constants.js";
-import { Contacts } from "./contacts.js";
+import { PeerContactTracker } from "./peerContactTracker.js";
 import { type FleetCommand, type FleetEvent } from "./fleetEvents.js";
-import { Freshness } from "./freshness.js";
+import { FreshnessTracker } from "./freshnessTracker.js";
 import { HeartbeatSchedule } from "./heartbeatSchedule.js";
-import { Holding, type Taken } from "./holding.js";
+import { VersionedState, type StateChange } from "./versionedState.js";
 import { LoadRotation } from "./loadRotation.js";
 import {
     type ConfigurationOffer,
@@ -14,9 +14,9 @@
     type Roster,
 } from "./messages.js";
 import { RecentCallers } from "./recentCallers.js";
-import { hasMajority, resolveRosterGateways } from "./roster.js";
-import { RosterKeeper } from "./rosterKeeper.js";
-import { SignalBoard } from "./signalBoard.js";
+import { hasMajority, listRosterGateways } from "./roster.js";
+import { RosterReconciler } from "./rosterReconciler.js";
+import { SignalOutbox } from "./signalOutbox.js";
 import { TrafficBudget } from "./trafficBudget.js";
 
 /** Who a gateway is, and where it may find others. */
@@ -48,13 +48,13 @@
     readonly #seeds: readonly string[];
     readonly #timings: FleetTimings;
     readonly #startedAtMs: number;
-    readonly #holding = new Holding();
-    readonly #contacts = new Contacts();
+    readonly #holding = new VersionedState();
+    readonly #contacts = new PeerContactTracker();
     readonly #callers = new RecentCallers();
     readonly #budget = new TrafficBudget();
-    readonly #freshness: Freshness;
+    readonly #freshness: FreshnessTracker;
     readonly #schedule: HeartbeatSchedule;
-    readonly #keeper: RosterKeeper;
+    readonly #keeper: RosterReconciler;
     readonly #fetching = new Set<string>();
     #recovering = true;
     #stopping = false;
@@ -62,7 +62,7 @@
     #readDueAtMs: number;
     #registration: "none" | "asking" | "held" = "none";
     #registrationDueAtMs: number;
-    readonly #signals: SignalBoard;
+    readonly #signals: SignalOutbox;
     readonly #loads = new LoadRotation();
 
     constructor(options: FleetMemberOptions, nowMs: number) {
@@ -72,10 +72,10 @@
         this.#startedAtMs = nowMs;
         this.#readDueAtMs = nowMs;
         this.#registrationDueAtMs = nowMs;
-        this.#freshness = new Freshness(options.self.name);
+        this.#freshness = new FreshnessTracker(options.self.name);
         this.#schedule = new HeartbeatSchedule(options.timings.heartbeatIntervalMs);
-        this.#signals = new SignalBoard(options.timings.freshForMs);
-        this.#keeper = new RosterKeeper(options.self.name, options.timings);
+        this.#signals = new SignalOutbox(options.timings.freshForMs);
+        this.#keeper = new RosterReconciler(options.self.name, options.timings);
     }
 
     get configuration(): ConfigurationRevision | undefined {
@@ -103,7 +103,7 @@
     }
 
     status(nowMs: number): FleetStatus {
-        const names = resolveRosterGateways(this.#holding.roster).map(gateway => gateway.name);
+        const names = listRosterGateways(this.#holding.roster).map(gateway => gateway.name);
         return {
             revision: this.#holding.revision,
             rosterVersion: this.#holding.rosterVersion,
@@ -112,7 +112,7 @@
             recovering: this.#recovering,
             registered: this.#registration === "held",
             member: names.includes(this.#self.name),
-            peers: [...this.#contacts.namesSince(nowMs - this.#timings.freshForMs)].sort(),
+            peers: [...this.#contacts.namesInContactSince(nowMs - this.#timings.freshForMs)].sort(),
         };
     }
 
@@ -121,7 +121,7 @@
         readonly answer: Heartbeat;
         readonly commands: readonly FleetCommand[];
     } {
-        this.#callers.received(heartbeat.from, nowMs);
+        this.#callers.onCall(heartbeat.from, nowMs);
         return { answer: this.#createHeartbeat(0, nowMs), commands: this.#fetchNewer(heartbeat) };
     }
 
@@ -163,12 +163,12 @@
                 this.#reading = false;
                 return [];
             case "hostsListed":
-                this.#keeper.hostsListed(event.names);
+                this.#keeper.onHostsListed(event.names);
                 return [];
             case "registered":
                 this.#registration = "held";
                 this.#registrationDueAtMs = event.startedAtMs + event.ttlMs / 3;
-                this.#freshness.registered(nowMs, this.#validUntilMs(event.startedAtMs, event.ttlMs));
+                this.#freshness.onRegistered(nowMs, this.#validUntilMs(event.startedAtMs, event.ttlMs));
                 this.#readDueAtMs = nowMs;
                 return this.#tick(nowMs);
             case "registrationFailed":
@@ -177,14 +177,14 @@
                 return [];
             case "renewed":
                 this.#registrationDueAtMs = event.startedAtMs + event.ttlMs / 3;
-                this.#freshness.renewed(this.#validUntilMs(event.startedAtMs, event.ttlMs));
+                this.#freshness.onRenewed(this.#validUntilMs(event.startedAtMs, event.ttlMs));
                 return [];
             case "renewalFailed":
                 return this.#renewalFailed(event.lapsed, nowMs);
             case "heartbeatAnswered":
                 return this.#heartbeatAnswered(event.address, event.startedAtMs, event.heartbeat, nowMs);
             case "heartbeatFailed":
-                this.#schedule.ended(event.address);
+                this.#schedule.onEnded(event.address);
                 return [];
             case "fetched":
                 this.#fetching.delete(event.address);
@@ -193,8 +193,8 @@
                 this.#fetching.delete(event.address);
                 return [];
             case "signalsPublished":
-                this.#signals.post(event.signals, nowMs);
-                this.#schedule.hurry(this.#peerAddresses(nowMs));
+                this.#signals.add(event.signals, nowMs);
+                this.#schedule.markUrgent(this.#peerAddresses(nowMs));
                 return this.#tick(nowMs);
             case "loadsPublished":
                 this.#loads.replace(event.loads, nowMs);
@@ -219,7 +219,7 @@
         if (this.#recovering || roster === undefined) {
             return false;
         }
-        const names = this.#contacts.namesSince(nowMs - this.#timings.freshForMs);
+        const names = this.#contacts.namesInContactSince(nowMs - this.#timings.freshForMs);
         names.add(this.#self.name);
         return hasMajority(roster, names);
     }
@@ -242,7 +242,7 @@
     }
 
     #heartbeats(nowMs: number): readonly FleetCommand[] {
-        const rosterNames = new Set(resolveRosterGateways(this.#holding.roster).map(gateway => gateway.name));
+        const rosterNames = new Set(listRosterGateways(this.#holding.roster).map(gateway => gateway.name));
         this.#contacts.prune(rosterNames, nowMs - 2 * this.#timings.freshForMs);
         const commands: FleetCommand[] = [];
         for (const address of this.#schedule.due(this.#peerAddresses(nowMs), nowMs)) {
@@ -254,7 +254,7 @@
             const loadLimit = Math.max(0, Math.floor(sparedBytes / heartbeatEntryBytes));
             const heartbeat = this.#createHeartbeat(loadLimit, nowMs);
             this.#budget.spend(heartbeatBytes + signalBytes + heartbeat.loads.length * heartbeatEntryBytes);
-            this.#schedule.sent(address, nowMs);
+            this.#schedule.onSent(address, nowMs);
             commands.push({ type: "sendHeartbeat", address, heartbeat });
         }
         return commands;
@@ -275,9 +275,9 @@
             return commands;
         }
         this.#recovering = false;
-        this.#freshness.storeRead(startedAtMs, this.#holding);
+        this.#freshness.onStoreRead(startedAtMs, this.#holding);
         this.#tellKeeperOwnState(nowMs);
-        const swap = survey === undefined ? undefined : this.#keeper.surveyed(survey, nowMs);
+        const swap = survey === undefined ? undefined : this.#keeper.reconcile(survey, nowMs);
         if (swap !== undefined && !this.#stopping) {
             commands.push({ type: "swapRoster", swap });
         }
@@ -290,13 +290,13 @@
         heartbeat: Heartbeat,
         nowMs: number,
     ): readonly FleetCommand[] {
-        this.#schedule.ended(address);
+        this.#schedule.onEnded(address);
         if (heartbeat.from.name === this.#self.name) {
             return [];
         }
-        this.#contacts.answered(startedAtMs, heartbeat, this.#holding);
-        this.#freshness.peerAnswered(startedAtMs, heartbeat, this.#holding);
-        this.#keeper.answered({
+        this.#contacts.onHeartbeat(startedAtMs, heartbeat, this.#holding);
+        this.#freshness.onPeerHeartbeat(startedAtMs, heartbeat, this.#holding);
+        this.#keeper.onVersionReport({
             gateway: heartbeat.from,
             revision: heartbeat.revision,
             rosterVersion: heartbeat.rosterVersion,
@@ -310,7 +310,7 @@
 
     #fetchNewer(heartbeat: Heartbeat): readonly FleetCommand[] {
         const address = heartbeat.from.peerAddress;
-        if (this.#holding.covers(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
+        if (this.#holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
             return [];
         }
         this.#fetching.add(address);
@@ -323,13 +323,13 @@
         }
         this.#registration = "none";
         this.#registrationDueAtMs = nowMs;
-        this.#freshness.registrationLost();
+        this.#freshness.onRegistrationLost();
         return this.#tick(nowMs);
     }
 
     #take(offer: ConfigurationOffer): readonly FleetCommand[] {
-        const taken: Taken = this.#holding.take(offer);
-        this.#contacts.reconsider(this.#holding);
+        const taken: StateChange = this.#holding.merge(offer);
+        this.#contacts.reevaluate(this.#holding);
         this.#recoverFromPeers();
         return taken.configuration === undefined ? [] : [{ type: "apply", configuration: taken.configuration }];
     }
@@ -344,13 +344,13 @@
         if (!this.#recovering || roster === undefined) {
             return;
         }
-        const names = this.#contacts.namesSince(this.#startedAtMs);
+        const names = this.#contacts.namesInContactSince(this.#startedAtMs);
         names.delete(this.#self.name);
         this.#recovering = !hasMajority(roster, names);
     }
 
     #tellKeeperOwnState(nowMs: number): void {
-        this.#keeper.answered({
+        this.#keeper.onVersionReport({
             gateway: this.#self,
             revision: this.#holding.revision,
             rosterVersion: this.#holding.rosterVersion,
@@ -383,7 +383,7 @@
      */
     #peerAddresses(nowMs: number): readonly string[] {
         const byName = new Map<string, string>();
-        for (const gateway of resolveRosterGateways(this.#holding.roster)) {
+        for (const gateway of listRosterGateways(this.#holding.roster)) {
             byName.set(gateway.name, gateway.peerAddress);
         }
         for (const gateway of [...this.#contacts.identities, ...this.#recentCallers(nowMs)]) {
--- a/packages/membership/src/freshness.ts
+++ b/packages/membership/src/freshnessTracker.ts
@@ -1,4 +1,4 @@
-import { type Holding } from "./holding.js";
+import { type VersionedState } from "./versionedState.js";
 import { type Heartbeat } from "./messages.js";
 import { isMember } from "./roster.js";
 
@@ -22,7 +22,7 @@
  * know of this gateway: it has to be in the roster, or registered since before the store was asked. A gateway that
  * nobody knows of would go on under an older configuration after a change has been called in force.
  */
-export class Freshness {
+export class FreshnessTracker {
     readonly #name: string;
     #own: Confirmation | undefined;
     #fromPeer: Confirmation | undefined;
@@ -33,7 +33,7 @@
     }
 
     /** The store was read, and this gateway holds what it said. */
-    storeRead(startedAtMs: number, holding: Holding): void {
+    onStoreRead(startedAtMs: number, holding: VersionedState): void {
         if (this.#own === undefined || startedAtMs > this.#own.startedAtMs) {
             this.#own = this.#confirm(startedAtMs, holding);
         }
@@ -44,7 +44,7 @@
      * itself where it holds as much, since the store's word is about the head and not about who asked; the age runs
      * on from before this gateway's own call. Ages add up over hops, so that it is never taken for longer.
      */
-    peerAnswered(startedAtMs: number, heartbeat: Heartbeat, holding: Holding): void {
+    onPeerHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
         if (heartbeat.freshnessAgeMs === undefined || heartbeat.rosterVersion !== holding.rosterVersion) {
             return;
         }
@@ -58,18 +58,18 @@
     }
 
     /** @param validUntilMs - counted from before the lease was asked for */
-    registered(knownAtMs: number, validUntilMs: number): void {
+    onRegistered(knownAtMs: number, validUntilMs: number): void {
         this.#registration = { knownAtMs, validUntilMs };
     }
 
     /** The lease was renewed: the registration is the same as before. */
-    renewed(validUntilMs: number): void {
+    onRenewed(validUntilMs: number): void {
         if (this.#registration !== undefined) {
             this.#registration = { ...this.#registration, validUntilMs };
         }
     }
 
-    registrationLost(): void {
+    onRegistrationLost(): void {
         this.#registration = undefined;
     }
 
@@ -77,7 +77,7 @@
      * @param sinceMs - earliest confirmation that still counts
      * @returns whether the store's word lets this gateway take new work
      */
-    isConfirmed(sinceMs: number, nowMs: number, holding: Holding): boolean {
+    isConfirmed(sinceMs: number, nowMs: number, holding: VersionedState): boolean {
         for (const confirmation of [this.#own, this.#fromPeer]) {
             if (confirmation === undefined || confirmation.startedAtMs < sinceMs) {
                 continue;
@@ -90,7 +90,7 @@
     }
 
     /** @returns age of the newest confirmation that a peer may take over, in milliseconds */
-    ageMs(nowMs: number, holding: Holding): number | undefined {
+    ageMs(nowMs: number, holding: VersionedState): number | undefined {
         let newest: number | undefined;
         for (const confirmation of [this.#own, this.#fromPeer]) {
             if (confirmation?.rosterVersion !== holding.rosterVersion) {
@@ -102,7 +102,7 @@
         return newest === undefined ? undefined : Math.ceil(nowMs - newest);
     }
 
-    #confirm(startedAtMs: number, holding: Holding): Confirmation {
+    #confirm(startedAtMs: number, holding: VersionedState): Confirmation {
         return {
             startedAtMs,
             rosterVersion: holding.rosterVersion,
--- a/packages/membership/src/heartbeatSchedule.ts
+++ b/packages/membership/src/heartbeatSchedule.ts
@@ -10,7 +10,7 @@
     }
 
     /** Calls everybody at once, whatever the interval and the budget say. */
-    hurry(addresses: readonly string[]): void {
+    markUrgent(addresses: readonly string[]): void {
         this.#urgent = new Set(addresses);
     }
 
@@ -42,13 +42,13 @@
         return waiting.sort((a, b) => this.#lastSentAtMs(a) - this.#lastSentAtMs(b));
     }
 
-    sent(address: string, nowMs: number): void {
+    onSent(address: string, nowMs: number): void {
         this.#sentAtMs.set(address, nowMs);
         this.#inFlight.add(address);
         this.#urgent.delete(address);
     }
 
-    ended(address: string): void {
+    onEnded(address: string): void {
         this.#inFlight.delete(address);
     }
 
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,6 +1,11 @@
 /** Which gateways there are, and whether this one's configuration is fresh enough to take new work. */
-export { type AcceptanceTarget, AcceptanceTracker, type HoldingAnswer } from "./acceptanceTracker.js";
-export { type Acceptance, ChangeCoordinator, type ChangeRequest, type GatewayStanding } from "./changeCoordinator.js";
+export { type AcceptanceTarget, AcceptanceTracker, type VersionReport } from "./acceptanceTracker.js";
+export {
+    type ChangeStatus,
+    ChangeCoordinator,
+    type ChangeRequest,
+    type GatewayChangeStatus,
+} from "./changeCoordinator.js";
 export { type ConfigurationHead, createNextHead, findChange, type WrittenChange } from "./configurationHead.js";
 export { defaultFleetTimings, resolveFleetTimings, type FleetTimings, storeKeys } from "./constants.js";
 export { type FleetCommand, type FleetEvent } from "./fleetEvents.js";
@@ -12,5 +17,5 @@
     type OfferAnswer,
     type Roster,
 } from "./messages.js";
-export { hasMajority, isMember, resolveRosterGateways } from "./roster.js";
-export { type FleetSurvey, RosterKeeper, type RosterSwap } from "./rosterKeeper.js";
+export { hasMajority, isMember, listRosterGateways } from "./roster.js";
+export { type FleetSurvey, RosterReconciler, type RosterSwap } from "./rosterReconciler.js";
--- a/packages/membership/src/contacts.ts
+++ b/packages/membership/src/peerContactTracker.ts
@@ -1,4 +1,4 @@
-import { type Holding } from "./holding.js";
+import { type VersionedState } from "./versionedState.js";
 import { type GatewayIdentity, type Heartbeat } from "./messages.js";
 
 /** A peer's newest answer. */
@@ -18,7 +18,7 @@
  * gateway holds all that the peer held: until then earlier answers of that peer go on counting for their time, so that
  * hearing of a change stops no work.
  */
-export class Contacts {
+export class PeerContactTracker {
     readonly #byName = new Map<string, Contact>();
 
     /** @returns the peers that ever answered, as they last named themselves */
@@ -31,7 +31,7 @@
      * @param heartbeat - what came back
      * @param holding - what this gateway holds
      */
-    answered(startedAtMs: number, heartbeat: Heartbeat, holding: Holding): void {
+    onHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
         const contact = this.#byName.get(heartbeat.from.name);
         const answered = { startedAtMs, heartbeat };
         if (contact === undefined) {
@@ -40,16 +40,16 @@
         else if (startedAtMs >= contact.newest.startedAtMs) {
             contact.newest = answered;
         }
-        this.reconsider(holding);
+        this.reevaluate(holding);
     }
 
     /** Counts the answers that this gateway has caught up with. */
-    reconsider(holding: Holding): void {
+    reevaluate(holding: VersionedState): void {
         for (const contact of this.#byName.values()) {
             const { startedAtMs, heartbeat } = contact.newest;
             // A process that has just started may have forgotten what it held. Its word would let an older revision
             // be taken for the newest, so it counts only after it has learnt from the others or from the store.
-            if (!heartbeat.recovering && holding.covers(heartbeat.revision, heartbeat.rosterVersion)) {
+            if (!heartbeat.recovering && holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion)) {
                 contact.agreedAtMs = startedAtMs;
             }
         }
@@ -59,7 +59,7 @@
      * @param sinceMs - earliest start of a call that counts
      * @returns names of the peers that were in contact since then
      */
-    namesSince(sinceMs: number): Set<string> {
+    namesInContactSince(sinceMs: number): Set<string> {
         const names = new Set<string>();
         for (const [name, contact] of this.#byName) {
             if (contact.agreedAtMs !== undefined && contact.agreedAtMs >= sinceMs) {
--- a/packages/membership/src/recentCallers.ts
+++ b/packages/membership/src/recentCallers.ts
@@ -13,7 +13,7 @@
 export class RecentCallers {
     readonly #calls = new Map<string, Call>();
 
-    received(caller: GatewayIdentity, receivedAtMs: number): void {
+    onCall(caller: GatewayIdentity, receivedAtMs: number): void {
         this.#calls.set(caller.name, { caller, receivedAtMs });
     }
 
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -32,7 +32,7 @@
  * @param roster - the roster; `undefined` where there is none yet
  * @returns each gateway once, as the newer list has it
  */
-export function resolveRosterGateways(roster: Roster | undefined): readonly GatewayIdentity[] {
+export function listRosterGateways(roster: Roster | undefined): readonly GatewayIdentity[] {
     const byName = new Map<string, GatewayIdentity>();
     for (const gateway of [...roster?.previous ?? [], ...roster?.members ?? []]) {
         byName.set(gateway.name, gateway);
--- a/packages/membership/src/rosterKeeper.ts
+++ b/packages/membership/src/rosterReconciler.ts
@@ -1,7 +1,7 @@
-import { AcceptanceTracker, type HoldingAnswer } from "./acceptanceTracker.js";
+import { AcceptanceTracker, type VersionReport } from "./acceptanceTracker.js";
 import { type FleetTimings } from "./constants.js";
 import { type GatewayIdentity, type Roster } from "./messages.js";
-import { resolveRosterGateways } from "./roster.js";
+import { listRosterGateways } from "./roster.js";
 
 /** What the store and the platform said about the fleet, in one read each. */
 export interface FleetSurvey {
@@ -31,7 +31,7 @@
  * Without the first step, a majority that is cut off from the store and serves on could be replaced by new gateways
  * behind its back, and a change would be called in force that it never heard of.
  */
-export class RosterKeeper {
+export class RosterReconciler {
     readonly #name: string;
     readonly #timings: FleetTimings;
     readonly #goneSinceMs = new Map<string, number>();
@@ -45,24 +45,24 @@
     }
 
     /** Remembers which hosts the platform has shown, also while the store is out of reach. */
-    hostsListed(names: readonly string[]): void {
+    onHostsListed(names: readonly string[]): void {
         for (const name of names) {
             this.#seenHosts.add(name);
         }
     }
 
     /** Takes a peer's answer, or this gateway's own state, for the change under way. */
-    answered(answer: HoldingAnswer): void {
-        this.#settling?.answered(answer);
+    onVersionReport(answer: VersionReport): void {
+        this.#settling?.onVersionReport(answer);
     }
 
     /**
      * @param survey - the newest read
      * @returns a change to write now, or `undefined`
      */
-    surveyed(survey: FleetSurvey, nowMs: number): RosterSwap | undefined {
+    reconcile(survey: FleetSurvey, nowMs: number): RosterSwap | undefined {
         this.#noteGone(survey, nowMs);
-        this.hostsListed(survey.hostNames ?? []);
+        this.onHostsListed(survey.hostNames ?? []);
         const next = this.#resolveNext(survey, nowMs);
         if (next === undefined) {
             this.#wantedSinceMs = undefined;
@@ -101,10 +101,10 @@
                 this.#timings,
             );
         }
-        this.#settling.surveyed(roster, survey.registered, this.#vouchedFor(roster, survey));
+        this.#settling.onSurvey(roster, survey.registered, this.#vouchedFor(roster, survey));
         // Even when everybody has answered, the wait has to be sat out: a gateway that leaves the roster may have been
         // confirmed as its member just before, and whoever accepts a change afterwards would not ask it.
-        if (!this.#settling.isHeldByMajorityForLong(nowMs)) {
+        if (!this.#settling.isMajorityWaitOver(nowMs)) {
             return undefined;
         }
         return { version: roster.version + 1, members: roster.members };
@@ -135,7 +135,7 @@
     #vouchedFor(roster: Roster, survey: FleetSurvey): Set<string> {
         const registered = new Set(survey.registered.map(gateway => gateway.name));
         const names = new Set<string>();
-        for (const { name } of resolveRosterGateways(roster)) {
+        for (const { name } of listRosterGateways(roster)) {
             if (registered.has(name)) {
                 continue;
             }
@@ -160,7 +160,7 @@
 
     #noteGone(survey: FleetSurvey, nowMs: number): void {
         const registered = new Set(survey.registered.map(gateway => gateway.name));
-        for (const { name } of resolveRosterGateways(survey.roster)) {
+        for (const { name } of listRosterGateways(survey.roster)) {
             if (registered.has(name)) {
                 this.#goneSinceMs.delete(name);
             }
@@ -178,7 +178,7 @@
         // The first roster waits a turn for the others that start with this gateway. A roster of the quickest one alone
         // would have to agree to the next, and if it were started anew just then without the store, nobody could serve.
         const first = survey.roster === undefined ? 1 : 0;
-        return (turn + first) * this.#timings.rosterTurnMs;
+        return (turn + first) * this.#timings.rosterUpdateStaggerMs;
     }
 }
 
--- a/packages/membership/src/signalBoard.ts
+++ b/packages/membership/src/signalOutbox.ts
@@ -9,7 +9,7 @@
 }
 
 /** Signals to pass on to peers, each for a while, so that one lost heartbeat loses none. */
-export class SignalBoard {
+export class SignalOutbox {
     readonly #keepMs: number;
     #posted: readonly Posted[] = [];
 
@@ -17,7 +17,7 @@
         this.#keepMs = keepMs;
     }
 
-    post(signals: readonly ServerSignal[], nowMs: number): void {
+    add(signals: readonly ServerSignal[], nowMs: number): void {
         const added = signals.map(signal => ({ signal, postedAtMs: nowMs }));
         this.#posted = [...this.#posted, ...added].slice(-maximumSignals);
     }
--- a/packages/membership/src/holding.ts
+++ b/packages/membership/src/versionedState.ts
@@ -2,14 +2,14 @@
 import { type ConfigurationOffer, type Roster } from "./messages.js";
 
 /** What an offer changed. */
-export interface Taken {
+export interface StateChange {
     /** Set where a newer configuration was taken. */
     readonly configuration: ConfigurationRevision | undefined;
     readonly rosterChanged: boolean;
 }
 
 /** The configuration and roster that a gateway holds; neither ever goes back. */
-export class Holding {
+export class VersionedState {
     #configuration: ConfigurationRevision | undefined;
     #roster: Roster | undefined;
 
@@ -36,7 +36,7 @@
      * @param offer - from the store, a peer or admin
      * @returns what changed
      */
-    take(offer: ConfigurationOffer): Taken {
+    merge(offer: ConfigurationOffer): StateChange {
         let configuration: ConfigurationRevision | undefined;
         if (offer.offered !== undefined && offer.offered.revision > this.revision) {
             configuration = offer.offered;
@@ -54,7 +54,7 @@
      * @param rosterVersion - a roster version that somebody else has
      * @returns whether this gateway holds both, or newer ones
      */
-    covers(revision: number, rosterVersion: number): boolean {
+    isAtLeast(revision: number, rosterVersion: number): boolean {
         return revision <= this.revision && rosterVersion <= this.rosterVersion;
     }
 }
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -38,7 +38,7 @@
 }
 
 async function untilWritten(sim: Simulation, changeId: string): Promise<void> {
-    for (let i = 0; i < 100 && sim.written(changeId) === 0; i++) {
+    for (let i = 0; i < 100 && sim.writeCount(changeId) === 0; i++) {
         await sim.run(1);
     }
 }
@@ -111,7 +111,7 @@
     const op1 = sim.startOperator("op1");
     const read = (await sim.until(op1.coordinator.read())).toMaybe().extract() ?? assert.fail();
     const req = { changeId: "zone-out", expectedRevision: 1, configuration: read.configuration };
-    sim.storeFaults.losesNextHeadAnswer = true;
+    sim.storeFaults.losesNextHeadResponse = true;
     const first = op1.coordinator.apply(req, 1_000);
     await untilWritten(sim, "zone-out");
     sim.cutFromStore.add("op1");
@@ -121,7 +121,7 @@
     const again = await sim.until(op1.coordinator.apply(req, 5_000));
     const acceptance = again.toMaybe().extract() ?? assert.fail("the second try failed");
     assert.deepEqual([acceptance.revision, acceptance.inForce], [2, true]);
-    assert.equal(sim.written("zone-out"), 1);
+    assert.equal(sim.writeCount("zone-out"), 1);
     sim.check();
 });
 
@@ -146,7 +146,7 @@
     void sim.change(op1, "zone-out");
     await untilWritten(sim, "zone-out");
     op1.process.end();
-    const standing = await sim.until(sim.standing(sim.startOperator("op2")));
+    const standing = await sim.until(sim.changeStatus(sim.startOperator("op2")));
     assert.deepEqual([standing?.changeId, standing?.inForce], ["zone-out", true]);
     sim.check();
 });
@@ -227,7 +227,7 @@
     await sim.run(20_000);
     assert.deepEqual(sim.roster()?.members.map(({ name }) => name), others.slice(0, -1));
     assert.equal(sim.roster()?.previous, undefined);
-    assert.equal((await sim.until(sim.standing(sim.startOperator("op2"))))?.inForce, true);
+    assert.equal((await sim.until(sim.changeStatus(sim.startOperator("op2"))))?.inForce, true);
     assert.deepEqual(await whoServes(sim, 1_000), others.slice(0, -1));
     sim.check();
 });
@@ -279,7 +279,7 @@
         sim.startGateway("gw5");
         await sim.run(5_000);
         split(sim, ["gw5"], [...all, "op1"]);
-        sim.slowStoreFor.set("gw5", 1_500);
+        sim.maxStoreDelayMsByProcess.set("gw5", 1_500);
         await sim.run(5_000 + sim.random.nextInt(2_000));
         const acceptance = sim.changeNow(sim.startOperator("op1"), "zone-out");
         await untilWritten(sim, "zone-out");
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -70,7 +70,7 @@
                 void sim.change(this.#operatorFor(who), `change-${this.#changes++}`);
                 return;
             case "standing":
-                void sim.standing(this.#operatorFor(who));
+                void sim.changeStatus(this.#operatorFor(who));
                 return;
             case "operatorEnds":
                 this.#operatorFor(who).process.end();
@@ -91,9 +91,9 @@
                 });
                 return;
             case "answersLost":
-                sim.lostAnswers = who / 1_024;
+                sim.lostResponseShare = who / 1_024;
                 sim.time.schedule(lastsMs, () => {
-                    sim.lostAnswers = 0;
+                    sim.lostResponseShare = 0;
                 });
                 return;
             case "readsStale":
--- a/packages/peers/src/__tests__/fleetObserver.test.ts
+++ b/packages/peers/src/__tests__/fleetObserver.test.ts
@@ -6,7 +6,7 @@
 import { createServer, type ServerResponse } from "node:http";
 import { type AddressInfo } from "node:net";
 import { type TestContext, test } from "node:test";
-import { createFleetMember, createFleetObserver, type ServerObservation } from "../index.js";
+import { createFleetMembership, createFleetObserver, type ServerObservation } from "../index.js";
 
 const fleetKey = "secret";
 const seen: ServerObservation = {
@@ -44,8 +44,8 @@
         startMember: async (name, servers) => {
             const calls: (string | undefined)[] = [];
             const listen = { host: "127.0.0.1", port: 0 };
-            const member = createFleetMember({ store, name, availabilityZone: "a", listen, seeds: [], fleetKey });
-            member.answerObservations(service => {
+            const member = createFleetMembership({ store, name, availabilityZone: "a", listen, seeds: [], fleetKey });
+            member.setObservationHandler(service => {
                 calls.push(service);
                 return servers;
             });
--- a/packages/peers/src/__tests__/fleetOverTcp.test.ts
+++ b/packages/peers/src/__tests__/fleetOverTcp.test.ts
@@ -3,7 +3,7 @@
 import { PlatformServer } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
-import { createChangeCoordinator, createFleetMember, type FleetMembership } from "../index.js";
+import { createChangeCoordinator, createFleetMembership, type FleetMembership } from "../index.js";
 
 const fleetKey = "secret";
 const stops: (() => Promise<unknown>)[] = [];
@@ -27,7 +27,7 @@
 }
 
 async function startMember(name: string): Promise<FleetMembership> {
-    const member = createFleetMember({
+    const member = createFleetMembership({
         store: connectStore(name),
         name,
         availabilityZone: "a",
--- a/packages/peers/src/__tests__/operatorsWord.test.ts
+++ b/packages/peers/src/__tests__/forgetGateway.test.ts
@@ -29,9 +29,9 @@
         const head = JSON.parse(sim.engine.get(storeKeys.head, sim.time.nowMs)?.value ?? "") as object;
         sim.overwrite(storeKeys.head, JSON.stringify({ ...head, revision: 2, changeId: "zone-out" }));
     });
-    const before = await sim.until(sim.standing(sim.startOperator("op1")));
+    const before = await sim.until(sim.changeStatus(sim.startOperator("op1")));
     assert.equal(before?.changeId, "first", "nothing is said of a change that came after the roster was read");
-    const after = await sim.until(sim.standing(sim.startOperator("op2")));
+    const after = await sim.until(sim.changeStatus(sim.startOperator("op2")));
     assert.equal(after?.changeId, "zone-out");
     const names = after.gateways.map(({ gateway }) => gateway.name);
     assert.ok(joined.every(({ name }) => names.includes(name)), names.join());
@@ -41,14 +41,14 @@
 // the operators' changes would wait for ever. An operator vouches for both; the word ends when one is started again.
 test("an operator's word lets a lost majority go, and ends with the next start", async () => {
     const sim = await startFleet();
-    sim.hostListStands = true;
+    sim.isHostListFrozen = true;
     ["gw2", "gw3"].forEach(name => sim.endGateway(name));
     const op = sim.startOperator("op1");
     assert.equal((await sim.changeNow(op, "waiting")).inForce, false);
     await Promise.all([sim.until(op.coordinator.forget("gw2")), sim.until(op.coordinator.forget("gw3"))]);
     await sim.run(20_000);
     assert.deepEqual(sim.roster()?.members.map(({ name }) => name), ["gw1"]);
-    assert.equal((await sim.until(sim.standing(op)))?.inForce, true);
+    assert.equal((await sim.until(sim.changeStatus(op)))?.inForce, true);
     sim.startGateway("gw2");
     await sim.run(20_000);
     assert.deepEqual(sim.roster()?.members.map(({ name }) => name), ["gw1", "gw2"]);
@@ -92,7 +92,7 @@
 // that it is done, not that the name is unknown. A name that was never there is a slip of the keyboard.
 test("an operator's word may be given twice, but not for a name that nobody knows", async () => {
     const sim = await startFleet();
-    sim.hostListStands = true;
+    sim.isHostListFrozen = true;
     sim.endGateway("gw3");
     await sim.run(12_000);
     const op = sim.startOperator("op1");
@@ -111,7 +111,7 @@
 // having found no word to take back. The word must not stay: it would speak for the new process.
 test("an operator's word that a registration overtakes is taken back", async () => {
     const sim = await startFleet();
-    sim.hostListStands = true;
+    sim.isHostListFrozen = true;
     const identity = sim.roster()?.members.find(({ name }) => name === "gw3") ?? assert.fail();
     sim.endGateway("gw3");
     await sim.run(12_000);
--- a/packages/peers/src/__tests__/support/simulatedStore.ts
+++ b/packages/peers/src/__tests__/support/simulatedStore.ts
@@ -23,7 +23,7 @@
     /** Watches that are asked for now never end. */
     silentWatches: boolean;
     /** The next write of the head takes effect, and its answer is lost. */
-    losesNextHeadAnswer: boolean;
+    losesNextHeadResponse: boolean;
 }
 
 /** The store as one simulated process sees it. */
@@ -108,10 +108,10 @@
     }
 
     #loses(req: CompareAndSwap): boolean {
-        if (!this.#faults.losesNextHeadAnswer || req.key !== storeKeys.head || req.value === undefined) {
+        if (!this.#faults.losesNextHeadResponse || req.key !== storeKeys.head || req.value === undefined) {
             return false;
         }
-        this.#faults.losesNextHeadAnswer = false;
+        this.#faults.losesNextHeadResponse = false;
         return true;
     }
 
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -8,7 +8,7 @@
     type HistoryLine,
 } from "@galenaglade/history";
 import {
-    type Acceptance,
+    type ChangeStatus,
     defaultFleetTimings,
     type FleetTimings,
     type Roster,
@@ -19,8 +19,8 @@
 import { type StoreCallOutcome, FakeStore, KeyValueEngine, VirtualClock } from "@galenaglade/stand-ins";
 import assert from "node:assert/strict";
 import { type Either, Right } from "purify-ts";
-import { createChangeCoordinator, type StoreChangeCoordinator } from "../../changeCoordinatorShell.js";
-import { createFleetMember } from "../../fleetMemberShell.js";
+import { createChangeCoordinator, type StoreChangeCoordinator } from "../../storeChangeCoordinator.js";
+import { createFleetMembership } from "../../gatewayFleetMembership.js";
 import { type FleetMembership } from "../../fleetMembership.js";
 import { SimulatedNetwork } from "./simulatedNetwork.js";
 import { SimulatedProcess } from "./simulatedProcess.js";
@@ -35,7 +35,7 @@
 const maximumTurns = 1_000_000;
 
 /** Removal from the roster comes sooner than in earnest, so that a run sees several. */
-const timings: FleetTimings = { ...defaultFleetTimings, removeAfterMs: 6_000, rosterTurnMs: 500 };
+const timings: FleetTimings = { ...defaultFleetTimings, removeAfterMs: 6_000, rosterUpdateStaggerMs: 500 };
 
 export interface SimulatedGateway {
     readonly name: string;
@@ -56,7 +56,7 @@
     readonly random: RandomSource;
     readonly network: SimulatedNetwork;
     readonly engine = new KeyValueEngine();
-    readonly storeFaults: StoreFaults = { staleEngine: undefined, silentWatches: false, losesNextHeadAnswer: false };
+    readonly storeFaults: StoreFaults = { staleEngine: undefined, silentWatches: false, losesNextHeadResponse: false };
     /** Names of processes whose calls of the store are lost. */
     readonly cutFromStore = new Set<string>();
     readonly history: HistoryLine[] = [];
@@ -64,13 +64,13 @@
     readonly #store: FakeStore;
     readonly #endedHosts = new Map<string, number>();
     /** Share of store calls whose answer is lost after they took effect. */
-    lostAnswers = 0;
+    lostResponseShare = 0;
     storeDelayMs = 5;
     /** The host list shows hosts that have ended for ever. */
-    hostListStands = false;
+    isHostListFrozen = false;
     #afterRead: { readonly key: string; readonly run: () => void; } | undefined;
     /** Longest time that one way of a store call takes for a process, in place of {@link storeDelayMs}. */
-    readonly slowStoreFor = new Map<string, number>();
+    readonly maxStoreDelayMsByProcess = new Map<string, number>();
     #starts = 0;
     #turns = 0;
 
@@ -90,7 +90,7 @@
         this.#endedHosts.delete(name);
         const process = new SimulatedProcess(name, this.time);
         const processName = `${name}/${++this.#starts}`;
-        const member = createFleetMember({
+        const member = createFleetMembership({
             store: this.#createStore(process),
             hosts: new SimulatedHosts(() => this.#shownHosts()),
             name,
@@ -137,7 +137,7 @@
         operator: SimulatedOperator,
         changeId: string,
         waitMs = 15_000,
-    ): Promise<Either<Failure, Acceptance>> {
+    ): Promise<Either<Failure, ChangeStatus>> {
         const read = await operator.coordinator.read();
         const present = read.toMaybe().extract();
         if (present === undefined) {
@@ -153,8 +153,8 @@
     }
 
     /** Asks how far the present change has come, and records its acceptance. */
-    async standing(operator: SimulatedOperator): Promise<Acceptance | undefined> {
-        const standing = (await operator.coordinator.standing()).toMaybe().extract();
+    async changeStatus(operator: SimulatedOperator): Promise<ChangeStatus | undefined> {
+        const standing = (await operator.coordinator.changeStatus()).toMaybe().extract();
         if (standing !== undefined && standing.revision > 0) {
             this.#recordAcceptance(operator, standing);
         }
@@ -162,7 +162,7 @@
     }
 
     /** Starts a change and lets the clock run until it has ended. */
-    async changeNow(operator: SimulatedOperator, changeId: string): Promise<Acceptance> {
+    async changeNow(operator: SimulatedOperator, changeId: string): Promise<ChangeStatus> {
         const applied = await this.until(this.change(operator, changeId));
         return applied.caseOf({ Left: failure => assert.fail(failure.detail), Right: acceptance => acceptance });
     }
@@ -211,7 +211,7 @@
     }
 
     /** @returns how often a change was written */
-    written(changeId: string): number {
+    writeCount(changeId: string): number {
         return this.history.filter(line => line.type === "configurationWritten" && line.changeId === changeId).length;
     }
 
@@ -225,8 +225,8 @@
     heal(stays: { readonly paused: boolean; } = { paused: false }): void {
         this.network.heal();
         this.cutFromStore.clear();
-        this.slowStoreFor.clear();
-        this.lostAnswers = 0;
+        this.maxStoreDelayMsByProcess.clear();
+        this.lostResponseShare = 0;
         this.storeDelayMs = 5;
         this.storeFaults.staleEngine = undefined;
         this.storeFaults.silentWatches = false;
@@ -247,7 +247,7 @@
         );
     }
 
-    #recordAcceptance(operator: SimulatedOperator, acceptance: Acceptance): void {
+    #recordAcceptance(operator: SimulatedOperator, acceptance: ChangeStatus): void {
         if (acceptance.inForce && operator.process.isRunning) {
             const { revision, changeId } = acceptance;
             this.record(operator.process.name, { type: "configurationAccepted", revision, changeId });
@@ -296,9 +296,9 @@
         if (this.cutFromStore.has(client) || this.cutFromStore.has("*")) {
             return { type: "requestLost", timeoutMs: storeTimeoutMs };
         }
-        const delayMs = this.slowStoreFor.get(client) ?? this.storeDelayMs;
+        const delayMs = this.maxStoreDelayMsByProcess.get(client) ?? this.storeDelayMs;
         const outMs = 1 + this.random.nextInt(delayMs);
-        if (this.random.next() < this.lostAnswers) {
+        if (this.random.next() < this.lostResponseShare) {
             return { type: "answerLost", outMs, timeoutMs: Math.max(storeTimeoutMs, outMs) };
         }
         return { type: "answered", outMs, backMs: 1 + this.random.nextInt(delayMs) };
@@ -307,7 +307,7 @@
     #shownHosts(): readonly HostEntry[] {
         const names = new Set(this.gateways.keys());
         for (const [name, endedAtMs] of this.#endedHosts) {
-            if (this.hostListStands || this.time.nowMs < endedAtMs + hostListLagMs) {
+            if (this.isHostListFrozen || this.time.nowMs < endedAtMs + hostListLagMs) {
                 names.add(name);
             }
         }
--- a/packages/peers/src/clock.ts
+++ b/packages/peers/src/clock.ts
@@ -32,7 +32,7 @@
  * @param signal - ends the wait early, so that a process that stops isn't kept alive by it
  * @returns settles after the wait
  */
-export function pause(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
+export function delay(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
     return new Promise(resolve => {
         const end = (): void => {
             cancel();
@@ -54,7 +54,7 @@
  * @param otherwise - makes the result when the limit has passed
  * @returns the answer, or what `otherwise` makes
  */
-export function withinLimit<T>(clock: Clock, limitMs: number, answer: Promise<T>, otherwise: () => T): Promise<T> {
+export function withTimeout<T>(clock: Clock, limitMs: number, answer: Promise<T>, otherwise: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
         const cancel = clock.after(limitMs, () => resolve(otherwise()));
         answer.then(resolve, reject).finally(cancel);
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -52,9 +52,9 @@
     onSignals(callback: OnSignals): void;
     onLoads(callback: OnLoads): void;
     /** Sets who says what this gateway knows of the backend servers when an operators' server asks. */
-    answerObservations(observe: ObserveServers): void;
+    setObservationHandler(observe: ObserveServers): void;
     /** Sets who answers peers' words on cold start; until then their calls fail. */
-    answerColdStart(answer: (word: ColdStartWord) => ColdStartWord): void;
+    setColdStartHandler(answer: (word: ColdStartWord) => ColdStartWord): void;
     /** Sends a word on cold start to every other gateway of the roster. @returns one promise for each */
     exchangeColdStart(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
     /** @returns the roster that this gateway knows; `undefined` until it knows one */
--- a/packages/peers/src/fleetObserver.ts
+++ b/packages/peers/src/fleetObserver.ts
@@ -2,7 +2,7 @@
 import { defaultFleetTimings, type FleetTimings, storeKeys } from "@galenaglade/membership";
 import { type KeyValue, type KeyValueStore } from "@galenaglade/platform";
 import { type Either, Left, Right } from "purify-ts";
-import { type Clock, createSystemClock, withinLimit } from "./clock.js";
+import { type Clock, createSystemClock, withTimeout } from "./clock.js";
 import { type PeerCaller } from "./peerCaller.js";
 import { type ServerObservations } from "./serverObservation.js";
 import { parseIdentity } from "./storeCodec.js";
@@ -54,7 +54,7 @@
      *          doesn't say which gateways there are
      */
     async observe(service: string | undefined): Promise<Either<Failure, FleetObservations>> {
-        const listed = await withinLimit(
+        const listed = await withTimeout(
             this.#clock,
             this.#timings.freshForMs,
             this.#store.list(storeKeys.memberPrefix),
--- a/packages/peers/src/fleetStore.ts
+++ b/packages/peers/src/fleetStore.ts
@@ -135,7 +135,7 @@
     if (lease.isLeft()) {
         return Left(lease.extract());
     }
-    const remembered = await dropForgotten(store, self.name);
+    const remembered = await clearForgotten(store, self.name);
     if (remembered.isLeft()) {
         return Left(remembered.extract());
     }
@@ -150,7 +150,7 @@
         const outcome = swap.unsafeCoerce();
         if (outcome.swapped) {
             // Again: a word that was given between the first look and the registration found none to be refused by.
-            return (await dropForgotten(store, self.name)).map(() => leaseId);
+            return (await clearForgotten(store, self.name)).map(() => leaseId);
         }
         expectedRevision = outcome.current?.modifiedRevision ?? 0;
     }
@@ -165,7 +165,7 @@
  * @param name - the gateway's name
  * @returns nothing, or the store's failure
  */
-export async function dropForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, void>> {
+export async function clearForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, void>> {
     const key = `${storeKeys.forgottenPrefix}${name}`;
     const present = await readPresent(store, key);
     if (present.isLeft()) {
--- a/packages/peers/src/fleetMemberShell.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -10,19 +10,19 @@
     type FleetTimings,
     type GatewayIdentity,
     type Heartbeat,
-    resolveRosterGateways,
+    listRosterGateways,
     type Roster,
     storeKeys,
 } from "@galenaglade/membership";
 import { type ServerLoad, type ServerSignal } from "@galenaglade/routing";
 import { randomBytes } from "node:crypto";
 import { type Either, Left } from "purify-ts";
-import { type Clock, createSystemClock, pause, withinLimit } from "./clock.js";
-import { incarnationBytes, tickMs, watchGraceMs, watchRetryMs, watchWaitMs } from "./constants.js";
+import { type Clock, createSystemClock, delay, withTimeout } from "./clock.js";
+import { incarnationBytes, tickMs, watchTimeoutMarginMs, watchRetryMs, watchWaitMs } from "./constants.js";
 import { type FleetMembership, type FleetMembershipOptions, type OnLoads, type OnSignals } from "./fleetMembership.js";
 import { readFleet, register } from "./fleetStore.js";
 import { type PeerCaller, type PeerHandler, type PeerListener } from "./peerCaller.js";
-import { createPeerListener } from "./peerServer.js";
+import { createPeerListener } from "./httpPeerListener.js";
 import { limitObservations, type ObserveServers } from "./serverObservation.js";
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
@@ -30,7 +30,7 @@
  * @param options - who this gateway is and whom it talks to
  * @returns its part in the fleet, to be started
  */
-export function createFleetMember(options: FleetMembershipOptions): FleetMembership {
+export function createFleetMembership(options: FleetMembershipOptions): FleetMembership {
     return new FleetMemberShell(options);
 }
 
@@ -110,16 +110,16 @@
         this.#onLoads.push(callback);
     }
 
-    answerObservations(observe: ObserveServers): void {
+    setObservationHandler(observe: ObserveServers): void {
         this.#observe = observe;
     }
 
-    answerColdStart(answer: (word: ColdStartWord) => ColdStartWord): void {
+    setColdStartHandler(answer: (word: ColdStartWord) => ColdStartWord): void {
         this.#answerColdStart = answer;
     }
 
     exchangeColdStart(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
-        const others = resolveRosterGateways(this.roster()).filter(({ name }) => name !== this.#options.name);
+        const others = listRosterGateways(this.roster()).filter(({ name }) => name !== this.#options.name);
         return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, word));
     }
 
@@ -312,9 +312,9 @@
     async #watch(): Promise<void> {
         let afterRevision = 0;
         while (!this.#stopped.signal.aborted) {
-            const watched = await withinLimit(
+            const watched = await withTimeout(
                 this.#clock,
-                watchWaitMs + watchGraceMs,
+                watchWaitMs + watchTimeoutMarginMs,
                 this.#options.store.watch({
                     prefix: storeKeys.head,
                     afterRevision,
@@ -324,7 +324,7 @@
                 () => Left(createFailure("storeUnavailable", "the watch went silent")),
             );
             if (watched.isLeft()) {
-                await pause(this.#clock, watchRetryMs, this.#stopped.signal);
+                await delay(this.#clock, watchRetryMs, this.#stopped.signal);
                 continue;
             }
             const events = watched.unsafeCoerce();
@@ -341,12 +341,12 @@
             const listed = await this.#limited(hosts.list());
             this.#hostNames = listed.map(entries => entries.map(entry => entry.name)).toMaybe().extract();
             this.#handle({ type: "hostsListed", names: this.#hostNames ?? [] });
-            await pause(this.#clock, this.#timings.removeAfterMs / 3, this.#stopped.signal);
+            await delay(this.#clock, this.#timings.removeAfterMs / 3, this.#stopped.signal);
         }
     }
 
     #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
-        return withinLimit(
+        return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
             answer,
--- a/packages/peers/src/peerServer.ts
+++ b/packages/peers/src/httpPeerListener.ts
@@ -6,18 +6,18 @@
 import { type Either, Left, Right } from "purify-ts";
 import {
     headersTimeoutMs,
-    idleConnectionMs,
-    maximumCallBytes,
-    maximumOfferBytes,
-    maximumPeerConnections,
-    overdueCheckMs,
+    idleConnectionTimeoutMs,
+    maxCallBytes,
+    maxOfferBytes,
+    maxPeerConnections,
+    connectionsCheckIntervalMs,
     requestTimeoutMs,
 } from "./constants.js";
 import { type PeerHandler, PeerListener } from "./peerCaller.js";
 import { createPeerRouter } from "./peerRouter.js";
 
 /** Where peers' calls come in, and who may call. */
-export interface PeerServerOptions {
+export interface PeerListenerOptions {
     /** IP number to listen at. */
     readonly host: string;
     /** 0 for any free port. */
@@ -30,15 +30,15 @@
  * @param options - where to listen, and the fleet's key
  * @returns a listener for calls over HTTP
  */
-export function createPeerListener(options: PeerServerOptions): PeerListener {
+export function createPeerListener(options: PeerListenerOptions): PeerListener {
     return new HttpPeerListener(options);
 }
 
 class HttpPeerListener extends PeerListener {
-    readonly #options: PeerServerOptions;
+    readonly #options: PeerListenerOptions;
     #server: Server | undefined;
 
-    constructor(options: PeerServerOptions) {
+    constructor(options: PeerListenerOptions) {
         super();
         this.#options = options;
     }
@@ -50,8 +50,8 @@
             {
                 headersTimeout: headersTimeoutMs,
                 requestTimeout: requestTimeoutMs,
-                connectionsCheckingInterval: overdueCheckMs,
-                keepAliveTimeout: idleConnectionMs,
+                connectionsCheckingInterval: connectionsCheckIntervalMs,
+                keepAliveTimeout: idleConnectionTimeoutMs,
                 maxHeaderSize: 8_192,
             },
             (req, res) => {
@@ -63,7 +63,7 @@
                 }
             },
         );
-        server.maxConnections = maximumPeerConnections;
+        server.maxConnections = maxPeerConnections;
         this.#server = server;
         return new Promise(resolve => {
             server.once("error", err => resolve(Left(createFailure("internal", `peer port: ${err.message}`))));
@@ -111,5 +111,5 @@
 }
 
 function limitFor(path: string): number {
-    return path === "offer" ? maximumOfferBytes : maximumCallBytes;
+    return path === "offer" ? maxOfferBytes : maxCallBytes;
 }
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,11 +1,5 @@
 /** What gateways and admin say to each other, and the shells that take part in the fleet. */
-export {
-    type ChangeCoordinatorOptions,
-    createChangeCoordinator,
-    StoreChangeCoordinator,
-} from "./changeCoordinatorShell.js";
 export { Clock, createSystemClock } from "./clock.js";
-export { createFleetMember } from "./fleetMemberShell.js";
 export { type FleetMembership, type FleetMembershipOptions, type OnLoads, type OnSignals } from "./fleetMembership.js";
 export {
     createFleetObserver,
@@ -13,7 +7,13 @@
     FleetObserver,
     type FleetObserverOptions,
 } from "./fleetObserver.js";
+export { createFleetMembership } from "./gatewayFleetMembership.js";
+export { createPeerListener, type PeerListenerOptions } from "./httpPeerListener.js";
 export { PeerCaller, type PeerHandler, PeerListener } from "./peerCaller.js";
-export { createPeerListener, type PeerServerOptions } from "./peerServer.js";
 export { type ObserveServers, type ServerObservation, type ServerObservations } from "./serverObservation.js";
+export {
+    type ChangeCoordinatorOptions,
+    createChangeCoordinator,
+    StoreChangeCoordinator,
+} from "./storeChangeCoordinator.js";
 export { createPeerCaller, type PeerCallerOptions } from "./trpcPeerCaller.js";
--- a/packages/peers/src/serverObservation.ts
+++ b/packages/peers/src/serverObservation.ts
@@ -1,5 +1,5 @@
 import { type ServerId } from "@galenaglade/routing";
-import { maximumObservedServers } from "./constants.js";
+import { maxObservedServers } from "./constants.js";
 
 /** What one gateway knows of one backend server. */
 export interface ServerObservation {
@@ -35,10 +35,10 @@
  * @returns the answer, with the number of servers that it leaves out
  */
 export function limitObservations(gateway: string, servers: readonly ServerObservation[]): ServerObservations {
-    const omitted = Math.max(0, servers.length - maximumObservedServers);
+    const omitted = Math.max(0, servers.length - maxObservedServers);
     if (omitted === 0) {
         return { gateway, servers, omitted };
     }
     const busiestFirst = servers.toSorted((one, other) => other.ownInFlight - one.ownInFlight);
-    return { gateway, servers: busiestFirst.slice(0, maximumObservedServers), omitted };
+    return { gateway, servers: busiestFirst.slice(0, maxObservedServers), omitted };
 }
--- a/packages/peers/src/changeCoordinatorShell.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -1,7 +1,7 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import {
-    type Acceptance,
+    type ChangeStatus,
     AcceptanceTracker,
     ChangeCoordinator,
     type ChangeRequest,
@@ -17,9 +17,9 @@
 } from "@galenaglade/membership";
 import { type KeyValueStore } from "@galenaglade/platform";
 import { type Either, Left, Right } from "purify-ts";
-import { type Clock, createSystemClock, pause, withinLimit } from "./clock.js";
+import { type Clock, createSystemClock, delay, withTimeout } from "./clock.js";
 import { offerIntervalMs, surveyIntervalMs, writeRetryMs } from "./constants.js";
-import { dropForgotten, isForgotten, isRegistered, readFleet, readHead, type StoredFleet } from "./fleetStore.js";
+import { clearForgotten, isForgotten, isRegistered, readFleet, readHead, type StoredFleet } from "./fleetStore.js";
 import { type PeerCaller } from "./peerCaller.js";
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
@@ -64,7 +64,7 @@
         return read.map(({ head }) => head ?? emptyConfiguration);
     }
 
-    override async apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, Acceptance>> {
+    override async apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, ChangeStatus>> {
         const deadlineMs = this.#clock.nowMs() + waitMs;
         const written = await this.#write(req, deadlineMs);
         if (written.isLeft()) {
@@ -73,7 +73,7 @@
         return Right(await this.#waitUntilInForce(written.unsafeCoerce(), deadlineMs));
     }
 
-    override async standing(): Promise<Either<Failure, Acceptance>> {
+    override async changeStatus(): Promise<Either<Failure, ChangeStatus>> {
         // The roster has to be read after the change is known to be written. One that was read before may have been
         // left behind by the time of the change, and a majority of it says nothing of the gateways that count since.
         const head = await this.#limited(readHead(this.#store));
@@ -158,7 +158,7 @@
         if (!registered.unsafeCoerce()) {
             return Right(undefined);
         }
-        const dropped = await this.#limited(dropForgotten(this.#store, name));
+        const dropped = await this.#limited(clearForgotten(this.#store, name));
         return dropped.chain(() => Left(createStillRegistered(name)));
     }
 
@@ -182,7 +182,7 @@
                 return Left(createFailure("storeOutcomeUnknown", "the store did not say whether the change is stored"));
             }
             if (failure !== undefined) {
-                await pause(this.#clock, writeRetryMs);
+                await delay(this.#clock, writeRetryMs);
             }
         }
     }
@@ -218,7 +218,7 @@
         return { type: "open", mayBeWritten: false, failure: undefined };
     }
 
-    async #waitUntilInForce(change: WrittenChange, deadlineMs: number): Promise<Acceptance> {
+    async #waitUntilInForce(change: WrittenChange, deadlineMs: number): Promise<ChangeStatus> {
         const tracker = this.#trackerFor(change.revision);
         let fleet: StoredFleet | undefined;
         let surveyedAtMs = Number.NEGATIVE_INFINITY;
@@ -236,7 +236,7 @@
                 return acceptance;
             }
             if (round > 0) {
-                await pause(this.#clock, offerIntervalMs);
+                await delay(this.#clock, offerIntervalMs);
             }
         }
     }
@@ -259,7 +259,7 @@
         }
         const { registered, forgotten } = fleet.listed;
         const names = new Set(registered.map(gateway => gateway.name));
-        tracker.surveyed(fleet.roster, registered, new Set(forgotten.filter(name => !names.has(name))));
+        tracker.onSurvey(fleet.roster, registered, new Set(forgotten.filter(name => !names.has(name))));
     }
 
     async #offerToAll(tracker: AcceptanceTracker, fleet: StoredFleet): Promise<void> {
@@ -271,23 +271,23 @@
         const offer = { offered: fleet.head.head, roster: fleet.roster };
         const answered = await this.#caller.offer(gateway.peerAddress, offer);
         answered.caseOf({
-            Left: () => tracker.failed(gateway.name),
-            Right: answer => tracker.answered({ ...answer, startedAtMs, answeredAtMs: this.#clock.nowMs() }),
+            Left: () => tracker.onCallFailed(gateway.name),
+            Right: answer => tracker.onVersionReport({ ...answer, startedAtMs, answeredAtMs: this.#clock.nowMs() }),
         });
     }
 
-    #acceptance(tracker: AcceptanceTracker, change: WrittenChange): Acceptance {
+    #acceptance(tracker: AcceptanceTracker, change: WrittenChange): ChangeStatus {
         const nowMs = this.#clock.nowMs();
         return {
             revision: change.revision,
             changeId: change.changeId,
             inForce: tracker.isInForce(nowMs),
-            gateways: tracker.standings(nowMs),
+            gateways: tracker.gatewayStatuses(nowMs),
         };
     }
 
     #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
-        return withinLimit(
+        return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
             answer,
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -5,7 +5,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { Agent, request } from "undici";
 import { type z } from "zod";
-import { idleConnectionMs, maximumAnswerBytes } from "./constants.js";
+import { idleConnectionTimeoutMs, maxResponseBytes } from "./constants.js";
 import { PeerCaller } from "./peerCaller.js";
 import { type PeerRouter } from "./peerRouter.js";
 import { type ServerObservations } from "./serverObservation.js";
@@ -41,7 +41,7 @@
 
 class TrpcPeerCaller extends PeerCaller {
     readonly #options: PeerCallerOptions;
-    readonly #agent = new Agent({ keepAliveTimeout: idleConnectionMs, pipelining: 1 });
+    readonly #agent = new Agent({ keepAliveTimeout: idleConnectionTimeoutMs, pipelining: 1 });
     readonly #clients = new Map<string, TRPCClient<PeerRouter>>();
 
     constructor(options: PeerCallerOptions) {
@@ -145,8 +145,8 @@
     let bytes = 0;
     for await (const chunk of body) {
         bytes += chunk.length;
-        if (bytes > maximumAnswerBytes) {
-            throw new Error(`answered with more than ${maximumAnswerBytes} bytes`);
+        if (bytes > maxResponseBytes) {
+            throw new Error(`answered with more than ${maxResponseBytes} bytes`);
         }
         chunks.push(chunk);
     }
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -9,7 +9,7 @@
 } from "@galenaglade/membership";
 import { type ServerId } from "@galenaglade/routing";
 import * as z from "zod";
-import { maximumObservedServers } from "./constants.js";
+import { maxObservedServers } from "./constants.js";
 import { type ServerObservations } from "./serverObservation.js";
 
 /** Most gateways that a message may name. */
@@ -126,6 +126,6 @@
 /** What a gateway knows of the backend servers. */
 export const serverObservationsSchema: z.ZodType<ServerObservations> = z.object({
     gateway: name,
-    servers: z.array(serverObservation).max(maximumObservedServers),
+    servers: z.array(serverObservation).max(maxObservedServers),
     omitted: count.max(1_000_000),
 });
--- a/packages/standIns/src/fleet/fleetConfigurer.ts
+++ b/packages/standIns/src/fleet/fleetConfigurer.ts
@@ -1,5 +1,5 @@
 import { type Configuration, type ConfigurationInput, resolveConfiguration } from "@galenaglade/configuration";
-import { type Acceptance } from "@galenaglade/membership";
+import { type ChangeStatus } from "@galenaglade/membership";
 import { createChangeCoordinator } from "@galenaglade/peers";
 import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { randomUUID } from "node:crypto";
@@ -24,7 +24,7 @@
      * @param cfg - the configuration, with or without defaults filled in
      * @throws Error if it is invalid, rejected or not in force within the time limit
      */
-    async apply(cfg: ConfigurationInput | Configuration): Promise<Acceptance> {
+    async apply(cfg: ConfigurationInput | Configuration): Promise<ChangeStatus> {
         const configuration = resolveConfiguration(cfg).mapLeft(faults => new Error(JSON.stringify(faults)))
             .unsafeCoerce();
         const current = (await this.#coordinator.read()).mapLeft(failure => new Error(failure.detail)).unsafeCoerce();
--- a/scripts/capacity/testFleet.ts
+++ b/scripts/capacity/testFleet.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { type Configuration } from "@galenaglade/configuration";
-import { type Acceptance } from "@galenaglade/membership";
+import { type ChangeStatus } from "@galenaglade/membership";
 import { createChangeCoordinator, type StoreChangeCoordinator } from "@galenaglade/peers";
 import { HttpKeyValueStore, PlatformClient } from "@galenaglade/platform";
 import { PlatformServer, type StartedProcess, startProcess } from "@galenaglade/stand-ins";
@@ -43,7 +43,7 @@
      *
      * @throws Error if it isn't in force after 30 s
      */
-    async apply(configuration: Configuration): Promise<Acceptance> {
+    async apply(configuration: Configuration): Promise<ChangeStatus> {
         const expectedRevision = this.#revision;
         const req = { changeId: `change-${expectedRevision + 1}`, expectedRevision, configuration };
         const acceptance = (await this.#coordinator.apply(req, 30_000)).unsafeCoerce();
