--- a/packages/atMostOnce/src/__tests__/attempt.test.ts
+++ b/packages/atMostOnce/src/__tests__/attempt.test.ts
@@ -3,12 +3,12 @@
 import fc from "fast-check";
 import {
     advanceAttempt,
-    type AnswerHead,
+    type ResponseHead,
     type AttemptEvent,
     type AttemptOutcome,
     combineDidRun,
     createAttempt,
-    type Framing,
+    type ResponseFraming,
     resolveAttempt,
 } from "../index.js";
 
@@ -16,14 +16,14 @@
     return resolveAttempt(events.reduce(advanceAttempt, createAttempt(idempotent)));
 }
 
-function createHead(status: number, framing: Framing, didRunHeader?: string): AttemptEvent {
+function createHead(status: number, framing: ResponseFraming, didRunHeader?: string): AttemptEvent {
     return { type: "headReceived", head: { status, framing, didRunHeader } };
 }
 
 const handOver: AttemptEvent = { type: "handOver" };
 const closed: AttemptEvent = { type: "ended", end: "closed" };
 const completed: AttemptEvent = { type: "ended", end: "completed" };
-const tenBytes: Framing = { type: "length", bytes: 10 };
+const tenBytes: ResponseFraming = { type: "length", bytes: 10 };
 
 // The caller files a return, and the server closes its idle connection as the first bytes leave. The server may have
 // read and run the request before it closed, so neither "it did not run" nor another try would be safe.
@@ -90,10 +90,12 @@
 // Over every order of events: a server can only run what was handed over, so "no" without its word, or a second try
 // of a non-idempotent request, may be said only of an attempt that gave nothing to the connection.
 test("no order of events makes a handed-over request safe to repeat without the server's word", () => {
-    const head: fc.Arbitrary<AnswerHead> = fc.record({
+    const head: fc.Arbitrary<ResponseHead> = fc.record({
         status: fc.constantFrom(200, 204, 409, 500, 502, 503, 504),
         didRunHeader: fc.constantFrom(undefined, "no", "yes"),
-        framing: fc.constantFrom<Framing>({ type: "none" }, tenBytes, { type: "chunked" }, { type: "untilClose" }),
+        framing: fc.constantFrom<ResponseFraming>({ type: "none" }, tenBytes, { type: "chunked" }, {
+            type: "untilClose",
+        }),
     });
     const event: fc.Arbitrary<AttemptEvent> = fc.oneof(
         fc.constant(handOver),
--- a/packages/atMostOnce/src/__tests__/claimDocument.test.ts
+++ b/packages/atMostOnce/src/__tests__/claimDocument.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { claimDocumentCharacters } from "../index.js";
+import { maxClaimDocumentLength } from "../index.js";
 import { type Claim, decodeClaimDocument, encodeClaimDocument } from "../claimDocument.js";
 
 // During an upgrade newer gateways write what older ones don't know. An older one that refused such a document would
@@ -28,7 +28,7 @@
     const claim: Claim = { fingerprint: "f".repeat(32), nonce: "n".repeat(36), holder: `gateway-10/${"i".repeat(36)}` };
     const fill = (each: Claim): string => {
         const count = Math.floor(
-            claimDocumentCharacters / (encodeClaimDocument({ sealed: true, claims: { k: claim } }).length),
+            maxClaimDocumentLength / (encodeClaimDocument({ sealed: true, claims: { k: claim } }).length),
         );
         const claims = Object.fromEntries(Array.from({ length: count }, (_, i) => [String(i).padStart(32, "k"), each]));
         return encodeClaimDocument({ sealed: true, claims });
--- a/packages/atMostOnce/src/__tests__/claimWorld.ts
+++ b/packages/atMostOnce/src/__tests__/claimSimulation.ts
@@ -10,52 +10,52 @@
 } from "@galenaglade/stand-ins";
 import { type Either, Left, Right } from "purify-ts";
 import {
-    type ClaimCallAnswer,
+    type ClaimStoreReply,
     ClaimBatcher,
     type ClaimCommand,
     type ClaimEnd,
     type ClaimLimits,
     type ClaimTime,
-    mayHandOver,
+    isClaimValid,
     type StoredClaims,
 } from "../index.js";
 
 /** Numbers small enough that a run crosses several buckets. */
-export const worldLimits: ClaimLimits = {
-    shards: 2,
+export const simulationLimits: ClaimLimits = {
+    shardCount: 2,
     bucketMs: 1_000,
-    bucketsKept: 4,
-    freshMs: 5,
+    retainedBuckets: 4,
+    maxCacheAgeMs: 5,
     validityMs: 300,
-    backoffMs: 50,
-    failuresBorne: 2,
-    documentCharacters: 100_000,
+    storeProbeDelayMs: 50,
+    failureThreshold: 2,
+    maxDocumentLength: 100_000,
 };
 
 /** What becomes of a store call, with fates that {@link FakeStore} lacks: it takes effect after its timeout, or lags. */
-export type WorldFate =
+export type SimulatedStoreOutcome =
     | StoreCallOutcome
     /** A read that returns the document as it was at the time given, or before it existed. */
     | { readonly type: "stale"; readonly asOfMs: number; }
     | { readonly type: "late"; readonly outMs: number; readonly timeoutMs: number; };
 
 /** What becomes of a request that was handed over. */
-export type ServerFate = "answers" | "sheds" | "closesBeforeRunning" | "closesWhileRunning";
+export type ServerBehavior = "answers" | "sheds" | "closesBeforeRunning" | "closesWhileRunning";
 
 /** One try of a caller's request. */
-export interface Try {
+export interface SimulatedAttempt {
     readonly requestId: string;
     readonly key: string;
     readonly fingerprint?: string;
     readonly gateway: number;
-    readonly server?: ServerFate;
+    readonly server?: ServerBehavior;
     /** Time between the claim and the check before the first byte: a pause of the process. */
     readonly pauseMs?: number;
     readonly patienceMs?: number;
 }
 
 /** What a caller was told. */
-export interface Told {
+export interface CallerResult {
     readonly kind: string;
     readonly didRun: DidRun;
     readonly atMs: number;
@@ -70,18 +70,22 @@
     readonly name: string;
     readonly batcher: ClaimBatcher;
     readonly skewMs: number;
-    readonly tries: Map<string, Try>;
+    readonly tries: Map<string, SimulatedAttempt>;
     alive: boolean;
 }
 
 /** Several gateways, one store and one server on one virtual clock, recording a history. */
-export class ClaimWorld {
-    readonly time = new VirtualClock();
+export class ClaimSimulation {
+    readonly clock = new VirtualClock();
     readonly history: HistoryLine[] = [];
-    readonly told = new Map<string, Told>();
-    fateOf: (client: string, nowMs: number) => WorldFate = () => ({ type: "answered", outMs: 1, backMs: 1 });
-    swaps = 0;
-    reads = 0;
+    readonly results = new Map<string, CallerResult>();
+    resolveStoreOutcome: (client: string, nowMs: number) => SimulatedStoreOutcome = () => ({
+        type: "answered",
+        outMs: 1,
+        backMs: 1,
+    });
+    swapCount = 0;
+    readCount = 0;
     readonly #engine = new KeyValueEngine();
     readonly #store: FakeStore;
     readonly #gateways: readonly SimulatedGateway[];
@@ -89,10 +93,10 @@
     readonly #versions: Version[] = [];
     #nextFate: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
 
-    constructor(skewsMs: readonly number[], limits: ClaimLimits = worldLimits, seed = 1) {
+    constructor(skewsMs: readonly number[], limits: ClaimLimits = simulationLimits, seed = 1) {
         this.#random = createRandomSource(seed);
         const fateOf: StoreCallOutcomeResolver = () => this.#nextFate;
-        this.#store = new FakeStore(this.#engine, this.time, fateOf);
+        this.#store = new FakeStore(this.#engine, this.clock, fateOf);
         this.#gateways = skewsMs.map((skewMs, i) => ({
             name: `gateway-${i}`,
             batcher: new ClaimBatcher(`gateway-${i}/1`, limits),
@@ -104,17 +108,17 @@
     }
 
     /** Sends a try at a time. */
-    sendAt(atMs: number, attempt: Try): void {
-        this.time.schedule(atMs - this.time.nowMs, () => this.#send(attempt));
+    sendAt(atMs: number, attempt: SimulatedAttempt): void {
+        this.clock.schedule(atMs - this.clock.nowMs, () => this.#send(attempt));
     }
 
     /** Ends a gateway's process at a time; callers of what it held are cut off. */
     killAt(atMs: number, gateway: number): void {
-        this.time.schedule(atMs - this.time.nowMs, () => {
+        this.clock.schedule(atMs - this.clock.nowMs, () => {
             const killed = this.#gateway(gateway);
             killed.alive = false;
             for (const attempt of killed.tries.values()) {
-                if (!this.told.has(attempt.requestId)) {
+                if (!this.results.has(attempt.requestId)) {
                     this.#record(killed.name, { type: "callerCutOff", requestId: attempt.requestId });
                 }
             }
@@ -122,11 +126,11 @@
     }
 
     /** @returns ids of the requests that the server started, in order */
-    get started(): readonly string[] {
+    get startedRequestIds(): readonly string[] {
         return this.history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []);
     }
 
-    #send(attempt: Try): void {
+    #send(attempt: SimulatedAttempt): void {
         const gateway = this.#gateway(attempt.gateway);
         const patienceMs = attempt.patienceMs ?? 1_000;
         this.#record("caller", {
@@ -142,7 +146,7 @@
             nonce: attempt.requestId,
             keyDigest: digest(attempt.key),
             fingerprint: attempt.fingerprint ?? "same",
-            giveUpAtMs: this.time.nowMs + patienceMs,
+            deadlineMs: this.clock.nowMs + patienceMs,
         };
         this.#run(gateway, gateway.batcher.claim(req, this.#timeOf(gateway)));
     }
@@ -165,35 +169,35 @@
     }
 
     #callStore(gateway: SimulatedGateway, command: Extract<ClaimCommand, { readonly callId: number; }>): void {
-        const run = (engine: KeyValueEngine, nowMs: number): ClaimCallAnswer => {
+        const run = (engine: KeyValueEngine, nowMs: number): ClaimStoreReply => {
             const result = runOnEngine(engine, nowMs, command);
             if (result.type === "swapped" && command.type === "swap" && command.value !== undefined) {
                 this.#versions.push({ key: command.key, atMs: nowMs, value: command.value, revision: result.revision });
             }
             return result;
         };
-        const answer = (result: Either<Failure, ClaimCallAnswer>): void => {
+        const answer = (result: Either<Failure, ClaimStoreReply>): void => {
             if (gateway.alive) {
-                this.#run(gateway, gateway.batcher.answered(command.callId, result, this.#timeOf(gateway)));
+                this.#run(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#timeOf(gateway)));
             }
         };
         if (command.type === "swap") {
-            this.swaps++;
+            this.swapCount++;
         }
         else {
-            this.reads += command.keys.length;
+            this.readCount += command.keys.length;
         }
-        const fate = this.fateOf(gateway.name, this.time.nowMs);
+        const fate = this.resolveStoreOutcome(gateway.name, this.clock.nowMs);
         if (fate.type === "stale") {
             const stored = command.type === "read" ? command.keys.map(key => this.#findVersion(key, fate.asOfMs)) : [];
-            const stale: ClaimCallAnswer = { type: "read", stored };
-            const { nowMs } = this.time;
-            this.time.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
+            const stale: ClaimStoreReply = { type: "read", stored };
+            const { nowMs } = this.clock;
+            this.clock.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
             return;
         }
         if (fate.type === "late") {
-            this.time.schedule(fate.outMs, () => run(this.#engine, this.time.nowMs));
-            this.time.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+            this.clock.schedule(fate.outMs, () => run(this.#engine, this.clock.nowMs));
+            this.clock.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
         this.#nextFate = fate;
@@ -206,11 +210,11 @@
 
     #claimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
         const attempt = this.#try(gateway, nonce);
-        this.time.schedule(attempt.pauseMs ?? 0, () => {
+        this.clock.schedule(attempt.pauseMs ?? 0, () => {
             if (!gateway.alive) {
                 return;
             }
-            if (!mayHandOver(validUntilMs, this.time.nowMs)) {
+            if (!isClaimValid(validUntilMs, this.clock.nowMs)) {
                 this.#tell(gateway, nonce, "patienceSpent", "no");
                 this.#end(gateway, nonce, { didRun: "no" });
                 return;
@@ -219,10 +223,10 @@
         });
     }
 
-    #handOver(gateway: SimulatedGateway, attempt: Try): void {
+    #handOver(gateway: SimulatedGateway, attempt: SimulatedAttempt): void {
         const server = attempt.server ?? "answers";
         const runs = server === "answers" || server === "closesWhileRunning";
-        this.time.schedule(1 + this.#random.nextInt(5), () => {
+        this.clock.schedule(1 + this.#random.nextInt(5), () => {
             if (runs) {
                 this.#record("server", {
                     type: "serverStarted",
@@ -236,11 +240,11 @@
                     bears: 3,
                 });
             }
-            this.time.schedule(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
+            this.clock.schedule(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
         });
     }
 
-    #ended(gateway: SimulatedGateway, attempt: Try, server: ServerFate): void {
+    #ended(gateway: SimulatedGateway, attempt: SimulatedAttempt, server: ServerBehavior): void {
         if (!gateway.alive) {
             return;
         }
@@ -260,7 +264,7 @@
     }
 
     #end(gateway: SimulatedGateway, nonce: string, end: ClaimEnd): void {
-        this.#run(gateway, gateway.batcher.end(nonce, end, this.#timeOf(gateway)));
+        this.#run(gateway, gateway.batcher.recordEnd(nonce, end, this.#timeOf(gateway)));
     }
 
     #refuse(gateway: SimulatedGateway, nonce: string, failure: Failure): void {
@@ -269,7 +273,7 @@
     }
 
     #tell(gateway: SimulatedGateway, requestId: string, kind: string, didRun: DidRun): void {
-        this.told.set(requestId, { kind, didRun, atMs: this.time.nowMs });
+        this.results.set(requestId, { kind, didRun, atMs: this.clock.nowMs });
         const own = kind !== "answered";
         this.#record(gateway.name, {
             type: "callerAnswered",
@@ -287,11 +291,11 @@
                 this.#run(gateway, gateway.batcher.tick(this.#timeOf(gateway)));
             }
         }
-        this.time.schedule(20, () => this.#tick());
+        this.clock.schedule(20, () => this.#tick());
     }
 
     #timeOf(gateway: SimulatedGateway): ClaimTime {
-        return { nowMs: this.time.nowMs, epochMs: 100_000 + this.time.nowMs + gateway.skewMs };
+        return { nowMs: this.clock.nowMs, epochMs: 100_000 + this.clock.nowMs + gateway.skewMs };
     }
 
     #gateway(index: number): SimulatedGateway {
@@ -302,7 +306,7 @@
         return gateway;
     }
 
-    #try(gateway: SimulatedGateway, nonce: string): Try {
+    #try(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
         const attempt = gateway.tries.get(nonce);
         if (attempt === undefined) {
             throw new Error(`no try ${nonce}`);
@@ -311,7 +315,7 @@
     }
 
     #record(process: string, event: HistoryEvent): void {
-        this.history.push({ sequence: this.history.length, atMs: this.time.nowMs, process, ...event });
+        this.history.push({ sequence: this.history.length, atMs: this.clock.nowMs, process, ...event });
     }
 }
 
@@ -319,7 +323,7 @@
     engine: KeyValueEngine,
     nowMs: number,
     command: Extract<ClaimCommand, { readonly callId: number; }>,
-): ClaimCallAnswer {
+): ClaimStoreReply {
     const toStored = (found: ReturnType<KeyValueEngine["get"]>) =>
         found === undefined ? undefined : { value: found.value, revision: found.modifiedRevision };
     if (command.type === "read") {
@@ -341,6 +345,6 @@
 }
 
 /** @returns the store's answer as the batcher takes it in, for tests that drive it by hand */
-export function succeed(answer: ClaimCallAnswer): Either<Failure, ClaimCallAnswer> {
+export function succeed(answer: ClaimStoreReply): Either<Failure, ClaimStoreReply> {
     return Right(answer);
 }
--- a/packages/atMostOnce/src/attempt.ts
+++ b/packages/atMostOnce/src/attempt.ts
@@ -1,8 +1,8 @@
 import { type DidRun, type ErrorKind } from "@galenaglade/errors";
-import { gatewayStatuses, shedStatus } from "./constants.js";
+import { ambiguousStatuses, shedStatus } from "./constants.js";
 
 /** How a backend server marks the end of its answer. */
-export type Framing =
+export type ResponseFraming =
     | { readonly type: "length"; readonly bytes: number; }
     | { readonly type: "chunked"; }
     /** No body can follow: the answer to HEAD, 204, 304. */
@@ -11,11 +11,11 @@
     | { readonly type: "untilClose"; };
 
 /** What an answer's head says. */
-export interface AnswerHead {
+export interface ResponseHead {
     readonly status: number;
     /** Value of the did-run header, where the server sent one. */
     readonly didRunHeader: string | undefined;
-    readonly framing: Framing;
+    readonly framing: ResponseFraming;
 }
 
 /** How an attempt ended. */
@@ -25,7 +25,7 @@
 export type AttemptEvent =
     /** The next thing the process does is to give the connection the first byte; said before, never after. */
     | { readonly type: "handOver"; }
-    | { readonly type: "headReceived"; readonly head: AnswerHead; }
+    | { readonly type: "headReceived"; readonly head: ResponseHead; }
     | { readonly type: "bodyReceived"; readonly bytes: number; }
     | { readonly type: "ended"; readonly end: AttemptEnd; };
 
@@ -33,7 +33,7 @@
 export interface Attempt {
     readonly idempotent: boolean;
     readonly handedOver: boolean;
-    readonly head: AnswerHead | undefined;
+    readonly head: ResponseHead | undefined;
     readonly bodyBytes: number;
     readonly end: AttemptEnd | undefined;
 }
@@ -90,7 +90,7 @@
     return Object.freeze({ didRun, whole, mayRetry: mayRetry(attempt, didRun), failure: findFailure(attempt, whole) });
 }
 
-function isShed(head: AnswerHead): boolean {
+function isShed(head: ResponseHead): boolean {
     return head.status === shedStatus && head.didRunHeader?.trim().toLowerCase() === "no";
 }
 
@@ -108,7 +108,7 @@
     if (isShed(attempt.head)) {
         return "no";
     }
-    return gatewayStatuses.includes(attempt.head.status) ? "unknown" : "yes";
+    return ambiguousStatuses.includes(attempt.head.status) ? "unknown" : "yes";
 }
 
 function mayRetry(attempt: Attempt, didRun: DidRun): boolean {
--- a/packages/atMostOnce/src/claimBatcher.ts
+++ b/packages/atMostOnce/src/claimBatcher.ts
@@ -2,7 +2,7 @@
 import { type Either } from "purify-ts";
 import { type ClaimEnd, createClaimDocumentKey, resolveClaimShard } from "./claimDocument.js";
 import {
-    type ClaimCallAnswer,
+    type ClaimStoreReply,
     type ClaimCommand,
     type ClaimLimits,
     type ClaimRequest,
@@ -11,26 +11,26 @@
 import { ClaimShard } from "./claimShard.js";
 import { type ShardCall } from "./shardCall.js";
 import {
-    claimBackoffMs,
+    claimStoreProbeDelayMs,
     claimBucketMs,
-    claimBucketsKept,
-    claimDocumentCharacters,
-    claimFailuresBorne,
-    claimFreshMs,
-    claimShards,
+    claimRetainedBuckets,
+    maxClaimDocumentLength,
+    claimFailureThreshold,
+    maxClaimCacheAgeMs,
+    claimShardCount,
     claimValidityMs,
 } from "./constants.js";
 
 /** The limits that every gateway of a fleet uses. */
 export const defaultClaimLimits: ClaimLimits = Object.freeze({
-    shards: claimShards,
+    shardCount: claimShardCount,
     bucketMs: claimBucketMs,
-    bucketsKept: claimBucketsKept,
-    freshMs: claimFreshMs,
+    retainedBuckets: claimRetainedBuckets,
+    maxCacheAgeMs: maxClaimCacheAgeMs,
     validityMs: claimValidityMs,
-    backoffMs: claimBackoffMs,
-    failuresBorne: claimFailuresBorne,
-    documentCharacters: claimDocumentCharacters,
+    storeProbeDelayMs: claimStoreProbeDelayMs,
+    failureThreshold: claimFailureThreshold,
+    maxDocumentLength: maxClaimDocumentLength,
 });
 
 interface CallUnderWay {
@@ -73,7 +73,7 @@
      * @returns what to do
      */
     claim(req: ClaimRequest, time: ClaimTime): readonly ClaimCommand[] {
-        const shard = resolveClaimShard(req.keyDigest, this.#limits.shards);
+        const shard = resolveClaimShard(req.keyDigest, this.#limits.shardCount);
         this.#shardOf.set(req.nonce, shard);
         this.#shard(shard).add(req);
         return this.#pump(shard, time);
@@ -87,13 +87,13 @@
      * @param time - the present time
      * @returns what to do
      */
-    end(nonce: string, end: ClaimEnd, time: ClaimTime): readonly ClaimCommand[] {
+    recordEnd(nonce: string, end: ClaimEnd, time: ClaimTime): readonly ClaimCommand[] {
         const shard = this.#shardOf.get(nonce);
         if (shard === undefined) {
             return [];
         }
         this.#shardOf.delete(nonce);
-        this.#shard(shard).end(nonce, end);
+        this.#shard(shard).recordEnd(nonce, end);
         return this.#pump(shard, time);
     }
 
@@ -105,7 +105,7 @@
      * @param time - the present time
      * @returns what to do
      */
-    answered(callId: number, answer: Either<Failure, ClaimCallAnswer>, time: ClaimTime): readonly ClaimCommand[] {
+    onStoreReply(callId: number, answer: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
         if (callId === this.#question) {
             return this.#storeAsked(answer.isRight(), time);
         }
@@ -118,7 +118,7 @@
         const shard = this.#shard(underWay.shard);
         const failure = answer.caseOf<Failure | undefined>({
             Left: left => left,
-            Right: right => shard.answered(underWay.call, right, time),
+            Right: right => shard.onReply(underWay.call, right, time),
         });
         if (failure === undefined) {
             this.#failures.delete(underWay.shard);
@@ -151,7 +151,7 @@
      */
     #storeAsked(answered: boolean, time: ClaimTime): readonly ClaimCommand[] {
         this.#question = undefined;
-        this.#askStoreAtMs = answered ? undefined : time.nowMs + this.#limits.backoffMs;
+        this.#askStoreAtMs = answered ? undefined : time.nowMs + this.#limits.storeProbeDelayMs;
         return this.tick(time);
     }
 
@@ -161,7 +161,7 @@
     }
 
     /** Whether {@link tick} has to be called. */
-    get needsTicks(): boolean {
+    get needsTick(): boolean {
         return !this.isIdle || this.#askStoreAtMs !== undefined;
     }
 
@@ -169,15 +169,15 @@
     #failed(shard: number, failure: Failure, time: ClaimTime): void {
         const failures = (this.#failures.get(shard) ?? 0) + 1;
         this.#failures.set(shard, failures);
-        if (failure.kind === "storeOutcomeUnknown" && failures < this.#limits.failuresBorne) {
+        if (failure.kind === "storeOutcomeUnknown" && failures < this.#limits.failureThreshold) {
             return;
         }
-        this.#askStoreAtMs = time.nowMs + this.#limits.backoffMs;
+        this.#askStoreAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
     }
 
     #pump(number: number, time: ClaimTime): readonly ClaimCommand[] {
         const shard = this.#shard(number);
-        shard.refuseLate(time.nowMs);
+        shard.refuseExpired(time.nowMs);
         const storeIsDown = this.#askStoreAtMs !== undefined;
         if (storeIsDown) {
             // Nothing was handed over, so the refusal is truthful; waiting for the store would spend the caller's
@@ -186,7 +186,7 @@
         }
         const commands: ClaimCommand[] = [];
         if (!storeIsDown && !this.#busyShards.has(number)) {
-            const call = shard.next(time);
+            const call = shard.nextCall(time);
             if (call !== undefined) {
                 commands.push(this.#start(number, call));
             }
@@ -231,6 +231,6 @@
  * @param nowMs - the present monotonic time
  * @returns whether the claim still counts
  */
-export function mayHandOver(validUntilMs: number, nowMs: number): boolean {
+export function isClaimValid(validUntilMs: number, nowMs: number): boolean {
     return nowMs < validUntilMs;
 }
--- a/packages/atMostOnce/src/claimDocuments.ts
+++ b/packages/atMostOnce/src/claimDocumentCache.ts
@@ -2,11 +2,11 @@
 import { type ClaimLimits, type ClaimTime } from "./claimMessages.js";
 
 /** A document as the store last showed it. */
-export interface SeenDocument {
+export interface CachedDocument {
     readonly revision: number;
     readonly document: ClaimDocument;
     /** Monotonic time at which the store's answer came. */
-    readonly seenMs: number;
+    readonly readAtMs: number;
 }
 
 /** A claim that keeps its key from being claimed again. */
@@ -15,31 +15,31 @@
     readonly claim: Claim;
 }
 
-const unseen: SeenDocument = Object.freeze({ revision: 0, document: emptyClaimDocument, seenMs: 0 });
+const unseen: CachedDocument = Object.freeze({ revision: 0, document: emptyClaimDocument, readAtMs: 0 });
 
 /** One shard's documents as one gateway has seen them, by time bucket. */
-export class ClaimDocuments {
+export class ClaimDocumentCache {
     readonly #limits: ClaimLimits;
-    readonly #seen = new Map<number, SeenDocument>();
+    readonly #seen = new Map<number, CachedDocument>();
 
     constructor(limits: ClaimLimits) {
         this.#limits = limits;
     }
 
-    find(bucket: number): SeenDocument | undefined {
+    get(bucket: number): CachedDocument | undefined {
         return this.#seen.get(bucket);
     }
 
     /** @returns what was seen of a bucket, or an empty document that does not exist yet */
-    at(bucket: number): SeenDocument {
+    getOrEmpty(bucket: number): CachedDocument {
         return this.#seen.get(bucket) ?? unseen;
     }
 
-    see(bucket: number, seen: SeenDocument): void {
+    set(bucket: number, seen: CachedDocument): void {
         this.#seen.set(bucket, seen);
     }
 
-    forget(bucket: number): void {
+    delete(bucket: number): void {
         this.#seen.delete(bucket);
     }
 
@@ -47,8 +47,8 @@
      * Another gateway has probably written a document that was seen some time ago: a write on this revision would be
      * spent in vain, and the store takes ten times as many reads as writes.
      */
-    isStale(seen: SeenDocument, time: ClaimTime): boolean {
-        return time.nowMs - seen.seenMs > this.#limits.freshMs;
+    isStale(seen: CachedDocument, time: ClaimTime): boolean {
+        return time.nowMs - seen.readAtMs > this.#limits.maxCacheAgeMs;
     }
 
     /** @returns the bucket that takes new claims */
@@ -63,7 +63,7 @@
 
     /** @returns the oldest bucket whose claims still count */
     oldestBucket(time: ClaimTime): number {
-        return this.openBucket(time) - this.#limits.bucketsKept;
+        return this.openBucket(time) - this.#limits.retainedBuckets;
     }
 
     /** @returns a bucket whose claims count no longer */
--- a/packages/atMostOnce/src/claimMessages.ts
+++ b/packages/atMostOnce/src/claimMessages.ts
@@ -9,7 +9,7 @@
     /** Digest of method, path and body, so that a different request under the same key is found out. */
     readonly fingerprint: string;
     /** Monotonic time in milliseconds at which the claim is refused if it isn't held by then. */
-    readonly giveUpAtMs: number;
+    readonly deadlineMs: number;
 }
 
 /** A stored document as the store returned it. */
@@ -19,7 +19,7 @@
 }
 
 /** Answer of the store to one call of the batcher's. */
-export type ClaimCallAnswer =
+export type ClaimStoreReply =
     | { readonly type: "read"; readonly stored: readonly (StoredClaims | undefined)[]; }
     | { readonly type: "swapped"; readonly revision: number; }
     | { readonly type: "notSwapped"; readonly stored: StoredClaims | undefined; };
@@ -50,13 +50,13 @@
 
 /** Numbers of the claims; the same on every gateway. */
 export interface ClaimLimits {
-    readonly shards: number;
+    readonly shardCount: number;
     readonly bucketMs: number;
-    readonly bucketsKept: number;
+    readonly retainedBuckets: number;
     /** Age up to which a document as last seen is worth a write without another read. */
-    readonly freshMs: number;
+    readonly maxCacheAgeMs: number;
     readonly validityMs: number;
-    readonly backoffMs: number;
-    readonly failuresBorne: number;
-    readonly documentCharacters: number;
+    readonly storeProbeDelayMs: number;
+    readonly failureThreshold: number;
+    readonly maxDocumentLength: number;
 }
--- a/packages/atMostOnce/src/claimShard.ts
+++ b/packages/atMostOnce/src/claimShard.ts
@@ -1,5 +1,5 @@
 import { createFailure, type Failure } from "@galenaglade/errors";
-import { createBlockedFailure } from "./blockedFailure.js";
+import { createBlockedFailure } from "./createBlockedFailure.js";
 import {
     type Claim,
     type ClaimDocument,
@@ -8,16 +8,16 @@
     emptyClaimDocument,
     encodeClaimDocument,
 } from "./claimDocument.js";
-import { ClaimDocuments } from "./claimDocuments.js";
+import { ClaimDocumentCache } from "./claimDocumentCache.js";
 import {
-    type ClaimCallAnswer,
+    type ClaimStoreReply,
     type ClaimLimits,
     type ClaimRequest,
     type ClaimTime,
     type StoredClaims,
 } from "./claimMessages.js";
 import {
-    type ClaimPlace,
+    type ClaimLocation,
     type ClaimVerdict,
     type PendingEnd,
     type SentClaim,
@@ -29,18 +29,18 @@
 export class ClaimShard {
     readonly #holder: string;
     readonly #limits: ClaimLimits;
-    readonly #documents: ClaimDocuments;
+    readonly #documents: ClaimDocumentCache;
     readonly #waiting = new Map<string, WaitingClaim>();
     /** Claims whose write was sent and of which it isn't known yet whether it took effect. */
     readonly #sent = new Map<string, SentClaim>();
-    readonly #held = new Map<string, ClaimPlace>();
+    readonly #held = new Map<string, ClaimLocation>();
     readonly #ends = new Map<string, PendingEnd>();
     #verdicts: ClaimVerdict[] = [];
 
     constructor(holder: string, limits: ClaimLimits) {
         this.#holder = holder;
         this.#limits = limits;
-        this.#documents = new ClaimDocuments(limits);
+        this.#documents = new ClaimDocumentCache(limits);
     }
 
     /** Whether no claim waits and no end is still to be written. */
@@ -50,11 +50,11 @@
 
     /** Adds a claim to those that wait for the next write. */
     add(req: ClaimRequest): void {
-        this.#waiting.set(req.nonce, { req, verified: new Set(), firstSentMs: undefined });
+        this.#waiting.set(req.nonce, { req, readBuckets: new Set(), firstSentAtMs: undefined });
     }
 
     /** Notes how a held claim's request ended. */
-    end(nonce: string, end: ClaimEnd): void {
+    recordEnd(nonce: string, end: ClaimEnd): void {
         const place = this.#held.get(nonce);
         if (place !== undefined) {
             this.#held.delete(nonce);
@@ -77,9 +77,9 @@
     }
 
     /** Refuses claims that waited for as long as their caller allows. */
-    refuseLate(nowMs: number): void {
+    refuseExpired(nowMs: number): void {
         for (const [nonce, waiting] of [...this.#waiting]) {
-            if (waiting.req.giveUpAtMs <= nowMs) {
+            if (waiting.req.deadlineMs <= nowMs) {
                 this.#refuse(nonce, createFailure("patienceSpent", "idempotency key not claimed in time"));
             }
         }
@@ -89,19 +89,19 @@
      * @param time - the present time
      * @returns the next call of the store, or `undefined` where nothing is to be done
      */
-    next(time: ClaimTime): ShardCall | undefined {
+    nextCall(time: ClaimTime): ShardCall | undefined {
         return this.#nextForClaims(time) ?? this.#nextForEnds(time) ?? this.#nextFence() ?? this.#nextDeletion(time);
     }
 
     /** Takes in the store's answer to a call. */
-    answered(call: ShardCall, answer: ClaimCallAnswer, now: ClaimTime): Failure | undefined {
+    onReply(call: ShardCall, answer: ClaimStoreReply, now: ClaimTime): Failure | undefined {
         if (answer.type === "read") {
             return this.#readAnswered(call, answer.stored, now);
         }
         const [bucket = 0] = call.buckets;
         const stored = answer.type === "swapped" ? undefined : answer.stored;
         if (call.type === "delete" && stored === undefined) {
-            this.#documents.forget(bucket);
+            this.#documents.delete(bucket);
             return undefined;
         }
         if (answer.type === "swapped") {
@@ -118,7 +118,7 @@
     ): Failure | undefined {
         let failure: Failure | undefined;
         for (const [i, bucket] of call.buckets.entries()) {
-            const seen = this.#documents.at(bucket);
+            const seen = this.#documents.getOrEmpty(bucket);
             if (seen.revision > (stored[i]?.revision ?? 0)) {
                 // The store's reads may lag, while its writes never do. Taken for the present, an old copy without a
                 // claim that is held would make the gateway forget to record its end, and the key would stay taken.
@@ -161,7 +161,7 @@
         for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
             // Without the seal a gateway whose clock is behind could claim a key in an older bucket after this one
             // has looked there, and the key's request would run twice. A sealed document takes no new claim.
-            const { document } = this.#documents.at(bucket);
+            const { document } = this.#documents.getOrEmpty(bucket);
             if (!document.sealed) {
                 return this.#swap(bucket, { ...document, sealed: true });
             }
@@ -172,11 +172,11 @@
     #findMissing(open: number, time: ClaimTime): readonly number[] {
         const missing: number[] = [];
         for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
-            if (this.#documents.find(bucket) === undefined) {
+            if (this.#documents.get(bucket) === undefined) {
                 missing.push(bucket);
             }
         }
-        const seen = this.#documents.find(open);
+        const seen = this.#documents.get(open);
         if (seen === undefined || this.#documents.isStale(seen, time)) {
             missing.push(open);
         }
@@ -196,7 +196,7 @@
                 continue;
             }
             // What is cached may have ended since; a caller is told so only after a read made since it asked.
-            if (!waiting.verified.has(blocking.bucket)) {
+            if (!waiting.readBuckets.has(blocking.bucket)) {
                 return this.#read([blocking.bucket]);
             }
             this.#refuse(nonce, createBlockedFailure(blocking.claim, waiting.req));
@@ -205,13 +205,13 @@
     }
 
     #swapWithClaims(open: number, batch: ReadonlyMap<string, WaitingClaim>, time: ClaimTime): ShardCall | undefined {
-        const cached = this.#documents.at(open);
+        const cached = this.#documents.getOrEmpty(open);
         const claims: Record<string, Claim> = { ...cached.document.claims };
         for (const { req } of batch.values()) {
             claims[req.keyDigest] = { fingerprint: req.fingerprint, nonce: req.nonce, holder: this.#holder };
         }
         const call = this.#swap(open, { ...cached.document, claims });
-        if ((call.value ?? "").length > this.#limits.documentCharacters) {
+        if ((call.value ?? "").length > this.#limits.maxDocumentLength) {
             for (const { req } of batch.values()) {
                 this.#refuse(req.nonce, createFailure("overloaded", "too many idempotency keys are remembered"));
             }
@@ -219,7 +219,7 @@
         }
         for (const waiting of batch.values()) {
             const { keyDigest, nonce } = waiting.req;
-            waiting.firstSentMs ??= time.nowMs;
+            waiting.firstSentAtMs ??= time.nowMs;
             this.#sent.set(nonce, { bucket: open, keyDigest, expectedRevision: cached.revision });
         }
         return call;
@@ -227,7 +227,7 @@
 
     #nextForEnds(time: ClaimTime): ShardCall | undefined {
         for (const [nonce, pending] of [...this.#ends]) {
-            const cached = this.#documents.find(pending.bucket);
+            const cached = this.#documents.get(pending.bucket);
             if (cached !== undefined) {
                 return this.#documents.isStale(cached, time)
                     ? this.#read([pending.bucket])
@@ -245,7 +245,7 @@
      */
     #nextFence(): ShardCall | undefined {
         for (const [nonce, sent] of [...this.#sent]) {
-            const cached = this.#documents.find(sent.bucket);
+            const cached = this.#documents.get(sent.bucket);
             if (cached !== undefined) {
                 return this.#swap(sent.bucket, cached.document);
             }
@@ -259,21 +259,21 @@
         if (bucket === undefined) {
             return undefined;
         }
-        const { revision, document } = this.#documents.at(bucket);
+        const { revision, document } = this.#documents.getOrEmpty(bucket);
         return {
             type: "delete",
             buckets: [bucket],
             expectedRevision: revision,
             document,
             value: undefined,
-            witnesses: [],
+            waitingNonces: [],
         };
     }
 
     #observe(call: ShardCall, bucket: number, revision: number, document: ClaimDocument, now: ClaimTime): void {
-        this.#documents.see(bucket, { revision, document, seenMs: now.nowMs });
-        for (const nonce of call.witnesses) {
-            this.#waiting.get(nonce)?.verified.add(bucket);
+        this.#documents.set(bucket, { revision, document, readAtMs: now.nowMs });
+        for (const nonce of call.waitingNonces) {
+            this.#waiting.get(nonce)?.readBuckets.add(bucket);
         }
         for (const [nonce, sent] of [...this.#sent]) {
             if (sent.bucket === bucket && revision > sent.expectedRevision) {
@@ -299,11 +299,11 @@
         }
         this.#held.set(nonce, sent);
         if (waiting === undefined) {
-            this.end(nonce, { didRun: "no" });
+            this.recordEnd(nonce, { didRun: "no" });
             return;
         }
         this.#waiting.delete(nonce);
-        const validUntilMs = (waiting.firstSentMs ?? now.nowMs) + this.#limits.validityMs;
+        const validUntilMs = (waiting.firstSentAtMs ?? now.nowMs) + this.#limits.validityMs;
         this.#verdicts.push({ type: "claimed", nonce, validUntilMs });
     }
 
@@ -319,7 +319,7 @@
             expectedRevision: 0,
             document: emptyClaimDocument,
             value: undefined,
-            witnesses: [...this.#waiting.keys()],
+            waitingNonces: [...this.#waiting.keys()],
         };
     }
 
@@ -336,10 +336,10 @@
         return {
             type: "swap",
             buckets: [bucket],
-            expectedRevision: this.#documents.at(bucket).revision,
+            expectedRevision: this.#documents.getOrEmpty(bucket).revision,
             document: written,
             value: encodeClaimDocument(written),
-            witnesses: [...this.#waiting.keys()],
+            waitingNonces: [...this.#waiting.keys()],
         };
     }
 }
--- a/packages/atMostOnce/src/index.ts
+++ b/packages/atMostOnce/src/index.ts
@@ -1,20 +1,20 @@
 /** What may be said of a request having run, and claims of idempotency keys that keep it from running twice. */
 export {
     advanceAttempt,
-    type AnswerHead,
+    type ResponseHead,
     type Attempt,
     type AttemptEnd,
     type AttemptEvent,
     type AttemptOutcome,
     combineDidRun,
     createAttempt,
-    type Framing,
+    type ResponseFraming,
     resolveAttempt,
 } from "./attempt.js";
-export { ClaimBatcher, defaultClaimLimits, mayHandOver } from "./claimBatcher.js";
+export { ClaimBatcher, defaultClaimLimits, isClaimValid } from "./claimBatcher.js";
 export { type ClaimEnd } from "./claimDocument.js";
 export {
-    type ClaimCallAnswer,
+    type ClaimStoreReply,
     type ClaimCommand,
     type ClaimLimits,
     type ClaimRequest,
@@ -22,4 +22,4 @@
     type StoredClaims,
 } from "./claimMessages.js";
 export * from "./constants.js";
-export { type AwaitedHead, StallJudge } from "./stallJudge.js";
+export { type PendingAttempt, StallDetector } from "./stallDetector.js";
--- a/packages/atMostOnce/src/shardCall.ts
+++ b/packages/atMostOnce/src/shardCall.ts
@@ -12,7 +12,7 @@
     readonly document: ClaimDocument;
     readonly value: string | undefined;
     /** Claims that waited when the call was made; the answer is fresh for them. */
-    readonly witnesses: readonly string[];
+    readonly waitingNonces: readonly string[];
 }
 
 /** What became of a claim. */
@@ -24,22 +24,22 @@
 export interface WaitingClaim {
     readonly req: ClaimRequest;
     /** Buckets read since the claim arrived. */
-    readonly verified: Set<number>;
-    firstSentMs: number | undefined;
+    readonly readBuckets: Set<number>;
+    firstSentAtMs: number | undefined;
 }
 
 /** Where a claim lies. */
-export interface ClaimPlace {
+export interface ClaimLocation {
     readonly bucket: number;
     readonly keyDigest: string;
 }
 
 /** A claim that a write under way would make. */
-export interface SentClaim extends ClaimPlace {
+export interface SentClaim extends ClaimLocation {
     readonly expectedRevision: number;
 }
 
 /** An end that is still to be written. */
-export interface PendingEnd extends ClaimPlace {
+export interface PendingEnd extends ClaimLocation {
     readonly end: ClaimEnd;
 }
--- a/packages/atMostOnce/src/stallJudge.ts
+++ b/packages/atMostOnce/src/stallDetector.ts
@@ -1,7 +1,7 @@
-import { stallDeviations, stallFactor, stallLatencyWeight, stallMinimumMs } from "./constants.js";
+import { stallDeviationFactor, stallLatencyFactor, stallLatencyEwmaWeight, minStallTimeoutMs } from "./constants.js";
 
 /** One attempt that waits for its answer's head. */
-export interface AwaitedHead {
+export interface PendingAttempt {
     readonly service: string;
     readonly serverId: string;
     readonly sentAtMs: number;
@@ -20,8 +20,8 @@
     }
     const distanceMs = Math.abs(tookMs - times.meanMs);
     return {
-        meanMs: times.meanMs + stallLatencyWeight * (tookMs - times.meanMs),
-        deviationMs: times.deviationMs + stallLatencyWeight * (distanceMs - times.deviationMs),
+        meanMs: times.meanMs + stallLatencyEwmaWeight * (tookMs - times.meanMs),
+        deviationMs: times.deviationMs + stallLatencyEwmaWeight * (distanceMs - times.deviationMs),
     };
 }
 
@@ -35,13 +35,13 @@
  * well. So the time allowed grows with the spread of the service's times, the try after a stalled one is left alone, and
  * whoever asks gives an attempt up only when another try is sure to follow.
  */
-export class StallJudge {
+export class StallDetector {
     readonly #times = new Map<string, ServiceTimes>();
     /** For each backend server, when the latest-sent attempt that it answered was sent. */
     readonly #answeredSentMs = new Map<string, number>();
 
     /** Notes that an answer's head came. */
-    onHead(awaited: AwaitedHead, nowMs: number): void {
+    onHead(awaited: PendingAttempt, nowMs: number): void {
         const tookMs = nowMs - awaited.sentAtMs;
         this.#times.set(awaited.service, learn(this.#times.get(awaited.service), tookMs));
         const latest = this.#answeredSentMs.get(awaited.serverId) ?? awaited.sentAtMs;
@@ -52,9 +52,9 @@
      * @param service - name of the service
      * @returns time in milliseconds after which it makes sense to ask whether an attempt stalls
      */
-    limitMs(service: string): number {
+    getTimeoutMs(service: string): number {
         const { meanMs, deviationMs } = this.#times.get(service) ?? { meanMs: 0, deviationMs: 0 };
-        return Math.max(stallMinimumMs, stallFactor * meanMs, meanMs + stallDeviations * deviationMs);
+        return Math.max(minStallTimeoutMs, stallLatencyFactor * meanMs, meanMs + stallDeviationFactor * deviationMs);
     }
 
     /**
@@ -62,9 +62,9 @@
      * @param nowMs - the present time
      * @returns whether its connection is to be given up
      */
-    isStalled(awaited: AwaitedHead, nowMs: number): boolean {
+    isStalled(awaited: PendingAttempt, nowMs: number): boolean {
         const answeredSentMs = this.#answeredSentMs.get(awaited.serverId);
         const overtaken = answeredSentMs !== undefined && answeredSentMs > awaited.sentAtMs;
-        return overtaken && nowMs - awaited.sentAtMs >= this.limitMs(awaited.service);
+        return overtaken && nowMs - awaited.sentAtMs >= this.getTimeoutMs(awaited.service);
     }
 }
--- a/packages/coldStart/src/__tests__/coldStart.test.ts
+++ b/packages/coldStart/src/__tests__/coldStart.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { checkColdStart, checkServerLeaving } from "@galenaglade/history";
 import fc from "fast-check";
-import { contactLimitMs } from "../index.js";
+import { contactTimeoutMs } from "../index.js";
 import { type FleetPlan, SimulatedFleet } from "./simulatedFleet.js";
 
 const slots = 3;
@@ -41,7 +41,7 @@
 function check(plan: FleetPlan): void {
     const fleet = run(plan);
     const violations = checkColdStart(fleet.history, {
-        contactLimitMs: contactLimitMs + longestDeliveryMs,
+        contactLimitMs: contactTimeoutMs + longestDeliveryMs,
         inFlightInWindow: fleet.gatewayCount * slots,
     });
     assert.deepEqual(violations.slice(0, 3), [], JSON.stringify(plan));
@@ -144,7 +144,7 @@
         fc.property(leavePlans, faults => {
             const plan = planOf(faults.seed, { ...faults, leaveEveryMs: 8_000, coldEveryMs: 0, longShare: 0 });
             const fleet = run(plan);
-            const violations = checkServerLeaving(fleet.history, contactLimitMs + longestDeliveryMs);
+            const violations = checkServerLeaving(fleet.history, contactTimeoutMs + longestDeliveryMs);
             assert.deepEqual(violations.slice(0, 3), [], JSON.stringify(plan));
         }),
         { numRuns: 60, examples: [[cutOffWithTheWord]] },
--- a/packages/coldStart/src/__tests__/gateDriver.ts
+++ b/packages/coldStart/src/__tests__/gateDriver.ts
@@ -1,20 +1,20 @@
 import { type ServerId } from "@galenaglade/routing";
 import { type KeyValueEngine } from "@galenaglade/stand-ins";
 import {
-    type AnswerSigns,
-    type ColdStartWord,
-    createServerGate,
+    type ServerMetadata,
+    type ColdStartHeartbeat,
+    createServerPermitGate,
     type GatedServer,
     type GatewayRoster,
-    noSigns,
-    type ServerGate,
+    emptyServerMetadata,
+    type ServerPermitGate,
     type StoreCommand,
     type StoreOutcome,
 } from "../index.js";
 
 /** What a server says of itself in an answer. */
-export function createSigns(state: AnswerSigns["state"], more: Partial<AnswerSigns> = {}): AnswerSigns {
-    return { ...noSigns, state, ...more };
+export function createMetadata(state: ServerMetadata["state"], more: Partial<ServerMetadata> = {}): ServerMetadata {
+    return { ...emptyServerMetadata, state, ...more };
 }
 
 /** A declared server with the limits that the tests count on. */
@@ -24,39 +24,39 @@
         slots: 3,
         answersToWarm: 3,
         idleMs: 60_000,
-        longestPatienceMs: 20_000,
+        maxPatienceMs: 20_000,
         ...more,
     };
-    return { serverId, limits, isIn: true };
+    return { serverId, limits, isZoneInService: true };
 }
 
 /** One gate with a store that answers at once, and peers that say what the test wants. */
 export class GateDriver {
     readonly self: string;
-    readonly gate: ServerGate;
+    readonly gate: ServerPermitGate;
     isStoreUp = true;
     /** Whether ticks are called as time passes; without them only rounds are. */
     isTicking = true;
     /** Makes the answers of a round's peers, from the word that they got. */
-    answers: (word: ColdStartWord) => readonly ColdStartWord[];
+    createResponses: (word: ColdStartHeartbeat) => readonly ColdStartHeartbeat[];
     nowMs = 0;
     #requests = 0;
     readonly #engine: KeyValueEngine;
 
     constructor(self: string, engine: KeyValueEngine, servers: readonly GatedServer[], roster: GatewayRoster) {
         this.self = self;
-        this.gate = createServerGate(self);
+        this.gate = createServerPermitGate(self);
         this.#engine = engine;
         this.gate.onServers(servers, 0);
         this.gate.onRoster(roster, 0);
-        this.answers = word =>
+        this.createResponses = word =>
             roster.members
                 .filter(member => member !== self)
-                .map(member => createAnswer(member, roster.version, word));
+                .map(member => createHeartbeatResponse(member, roster.version, word));
     }
 
     /** Lets time pass in steps of 100 ms. */
-    passUntil(untilMs: number): void {
+    advanceUntil(untilMs: number): void {
         while (this.nowMs < untilMs) {
             this.nowMs += 100;
             this.step();
@@ -65,11 +65,11 @@
 
     step(): void {
         const word = this.gate.beginRound(this.nowMs);
-        this.gate.onRound({ startedAtMs: this.nowMs, answers: this.answers(word) }, this.nowMs);
+        this.gate.onRound({ startedAtMs: this.nowMs, responses: this.createResponses(word) }, this.nowMs);
         if (this.isTicking) {
             for (const command of this.gate.tick(this.nowMs)) {
                 const outcome = this.isStoreUp ? this.#run(command) : { type: "failed" } as const;
-                this.gate.onStoreReply({ command, askedAtMs: this.nowMs, outcome }, this.nowMs);
+                this.gate.onStoreReply({ command, sentAtMs: this.nowMs, outcome }, this.nowMs);
             }
         }
     }
@@ -81,7 +81,7 @@
     /** Asks for the server until it may be sent to, and sends. @returns the request */
     send(serverId: ServerId, patienceMs = 500): string {
         for (let i = 0; i < 200 && !this.maySend(serverId, patienceMs); i++) {
-            this.passUntil(this.nowMs + 100);
+            this.advanceUntil(this.nowMs + 100);
         }
         if (!this.maySend(serverId, patienceMs)) {
             throw new Error(`${this.self} may not send to ${serverId} at ${this.nowMs} ms`);
@@ -92,9 +92,9 @@
     }
 
     /** A whole answer comes, 10 ms after the request. */
-    answer(serverId: ServerId, requestId: string, signs: AnswerSigns): void {
+    respond(serverId: ServerId, requestId: string, signs: ServerMetadata): void {
         this.nowMs += 10;
-        this.gate.onEnd(serverId, requestId, { outcome: "good", signs, mayStillRun: false }, this.nowMs);
+        this.gate.onEnd(serverId, requestId, { outcome: "good", metadata: signs, mayStillRun: false }, this.nowMs);
     }
 
     #run(command: StoreCommand): StoreOutcome {
@@ -118,12 +118,12 @@
 }
 
 /** The answer of a peer that has nothing in flight and knows of as many turns to cold as whoever asked. */
-export function createAnswer(
+export function createHeartbeatResponse(
     from: string,
     rosterVersion: number,
-    asked: ColdStartWord,
-    more: Partial<ColdStartWord> = {},
-): ColdStartWord {
+    asked: ColdStartHeartbeat,
+    more: Partial<ColdStartHeartbeat> = {},
+): ColdStartHeartbeat {
     const words = asked.words.map(word => ({ ...word, inFlight: 0 }));
     return {
         from,
--- a/packages/coldStart/src/__tests__/serverGate.test.ts
+++ b/packages/coldStart/src/__tests__/serverPermitGate.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { KeyValueEngine } from "@galenaglade/stand-ins";
-import { changeoverMs, type ColdStartWord } from "../index.js";
-import { createAnswer, createServer, createSigns, GateDriver } from "./gateDriver.js";
+import { authorityChangeDelayMs, type ColdStartHeartbeat } from "../index.js";
+import { createHeartbeatResponse, createServer, createMetadata, GateDriver } from "./gateDriver.js";
 
 const server = "service/a";
 const roster = { version: 1, members: ["g1/1", "g2/1", "g3/1"] };
@@ -12,7 +12,7 @@
 }
 
 function warmUp(driver: GateDriver): void {
-    driver.answer(server, driver.send(server), createSigns("warm"));
+    driver.respond(server, driver.send(server), createMetadata("warm"));
 }
 
 test("a fresh gateway takes every server for cold, and sends one request at a time until an answer says warm", () => {
@@ -20,7 +20,7 @@
     assert.equal(driver.maySend(server), false);
     const first = driver.send(server);
     assert.equal(driver.maySend(server), false);
-    driver.answer(server, first, createSigns("cold"));
+    driver.respond(server, first, createMetadata("cold"));
     warmUp(driver);
     driver.send(server);
     assert.equal(driver.maySend(server), true);
@@ -29,16 +29,16 @@
 test("without the server's word it counts as warm after the configured number of good answers in a row", () => {
     const driver = createDriver();
     for (const state of [undefined, undefined]) {
-        driver.answer(server, driver.send(server), createSigns(state));
+        driver.respond(server, driver.send(server), createMetadata(state));
     }
     driver.gate.onEnd(
         server,
         driver.send(server),
-        { outcome: "shed", signs: createSigns(undefined), mayStillRun: false },
+        { outcome: "shed", metadata: createMetadata(undefined), mayStillRun: false },
         driver.nowMs,
     );
     for (const state of [undefined, undefined]) {
-        driver.answer(server, driver.send(server), createSigns(state));
+        driver.respond(server, driver.send(server), createMetadata(state));
     }
     driver.send(server);
     assert.equal(driver.maySend(server), false, "the refusal began the count anew");
@@ -46,12 +46,12 @@
 
 test("the limit grows with good answers up to what the server says that it bears, and falls with it at once", () => {
     const driver = createDriver();
-    const bears2 = createSigns("cold", { bears: 2 });
-    driver.answer(server, driver.send(server), bears2);
-    driver.answer(server, driver.send(server), bears2);
+    const bears2 = createMetadata("cold", { bears: 2 });
+    driver.respond(server, driver.send(server), bears2);
+    driver.respond(server, driver.send(server), bears2);
     const first = driver.send(server);
     assert.equal(driver.maySend(server), true);
-    driver.answer(server, first, createSigns("cold", { bears: 1 }));
+    driver.respond(server, first, createMetadata("cold", { bears: 1 }));
     driver.send(server);
     assert.equal(driver.maySend(server), false);
 });
@@ -61,10 +61,10 @@
 test("a server idle for long gets one trial request first", () => {
     const driver = createDriver({ idleMs: 10_000 });
     warmUp(driver);
-    driver.passUntil(driver.nowMs + 12_000);
+    driver.advanceUntil(driver.nowMs + 12_000);
     const trial = driver.send(server);
     assert.equal(driver.maySend(server), false);
-    driver.answer(server, trial, createSigns("warm"));
+    driver.respond(server, trial, createMetadata("warm"));
     driver.send(server);
     assert.equal(driver.maySend(server), true);
 });
@@ -73,10 +73,10 @@
 // hears from its peers all the time and does nothing but ask whether it may send, so only the time shows.
 test("the lease's time ends the permit in the very turn in which a request would be sent", () => {
     const driver = createDriver();
-    driver.answer(server, driver.send(server), createSigns("cold"));
+    driver.respond(server, driver.send(server), createMetadata("cold"));
     assert.equal(driver.maySend(server), true);
     driver.isTicking = false;
-    driver.passUntil(driver.nowMs + 7_000);
+    driver.advanceUntil(driver.nowMs + 7_000);
     assert.equal(driver.maySend(server), false);
 });
 
@@ -85,7 +85,7 @@
 test("the record is widened in the store before a request with a later deadline is sent", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
-    driver.answer(server, driver.send(server, 500), createSigns("cold"));
+    driver.respond(server, driver.send(server, 500), createMetadata("cold"));
     assert.equal(driver.maySend(server, 8_000), false);
     driver.send(server, 8_000);
     const record = engine.get(`coldStart/record/${server}`, driver.nowMs)?.value ?? "";
@@ -101,11 +101,11 @@
 // A gateway dies with requests on a server that then turns cold, and leaves the roster. A gateway that came later never
 // saw it as a member; its peers have to tell, or it sends while those requests still run.
 test("a fresh gateway counts what gateways that left before it came may have in flight", () => {
-    const driver = createDriver({ longestPatienceMs: 9_000 });
+    const driver = createDriver({ maxPatienceMs: 9_000 });
     const departures = [{ gateway: "g0/1", stoppedAgoMs: 0 }];
     let isTold = false;
-    const plain = driver.answers;
-    driver.answers = word => {
+    const plain = driver.createResponses;
+    driver.createResponses = word => {
         const answers = plain(word).map(answer => isTold ? answer : { ...answer, departures });
         isTold = true;
         return answers;
@@ -119,15 +119,15 @@
 test("the word of a peer that knows of fewer turns to cold doesn't count", () => {
     const driver = createDriver();
     warmUp(driver);
-    driver.answer(server, driver.send(server), createSigns("cold"));
-    const plain = driver.answers;
-    const lag = (answer: ColdStartWord): ColdStartWord => ({
+    driver.respond(server, driver.send(server), createMetadata("cold"));
+    const plain = driver.createResponses;
+    const lag = (answer: ColdStartHeartbeat): ColdStartHeartbeat => ({
         ...answer,
         words: answer.words.map(word => ({ ...word, epoch: word.epoch - 1 })),
     });
-    driver.answers = word => plain(word).map(lag);
+    driver.createResponses = word => plain(word).map(lag);
     assert.throws(() => driver.send(server), /may not send/);
-    driver.answers = plain;
+    driver.createResponses = plain;
     driver.send(server);
 });
 
@@ -148,18 +148,18 @@
     driver.isStoreUp = false;
     const owned = ["a", "b", "c", "d", "e", "f"].map(name => createServer(`service/${name}`));
     driver.gate.onServers(owned, 0);
-    const plain = driver.answers;
-    let told: ColdStartWord["leases"] = [{ holder: "g2/1", sequence: 1, ageMs: 0 }];
-    driver.answers = word => {
+    const plain = driver.createResponses;
+    let told: ColdStartHeartbeat["leases"] = [{ holder: "g2/1", sequence: 1, ageMs: 0 }];
+    driver.createResponses = word => {
         // The peers answer with what they were told a round before, as if it had been 100 ms on the way.
         const leases = told;
         told = word.leases;
-        return plain(word).map(answer => createAnswer(answer.from, 1, word, { leases }));
+        return plain(word).map(answer => createHeartbeatResponse(answer.from, 1, word, { leases }));
     };
-    driver.passUntil(20_000);
+    driver.advanceUntil(20_000);
     const open = (): readonly boolean[] => owned.map(each => driver.maySend(each.serverId));
     open();
-    driver.passUntil(20_300);
+    driver.advanceUntil(20_300);
     assert.ok(open().includes(true));
 });
 
@@ -169,14 +169,14 @@
     const driver = createDriver({ idleMs: 10_000 });
     warmUp(driver);
     const provenAtMs = driver.nowMs - 10;
-    driver.passUntil(provenAtMs + 9_900);
+    driver.advanceUntil(provenAtMs + 9_900);
     const last = driver.send(server);
     assert.ok(driver.nowMs < provenAtMs + 10_000, "warm until then");
-    driver.answer(server, last, createSigns("warm"));
+    driver.respond(server, last, createMetadata("warm"));
     const idleFromMs = driver.nowMs - 10 + 10_000;
-    driver.passUntil(idleFromMs);
+    driver.advanceUntil(idleFromMs);
     driver.send(server);
-    assert.ok(driver.nowMs >= idleFromMs + changeoverMs, `sent ${driver.nowMs - idleFromMs} ms after`);
+    assert.ok(driver.nowMs >= idleFromMs + authorityChangeDelayMs, `sent ${driver.nowMs - idleFromMs} ms after`);
 });
 
 // Every caller of a service is refused until a person looks: the permit was granted and the answer lost, the gateway
@@ -184,37 +184,37 @@
 test("a permit whose grant was lost on the way is known again by its lease", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
-    driver.passUntil(3_000);
+    driver.advanceUntil(3_000);
     driver.maySend(server);
     const claim = driver.gate.tick(driver.nowMs).find(command => command.type === "swap");
     assert.ok(claim?.type === "swap");
     engine.compareAndSwap(claim, driver.nowMs);
-    driver.gate.onStoreReply({ command: claim, askedAtMs: driver.nowMs, outcome: { type: "failed" } }, driver.nowMs);
+    driver.gate.onStoreReply({ command: claim, sentAtMs: driver.nowMs, outcome: { type: "failed" } }, driver.nowMs);
     driver.send(server);
 });
 
 test("a permit is given up when nobody asks for the server any more", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
-    driver.answer(server, driver.send(server), createSigns("cold"));
+    driver.respond(server, driver.send(server), createMetadata("cold"));
     assert.ok(engine.get(`coldStart/permit/${server}`, driver.nowMs));
-    driver.passUntil(driver.nowMs + 6_000);
+    driver.advanceUntil(driver.nowMs + 6_000);
     assert.equal(engine.get(`coldStart/permit/${server}`, driver.nowMs), undefined);
 });
 
 test("signs of turning cold take a server out at once, and are told to peers; shedding while warm is no such sign", () => {
-    const end = { signs: createSigns(undefined), mayStillRun: false } as const;
+    const end = { metadata: createMetadata(undefined), mayStillRun: false } as const;
     const cases = [
         { cold: true, end: { ...end, outcome: "shed" } },
-        { cold: false, end: { ...end, outcome: "shed", signs: createSigns("warm") } },
+        { cold: false, end: { ...end, outcome: "shed", metadata: createMetadata("warm") } },
         { cold: true, end: { ...end, outcome: "refused" } },
-        { cold: true, end: { ...end, outcome: "good", signs: createSigns("cold") } },
-        { cold: true, end: { ...end, outcome: "good", signs: createSigns("warm", { incarnation: "2" }) } },
-        { cold: false, end: { ...end, outcome: "good", signs: createSigns("warm", { incarnation: "1" }) } },
+        { cold: true, end: { ...end, outcome: "good", metadata: createMetadata("cold") } },
+        { cold: true, end: { ...end, outcome: "good", metadata: createMetadata("warm", { incarnation: "2" }) } },
+        { cold: false, end: { ...end, outcome: "good", metadata: createMetadata("warm", { incarnation: "1" }) } },
     ] as const;
     for (const each of cases) {
         const driver = createDriver();
-        driver.answer(server, driver.send(server), createSigns("warm", { incarnation: "1" }));
+        driver.respond(server, driver.send(server), createMetadata("warm", { incarnation: "1" }));
         driver.gate.takeUrgentSignals(driver.nowMs);
         driver.gate.onEnd(server, driver.send(server), each.end, driver.nowMs);
         assert.equal(driver.maySend(server), !each.cold, JSON.stringify(each));
@@ -226,23 +226,23 @@
 test("a first answer after a silence that is far slower than usual is a sign of turning cold", () => {
     const driver = createDriver();
     for (let i = 0; i < 5; i++) {
-        driver.answer(server, driver.send(server), createSigns(undefined));
+        driver.respond(server, driver.send(server), createMetadata(undefined));
     }
     assert.equal(driver.maySend(server), true);
-    driver.passUntil(driver.nowMs + 11_000);
+    driver.advanceUntil(driver.nowMs + 11_000);
     const request = driver.send(server);
-    driver.passUntil(driver.nowMs + 400);
-    driver.answer(server, request, createSigns(undefined));
+    driver.advanceUntil(driver.nowMs + 400);
+    driver.respond(server, request, createMetadata(undefined));
     assert.equal(driver.maySend(server), false);
 });
 
 test("an endpoint that still says cold doesn't contradict newer answers, and is believed when none come", () => {
     const driver = createDriver();
     warmUp(driver);
-    driver.gate.onReport(server, createSigns("cold"), driver.nowMs);
+    driver.gate.onReport(server, createMetadata("cold"), driver.nowMs);
     assert.equal(driver.maySend(server), true);
-    driver.passUntil(driver.nowMs + 6_000);
-    driver.gate.onReport(server, createSigns("cold"), driver.nowMs);
+    driver.advanceUntil(driver.nowMs + 6_000);
+    driver.gate.onReport(server, createMetadata("cold"), driver.nowMs);
     assert.equal(driver.maySend(server), false);
 });
 
@@ -250,7 +250,7 @@
     const driver = createDriver();
     warmUp(driver);
     const declared = createServer(server);
-    driver.gate.onServers([{ ...declared, isIn: false }], driver.nowMs);
+    driver.gate.onServers([{ ...declared, isZoneInService: false }], driver.nowMs);
     assert.equal(driver.maySend(server), false);
     driver.gate.onServers([declared], driver.nowMs);
     driver.send(server);
@@ -265,7 +265,7 @@
     assert.equal(driver.gate.mayStillSend(server, request, driver.nowMs), true);
     driver.nowMs += 7_000;
     assert.equal(driver.gate.mayStillSend(server, request, driver.nowMs), false);
-    driver.passUntil(driver.nowMs + 3_000);
+    driver.advanceUntil(driver.nowMs + 3_000);
     assert.equal(driver.gate.mayStillSend(server, request, driver.nowMs), false, "under another permit");
 });
 
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -2,12 +2,12 @@
 import { createRandomSource, type RandomSource, type ServerId } from "@galenaglade/routing";
 import { type StoreCallOutcome, FakeStore, KeyValueEngine, VirtualClock } from "@galenaglade/stand-ins";
 import {
-    type AttemptEnd,
-    createServerGate,
+    type AttemptCompletion,
+    createServerPermitGate,
     type GatedServer,
     type GatewayRoster,
-    noSigns,
-    type ServerGate,
+    emptyServerMetadata,
+    type ServerPermitGate,
     type StoreCommand,
     type StoreOutcome,
 } from "../index.js";
@@ -96,7 +96,7 @@
 /** A gateway process that may be stopped and continued; what comes meanwhile waits for it, in no order. */
 class SimulatedGateway {
     readonly id: string;
-    readonly gate: ServerGate;
+    readonly gate: ServerPermitGate;
     isDead = false;
     cutFromStoreUntilMs = 0;
     cutFromPeersUntilMs = 0;
@@ -106,7 +106,7 @@
 
     constructor(id: string) {
         this.id = id;
-        this.gate = createServerGate(id);
+        this.gate = createServerPermitGate(id);
     }
 
     run(work: () => void): void {
@@ -246,9 +246,9 @@
             slots: warmSlots,
             answersToWarm: 5,
             idleMs: this.#plan.idleMs,
-            longestPatienceMs: this.#plan.patienceMs,
+            maxPatienceMs: this.#plan.patienceMs,
         };
-        return { serverId: server.serverId, limits, isIn: true };
+        return { serverId: server.serverId, limits, isZoneInService: true };
     }
 
     #every(gateway: SimulatedGateway, periodMs: number, work: () => void): void {
@@ -341,16 +341,16 @@
         const askedAtMs = this.#time.nowMs;
         this.#store.call(gateway.id, (engine, nowMs) => runCommand(engine, command, nowMs), result => {
             const outcome: StoreOutcome = result.orDefault({ type: "failed" });
-            gateway.run(() => gateway.gate.onStoreReply({ command, askedAtMs, outcome }, this.#time.nowMs));
+            gateway.run(() => gateway.gate.onStoreReply({ command, sentAtMs: askedAtMs, outcome }, this.#time.nowMs));
         });
     }
 
     #round(gateway: SimulatedGateway): void {
         const startedAtMs = this.#time.nowMs;
         const word = gateway.gate.beginRound(startedAtMs);
-        const answers: ReturnType<ServerGate["beginRound"]>[] = [];
+        const answers: ReturnType<ServerPermitGate["beginRound"]>[] = [];
         const end = (): void => {
-            gateway.gate.onRound({ startedAtMs, answers }, this.#time.nowMs);
+            gateway.gate.onRound({ startedAtMs, responses: answers }, this.#time.nowMs);
         };
         for (const peer of this.#gateways) {
             if (peer === gateway || this.#isCut(gateway, peer) || this.#isLost()) {
@@ -408,7 +408,7 @@
         this.#time.schedule(deadlineMs - this.#time.nowMs, () =>
             this.#end(gateway, server, request, {
                 outcome: "failed",
-                signs: noSigns,
+                metadata: emptyServerMetadata,
                 mayStillRun: true,
             }));
         if (!this.#isLost()) {
@@ -416,16 +416,16 @@
         }
     }
 
-    #end(gateway: SimulatedGateway, server: SimulatedServer, request: RunningRequest, end: AttemptEnd): void {
+    #end(gateway: SimulatedGateway, server: SimulatedServer, request: RunningRequest, end: AttemptCompletion): void {
         gateway.run(() => {
             if (request.ended) {
                 return;
             }
             request.ended = true;
-            if (end.signs.state === "cold") {
+            if (end.metadata.state === "cold") {
                 this.#record(gateway.id, { type: "coldSignHeard", gateway: gateway.id, server: server.serverId });
             }
-            if (end.signs.state === "leaving") {
+            if (end.metadata.state === "leaving") {
                 this.#record(gateway.id, { type: "leavingHeard", gateway: gateway.id, server: server.serverId });
             }
             this.answered += end.outcome === "good" ? 1 : 0;
@@ -464,7 +464,7 @@
                 bears: server.bears,
             };
             if (!this.#isLost()) {
-                const end: AttemptEnd = { outcome: "good", signs, mayStillRun: false };
+                const end: AttemptCompletion = { outcome: "good", metadata: signs, mayStillRun: false };
                 this.#time.schedule(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
             }
         });
--- a/packages/coldStart/src/heartbeatRound.ts
+++ b/packages/coldStart/src/coldStartHeartbeat.ts
@@ -1,7 +1,7 @@
 import { type ServerId, type ServerSignal } from "@galenaglade/routing";
 
 /** What a gateway says to a peer, in each heartbeat and each answer to one, about a server it may not send to freely. */
-export interface ServerWord {
+export interface ColdServerReport {
     readonly serverId: ServerId;
     /** How often the server has turned cold, as the speaker knows. */
     readonly epoch: number;
@@ -10,7 +10,7 @@
 }
 
 /** A gateway's latest lease, as it is passed on from gateway to gateway. */
-export interface LeaseWord {
+export interface LeaseReport {
     /** `name/incarnation` of the gateway whose lease it is. */
     readonly holder: string;
     /** Rises with each renewal. */
@@ -20,7 +20,7 @@
 }
 
 /** A gateway that has left the roster. */
-export interface DepartureWord {
+export interface DepartureReport {
     /** `name/incarnation`. */
     readonly gateway: string;
     /** Time since it had certainly stopped sending, in milliseconds; negative while that is still to come. */
@@ -28,15 +28,15 @@
 }
 
 /** The part of a heartbeat, or of the answer to one, that concerns cold start. */
-export interface ColdStartWord {
+export interface ColdStartHeartbeat {
     /** `name/incarnation` of the speaker. */
     readonly from: string;
     readonly rosterVersion: number;
     /** The latest lease of each gateway, the speaker's own among them. */
-    readonly leases: readonly LeaseWord[];
+    readonly leases: readonly LeaseReport[];
     /** One for each server that the speaker may not send to without a permit. */
-    readonly words: readonly ServerWord[];
-    readonly departures: readonly DepartureWord[];
+    readonly words: readonly ColdServerReport[];
+    readonly departures: readonly DepartureReport[];
     /** Members that the speaker has not been asked by for so long that their contact with it no longer counts. */
     readonly absent: readonly string[];
     /** In an answer: whether the speaker has told others so lately that the asker is absent that they may rely on it. */
@@ -50,7 +50,7 @@
     /** Time before the first heartbeat of the round was sent, in milliseconds. */
     readonly startedAtMs: number;
     /** What the peers that answered said. */
-    readonly answers: readonly ColdStartWord[];
+    readonly responses: readonly ColdStartHeartbeat[];
 }
 
 /** The gateways that count, as `name/incarnation`; changed through the store alone. */
--- a/packages/coldStart/src/createServerGate.ts
+++ b/packages/coldStart/src/createServerPermitGate.ts
@@ -1,30 +1,35 @@
 import { type ServerId, type ServerSignal } from "@galenaglade/routing";
-import { type AnswerSigns, type AttemptEnd } from "./answerSigns.js";
-import { Absences } from "./absences.js";
-import { Authority } from "./authority.js";
+import { type ServerMetadata, type AttemptCompletion } from "./serverMetadata.js";
+import { AbsenceTracker } from "./absenceTracker.js";
+import { WarmUpAuthority } from "./warmUpAuthority.js";
 import {
-    cancellationMarginMs,
-    contactLimitMs,
-    regainContactMs,
-    signalRepeatMs,
-    wantedMs,
-    warmSignalsPerHeartbeat,
+    cancellationGraceMs,
+    contactTimeoutMs,
+    contactRecoveryMs,
+    signalRepeatDurationMs,
+    permitIdleTimeoutMs,
+    maxWarmSignalsPerHeartbeat,
 } from "./constants.js";
-import { Departures } from "./departures.js";
+import { DepartedGateways } from "./departedGateways.js";
 import { GatedServerState, type WarmUp } from "./gatedServerState.js";
-import { type ColdStartWord, type GatewayRoster, type HeartbeatRound, type ServerWord } from "./heartbeatRound.js";
-import { InheritedWork } from "./inheritedWork.js";
+import {
+    type ColdStartHeartbeat,
+    type GatewayRoster,
+    type HeartbeatRound,
+    type ColdServerReport,
+} from "./coldStartHeartbeat.js";
+import { InheritedRequests } from "./inheritedRequests.js";
 import { LeaseKeeper } from "./leaseKeeper.js";
-import { type GatedServer, ServerGate, type ServerStanding } from "./serverGate.js";
+import { type GatedServer, ServerPermitGate, type ServerReadiness } from "./serverPermitGate.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
-class PermitServerGate extends ServerGate {
+class PermitServerGate extends ServerPermitGate {
     readonly #self: string;
     readonly #servers = new Map<ServerId, GatedServerState>();
     readonly #lease = new LeaseKeeper();
-    readonly #authority: Authority;
-    readonly #absences: Absences;
-    readonly #departures = new Departures();
+    readonly #authority: WarmUpAuthority;
+    readonly #absences: AbsenceTracker;
+    readonly #departures = new DepartedGateways();
     #urgent = new Set<ServerId>();
     #lastContactMs = Number.NEGATIVE_INFINITY;
     #warmCursor = 0;
@@ -32,8 +37,8 @@
     constructor(self: string) {
         super();
         this.#self = self;
-        this.#absences = new Absences(self);
-        this.#authority = new Authority(self, this.#lease);
+        this.#absences = new AbsenceTracker(self);
+        this.#authority = new WarmUpAuthority(self, this.#lease);
     }
 
     override get leaseId(): string | undefined {
@@ -45,18 +50,18 @@
         if (server === undefined || !this.#isOpen(server, nowMs)) {
             return "no";
         }
-        if (server.state.isFree(nowMs)) {
+        if (server.state.isConfirmedWarm(nowMs)) {
             // Until a server that turned cold without a word is found out, all gateways may send. This bounds the sum.
             return server.state.inFlight(nowMs) < server.state.limits.slots ? "yes" : "no";
         }
         return this.#mayWarmUp(server, nowMs, deadlineMs) ? "yes" : "no";
     }
 
-    override isInTouch(nowMs: number): boolean {
-        return nowMs < this.#lastContactMs + contactLimitMs + regainContactMs;
+    override hasPeerContact(nowMs: number): boolean {
+        return nowMs < this.#lastContactMs + contactTimeoutMs + contactRecoveryMs;
     }
 
-    override stateOf(serverId: ServerId): ServerStanding | undefined {
+    override getReadiness(serverId: ServerId): ServerReadiness | undefined {
         const server = this.#servers.get(serverId);
         if (server === undefined) {
             return undefined;
@@ -70,23 +75,23 @@
     override onSent(serverId: ServerId, requestId: string, nowMs: number, deadlineMs: number): void {
         const server = this.#servers.get(serverId);
         if (server !== undefined) {
-            server.state.onSent(requestId, deadlineMs, server.warmUp?.stretch, nowMs);
+            server.state.onSent(requestId, deadlineMs, server.warmUp?.authorityId, nowMs);
         }
     }
 
     override mayStillSend(serverId: ServerId, requestId: string, nowMs: number): boolean {
         const server = this.#servers.get(serverId);
-        const sent = server?.state.request(requestId);
+        const sent = server?.state.getRequest(requestId);
         if (server === undefined || sent === undefined || !this.#isOpen(server, nowMs)) {
             return false;
         }
-        if (server.state.isFree(nowMs)) {
+        if (server.state.isConfirmedWarm(nowMs)) {
             return true;
         }
-        return !sent.wasWarm && this.#resolveWarmUp(server, nowMs)?.stretch === sent.stretch;
+        return !sent.wasWarm && this.#resolveWarmUp(server, nowMs)?.authorityId === sent.authorityId;
     }
 
-    override onEnd(serverId: ServerId, requestId: string, end: AttemptEnd, nowMs: number): void {
+    override onEnd(serverId: ServerId, requestId: string, end: AttemptCompletion, nowMs: number): void {
         const server = this.#servers.get(serverId);
         if (server === undefined) {
             return;
@@ -95,10 +100,10 @@
         if (server.state.onEnd(requestId, end, nowMs) || server.state.isWarm !== wasWarm) {
             this.#noteChange(server, nowMs);
         }
-        this.#onSigns(server, end.signs, "answer", nowMs);
+        this.#onSigns(server, end.metadata, "answer", nowMs);
     }
 
-    override onReport(serverId: ServerId, signs: AnswerSigns, nowMs: number): void {
+    override onReport(serverId: ServerId, signs: ServerMetadata, nowMs: number): void {
         const server = this.#servers.get(serverId);
         if (server === undefined) {
             return;
@@ -111,7 +116,7 @@
 
     override onHostListed(serverId: ServerId, state: "live" | "leaving", nowMs: number): void {
         const server = this.#servers.get(serverId);
-        if (server?.leaving.onWord("hostList", state === "leaving", undefined, nowMs) === true) {
+        if (server?.leaving.onReport("hostList", state === "leaving", undefined, nowMs) === true) {
             this.#onLeavingChanged(server, nowMs);
         }
     }
@@ -122,25 +127,25 @@
             return;
         }
         if (signal.kind === "leaving") {
-            if (server.leaving.onWord("peer", true, signal.incarnation, nowMs - signal.ageMs)) {
+            if (server.leaving.onReport("peer", true, signal.incarnation, nowMs - signal.ageMs)) {
                 this.#noteChange(server, nowMs);
             }
             return;
         }
         const isWarm = signal.kind === "warm";
-        if (server.state.learn(signal.epoch, isWarm, signal.incarnation, nowMs - signal.ageMs)) {
+        if (server.state.merge(signal.epoch, isWarm, signal.incarnation, nowMs - signal.ageMs)) {
             this.#noteChange(server, nowMs);
         }
     }
 
     override onServers(servers: readonly GatedServer[], nowMs: number): void {
         const declared = new Set<ServerId>();
-        for (const { serverId, limits, isIn } of servers) {
+        for (const { serverId, limits, isZoneInService } of servers) {
             declared.add(serverId);
             const server = this.#servers.get(serverId) ?? new GatedServerState(this.#self, serverId, limits);
             this.#servers.set(serverId, server);
             server.state.limits = limits;
-            this.#onZone(server, isIn, nowMs);
+            this.#onZone(server, isZoneInService, nowMs);
         }
         for (const [serverId, server] of this.#servers) {
             if (declared.has(serverId)) {
@@ -161,37 +166,37 @@
         const members = new Set([...roster.members, ...roster.previous ?? []]);
         for (const former of this.#rosterMembers()) {
             if (!members.has(former)) {
-                this.#departures.leave(former);
+                this.#departures.add(former);
             }
         }
         this.#authority.onRoster(roster);
         this.#absences.onRoster(nowMs);
     }
 
-    override beginRound(nowMs: number): ColdStartWord {
+    override beginRound(nowMs: number): ColdStartHeartbeat {
         const word = this.#word(nowMs);
         this.#authority.beginRound(word.absent, nowMs);
         return word;
     }
 
     override onRound(round: HeartbeatRound, nowMs: number): void {
-        for (const answer of round.answers) {
+        for (const answer of round.responses) {
             this.#hear(answer, nowMs);
         }
         if (this.#authority.onRound(round, nowMs)) {
             this.#noteContact(round.startedAtMs);
-            this.#departures.date(nowMs);
+            this.#departures.confirmStopped(nowMs);
         }
-        for (const answer of round.answers) {
+        for (const answer of round.responses) {
             for (const word of answer.words) {
                 this.#hearServerWord(answer.from, word, round.startedAtMs);
             }
         }
     }
 
-    override onHeartbeat(word: ColdStartWord, nowMs: number): ColdStartWord {
+    override onHeartbeat(word: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat {
         this.#hear(word, nowMs);
-        this.#absences.onAsked(word.from, nowMs);
+        this.#absences.onHeartbeat(word.from, nowMs);
         return { ...this.#word(nowMs), isAskerSuspended: this.#absences.isSuspended(word.from, nowMs) };
     }
 
@@ -216,16 +221,16 @@
     override takeUrgentSignals(nowMs: number): readonly ServerSignal[] {
         const urgent = this.#urgent;
         this.#urgent = new Set();
-        return [...urgent].flatMap(serverId => this.#servers.get(serverId)?.signals(nowMs) ?? []);
+        return [...urgent].flatMap(serverId => this.#servers.get(serverId)?.createSignals(nowMs) ?? []);
     }
 
     #isOpen(server: GatedServerState, nowMs: number): boolean {
         // Out of touch with the majority, a gateway may not have heard that the server turned cold or is leaving.
-        return server.isIn && !server.leaving.isLeaving && this.#authority.hasContact(nowMs);
+        return server.isZoneInService && !server.leaving.isLeaving && this.#authority.hasMajorityContact(nowMs);
     }
 
     #mayWarmUp(server: GatedServerState, nowMs: number, deadlineMs: number): boolean {
-        server.wantedAtMs = nowMs;
+        server.lastRequestedAtMs = nowMs;
         if (!server.mayWarmUp(nowMs)) {
             return false;
         }
@@ -233,12 +238,13 @@
         if (warmUp === undefined) {
             return false;
         }
-        if (warmUp.stretch.startsWith("lease") && deadlineMs - nowMs > server.permit.horizonMs) {
+        if (warmUp.authorityId.startsWith("lease") && deadlineMs - nowMs > server.permit.horizonMs) {
             // Sent without a wider record, it could outlast what the next holder counts.
-            server.permit.need(deadlineMs - nowMs);
+            server.permit.widenHorizon(deadlineMs - nowMs);
             return false;
         }
-        return warmUp.inherited.count(nowMs) + server.state.inFlight(nowMs) < server.state.warmUpLimit;
+        return warmUp.inheritedRequests.countInFlight(nowMs) + server.state.inFlight(nowMs)
+            < server.state.warmUpConcurrency;
     }
 
     /** @returns the present authority to warm the server up, with the work inherited at its beginning */
@@ -250,73 +256,75 @@
         }
         // What was sent while the server was warm is inherited anew each time that it turns cold.
         const name = `${stretch}/${server.state.epoch}`;
-        if (server.warmUp?.stretch !== name) {
-            server.warmUp = { stretch: name, inherited: this.#openInherited(server, nowMs) };
+        if (server.warmUp?.authorityId !== name) {
+            server.warmUp = { authorityId: name, inheritedRequests: this.#openInherited(server, nowMs) };
         }
         return server.warmUp;
     }
 
     #resolveStretch(server: GatedServerState, nowMs: number): string | undefined {
-        const leaseStretch = this.#authority.leaseAuthority(nowMs);
+        const leaseStretch = this.#authority.resolveLeaseAuthorityId(nowMs);
         if (leaseStretch !== undefined && server.permit.isHeld(this.#lease.leaseId)) {
             return `lease/${leaseStretch}/${server.permit.term}`;
         }
-        const rosterStretch = this.#authority.rosterAuthority(server.state.serverId, nowMs);
+        const rosterStretch = this.#authority.resolveRosterAuthorityId(server.state.serverId, nowMs);
         return rosterStretch === undefined ? undefined : `roster/${rosterStretch}`;
     }
 
-    #openInherited(server: GatedServerState, nowMs: number): InheritedWork {
-        const { longestPatienceMs } = server.state.limits;
+    #openInherited(server: GatedServerState, nowMs: number): InheritedRequests {
+        const { maxPatienceMs } = server.state.limits;
         const gateways = new Map<string, number>();
-        for (const { gateway, horizonMs } of server.permit.inherited) {
-            gateways.set(gateway, nowMs + horizonMs + cancellationMarginMs);
+        for (const { gateway, horizonMs } of server.permit.inheritedHolders) {
+            gateways.set(gateway, nowMs + horizonMs + cancellationGraceMs);
         }
         for (const [gateway, stoppedAtMs] of this.#departures.stoppedAtMs) {
-            gateways.set(gateway, stoppedAtMs + longestPatienceMs + cancellationMarginMs);
+            gateways.set(gateway, stoppedAtMs + maxPatienceMs + cancellationGraceMs);
         }
         for (const gateway of this.#rosterMembers()) {
-            gateways.set(gateway, nowMs + contactLimitMs + longestPatienceMs + cancellationMarginMs);
+            gateways.set(gateway, nowMs + contactTimeoutMs + maxPatienceMs + cancellationGraceMs);
         }
         gateways.delete(this.#self);
-        return new InheritedWork(nowMs, gateways);
+        return new InheritedRequests(nowMs, gateways);
     }
 
     #permitCommand(server: GatedServerState, nowMs: number): StoreCommand | undefined {
         const { permit, state } = server;
-        const isWanted = nowMs < server.wantedAtMs + wantedMs && !state.isFree(nowMs);
+        const isWanted = nowMs < server.lastRequestedAtMs + permitIdleTimeoutMs && !state.isConfirmedWarm(nowMs);
         if (!isWanted) {
-            return state.inFlight(nowMs) === 0 ? permit.release(this.#lease.leaseId, state.epoch, nowMs) : undefined;
+            return state.inFlight(nowMs) === 0
+                ? permit.nextReleaseCommand(this.#lease.leaseId, state.epoch, nowMs)
+                : undefined;
         }
         if (permit.recordedEpoch > state.epoch) {
-            state.learn(permit.recordedEpoch, false, undefined, nowMs);
+            state.merge(permit.recordedEpoch, false, undefined, nowMs);
         }
-        if (server.warmUp?.inherited.count(nowMs) === 0) {
-            permit.settle();
+        if (server.warmUp?.inheritedRequests.countInFlight(nowMs) === 0) {
+            permit.markInheritedEnded();
         }
-        return permit.next(this.#lease.leaseId, state.epoch, nowMs);
+        return permit.nextCommand(this.#lease.leaseId, state.epoch, nowMs);
     }
 
-    #hear(word: ColdStartWord, nowMs: number): void {
-        this.#authority.hear(word, nowMs);
-        this.#departures.hear(word.departures, nowMs);
+    #hear(word: ColdStartHeartbeat, nowMs: number): void {
+        this.#authority.mergeLeases(word, nowMs);
+        this.#departures.merge(word.departures, nowMs);
         for (const signal of word.signals) {
             this.onSignal(signal, nowMs);
         }
     }
 
     /** A speaker that knows of fewer turns to cold may still learn that the server was warm before the last. */
-    #hearServerWord(from: string, word: ServerWord, askedAtMs: number): void {
+    #hearServerWord(from: string, word: ColdServerReport, askedAtMs: number): void {
         const server = this.#servers.get(word.serverId);
         if (server !== undefined && word.epoch >= server.state.epoch) {
-            server.warmUp?.inherited.hear(from, askedAtMs, word.inFlight);
+            server.warmUp?.inheritedRequests.onReport(from, askedAtMs, word.inFlight);
         }
     }
 
     /** Signals are repeated for a while only: after longer without contact, some may have been missed. */
     #noteContact(startedAtMs: number): void {
-        if (startedAtMs > this.#lastContactMs + signalRepeatMs - contactLimitMs) {
+        if (startedAtMs > this.#lastContactMs + signalRepeatDurationMs - contactTimeoutMs) {
             for (const server of this.#servers.values()) {
-                server.state.forgetEvidence();
+                server.state.clearWarmConfirmation();
             }
         }
         this.#lastContactMs = Math.max(this.#lastContactMs, startedAtMs);
@@ -324,34 +332,34 @@
 
     /** An availability zone that comes back counts as cold. Whichever gateway hears of it first tells the others. */
     #onZone(server: GatedServerState, isIn: boolean, nowMs: number): void {
-        if (server.isIn && !isIn) {
-            server.epochWhenOut = server.state.epoch;
+        if (server.isZoneInService && !isIn) {
+            server.epochAtZoneOut = server.state.epoch;
         }
-        else if (isIn && !server.isIn && server.state.epoch === server.epochWhenOut) {
-            server.state.turnCold(undefined);
+        else if (isIn && !server.isZoneInService && server.state.epoch === server.epochAtZoneOut) {
+            server.state.markCold(undefined);
             this.#noteChange(server, nowMs);
         }
-        server.isIn = isIn;
+        server.isZoneInService = isIn;
     }
 
-    #onSigns(server: GatedServerState, signs: AnswerSigns, source: "answer" | "health", nowMs: number): void {
+    #onSigns(server: GatedServerState, signs: ServerMetadata, source: "answer" | "health", nowMs: number): void {
         if (signs.state === undefined) {
             return;
         }
-        if (server.leaving.onWord(source, signs.state === "leaving", signs.incarnation, nowMs)) {
+        if (server.leaving.onReport(source, signs.state === "leaving", signs.incarnation, nowMs)) {
             this.#onLeavingChanged(server, nowMs);
         }
     }
 
     #onLeavingChanged(server: GatedServerState, nowMs: number): void {
         if (!server.leaving.isLeaving) {
-            server.state.turnCold(undefined);
+            server.state.markCold(undefined);
         }
         this.#noteChange(server, nowMs);
     }
 
     #noteChange(server: GatedServerState, nowMs: number): void {
-        server.noteChange(nowMs);
+        server.markChanged(nowMs);
         this.#urgent.add(server.state.serverId);
     }
 
@@ -360,23 +368,23 @@
         return [...members, ...previous ?? []];
     }
 
-    #word(nowMs: number): ColdStartWord {
+    #word(nowMs: number): ColdStartHeartbeat {
         return {
             from: this.#self,
             rosterVersion: this.#authority.roster.version,
             leases: this.#authority.leases(nowMs),
             words: this.#serverWords(nowMs),
-            departures: this.#departures.words(nowMs),
-            absent: this.#absences.say(this.#authority.roster.members, nowMs),
+            departures: this.#departures.createReports(nowMs),
+            absent: this.#absences.reportAbsent(this.#authority.roster.members, nowMs),
             isAskerSuspended: false,
             signals: this.#signals(nowMs),
         };
     }
 
-    #serverWords(nowMs: number): readonly ServerWord[] {
-        const words: ServerWord[] = [];
+    #serverWords(nowMs: number): readonly ColdServerReport[] {
+        const words: ColdServerReport[] = [];
         for (const { state } of this.#servers.values()) {
-            if (!state.isFree(nowMs)) {
+            if (!state.isConfirmedWarm(nowMs)) {
                 words.push({ serverId: state.serverId, epoch: state.epoch, inFlight: state.inFlight(nowMs) });
             }
         }
@@ -385,13 +393,13 @@
 
     #signals(nowMs: number): readonly ServerSignal[] {
         const servers = [...this.#servers.values()];
-        const signals = servers.flatMap(server => server.signals(nowMs));
-        const warm = servers.filter(server => server.state.isFree(nowMs));
-        const count = Math.min(warm.length, warmSignalsPerHeartbeat);
+        const signals = servers.flatMap(server => server.createSignals(nowMs));
+        const warm = servers.filter(server => server.state.isConfirmedWarm(nowMs));
+        const count = Math.min(warm.length, maxWarmSignalsPerHeartbeat);
         for (let i = 0; i < count; i++) {
             const server = warm[this.#warmCursor++ % warm.length];
             if (server !== undefined) {
-                signals.push(server.warmSignal(nowMs));
+                signals.push(server.createWarmSignal(nowMs));
             }
         }
         return signals;
@@ -404,6 +412,6 @@
  * @param self - `name/incarnation` of this gateway
  * @returns the gate; it lets nothing through until it has heard of a roster, servers and a majority
  */
-export function createServerGate(self: string): ServerGate {
+export function createServerPermitGate(self: string): ServerPermitGate {
     return new PermitServerGate(self);
 }
--- a/packages/coldStart/src/departures.ts
+++ b/packages/coldStart/src/departedGateways.ts
@@ -1,8 +1,8 @@
-import { contactLimitMs, longestMemoryMs } from "./constants.js";
-import { type DepartureWord } from "./heartbeatRound.js";
+import { contactTimeoutMs, departureRetentionMs } from "./constants.js";
+import { type DepartureReport } from "./coldStartHeartbeat.js";
 
 /** Gateways that left the roster; what they sent before may still run. */
-export class Departures {
+export class DepartedGateways {
     /** With the time by which each has certainly stopped sending. */
     readonly #stoppedAtMs = new Map<string, number>();
 
@@ -12,7 +12,7 @@
     }
 
     /** A gateway is no longer in the roster. */
-    leave(gateway: string): void {
+    add(gateway: string): void {
         this.#stoppedAtMs.set(gateway, Number.POSITIVE_INFINITY);
     }
 
@@ -20,19 +20,19 @@
      * Notes that a majority knows of the present roster. A gateway that left it is answered by members that haven't heard
      * of that yet; once a majority knows, its contact ends, and it sends no more.
      */
-    date(nowMs: number): void {
+    confirmStopped(nowMs: number): void {
         for (const [gateway, stoppedAtMs] of this.#stoppedAtMs) {
             if (stoppedAtMs === Number.POSITIVE_INFINITY) {
-                this.#stoppedAtMs.set(gateway, nowMs + contactLimitMs);
+                this.#stoppedAtMs.set(gateway, nowMs + contactTimeoutMs);
             }
-            else if (nowMs > stoppedAtMs + longestMemoryMs) {
+            else if (nowMs > stoppedAtMs + departureRetentionMs) {
                 this.#stoppedAtMs.delete(gateway);
             }
         }
     }
 
     /** A fresh gateway never saw those that left before it came, whose requests may still run; peers tell it. */
-    hear(words: readonly DepartureWord[], nowMs: number): void {
+    merge(words: readonly DepartureReport[], nowMs: number): void {
         for (const { gateway, stoppedAgoMs } of words) {
             if (!this.#stoppedAtMs.has(gateway)) {
                 this.#stoppedAtMs.set(gateway, nowMs - stoppedAgoMs);
@@ -41,7 +41,7 @@
     }
 
     /** @returns what peers are told */
-    words(nowMs: number): readonly DepartureWord[] {
+    createReports(nowMs: number): readonly DepartureReport[] {
         return [...this.#stoppedAtMs]
             .filter(([, stoppedAtMs]) => stoppedAtMs !== Number.POSITIVE_INFINITY)
             .map(([gateway, stoppedAtMs]) => ({ gateway, stoppedAgoMs: nowMs - stoppedAtMs }));
--- a/packages/coldStart/src/gatedServerState.ts
+++ b/packages/coldStart/src/gatedServerState.ts
@@ -1,27 +1,27 @@
 import { type ServerId, type ServerSignal } from "@galenaglade/routing";
-import { changeoverMs, signalRepeatMs } from "./constants.js";
-import { type InheritedWork } from "./inheritedWork.js";
-import { Leaving } from "./leaving.js";
+import { authorityChangeDelayMs, signalRepeatDurationMs } from "./constants.js";
+import { type InheritedRequests } from "./inheritedRequests.js";
+import { LeavingTracker } from "./leavingTracker.js";
 import { Permit } from "./permit.js";
 import { type ServerLimits, ServerState } from "./serverState.js";
 
 /** Work inherited in one stretch of authority over a server. */
 export interface WarmUp {
     /** Names the stretch; a new stretch counts anew. */
-    readonly stretch: string;
-    readonly inherited: InheritedWork;
+    readonly authorityId: string;
+    readonly inheritedRequests: InheritedRequests;
 }
 
 /** All that a gate holds about one server. */
 export class GatedServerState {
     readonly state: ServerState;
     readonly permit: Permit;
-    readonly leaving = new Leaving();
+    readonly leaving = new LeavingTracker();
     /** Whether the server's availability zone is in. */
-    isIn = true;
-    epochWhenOut = 0;
+    isZoneInService = true;
+    epochAtZoneOut = 0;
     warmUp: WarmUp | undefined;
-    wantedAtMs = Number.NEGATIVE_INFINITY;
+    lastRequestedAtMs = Number.NEGATIVE_INFINITY;
     #changedAtMs = Number.NEGATIVE_INFINITY;
 
     constructor(self: string, serverId: ServerId, limits: ServerLimits) {
@@ -30,17 +30,17 @@
     }
 
     /** Notes that peers have to be told, for some time. */
-    noteChange(nowMs: number): void {
+    markChanged(nowMs: number): void {
         this.#changedAtMs = nowMs;
     }
 
     /**
-     * A trial waits a little longer than {@link ServerState.isFree}, since a peer that heard late that the server was
+     * A trial waits a little longer than {@link ServerState.isConfirmedWarm}, since a peer that heard late that the server was
      * warm takes it for warm for that much longer.
      */
     mayWarmUp(nowMs: number): boolean {
         const { state } = this;
-        return !state.isWarm || nowMs >= state.evidenceAtMs + state.limits.idleMs + changeoverMs;
+        return !state.isWarm || nowMs >= state.warmConfirmedAtMs + state.limits.idleMs + authorityChangeDelayMs;
     }
 
     /**
@@ -49,11 +49,11 @@
      *
      * @returns what peers should know now
      */
-    signals(nowMs: number): readonly ServerSignal[] {
+    createSignals(nowMs: number): readonly ServerSignal[] {
         const signals: ServerSignal[] = [];
         const { state, leaving } = this;
         if (leaving.isLeaving) {
-            const ageMs = nowMs - leaving.saidAtMs;
+            const ageMs = nowMs - leaving.reportedAtMs;
             const { incarnation } = leaving;
             signals.push({ serverId: state.serverId, kind: "leaving", epoch: 0, incarnation, ageMs });
         }
@@ -61,16 +61,16 @@
         if (!state.isWarm && state.epoch > 0) {
             signals.push(this.#coldSignal(ageMs));
         }
-        if (state.isWarm && ageMs < signalRepeatMs) {
-            signals.push(this.warmSignal(nowMs));
+        if (state.isWarm && ageMs < signalRepeatDurationMs) {
+            signals.push(this.createWarmSignal(nowMs));
         }
         return signals;
     }
 
     /** @returns the word that the server is warm, as old as the evidence for it */
-    warmSignal(nowMs: number): ServerSignal {
-        const { serverId, epoch, incarnation, evidenceAtMs } = this.state;
-        return { serverId, kind: "warm", epoch, incarnation, ageMs: Math.min(nowMs - evidenceAtMs, 1e12) };
+    createWarmSignal(nowMs: number): ServerSignal {
+        const { serverId, epoch, incarnation, warmConfirmedAtMs } = this.state;
+        return { serverId, kind: "warm", epoch, incarnation, ageMs: Math.min(nowMs - warmConfirmedAtMs, 1e12) };
     }
 
     #coldSignal(ageMs: number): ServerSignal {
--- a/packages/coldStart/src/index.ts
+++ b/packages/coldStart/src/index.ts
@@ -1,18 +1,24 @@
 /** Which backend servers a gateway may send to: cold start, and servers that leave. */
-export { type AnswerSigns, type AttemptEnd, noSigns, resolveAnswerSigns, signHeaders } from "./answerSigns.js";
-export { changeoverMs, clockMarginMs, contactLimitMs, leaseTtlMs } from "./constants.js";
-export { createServerGate } from "./createServerGate.js";
 export {
-    type ColdStartWord,
-    type DepartureWord,
+    type ColdStartHeartbeat,
+    type DepartureReport,
     type GatewayRoster,
     type HeartbeatRound,
-    type LeaseWord,
-    type ServerWord,
-} from "./heartbeatRound.js";
+    type LeaseReport,
+    type ColdServerReport,
+} from "./coldStartHeartbeat.js";
+export { authorityChangeDelayMs, clockDriftAllowanceMs, contactTimeoutMs, leaseTtlMs } from "./constants.js";
+export { createServerPermitGate } from "./createServerPermitGate.js";
 export { LeaseKeeper } from "./leaseKeeper.js";
-export { Leaving, type LeavingSource } from "./leaving.js";
-export { rankOwners } from "./rendezvous.js";
-export { type GatedServer, ServerGate, type ServerStanding } from "./serverGate.js";
+export { LeavingTracker, type LeavingSource } from "./leavingTracker.js";
+export { rankOwners } from "./rankOwners.js";
+export {
+    type ServerMetadata,
+    type AttemptCompletion,
+    emptyServerMetadata,
+    parseServerMetadata,
+    serverMetadataHeaders,
+} from "./serverMetadata.js";
+export { type GatedServer, ServerPermitGate, type ServerReadiness } from "./serverPermitGate.js";
 export { type ServerLimits } from "./serverState.js";
 export { type StoreCommand, type StoredValue, type StoreOutcome, type StoreReply } from "./storeCommand.js";
--- a/packages/coldStart/src/inheritedWork.ts
+++ b/packages/coldStart/src/inheritedRequests.ts
@@ -9,7 +9,7 @@
  * What other gateways may still have in flight at a server when one begins to warm it up. Without it a new holder
  * would fill the server while an earlier holder's requests, or those sent while it was warm, still run there.
  */
-export class InheritedWork {
+export class InheritedRequests {
     readonly #entries = new Map<string, Entry>();
     readonly #openedAtMs: number;
 
@@ -31,7 +31,7 @@
      * @param askedAtMs - time before it was asked
      * @param inFlight - what it has in flight at the server
      */
-    hear(gateway: string, askedAtMs: number, inFlight: number): void {
+    onReport(gateway: string, askedAtMs: number, inFlight: number): void {
         const entry = this.#entries.get(gateway);
         if (entry === undefined || askedAtMs < this.#openedAtMs) {
             return;
@@ -46,7 +46,7 @@
      * @param nowMs - the present time
      * @returns requests of others that may still run; infinite while a gateway that has not spoken may have some
      */
-    count(nowMs: number): number {
+    countInFlight(nowMs: number): number {
         let total = 0;
         for (const [gateway, entry] of this.#entries) {
             if (nowMs >= entry.untilMs) {
--- a/packages/coldStart/src/leaseKeeper.ts
+++ b/packages/coldStart/src/leaseKeeper.ts
@@ -1,4 +1,4 @@
-import { clockMarginMs, leaseRenewalMs, leaseTtlMs, storeReplyLimitMs } from "./constants.js";
+import { clockDriftAllowanceMs, leaseRenewalPeriodMs, leaseTtlMs, storeReplyTimeoutMs } from "./constants.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
 /** Keeps one lease for a gateway, and knows until when the gateway may act on it. */
@@ -25,7 +25,7 @@
      * @returns whether the lease certainly still stands at the store
      */
     isValid(nowMs: number): boolean {
-        return this.#leaseId !== undefined && nowMs < this.#renewedAtMs + leaseTtlMs - clockMarginMs;
+        return this.#leaseId !== undefined && nowMs < this.#renewedAtMs + leaseTtlMs - clockDriftAllowanceMs;
     }
 
     /**
@@ -33,8 +33,8 @@
      * @returns the call that is due, if any
      */
     tick(nowMs: number): readonly StoreCommand[] {
-        const isPending = nowMs < this.#askedAtMs + storeReplyLimitMs;
-        if (isPending || nowMs < this.#renewedAtMs + leaseRenewalMs) {
+        const isPending = nowMs < this.#askedAtMs + storeReplyTimeoutMs;
+        if (isPending || nowMs < this.#renewedAtMs + leaseRenewalPeriodMs) {
             return [];
         }
         this.#askedAtMs = nowMs;
@@ -53,7 +53,7 @@
         if (command.type === "grantLease" && outcome.type === "lease") {
             if (this.#leaseId === undefined) {
                 this.#leaseId = outcome.leaseId;
-                this.#renewedAtMs = reply.askedAtMs;
+                this.#renewedAtMs = reply.sentAtMs;
             }
         }
         else if (command.type === "renewLease" && command.leaseId === this.#leaseId) {
@@ -67,7 +67,7 @@
 
     #onRenewal(reply: StoreReply): void {
         if (reply.outcome.type === "lease") {
-            this.#renewedAtMs = Math.max(this.#renewedAtMs, reply.askedAtMs);
+            this.#renewedAtMs = Math.max(this.#renewedAtMs, reply.sentAtMs);
         }
         else if (reply.outcome.type === "lapsed") {
             this.#leaseId = undefined;
--- a/packages/coldStart/src/leaving.ts
+++ b/packages/coldStart/src/leavingTracker.ts
@@ -1,4 +1,4 @@
-import { contactLimitMs, leavingReturnMs } from "./constants.js";
+import { contactTimeoutMs, leavingRecoveryMs } from "./constants.js";
 
 /** Who said that a server is leaving, or not. */
 export type LeavingSource = "hostList" | "health" | "answer" | "peer";
@@ -7,7 +7,7 @@
  * Whether one backend server is leaving. Whichever source says so first is believed at once, since each of them lags
  * now and then; that it is back is believed only of a new life, since a lagging source still says "live" of the old.
  */
-export class Leaving {
+export class LeavingTracker {
     #isLeaving = false;
     #incarnation: string | undefined;
     #wasListedLeaving = false;
@@ -24,7 +24,7 @@
     }
 
     /** When it was last said that the server is leaving. */
-    get saidAtMs(): number {
+    get reportedAtMs(): number {
         return this.#saidAtMs;
     }
 
@@ -35,7 +35,7 @@
      * @param saidAtMs - when it was first said; a peer passes on what it heard some time ago
      * @returns whether that changed anything
      */
-    onWord(source: LeavingSource, isLeaving: boolean, incarnation: string | undefined, saidAtMs: number): boolean {
+    onReport(source: LeavingSource, isLeaving: boolean, incarnation: string | undefined, saidAtMs: number): boolean {
         const isBack = this.#isBack(source, isLeaving, incarnation, saidAtMs);
         if (source === "hostList") {
             this.#wasListedLeaving = isLeaving;
@@ -53,7 +53,7 @@
     #onLeaving(source: LeavingSource, incarnation: string | undefined, saidAtMs: number): boolean {
         // Peers repeat a word for as long as they believe it. One that is older than the server's return would take
         // it out again, and two gateways would tell each other so for ever.
-        if (source === "peer" && saidAtMs <= this.#backAtMs + contactLimitMs) {
+        if (source === "peer" && saidAtMs <= this.#backAtMs + contactTimeoutMs) {
             return false;
         }
         if (!this.#isLeaving && incarnation !== undefined && incarnation === this.#incarnation) {
@@ -73,7 +73,8 @@
         const isNewLife = incarnation !== undefined && this.#incarnation !== undefined
             && incarnation !== this.#incarnation;
         // A server that names no incarnation would otherwise stay out for good after a restart.
-        const isSilent = source === "health" && incarnation === undefined && nowMs >= this.#saidAtMs + leavingReturnMs;
+        const isSilent = source === "health" && incarnation === undefined
+            && nowMs >= this.#saidAtMs + leavingRecoveryMs;
         return isNewLife || isSilent || (source === "hostList" && this.#wasListedLeaving);
     }
 }
--- a/packages/coldStart/src/permit.ts
+++ b/packages/coldStart/src/permit.ts
@@ -1,5 +1,5 @@
 import { type ServerId } from "@galenaglade/routing";
-import { permitRetryMs, smallestHorizonMs } from "./constants.js";
+import { permitRetryDelayMs, minHorizonMs } from "./constants.js";
 import { type StoreCommand, type StoredValue, type StoreReply } from "./storeCommand.js";
 
 /** What one holder of a permit may have left in flight. */
@@ -26,7 +26,7 @@
 }
 
 /** @returns the key of the record that outlasts the permit's lease */
-export function createRecordKey(serverId: ServerId): string {
+export function createPermitRecordKey(serverId: ServerId): string {
     return `coldStart/record/${serverId}`;
 }
 
@@ -35,7 +35,7 @@
 }
 
 function resolveHorizon(neededMs: number): number {
-    let horizonMs = smallestHorizonMs;
+    let horizonMs = minHorizonMs;
     while (horizonMs < neededMs) {
         horizonMs *= 2;
     }
@@ -59,7 +59,7 @@
     #isUnsure = false;
     #writtenMs = 0;
     #horizonMs = 0;
-    #neededMs = smallestHorizonMs;
+    #neededMs = minHorizonMs;
 
     constructor(self: string, serverId: ServerId) {
         this.#self = self;
@@ -72,7 +72,7 @@
     }
 
     /** What holders before may have left; known once {@link isHeld}. */
-    get inherited(): readonly FormerHolder[] {
+    get inheritedHolders(): readonly FormerHolder[] {
         return this.#inherited;
     }
 
@@ -87,12 +87,12 @@
     }
 
     /** Asks that the record be widened before work with a later deadline is sent. */
-    need(horizonMs: number): void {
+    widenHorizon(horizonMs: number): void {
         this.#neededMs = Math.max(this.#neededMs, resolveHorizon(horizonMs));
     }
 
     /** Notes that nothing of earlier holders runs any more, so that the record need not name them. */
-    settle(): void {
+    markInheritedEnded(): void {
         this.#isSettled = true;
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** @returns the next call on the way to the permit, if one is due */
-    next(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
+    nextCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
         if (leaseId !== this.#leaseId) {
             this.#reset(leaseId);
         }
@@ -118,7 +118,7 @@
      *
      * @returns the next call on the way to giving the permit up, if one is due
      */
-    release(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
+    nextReleaseCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
         if (this.#stage === "none" && !this.#isUnsure) {
             return undefined;
         }
@@ -126,7 +126,7 @@
             this.#stage = "releasing";
             this.#horizonMs = 0;
         }
-        return this.next(leaseId, epoch, nowMs);
+        return this.nextCommand(leaseId, epoch, nowMs);
     }
 
     onReply(reply: StoreReply, nowMs: number): void {
@@ -161,7 +161,7 @@
                 return this.#swap(createPermitKey(this.#serverId), 0, JSON.stringify({ holder: this.#self }), leaseId);
             case "claimed":
                 this.#stage = "reading";
-                return { type: "read", key: createRecordKey(this.#serverId) };
+                return { type: "read", key: createPermitRecordKey(this.#serverId) };
             case "read":
                 return this.#writeRecord(epoch);
             case "held":
@@ -186,7 +186,7 @@
         const own: FormerHolder = { gateway: this.#self, horizonMs: this.#writtenMs };
         const record: PermitRecord = { epoch, holders: [own, ...this.#inherited] };
         return this.#swap(
-            createRecordKey(this.#serverId),
+            createPermitRecordKey(this.#serverId),
             this.#recordRevision,
             JSON.stringify(record),
             undefined,
@@ -209,7 +209,7 @@
         else {
             this.#stage = "none";
             this.#isUnsure = false;
-            this.#retryAtMs = nowMs + permitRetryMs;
+            this.#retryAtMs = nowMs + permitRetryDelayMs;
         }
     }
 
@@ -244,7 +244,7 @@
     }
 
     #onFailed(nowMs: number): void {
-        this.#retryAtMs = nowMs + permitRetryMs;
+        this.#retryAtMs = nowMs + permitRetryDelayMs;
         if (this.#stage === "claiming") {
             this.#isUnsure = true;
             this.#stage = "none";
@@ -261,7 +261,7 @@
         this.#isUnsure = false;
         this.#term = 0;
         this.#horizonMs = 0;
-        this.#neededMs = smallestHorizonMs;
+        this.#neededMs = minHorizonMs;
         this.#inherited = [];
         this.#isSettled = false;
         this.#recordRevision = 0;
--- a/packages/coldStart/src/answerSigns.ts
+++ b/packages/coldStart/src/serverMetadata.ts
@@ -1,5 +1,5 @@
 /** What a backend server says of itself, in an answer or on its health or load endpoint. */
-export interface AnswerSigns {
+export interface ServerMetadata {
     readonly state: "warm" | "cold" | "leaving" | undefined;
     /** Requests that it has in flight. */
     readonly inFlight: number | undefined;
@@ -9,8 +9,8 @@
     readonly bears: number | undefined;
 }
 
-/** Answer headers that carry {@link AnswerSigns}. */
-export const signHeaders = {
+/** Answer headers that carry {@link ServerMetadata}. */
+export const serverMetadataHeaders = {
     state: "x-backend-state",
     inFlight: "x-backend-in-flight",
     incarnation: "x-backend-incarnation",
@@ -18,7 +18,7 @@
 } as const;
 
 /** Signs of a server that says nothing. */
-export const noSigns: AnswerSigns = Object.freeze({
+export const emptyServerMetadata: ServerMetadata = Object.freeze({
     state: undefined,
     inFlight: undefined,
     incarnation: undefined,
@@ -37,22 +37,22 @@
  * @param header - gives a header's value by its name in lower case
  * @returns the signs
  */
-export function resolveAnswerSigns(header: (name: string) => string | undefined): AnswerSigns {
-    const state = header(signHeaders.state);
-    const incarnation = header(signHeaders.incarnation);
+export function parseServerMetadata(header: (name: string) => string | undefined): ServerMetadata {
+    const state = header(serverMetadataHeaders.state);
+    const incarnation = header(serverMetadataHeaders.incarnation);
     return {
         state: states.find(known => known === state),
-        inFlight: resolveCount(header(signHeaders.inFlight)),
+        inFlight: resolveCount(header(serverMetadataHeaders.inFlight)),
         incarnation: incarnation === "" ? undefined : incarnation,
-        bears: resolveCount(header(signHeaders.bears)),
+        bears: resolveCount(header(serverMetadataHeaders.bears)),
     };
 }
 
 /** How one request to a backend server ended. */
-export interface AttemptEnd {
+export interface AttemptCompletion {
     /** `good`: a whole answer, whatever its status; `refused`: no connection; `failed`: no whole answer. */
     readonly outcome: "good" | "shed" | "refused" | "failed" | "cancelled";
-    readonly signs: AnswerSigns;
+    readonly metadata: ServerMetadata;
     /** Whether the server may still be running it, as after a lost connection; it is counted until its deadline. */
     readonly mayStillRun: boolean;
 }
--- a/packages/coldStart/src/serverGate.ts
+++ b/packages/coldStart/src/serverPermitGate.ts
@@ -1,6 +1,6 @@
 import { type ServerId, type ServerSignal } from "@galenaglade/routing";
-import { type AnswerSigns, type AttemptEnd } from "./answerSigns.js";
-import { type ColdStartWord, type GatewayRoster, type HeartbeatRound } from "./heartbeatRound.js";
+import { type ServerMetadata, type AttemptCompletion } from "./serverMetadata.js";
+import { type ColdStartHeartbeat, type GatewayRoster, type HeartbeatRound } from "./coldStartHeartbeat.js";
 import { type ServerLimits } from "./serverState.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
@@ -9,17 +9,17 @@
     readonly serverId: ServerId;
     readonly limits: ServerLimits;
     /** Whether its availability zone is in; one that comes back in counts as cold. */
-    readonly isIn: boolean;
+    readonly isZoneInService: boolean;
 }
 
 /** How a gateway takes a backend server to stand. */
-export type ServerStanding = "cold" | "warm" | "leaving";
+export type ServerReadiness = "cold" | "warm" | "leaving";
 
 /**
  * Says to which backend servers a gateway may send now. It takes events with their monotonic times in milliseconds,
  * does no I/O, and is asked in the very turn in which a request is sent.
  */
-export abstract class ServerGate {
+export abstract class ServerPermitGate {
     /** The lease that the permits are held by; to be revoked in a planned stop, after the last request has ended. */
     abstract get leaseId(): string | undefined;
     /**
@@ -33,9 +33,9 @@
      * Whether this gateway has exchanged words with a majority lately, or so lately that it may again in a moment. If
      * not, {@link maySend} allows nothing, and nothing shows that it will.
      */
-    abstract isInTouch(nowMs: number): boolean;
+    abstract hasPeerContact(nowMs: number): boolean;
     /** @returns how this gateway takes a server to stand; `undefined` for one that isn't declared */
-    abstract stateOf(serverId: ServerId): ServerStanding | undefined;
+    abstract getReadiness(serverId: ServerId): ServerReadiness | undefined;
     /** Notes that a request has been handed to a connection, in the turn that {@link maySend} allowed it. */
     abstract onSent(serverId: ServerId, requestId: string, nowMs: number, deadlineMs: number): void;
     /**
@@ -46,9 +46,9 @@
      */
     abstract mayStillSend(serverId: ServerId, requestId: string, nowMs: number): boolean;
     /** Notes the end of a request. */
-    abstract onEnd(serverId: ServerId, requestId: string, end: AttemptEnd, nowMs: number): void;
+    abstract onEnd(serverId: ServerId, requestId: string, end: AttemptCompletion, nowMs: number): void;
     /** Takes what the server's health or load endpoint says. */
-    abstract onReport(serverId: ServerId, signs: AnswerSigns, nowMs: number): void;
+    abstract onReport(serverId: ServerId, signs: ServerMetadata, nowMs: number): void;
     /** Takes what the platform's host list says of the server's host. */
     abstract onHostListed(serverId: ServerId, state: "live" | "leaving", nowMs: number): void;
     /** Takes a peer's signal. */
@@ -61,7 +61,7 @@
      *
      * @returns what every heartbeat of it says
      */
-    abstract beginRound(nowMs: number): ColdStartWord;
+    abstract beginRound(nowMs: number): ColdStartHeartbeat;
     /** Takes the answers of a round that {@link beginRound} began at `round.startedAtMs`. */
     abstract onRound(round: HeartbeatRound, nowMs: number): void;
     /**
@@ -69,7 +69,7 @@
      *
      * @returns what the answer to it says
      */
-    abstract onHeartbeat(word: ColdStartWord, nowMs: number): ColdStartWord;
+    abstract onHeartbeat(word: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat;
     abstract onStoreReply(reply: StoreReply, nowMs: number): void;
     /**
      * To be called some times a second.
--- a/packages/coldStart/src/serverState.ts
+++ b/packages/coldStart/src/serverState.ts
@@ -1,6 +1,6 @@
 import { type ServerId } from "@galenaglade/routing";
-import { type AnswerSigns, type AttemptEnd } from "./answerSigns.js";
-import { cancellationMarginMs, reportLagMs, silenceMs, slowFactor } from "./constants.js";
+import { type ServerMetadata, type AttemptCompletion } from "./serverMetadata.js";
+import { cancellationGraceMs, maxReportLagMs, latencyCheckIdleMs, coldLatencyFactor } from "./constants.js";
 
 /** What the configuration says of one server's cold start. */
 export interface ServerLimits {
@@ -11,7 +11,7 @@
     readonly answersToWarm: number;
     readonly idleMs: number;
     /** Longest patience of its service's callers, in milliseconds. */
-    readonly longestPatienceMs: number;
+    readonly maxPatienceMs: number;
 }
 
 /** A request in flight. */
@@ -21,7 +21,7 @@
     readonly epoch: number;
     readonly wasWarm: boolean;
     /** The stretch of authority that it was sent under, where the server was not warm. */
-    readonly stretch: string | undefined;
+    readonly authorityId: string | undefined;
 }
 
 /** What one gateway believes of one backend server. */
@@ -55,7 +55,7 @@
     }
 
     /** Sending time of the newest request that the server answered as a warm one. */
-    get evidenceAtMs(): number {
+    get warmConfirmedAtMs(): number {
         return this.#evidenceAtMs;
     }
 
@@ -70,18 +70,18 @@
     }
 
     /** Whether any gateway may send to the server without a permit. */
-    isFree(nowMs: number): boolean {
+    isConfirmedWarm(nowMs: number): boolean {
         return this.#isWarm && nowMs < this.#evidenceAtMs + this.limits.idleMs;
     }
 
     /** Requests in flight, over all gateways, that the holder of the permit may let it have. */
-    get warmUpLimit(): number {
+    get warmUpConcurrency(): number {
         // An idle server that was warm gets one trial request; it may have turned cold without a word.
         return this.#isWarm ? 1 : this.#limit;
     }
 
     /** @returns what was noted of a request in flight */
-    request(requestId: string): SentRequest | undefined {
+    getRequest(requestId: string): SentRequest | undefined {
         return this.#requests.get(requestId);
     }
 
@@ -90,20 +90,20 @@
             sentAtMs: nowMs,
             deadlineMs,
             epoch: this.#epoch,
-            wasWarm: this.isFree(nowMs),
-            stretch,
+            wasWarm: this.isConfirmedWarm(nowMs),
+            authorityId: stretch,
         });
     }
 
     /** @returns whether the server has been found to have turned cold */
-    onEnd(requestId: string, end: AttemptEnd, nowMs: number): boolean {
+    onEnd(requestId: string, end: AttemptCompletion, nowMs: number): boolean {
         const sent = this.#requests.get(requestId);
         if (sent === undefined) {
             return false;
         }
         this.#requests.delete(requestId);
         if (end.mayStillRun) {
-            this.#lingering.push(sent.deadlineMs + cancellationMarginMs);
+            this.#lingering.push(sent.deadlineMs + cancellationGraceMs);
         }
         const latencyMs = nowMs - sent.sentAtMs;
         const isCold = this.#isSignOfCold(end, latencyMs, nowMs);
@@ -118,19 +118,19 @@
     }
 
     /** @returns whether a word from outside a request shows that the server has turned cold */
-    onReport(signs: AnswerSigns, nowMs: number): boolean {
+    onReport(signs: ServerMetadata, nowMs: number): boolean {
         // The endpoints lag: one that still says "cold" after the server's own answers say "warm" would take a warm
         // server out again and again. Answers are the newer word while they come.
-        const isContradicted = nowMs < this.#evidenceAtMs + reportLagMs;
+        const isContradicted = nowMs < this.#evidenceAtMs + maxReportLagMs;
         const isCold = this.#isNewIncarnation(signs) || (signs.state === "cold" && !isContradicted);
         if (!this.#isWarm || !isCold) {
             return false;
         }
-        this.turnCold(signs.incarnation);
+        this.markCold(signs.incarnation);
         return true;
     }
 
-    turnCold(incarnation: string | undefined): void {
+    markCold(incarnation: string | undefined): void {
         this.#becomeCold(this.#epoch + 1, incarnation);
     }
 
@@ -140,7 +140,7 @@
      *
      * @returns whether anything changed
      */
-    learn(epoch: number, isWarm: boolean, incarnation: string | undefined, evidenceAtMs: number): boolean {
+    merge(epoch: number, isWarm: boolean, incarnation: string | undefined, evidenceAtMs: number): boolean {
         if (epoch > this.#epoch) {
             this.#becomeCold(epoch, incarnation);
             if (isWarm) {
@@ -157,7 +157,7 @@
     }
 
     /** Forgets that the server was seen to be warm, as after a time out of touch with the peers. */
-    forgetEvidence(): void {
+    clearWarmConfirmation(): void {
         this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
     }
 
@@ -179,41 +179,44 @@
         this.#limit = this.limits.concurrency;
     }
 
-    #onEndWhileWarm(sent: SentRequest, end: AttemptEnd, isCold: boolean): boolean {
+    #onEndWhileWarm(sent: SentRequest, end: AttemptCompletion, isCold: boolean): boolean {
         // An answer to a request of an earlier epoch says nothing that the permit holder of that epoch didn't learn.
         if (sent.epoch !== this.#epoch) {
             return false;
         }
         if (isCold) {
-            this.turnCold(end.signs.incarnation);
+            this.markCold(end.metadata.incarnation);
             return true;
         }
         if (end.outcome === "good") {
-            this.#incarnation = end.signs.incarnation ?? this.#incarnation;
+            this.#incarnation = end.metadata.incarnation ?? this.#incarnation;
             this.#evidenceAtMs = Math.max(this.#evidenceAtMs, sent.sentAtMs);
         }
         return false;
     }
 
-    #onEndWhileCold(sent: SentRequest, end: AttemptEnd): void {
-        const { signs } = end;
+    #onEndWhileCold(sent: SentRequest, end: AttemptCompletion): void {
+        const { metadata } = end;
         if (end.outcome === "shed" || end.outcome === "refused" || end.outcome === "failed") {
             this.#restartRamp();
             return;
         }
-        if (end.outcome !== "good" || signs.state === "leaving") {
+        if (end.outcome !== "good" || metadata.state === "leaving") {
             return;
         }
-        if (this.#isNewIncarnation(signs)) {
+        if (this.#isNewIncarnation(metadata)) {
             this.#restartRamp();
         }
-        this.#incarnation = signs.incarnation ?? this.#incarnation;
+        this.#incarnation = metadata.incarnation ?? this.#incarnation;
         this.#goodAnswers++;
-        if (signs.state === "warm" || (signs.state === undefined && this.#goodAnswers >= this.limits.answersToWarm)) {
+        if (
+            metadata.state === "warm"
+            || (metadata.state === undefined && this.#goodAnswers >= this.limits.answersToWarm)
+        ) {
             this.#becomeWarm(sent.sentAtMs);
             return;
         }
-        this.#growLimit(signs.bears);
+        this.#growLimit(metadata.bears);
     }
 
     /** The limit grows by one with each good answer, only up to what the server itself says that it bears. */
@@ -223,9 +226,9 @@
         }
     }
 
-    #isSignOfCold(end: AttemptEnd, latencyMs: number, nowMs: number): boolean {
-        const { signs } = end;
-        if (signs.state === "cold" || this.#isNewIncarnation(signs)) {
+    #isSignOfCold(end: AttemptCompletion, latencyMs: number, nowMs: number): boolean {
+        const { metadata } = end;
+        if (metadata.state === "cold" || this.#isNewIncarnation(metadata)) {
             return true;
         }
         if (end.outcome === "refused") {
@@ -233,24 +236,24 @@
         }
         if (end.outcome === "shed") {
             // A server that says it is warm sheds for its load, not for its state.
-            return signs.state === undefined;
+            return metadata.state === undefined;
         }
-        return end.outcome === "good" && signs.state === undefined && this.#isSlowAfterSilence(latencyMs, nowMs);
+        return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterSilence(latencyMs, nowMs);
     }
 
     #isSlowAfterSilence(latencyMs: number, nowMs: number): boolean {
         return this.#usualLatencyMs !== undefined
-            && nowMs - latencyMs >= this.#heardAtMs + silenceMs
-            && latencyMs > this.#usualLatencyMs * slowFactor;
+            && nowMs - latencyMs >= this.#heardAtMs + latencyCheckIdleMs
+            && latencyMs > this.#usualLatencyMs * coldLatencyFactor;
     }
 
-    #isNewIncarnation(signs: AnswerSigns): boolean {
+    #isNewIncarnation(signs: ServerMetadata): boolean {
         return signs.incarnation !== undefined
             && this.#incarnation !== undefined
             && signs.incarnation !== this.#incarnation;
     }
 
-    #noteHeard(end: AttemptEnd, latencyMs: number, nowMs: number): void {
+    #noteHeard(end: AttemptCompletion, latencyMs: number, nowMs: number): void {
         if (end.outcome !== "good") {
             return;
         }
--- a/packages/coldStart/src/storeCommand.ts
+++ b/packages/coldStart/src/storeCommand.ts
@@ -32,6 +32,6 @@
 export interface StoreReply {
     readonly command: StoreCommand;
     /** Monotonic time before the call was sent, in milliseconds. */
-    readonly askedAtMs: number;
+    readonly sentAtMs: number;
     readonly outcome: StoreOutcome;
 }
--- a/packages/coldStart/src/authority.ts
+++ b/packages/coldStart/src/warmUpAuthority.ts
@@ -1,8 +1,13 @@
 import { type ServerId } from "@galenaglade/routing";
-import { changeoverMs, clockMarginMs, contactLimitMs, leaseTtlMs } from "./constants.js";
-import { type ColdStartWord, type GatewayRoster, type HeartbeatRound, type LeaseWord } from "./heartbeatRound.js";
+import { authorityChangeDelayMs, clockDriftAllowanceMs, contactTimeoutMs, leaseTtlMs } from "./constants.js";
+import {
+    type ColdStartHeartbeat,
+    type GatewayRoster,
+    type HeartbeatRound,
+    type LeaseReport,
+} from "./coldStartHeartbeat.js";
 import { type LeaseKeeper } from "./leaseKeeper.js";
-import { rankOwners } from "./rendezvous.js";
+import { rankOwners } from "./rankOwners.js";
 
 /** A stretch of time over which something was confirmed again and again before it lapsed. */
 class Stretch {
@@ -22,7 +27,7 @@
     }
 
     isHolding(nowMs: number): boolean {
-        return nowMs < this.#atMs + contactLimitMs;
+        return nowMs < this.#atMs + contactTimeoutMs;
     }
 }
 
@@ -36,7 +41,7 @@
  * the roster. Both rest on contact with a majority, and any two majorities share a gateway, which passes on what it
  * heard from the one to the other; the proof is in docs/design/cold-start.md.
  */
-export class Authority {
+export class WarmUpAuthority {
     readonly #self: string;
     readonly #lease: LeaseKeeper;
     readonly #leases = new Map<string, KnownLease>();
@@ -77,7 +82,7 @@
     /** Notes what a round that starts now announces, and whom this gateway holds for absent. */
     beginRound(absent: readonly string[], nowMs: number): void {
         for (const startedAtMs of this.#begun.keys()) {
-            if (startedAtMs + contactLimitMs < nowMs) {
+            if (startedAtMs + contactTimeoutMs < nowMs) {
                 this.#begun.delete(startedAtMs);
             }
         }
@@ -85,7 +90,7 @@
     }
 
     /** @returns the latest lease of every gateway that is known of, own first */
-    leases(nowMs: number): readonly LeaseWord[] {
+    leases(nowMs: number): readonly LeaseReport[] {
         this.#noteOwnLease();
         return [...this.#leases].map(([holder, known]) => ({
             holder,
@@ -98,7 +103,7 @@
      * Each renewal is dated once, when first heard of. Dating it anew with each message would make it younger by a
      * network delay each time that it went round, and a lease long lapsed would never be old.
      */
-    hear(word: ColdStartWord, nowMs: number): void {
+    mergeLeases(word: ColdStartHeartbeat, nowMs: number): void {
         for (const lease of word.leases) {
             const known = this.#leases.get(lease.holder);
             if (lease.holder !== this.#self && (known === undefined || lease.sequence > known.sequence)) {
@@ -110,10 +115,10 @@
     /** @returns whether the round reached a majority */
     onRound(round: HeartbeatRound, nowMs: number): boolean {
         const begun = this.#begun.get(round.startedAtMs);
-        for (const answer of round.answers) {
-            this.hear(answer, nowMs);
+        for (const answer of round.responses) {
+            this.mergeLeases(answer, nowMs);
         }
-        const answers = round.answers.filter(answer => answer.rosterVersion === this.#roster.version);
+        const answers = round.responses.filter(answer => answer.rosterVersion === this.#roster.version);
         if (begun === undefined || !this.#isMajority(answers)) {
             return false;
         }
@@ -128,7 +133,7 @@
 
     #noteAbsences(
         startedAtMs: number,
-        answers: readonly ColdStartWord[],
+        answers: readonly ColdStartHeartbeat[],
         ownAbsent: readonly string[],
         nowMs: number,
     ): void {
@@ -142,7 +147,7 @@
     }
 
     /** Whether a majority has answered lately enough to send anything at all. */
-    hasContact(nowMs: number): boolean {
+    hasMajorityContact(nowMs: number): boolean {
         return this.#contact.isHolding(nowMs);
     }
 
@@ -150,14 +155,14 @@
      * @returns a word for the present stretch in which permits under the lease may be used, or `undefined`; between two
      * stretches the owner by roster may have sent
      */
-    leaseAuthority(nowMs: number): string | undefined {
-        const isUsable = this.hasContact(nowMs)
+    resolveLeaseAuthorityId(nowMs: number): string | undefined {
+        const isUsable = this.hasMajorityContact(nowMs)
             // Counted from before the renewal was sent: a holder that was paused past its lease sees in the turn in
             // which it wakes that its authority is gone. And from a renewal that a majority has heard of: any other
             // wouldn't keep the owner by roster from sending.
-            && nowMs < this.#announcedMs + leaseTtlMs - clockMarginMs
+            && nowMs < this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs
             // The owner by roster may have had its last contact just before the lease was announced.
-            && nowMs >= this.#announcedSinceMs + changeoverMs;
+            && nowMs >= this.#announcedSinceMs + authorityChangeDelayMs;
         return isUsable ? String(this.#announcedSinceMs) : undefined;
     }
 
@@ -165,9 +170,9 @@
      * @returns a word for the present stretch of authority without the store, or `undefined` where there is none; work
      * inherited from before a stretch has to be counted again in the next, since another may have sent in between
      */
-    rosterAuthority(serverId: ServerId, nowMs: number): string | undefined {
+    resolveRosterAuthorityId(serverId: ServerId, nowMs: number): string | undefined {
         const freshestMs = this.#freshestLeaseMs();
-        const restMs = leaseTtlMs + changeoverMs;
+        const restMs = leaseTtlMs + authorityChangeDelayMs;
         const isUsable = this.#presence.isHolding(nowMs)
             && nowMs >= this.#presence.sinceMs + restMs
             && nowMs >= freshestMs + restMs;
@@ -214,14 +219,14 @@
         if (announcedMs <= this.#announcedMs) {
             return;
         }
-        if (nowMs >= this.#announcedMs + leaseTtlMs - clockMarginMs) {
+        if (nowMs >= this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs) {
             this.#announcedSinceMs = nowMs;
         }
         this.#announcedMs = announcedMs;
     }
 
     /** A gateway counts itself among those that answered. */
-    #isMajority(answers: readonly ColdStartWord[]): boolean {
+    #isMajority(answers: readonly ColdStartHeartbeat[]): boolean {
         const heard = new Set([this.#self, ...answers.map(answer => answer.from)]);
         const { members, previous } = this.#roster;
         return isMajorityOf(members, heard) && (previous === undefined || isMajorityOf(previous, heard));
--- a/packages/gateway/src/__tests__/coldStart.test.ts
+++ b/packages/gateway/src/__tests__/coldStart.test.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord, signHeaders } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat, serverMetadataHeaders } from "@galenaglade/cold-start";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type Either, Left, Right } from "purify-ts";
 import assert from "node:assert/strict";
@@ -24,7 +24,7 @@
         return { version: 1, members: [...this.#gates.keys()] };
     }
 
-    override exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+    override exchange(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         const peers = [...this.#gates].filter(([name]) => name !== this.#self);
         return peers.map(([, gate]) => Promise.resolve(Right(gate.onHeartbeat(heartbeat))));
     }
@@ -43,8 +43,8 @@
         setTimeout(() => {
             this.inFlight--;
             this.responseCount++;
-            res.setHeader(signHeaders.state, this.responseCount < 5 ? "cold" : "warm");
-            res.setHeader(signHeaders.bears, this.responseCount < 5 ? "1" : "3");
+            res.setHeader(serverMetadataHeaders.state, this.responseCount < 5 ? "cold" : "warm");
+            res.setHeader(serverMetadataHeaders.bears, this.responseCount < 5 ? "1" : "3");
             res.end("ok");
         }, 20);
     };
@@ -92,7 +92,7 @@
         return { version: 1, members: ["gateway-1/1", "gateway-2/1", "gateway-3/1"] };
     }
 
-    override exchange(): readonly Promise<Either<Failure, ColdStartWord>>[] {
+    override exchange(): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         const unreachable = Left(createFailure("peerUnreachable", "cut off"));
         return [Promise.resolve(unreachable), Promise.resolve(unreachable)];
     }
--- a/packages/gateway/src/__tests__/requestPath.test.ts
+++ b/packages/gateway/src/__tests__/requestPath.test.ts
@@ -1,5 +1,5 @@
 import { KeyValueEngine } from "@galenaglade/stand-ins";
-import { stallMinimumMs } from "@galenaglade/at-most-once";
+import { minStallTimeoutMs } from "@galenaglade/at-most-once";
 import assert from "node:assert/strict";
 import { once } from "node:events";
 import { connect } from "node:net";
@@ -319,7 +319,7 @@
     for (let i = 0; i < 5; i++) {
         await send(`${url}/tables/other`);
     }
-    await setTimeout(2 * stallMinimumMs);
+    await setTimeout(2 * minStallTimeoutMs);
     answer(slow);
     assert.equal((await res).status, 200);
     assert.equal(backend.requests.filter(req => req.path === "/tables/slow").length, 1);
--- a/packages/gateway/src/coldStart/attemptEnd.ts
+++ b/packages/gateway/src/coldStart/attemptEnd.ts
@@ -1,20 +1,20 @@
-import { type AttemptEnd } from "@galenaglade/cold-start";
+import { type AttemptCompletion } from "@galenaglade/cold-start";
 import { type AttemptResult } from "../requests/attempt.js";
 
 /**
  * @param result - result of an attempt
  * @returns the result as the cold-start gate needs it
  */
-export function resolveAttemptEnd(result: AttemptResult): AttemptEnd {
+export function resolveAttemptEnd(result: AttemptResult): AttemptCompletion {
     const { outcome, failure, metadata } = result;
     return {
         outcome: resolveOutcome(result),
-        signs: metadata,
+        metadata: metadata,
         mayStillRun: failure !== undefined && outcome.didRun !== "no",
     };
 }
 
-function resolveOutcome({ outcome, failure }: AttemptResult): AttemptEnd["outcome"] {
+function resolveOutcome({ outcome, failure }: AttemptResult): AttemptCompletion["outcome"] {
     if (failure === undefined) {
         return "good";
     }
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -1,10 +1,10 @@
 import {
-    type AttemptEnd,
-    type ColdStartWord,
-    createServerGate,
+    type AttemptCompletion,
+    type ColdStartHeartbeat,
+    createServerPermitGate,
     type GatedServer,
     type GatewayRoster,
-    type ServerGate as PermitGate,
+    type ServerPermitGate as PermitGate,
 } from "@galenaglade/cold-start";
 import { type Configuration, type ConfigurationRevision, type Service } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
@@ -23,7 +23,7 @@
     /** @returns the current members as `name/incarnation`, including this gateway */
     abstract roster(): GatewayRoster;
     /** Sends a heartbeat to every peer. @returns one promise for each peer's reply */
-    abstract exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
+    abstract exchange(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[];
 }
 
 /** Dependencies of {@link ColdStartGate}. */
@@ -48,7 +48,7 @@
     constructor(deps: ColdStartGateDeps) {
         super();
         this.#deps = deps;
-        this.#permitGate = createServerGate(deps.self);
+        this.#permitGate = createServerPermitGate(deps.self);
     }
 
     /** The permit gate, which holds the state of each backend server. */
@@ -81,7 +81,7 @@
     }
 
     /** Handles a peer's heartbeat. @returns the reply */
-    onHeartbeat(heartbeat: ColdStartWord): ColdStartWord {
+    onHeartbeat(heartbeat: ColdStartHeartbeat): ColdStartHeartbeat {
         return this.#permitGate.onHeartbeat(heartbeat, this.#now());
     }
 
@@ -90,11 +90,11 @@
     }
 
     override hasPeerContact(nowMs: number): boolean {
-        return this.#permitGate.isInTouch(nowMs);
+        return this.#permitGate.hasPeerContact(nowMs);
     }
 
     override isCold(target: Pick<Target, "serverId">): boolean {
-        return this.#permitGate.stateOf(target.serverId) === "cold";
+        return this.#permitGate.getReadiness(target.serverId) === "cold";
     }
 
     override onGranted(grant: Grant, deadlineMs: number): void {
@@ -105,7 +105,7 @@
         return this.#permitGate.mayStillSend(grant.target.serverId, grant.id, nowMs);
     }
 
-    override onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void {
+    override onEnded(grant: Grant, end: AttemptCompletion, nowMs: number): void {
         this.#permitGate.onEnd(grant.target.serverId, grant.id, end, nowMs);
         if (this.#permitGate.takeUrgentSignals(nowMs).length > 0) {
             // A heartbeat carries every signal, so an extra round reports a cold or leaving server to all peers.
@@ -121,7 +121,7 @@
         for (const command of this.#permitGate.tick(this.#now())) {
             const askedAtMs = this.#now();
             void runStoreCommand(this.#deps.store, command).then(outcome => {
-                this.#permitGate.onStoreReply({ command, askedAtMs, outcome }, this.#now());
+                this.#permitGate.onStoreReply({ command, sentAtMs: askedAtMs, outcome }, this.#now());
             });
         }
     }
@@ -131,13 +131,13 @@
         this.#permitGate.onRoster(peers.roster(), this.#now());
         const startedAtMs = this.#now();
         const heartbeat = this.#permitGate.beginRound(startedAtMs);
-        const answers: ColdStartWord[] = [];
-        this.#permitGate.onRound({ startedAtMs, answers }, startedAtMs);
+        const answers: ColdStartHeartbeat[] = [];
+        this.#permitGate.onRound({ startedAtMs, responses: answers }, startedAtMs);
         for (const reply of peers.exchange(heartbeat)) {
             void reply.then(result => {
                 result.ifRight(peerHeartbeat => {
                     answers.push(peerHeartbeat);
-                    this.#permitGate.onRound({ startedAtMs, answers }, this.#now());
+                    this.#permitGate.onRound({ startedAtMs, responses: answers }, this.#now());
                 });
             });
         }
@@ -163,7 +163,7 @@
     const { concurrency, answersToWarm, idleMs } = service.coldStart;
     return {
         serverId: createServerId(service.name, server.name),
-        limits: { concurrency, answersToWarm, idleMs, slots: server.slots, longestPatienceMs },
-        isIn: activeZones.has(server.availabilityZone),
+        limits: { concurrency, answersToWarm, idleMs, slots: server.slots, maxPatienceMs: longestPatienceMs },
+        isZoneInService: activeZones.has(server.availabilityZone),
     };
 }
--- a/packages/gateway/src/coldStart/fleetPeers.ts
+++ b/packages/gateway/src/coldStart/fleetPeers.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord, type GatewayRoster } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat, type GatewayRoster } from "@galenaglade/cold-start";
 import { type Failure } from "@galenaglade/errors";
 import { type GatewayIdentity } from "@galenaglade/membership";
 import { type FleetMembership } from "@galenaglade/peers";
@@ -27,7 +27,7 @@
         };
     }
 
-    override exchange(heartbeat: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+    override exchange(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         return this.#fleet.exchangeColdStart(heartbeat);
     }
 }
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,4 +1,4 @@
-import { type ServerStanding } from "@galenaglade/cold-start";
+import { type ServerReadiness } from "@galenaglade/cold-start";
 import { FailureError } from "@galenaglade/errors";
 import { resolveFleetTimings } from "@galenaglade/membership";
 import { createFleetMembership, type FleetMembership } from "@galenaglade/peers";
@@ -56,7 +56,7 @@
     if (gate !== undefined) {
         fleet.setColdStartHandler(heartbeat => gate.onHeartbeat(heartbeat));
     }
-    const stateOf = (serverId: ServerId): ServerStanding | undefined => gate?.permitGate.stateOf(serverId);
+    const stateOf = (serverId: ServerId): ServerReadiness | undefined => gate?.permitGate.getReadiness(serverId);
     fleet.setObservationHandler(service =>
         describeServers({ configuration: fleet.current(), board, stateOf }, service, performance.now())
     );
--- a/packages/gateway/src/requests/attempt.ts
+++ b/packages/gateway/src/requests/attempt.ts
@@ -1,6 +1,6 @@
 import {
     advanceAttempt,
-    type AnswerHead,
+    type ResponseHead,
     type Attempt,
     type AttemptEnd,
     type AttemptEvent,
@@ -10,7 +10,7 @@
     didRunHeader,
     resolveAttempt,
 } from "@galenaglade/at-most-once";
-import { type AnswerSigns, noSigns, resolveAnswerSigns } from "@galenaglade/cold-start";
+import { type ServerMetadata, emptyServerMetadata, parseServerMetadata } from "@galenaglade/cold-start";
 import { createFailure, type DidRun, type Failure, FailureError } from "@galenaglade/errors";
 import { resetCallerConnection, findHeader, type RawHeaders, type RequestBody } from "@galenaglade/http-parts";
 import { type ServerId } from "@galenaglade/routing";
@@ -57,7 +57,7 @@
     readonly status: number | undefined;
     readonly headLatencyMs: number | undefined;
     /** The backend server's own metadata from the response headers. */
-    readonly metadata: AnswerSigns;
+    readonly metadata: ServerMetadata;
     /** Whether the attempt was abandoned because its connection stalled. */
     readonly stalled: boolean;
     /** Why the caller got no complete response from this attempt; `undefined` if it got one. */
@@ -94,7 +94,7 @@
     #controller: Dispatcher.DispatchController | undefined;
     #refusal: Failure | undefined;
     #headMs: number | undefined;
-    #metadata = noSigns;
+    #metadata = emptyServerMetadata;
     #settled = false;
     #stalled = false;
     #stallTimer: NodeJS.Timeout | undefined;
@@ -130,7 +130,7 @@
         }
         const raw = readRawHeaders(controller.rawHeaders);
         const head = this.#readHead(status, raw);
-        this.#metadata = resolveAnswerSigns(name => findHeader(raw, name));
+        this.#metadata = parseServerMetadata(name => findHeader(raw, name));
         this.#headMs = performance.now() - this.#startedAtMs;
         this.#advance({ type: "headReceived", head });
         clearTimeout(this.#stallTimer);
@@ -204,7 +204,7 @@
         return this.#attempt.head !== undefined && resolveAttempt(this.#attempt).failure === "backendShed";
     }
 
-    #readHead(status: number, raw: RawHeaders): AnswerHead {
+    #readHead(status: number, raw: RawHeaders): ResponseHead {
         return {
             status,
             didRunHeader: findHeader(raw, didRunHeader),
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -1,4 +1,4 @@
-import { type AttemptOutcome, type AwaitedHead, combineDidRun, StallJudge } from "@galenaglade/at-most-once";
+import { type AttemptOutcome, type PendingAttempt, combineDidRun, StallDetector } from "@galenaglade/at-most-once";
 import { createFailure, type Failure, resolveFailure } from "@galenaglade/errors";
 import { type ServerLoadTracker, type ServerId } from "@galenaglade/routing";
 import { type Span, SpanKind, trace } from "@opentelemetry/api";
@@ -56,7 +56,7 @@
 /** Forwards a request to a backend server and retries it on another one if that is safe. */
 export class Forwarder {
     readonly #deps: ForwarderDeps;
-    readonly #stallDetector = new StallJudge();
+    readonly #stallDetector = new StallDetector();
 
     constructor(deps: ForwarderDeps) {
         this.#deps = deps;
@@ -170,7 +170,7 @@
         });
         const dedicated = needsDedicatedConnection(request, previousOutcomes);
         const connection = connections.open(grant.target, dedicated);
-        const awaited: AwaitedHead = {
+        const awaited: PendingAttempt = {
             service: request.route.service.name,
             serverId,
             sentAtMs: clock.monotonicMs(),
@@ -209,10 +209,10 @@
      * A slow request can't be distinguished reliably from a stalled connection. Abandoning it without a retry would
      * fail a request that may be about to succeed, so the attempt is abandoned only if the retry budget allows a retry.
      */
-    #createStallCheck(request: CallerRequest, awaited: AwaitedHead): StallCheck {
+    #createStallCheck(request: CallerRequest, awaited: PendingAttempt): StallCheck {
         const { clock, scheduler } = this.#deps;
         return {
-            checkDelayMs: () => this.#stallDetector.limitMs(awaited.service),
+            checkDelayMs: () => this.#stallDetector.getTimeoutMs(awaited.service),
             isStalled: () =>
                 this.#stallDetector.isStalled(awaited, clock.monotonicMs()) && scheduler.tryAcquireRetry(request),
         };
--- a/packages/gateway/src/requests/grant.ts
+++ b/packages/gateway/src/requests/grant.ts
@@ -1,4 +1,4 @@
-import { type AttemptEnd } from "@galenaglade/cold-start";
+import { type AttemptCompletion } from "@galenaglade/cold-start";
 import { type Target } from "./serviceTable.js";
 
 /** Permission to send one request to one backend server. It occupies a slot until `Scheduler.release` is called. */
@@ -17,5 +17,5 @@
     readonly latencyMs: number | undefined;
     readonly succeeded: boolean;
     /** Result of the attempt for the server gate. */
-    readonly attempt: AttemptEnd;
+    readonly attempt: AttemptCompletion;
 }
--- a/packages/gateway/src/requests/requestClaims.ts
+++ b/packages/gateway/src/requests/requestClaims.ts
@@ -1,10 +1,10 @@
 import {
     ClaimBatcher,
-    type ClaimCallAnswer,
+    type ClaimStoreReply,
     type ClaimCommand,
     type ClaimEnd,
     type ClaimTime,
-    mayHandOver,
+    isClaimValid,
 } from "@galenaglade/at-most-once";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type KeyValue, type KeyValueStore } from "@galenaglade/platform";
@@ -63,7 +63,7 @@
                 nonce,
                 keyDigest: digest(request.route.service.name, idempotencyKey),
                 fingerprint: createFingerprint(request, body),
-                giveUpAtMs: request.deadlineMs,
+                deadlineMs: request.deadlineMs,
             }, this.#now()));
         });
     }
@@ -71,7 +71,7 @@
     /** Records the result of a claimed request in the store. Retries while the store is unavailable. */
     end(claim: HeldClaim, end: ClaimEnd): void {
         this.#startTimer();
-        this.#run(this.#batcher.end(claim.nonce, end, this.#now()));
+        this.#run(this.#batcher.recordEnd(claim.nonce, end, this.#now()));
     }
 
     /** @returns once every result is recorded; used by the planned stop */
@@ -105,7 +105,7 @@
         if (this.#batcher.isIdle) {
             this.#onIdle?.();
         }
-        if (!this.#batcher.needsTicks) {
+        if (!this.#batcher.needsTick) {
             this.stop();
         }
     }
@@ -114,10 +114,10 @@
         const answer = await this.#send(command).catch((err: unknown) =>
             Left(createFailure("storeOutcomeUnknown", String(err)))
         );
-        this.#run(this.#batcher.answered(command.callId, answer, this.#now()));
+        this.#run(this.#batcher.onStoreReply(command.callId, answer, this.#now()));
     }
 
-    async #send(command: StoreCommand): Promise<Either<Failure, ClaimCallAnswer>> {
+    async #send(command: StoreCommand): Promise<Either<Failure, ClaimStoreReply>> {
         const { store } = this.#deps;
         if (command.type === "read") {
             const found = await Promise.all(command.keys.map(key => store.get(key)));
@@ -132,7 +132,7 @@
     }
 
     #createHeldClaim(nonce: string, validUntilMs: number): HeldClaim {
-        return { nonce, mayStillSend: () => mayHandOver(validUntilMs, this.#deps.clock.monotonicMs()) };
+        return { nonce, mayStillSend: () => isClaimValid(validUntilMs, this.#deps.clock.monotonicMs()) };
     }
 
     #settle(nonce: string, result: Either<Failure, HeldClaim>): void {
--- a/packages/gateway/src/requests/responseFraming.ts
+++ b/packages/gateway/src/requests/responseFraming.ts
@@ -1,4 +1,4 @@
-import { type Framing } from "@galenaglade/at-most-once";
+import { type ResponseFraming } from "@galenaglade/at-most-once";
 
 const noContent = 204;
 const notModified = 304;
@@ -15,7 +15,7 @@
     method: string,
     status: number,
     findHeader: (name: string) => string | undefined,
-): Framing {
+): ResponseFraming {
     if (method === "HEAD" || status === noContent || status === notModified) {
         return { type: "none" };
     }
--- a/packages/gateway/src/requests/serverGate.ts
+++ b/packages/gateway/src/requests/serverGate.ts
@@ -1,4 +1,4 @@
-import { type AttemptEnd } from "@galenaglade/cold-start";
+import { type AttemptCompletion } from "@galenaglade/cold-start";
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type Grant } from "./grant.js";
 import { type Target } from "./serviceTable.js";
@@ -21,7 +21,7 @@
     /** Called in the turn of the first byte, since the permission of {@link maySend} may have expired by then. */
     abstract mayStillSend(grant: Grant, nowMs: number): boolean;
     /** Called when a granted request has ended. */
-    abstract onEnded(grant: Grant, end: AttemptEnd, nowMs: number): void;
+    abstract onEnded(grant: Grant, end: AttemptCompletion, nowMs: number): void;
     /** Applies the backend servers of a newer configuration. */
     abstract onConfiguration(revised: ConfigurationRevision): void;
     /** @param dispatchQueued - called when queued requests may now be allowed on some backend server */
--- a/packages/peers/src/__tests__/peerPort.test.ts
+++ b/packages/peers/src/__tests__/peerPort.test.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { type ConfigurationOffer, type Heartbeat } from "@galenaglade/membership";
 import assert from "node:assert/strict";
 import { once } from "node:events";
@@ -19,7 +19,7 @@
     stopping: false,
 };
 const offer: ConfigurationOffer = { offered: undefined, roster: { version: 1, members: [identity] } };
-const coldStartWord: ColdStartWord = {
+const coldStartWord: ColdStartHeartbeat = {
     from: "gw1/1",
     rosterVersion: 1,
     leases: [{ holder: "gw1/1", sequence: 3, ageMs: 40 }],
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type ConfigurationOffer, type Heartbeat, type OfferAnswer } from "@galenaglade/membership";
 import { type RandomSource } from "@galenaglade/routing";
@@ -127,7 +127,10 @@
         return this.#run(address, handler => handler.offer(offer));
     }
 
-    override exchangeColdStart(address: string, word: ColdStartWord): Promise<Either<Failure, ColdStartWord>> {
+    override exchangeColdStart(
+        address: string,
+        word: ColdStartHeartbeat,
+    ): Promise<Either<Failure, ColdStartHeartbeat>> {
         return this.#run(address, handler => handler.exchangeColdStart(word));
     }
 
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
 import { type FleetStatus, type FleetTimings, type GatewayIdentity, type Roster } from "@galenaglade/membership";
@@ -54,9 +54,9 @@
     /** Sets who says what this gateway knows of the backend servers when an operators' server asks. */
     setObservationHandler(observe: ObserveServers): void;
     /** Sets who answers peers' words on cold start; until then their calls fail. */
-    setColdStartHandler(answer: (word: ColdStartWord) => ColdStartWord): void;
+    setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void;
     /** Sends a word on cold start to every other gateway of the roster. @returns one promise for each */
-    exchangeColdStart(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[];
+    exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[];
     /** @returns the roster that this gateway knows; `undefined` until it knows one */
     roster(): Roster | undefined;
     status(): FleetStatus | undefined;
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import {
@@ -44,7 +44,7 @@
     readonly #onSignals: OnSignals[] = [];
     readonly #onLoads: OnLoads[] = [];
     #observe: ObserveServers = () => [];
-    #answerColdStart: ((word: ColdStartWord) => ColdStartWord) | undefined;
+    #answerColdStart: ((word: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
     readonly #stopped = new AbortController();
     #self: GatewayIdentity | undefined;
     #member: FleetMember | undefined;
@@ -114,11 +114,11 @@
         this.#observe = observe;
     }
 
-    setColdStartHandler(answer: (word: ColdStartWord) => ColdStartWord): void {
+    setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void {
         this.#answerColdStart = answer;
     }
 
-    exchangeColdStart(word: ColdStartWord): readonly Promise<Either<Failure, ColdStartWord>>[] {
+    exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         const others = listRosterGateways(this.roster()).filter(({ name }) => name !== this.#options.name);
         return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, word));
     }
--- a/packages/peers/src/peerCaller.ts
+++ b/packages/peers/src/peerCaller.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { type Failure } from "@galenaglade/errors";
 import { type ConfigurationOffer, type Heartbeat, type OfferAnswer } from "@galenaglade/membership";
 import { type Either } from "purify-ts";
@@ -11,7 +11,7 @@
     abstract fetch(address: string): Promise<Either<Failure, ConfigurationOffer>>;
     abstract offer(address: string, offer: ConfigurationOffer): Promise<Either<Failure, OfferAnswer>>;
     /** Tells a peer what concerns cold start, and hears the same of it. */
-    abstract exchangeColdStart(address: string, word: ColdStartWord): Promise<Either<Failure, ColdStartWord>>;
+    abstract exchangeColdStart(address: string, word: ColdStartHeartbeat): Promise<Either<Failure, ColdStartHeartbeat>>;
     /** Asks what a gateway knows of one service's backend servers or, without a name, of all. */
     abstract observe(address: string, service: string | undefined): Promise<Either<Failure, ServerObservations>>;
 }
@@ -21,7 +21,7 @@
     heartbeat(heartbeat: Heartbeat): Heartbeat;
     fetch(): ConfigurationOffer;
     offer(offer: ConfigurationOffer): OfferAnswer;
-    exchangeColdStart(word: ColdStartWord): ColdStartWord;
+    exchangeColdStart(word: ColdStartHeartbeat): ColdStartHeartbeat;
     observe(service: string | undefined): ServerObservations;
 }
 
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { createFailure, type Failure } from "@galenaglade/errors";
 import { type ConfigurationOffer, type Heartbeat, type OfferAnswer } from "@galenaglade/membership";
 import { createTRPCClient, httpLink, type TRPCClient } from "@trpc/client";
@@ -65,7 +65,10 @@
         return this.#call(address, offerAnswerSchema, (client, signal) => client.offer.mutate(offer, { signal }));
     }
 
-    override exchangeColdStart(address: string, word: ColdStartWord): Promise<Either<Failure, ColdStartWord>> {
+    override exchangeColdStart(
+        address: string,
+        word: ColdStartHeartbeat,
+    ): Promise<Either<Failure, ColdStartHeartbeat>> {
         return this.#call(
             address,
             coldStartWordSchema,
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -1,4 +1,4 @@
-import { type ColdStartWord } from "@galenaglade/cold-start";
+import { type ColdStartHeartbeat } from "@galenaglade/cold-start";
 import { configurationSchema, type ConfigurationRevision } from "@galenaglade/configuration";
 import {
     type ConfigurationOffer,
@@ -78,7 +78,7 @@
 const maximumWords = 10_000;
 
 /** What gateways tell each other about servers that they may not send to freely. */
-export const coldStartWordSchema: z.ZodType<ColdStartWord> = z.object({
+export const coldStartWordSchema: z.ZodType<ColdStartHeartbeat> = z.object({
     from: gatewayLife,
     rosterVersion: count,
     leases: z.array(z.object({ holder: gatewayLife, sequence: count, ageMs })).max(maximumGateways),
