--- a/packages/membership/src/__tests__/acceptance.test.ts
+++ b/packages/membership/src/__tests__/acceptance.test.ts
@@ -9,7 +9,7 @@
     return tracker;
 }
 
-test("a change held by all is in force once each has said so twice", () => {
+test("a change isn't in force before each gateway has reported it twice", () => {
     const tracker = createTracker(["gw1", "gw2"]);
     tracker.onVersionReport(answer("gw1", 2, 10));
     tracker.onVersionReport(answer("gw2", 2, 10));
@@ -19,14 +19,14 @@
     assert.ok(tracker.isInForce(14));
 });
 
-// The operator is told that a zone is out, and a gateway that was started anew sends work there.
-// gw1 took the change and ended; its successor learnt the old configuration from gw2 before gw2 took the change. First
-// answers alone would show all, or a majority, holding the change, which was so at no time.
-test("a gateway that was started anew isn't counted for what it held before", () => {
+// Guards against a restarted gateway that sends work to a zone after its evacuation is in force. gw1 adopts the change
+// and ends; its successor gets the old configuration from gw2 before gw2 adopts the change. First responses alone would
+// suggest that all gateways, or a majority, held the change, although they never did so at the same time.
+test("a restarted gateway doesn't count as holding what its predecessor held", () => {
     const tracker = createTracker(["gw1", "gw2", "gw3"]);
     tracker.onVersionReport(answer("gw1", 2, 10));
     tracker.onVersionReport(answer("gw2", 2, 20));
-    assert.ok(!tracker.isInForce(20 + 2 * majorityWaitMs), "gw1 hasn't said it again");
+    assert.ok(!tracker.isInForce(20 + 2 * majorityWaitMs), "gw1 hasn't reported it again");
     tracker.onVersionReport(answer("gw1", 1, 30, { gateway: gateway("gw1", "2") }));
     tracker.onVersionReport(answer("gw2", 2, 30));
     assert.ok(!tracker.isInForce(30 + 2 * majorityWaitMs));
@@ -37,7 +37,7 @@
     assert.ok(tracker.isInForce(42 + majorityWaitMs));
 });
 
-test("while the roster changes, a majority of the old and of the new is needed", () => {
+test("while the roster changes, a majority of the new members alone doesn't put a change in force", () => {
     const tracker = createTracker(["gw3", "gw4", "gw5"], ["gw1", "gw2", "gw3"]);
     for (const startedAtMs of [10, 20]) {
         ["gw3", "gw4", "gw5"].forEach(name => tracker.onVersionReport(answer(name, 2, startedAtMs)));
@@ -50,7 +50,7 @@
     assert.ok(tracker.isInForce(10 * majorityWaitMs));
 });
 
-test("nothing is in force before the registrations have been listed", () => {
+test("no change is in force before the registrations have been listed", () => {
     const tracker = new AcceptanceTracker({ revision: 2, rosterVersion: 0 }, timings);
     assert.ok(!tracker.isInForce(10 * majorityWaitMs));
 });
@@ -63,9 +63,9 @@
     }
 }
 
-// An accepted change is lost to a gateway of the new roster, which goes on under the old configuration.
-// The change was accepted by the old members alone; the new ones count alone only once they hold the head as well.
-test("the new members count alone only when a majority of them holds the head", () => {
+// Guards against a gateway of the new roster that continues under an old configuration, since only the old members
+// accepted the change. The old members may be dropped only once a majority of the new ones holds the head as well.
+test("the old members aren't dropped before a majority of the new ones holds the head", () => {
     const keeper = new RosterReconciler("gw1", timings);
     const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
     keeper.reconcile(present, 0);
@@ -78,9 +78,9 @@
     });
 });
 
-// A change is called in force while a gateway that has just left the roster sends work under the older one.
-// It was confirmed as a member a moment before, and whoever accepted the change didn't ask it any more.
-test("the old members count for as long as one of them may go on by what it heard", () => {
+// Guards against a change that is in force while a gateway that has just left the roster sends work under the older
+// revision. The gateway was confirmed as a member shortly before, and isn't called for the change any more.
+test("the old members aren't dropped while one of them may still accept work as a member", () => {
     const keeper = new RosterReconciler("gw1", timings);
     const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
     keeper.reconcile(present, 0);
@@ -89,7 +89,7 @@
     assert.notEqual(keeper.reconcile(present, majorityWaitMs + 11), undefined);
 });
 
-test("gateways join at once and leave when gone for long, all in one change", () => {
+test("new gateways join immediately and missing ones leave after the removal delay, in a single change", () => {
     const keeper = new RosterReconciler("gw1", timings);
     const settled = roster(3, ["gw1", "gw2", "gw3"]);
     assert.equal(keeper.reconcile(survey(settled, ["gw1", "gw2"]), 0), undefined);
@@ -98,20 +98,20 @@
     assert.equal(swap.expectedRevision, 3);
 });
 
-// A change is called in force while gateways that were counted as gone send work under the older one.
-// The host list comes up short: it is empty, or doesn't show a new host yet.
-test("the host list is believed only of hosts it has shown, and only if it shows one's own", () => {
+// Guards against a change that is in force while gateways that count as gone send work under the older revision,
+// because the host list is incomplete: it is empty, or doesn't have a new host yet.
+test("a gateway doesn't count as gone by a host list without the own host, or if its host was never listed", () => {
     const settled = roster(3, ["gw1", "gw2", "gw3"]);
     const keeper = new RosterReconciler("gw1", timings);
     const listing = (hostNames: readonly string[]) => ({ ...survey(settled, ["gw1"]), hostNames });
-    assert.equal(keeper.reconcile(listing(["gw1", "gw2"]), 0), undefined, "gw3 was never shown");
+    assert.equal(keeper.reconcile(listing(["gw1", "gw2"]), 0), undefined, "gw3 was never listed");
     assert.equal(keeper.reconcile(listing([]), 10), undefined, "an empty list");
     assert.deepEqual(keeper.reconcile(listing(["gw1"]), 20)?.roster.members.map(({ name }) => name), ["gw1", "gw3"]);
 });
 
-// The first fleet start of an operator: the quickest gateway makes a roster of itself, is started anew while the store
-// is down, and nobody may serve until the store is back, since the one member can't ask a majority without itself.
-test("the first roster waits for the gateways that start together", () => {
+// Guards against a fleet that can't serve while the store is down. If the fastest gateway wrote a first roster of only
+// itself and then restarted, it would have to recover from a majority without itself, which doesn't exist.
+test("the first roster doesn't leave out gateways that start at the same time", () => {
     const keeper = new RosterReconciler("gw1", timings);
     assert.equal(keeper.reconcile(survey(undefined, ["gw1"]), 0), undefined);
     const swap = keeper.reconcile(survey(undefined, ["gw1", "gw2", "gw3"]), timings.rosterUpdateStaggerMs);
--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -10,7 +10,7 @@
 } from "../index.js";
 
 export const timings = defaultFleetTimings;
-/** Until this long after a majority held a change, a gateway may not have heard of it and go on. */
+/** Time for which a gateway that missed a change may accept work after a majority holds the change. */
 export const majorityWaitMs = timings.freshForMs + timings.marginMs;
 
 export function gateway(name: string, incarnation = "1"): GatewayIdentity {
@@ -74,7 +74,7 @@
     return new FleetMember({ self: gateway(name), seeds: [], timings }, 0);
 }
 
-/** The store was read: first the roster, then the head. */
+/** Passes the result of a read of the store to a member. */
 export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, present: Roster) {
     return member.handle(
         { type: "storeRead", startedAtMs, head: createRevision(head), roster: present, survey: undefined },
@@ -82,6 +82,7 @@
     );
 }
 
+/** Passes a peer's heartbeat response to a member. */
 export function heartbeatAnswered(member: FleetMember, startedAtMs: number, nowMs: number, peer: Heartbeat) {
     const event = { type: "heartbeatAnswered", address: peer.from.peerAddress, startedAtMs, heartbeat: peer } as const;
     return member.handle(event, nowMs);
--- a/packages/membership/src/__tests__/fleetMember.test.ts
+++ b/packages/membership/src/__tests__/fleetMember.test.ts
@@ -14,17 +14,17 @@
 
 const three = roster(1, ["gw1", "gw2", "gw3"]);
 
-// Callers of one gateway get answers from a zone after it was taken out.
-// The store's answer comes late; counted from its arrival, the gateway goes on past the time that others wait for it.
-test("what the store says counts from before it was asked", () => {
+// Guards against work that is sent to a zone after its evacuation is in force. The store's response is late: if the
+// freshness counted from its arrival, the gateway would continue for longer than the admin process waits.
+test("a late response of the store doesn't extend the freshness", () => {
     const member = createMember();
     storeRead(member, 0, 4_000, 1, three);
     assert.ok(member.mayTakeNewWork(timings.freshForMs));
     assert.ok(!member.mayTakeNewWork(timings.freshForMs + 1));
 });
 
-// The same with peers: the answer that makes up the majority was a long time on its way.
-test("what a peer says counts from before it was asked", () => {
+// The same for a late response of the peer that makes up the majority.
+test("a late response of a peer doesn't extend the contact with a majority", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
     heartbeatAnswered(member, 6_000, 9_000, heartbeat("gw2", 1));
@@ -32,25 +32,25 @@
     assert.ok(!member.mayTakeNewWork(11_001));
 });
 
-// A gateway goes on under the old configuration although it heard that there is a newer one.
-// Its peer's answer must not count before it holds what the peer holds; an earlier answer counts for its time, so that
-// hearing of a change stops no work while it is fetched.
-test("a peer that holds something newer counts once this gateway holds it too", () => {
+// Guards against a gateway that continues under the old configuration although a peer has reported a newer one. The
+// response must not count before the gateway holds the newer one too; an earlier response remains valid for its time,
+// so that work isn't interrupted while the change is fetched.
+test("a peer that holds something newer doesn't count before this gateway holds it too", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
     heartbeatAnswered(member, 4_000, 4_001, heartbeat("gw2", 1));
     const commands = heartbeatAnswered(member, 8_000, 8_001, heartbeat("gw2", 2));
     assert.deepEqual(commands, [{ type: "fetch", address: gateway("gw2").peerAddress }]);
-    assert.ok(member.mayTakeNewWork(9_000), "by the answer of 4,000");
-    assert.ok(!member.mayTakeNewWork(9_001), "the answer of 8,000 told of a newer revision");
+    assert.ok(member.mayTakeNewWork(9_000), "by the response to the call at 4,000");
+    assert.ok(!member.mayTakeNewWork(9_001), "the response to the call at 8,000 had a newer revision");
     const offer = { offered: createRevision(2), roster: three };
     member.handle({ type: "fetched", address: gateway("gw2").peerAddress, offer }, 9_100);
     assert.ok(member.mayTakeNewWork(9_100));
     assert.equal(member.configuration?.revision, 2);
 });
 
-// A zone that was taken out gets work again, since an answer that was overtaken brought the old configuration back.
-test("a lower revision is never applied, whoever offers it", () => {
+// Guards against work that is sent to an evacuated zone, since a delayed response restores the old configuration.
+test("a lower revision is never applied, neither from an offer nor from the store", () => {
     const member = createMember();
     storeRead(member, 0, 1, 3, three);
     assert.deepEqual(member.answerOffer({ offered: createRevision(2), roster: undefined }, 2).commands, []);
@@ -58,17 +58,17 @@
     assert.equal(member.configuration?.revision, 3);
 });
 
-// The store was put back from a copy, and every gateway would take the old state for confirmed.
-test("a store that shows less than was seen confirms nothing", () => {
+// Guards against gateways that take old state for confirmed after the store was restored from a backup.
+test("a store that returns an older revision than the one held confirms nothing", () => {
     const member = createMember();
     storeRead(member, 0, 1, 3, three);
     storeRead(member, 4_000, 4_001, 2, three);
     assert.ok(!member.mayTakeNewWork(5_001));
 });
 
-// A change is called in force, and a gateway that registered a moment later sends work under the old configuration.
-// It read the store before it registered, so whoever accepted the change in between couldn't know of it.
-test("a gateway outside the roster counts only what it read after it registered", () => {
+// Guards against a gateway that sends work under the old configuration after a change is in force. It read the store
+// before it registered, so the admin process that applied the change in between couldn't know of it.
+test("a gateway outside the roster isn't confirmed by a read from before its registration", () => {
     const member = createMember("gw4");
     storeRead(member, 0, 1, 1, three);
     assert.ok(!member.mayTakeNewWork(2));
@@ -79,11 +79,11 @@
     storeRead(member, 9_000, 9_001, 1, three);
     const lapsesAtMs = 5 + timings.leaseTtlMs - timings.marginMs;
     assert.ok(member.mayTakeNewWork(lapsesAtMs - 1));
-    assert.ok(!member.mayTakeNewWork(lapsesAtMs), "nobody may know of it any more");
+    assert.ok(!member.mayTakeNewWork(lapsesAtMs), "other processes may not know of it any more");
 });
 
-// The same with a gateway that has just become a member: the store's word is from before that.
-test("a member counts only what was read when it was a member", () => {
+// The same for a gateway that has just become a member: the store's confirmation is from before that.
+test("a new member isn't confirmed by a read from before its membership", () => {
     const member = createMember("gw4");
     storeRead(member, 0, 1, 1, three);
     member.answerOffer({ offered: undefined, roster: roster(2, ["gw1", "gw2", "gw3", "gw4"], ["gw1", "gw2"]) }, 2);
@@ -92,9 +92,9 @@
     assert.ok(member.mayTakeNewWork(6));
 });
 
-// Every gateway that lost the store would refuse, although a peer knows that nothing has changed.
-// The peer's word is as old as it says, counted from before it was asked, and may be handed on.
-test("a peer's word on the store is taken over with its age", () => {
+// Guards against gateways that reject all work once they lose the store, although a peer knows that nothing changed. A
+// peer's confirmation has the age that the peer reported, counted from the start of the call, and may be passed on.
+test("a gateway without the store adopts a peer's confirmation with its age", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, roster(1, ["gw1", "gw2", "gw3", "gw4", "gw5"]));
     heartbeatAnswered(member, 10_000, 10_002, heartbeat("gw2", 1, { freshnessAgeMs: 3_000 }));
@@ -103,8 +103,9 @@
     assert.equal(member.answerHeartbeat(heartbeat("gw3", 1), 11_000).answer.freshnessAgeMs, 4_000);
 });
 
-// A change spreads slowly where the store is out of reach: each gateway would wait for its own next call.
-test("a peer's call is enough to hear of a change", () => {
+// Guards against slow propagation of a change while the store is unreachable: otherwise each gateway would learn of it
+// only with its own next heartbeat.
+test("a gateway fetches a change as soon as a peer's heartbeat reports it", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
     const { commands } = member.answerHeartbeat(heartbeat("gw2", 2), 2);
@@ -112,15 +113,15 @@
     assert.deepEqual(member.answerHeartbeat(heartbeat("gw2", 2), 3).commands, [], "one fetch at a time");
 });
 
-test("a gateway in its planned stop takes no new work", () => {
+test("a gateway in a planned stop accepts no new work", () => {
     const member = createMember();
     storeRead(member, 0, 1, 1, three);
     member.handle({ type: "stopping" }, 2);
     assert.ok(!member.mayTakeNewWork(2));
 });
 
-// Control traffic grows with the fleet and with every load that is passed on, until it takes what callers need.
-test("heartbeats keep to their bytes a second, and loads are the first to be left out", () => {
+// Guards against control traffic that grows with the fleet and with each forwarded load, at the expense of callers.
+test("heartbeats don't exceed their byte rate, and loads are omitted first", () => {
     const member = createMember();
     const names = Array.from({ length: 15 }, (_, i) => `gw${i + 1}`);
     storeRead(member, 0, 0, 1, roster(1, names));
@@ -140,9 +141,9 @@
     assert.ok(bytes <= 60 * controlBytesPerSecond + controlBurstBytes, `${bytes} bytes in a minute`);
     assert.equal(sentTo.size, 14);
     for (const count of sentTo.values()) {
-        assert.ok(count >= 60_000 / timings.freshForMs, "each peer is heard within the time that contact counts");
+        assert.ok(count >= 60_000 / timings.freshForMs, "each peer is called before its contact expires");
     }
     const signal = { serverId: "tables/t1", kind: "leaving", epoch: 0, incarnation: undefined, ageMs: 0 } as const;
     const urgent = member.handle({ type: "signalsPublished", signals: [signal] }, 60_000);
-    assert.equal(urgent.filter(command => command.type === "sendHeartbeat").length, 14, "signals don't wait");
+    assert.equal(urgent.filter(command => command.type === "sendHeartbeat").length, 14, "signals aren't delayed");
 });
--- a/packages/membership/src/acceptanceTracker.ts
+++ b/packages/membership/src/acceptanceTracker.ts
@@ -3,36 +3,38 @@
 import { type GatewayIdentity, type Roster } from "./messages.js";
 import { hasMajority, listRosterGateways } from "./roster.js";
 
-/** What everybody has to hold. */
+/** Minimum revision and roster version that the gateways must hold. */
 export interface AcceptanceTarget {
     readonly revision: number;
     readonly rosterVersion: number;
 }
 
-/** What a gateway said when asked. */
+/** Versions that a gateway reported in its response to a call. */
 export interface VersionReport {
     readonly gateway: GatewayIdentity;
     readonly revision: number;
     readonly rosterVersion: number;
     readonly recentCallers: readonly GatewayIdentity[];
-    /** When the call was started. */
+    /** Start of the call, in milliseconds on the monotonic clock. */
     readonly startedAtMs: number;
+    /** Arrival of the response, in milliseconds on the monotonic clock. */
     readonly answeredAtMs: number;
 }
 
 interface Answered {
     readonly newest: VersionReport;
-    /** When the first answer came in that showed the target held by this same incarnation. */
+    /** Arrival of this incarnation's first response with the target; `undefined` if it doesn't hold the target. */
     readonly heldSinceMs: number | undefined;
+    /** Whether the latest call succeeded. */
     readonly reached: boolean;
 }
 
 /**
- * Finds out when a change is in force: when no gateway can take new work under an older one any more.
+ * Determines when a change is in force: from then on no gateway can accept new work under an older revision.
  *
- * That is so at once when everybody who may serve holds it, and otherwise a while after a majority of the roster holds
- * it: whoever is out of touch with the store has to hear from a majority to go on, and hears of the change from the
- * gateway that both majorities have in common, or stops when its time has run out.
+ * A change is in force as soon as every gateway that may accept work holds it. Otherwise it is in force some time after
+ * a majority of the roster holds it: a gateway without the store needs responses from a majority to continue. Either it
+ * learns of the change from the gateway that both majorities have in common, or its freshness expires and it stops.
  */
 export class AcceptanceTracker {
     readonly #target: AcceptanceTarget;
@@ -52,9 +54,9 @@
     }
 
     /**
-     * @param roster - read from the store after the change was written
-     * @param registered - gateways registered in the store at that time
-     * @param vouchedFor - names of gateways that are known to run no more; they count as holding the target
+     * @param roster - roster read from the store after the change was written
+     * @param registered - gateways that were registered in the store at that time
+     * @param vouchedFor - names of gateways that are known to have ended; they count as holding the target
      */
     onSurvey(
         roster: Roster | undefined,
@@ -73,7 +75,7 @@
         }
         const holds = answer.revision >= this.#target.revision
             && answer.rosterVersion >= this.#target.rosterVersion;
-        // A process that was started anew may have lost what its predecessor held, so its time starts again.
+        // A restarted process may have lost the state of its predecessor, so its time starts again.
         const same = before?.newest.gateway.incarnation === answer.gateway.incarnation;
         const heldBefore = same ? before.heldSinceMs : undefined;
         this.#answers.set(answer.gateway.name, {
@@ -83,7 +85,7 @@
         });
     }
 
-    /** A call of a gateway failed. */
+    /** Records that a call to a gateway failed. */
     onCallFailed(name: string): void {
         const before = this.#answers.get(name);
         if (before !== undefined) {
@@ -91,7 +93,7 @@
         }
     }
 
-    /** @returns everybody who may serve, as far as is known: to be asked again and again until the change is in force */
+    /** All known gateways that may accept work. They are to be called repeatedly until the change is in force. */
     get gateways(): readonly GatewayIdentity[] {
         const byName = new Map<string, GatewayIdentity>();
         for (const gateway of listRosterGateways(this.#roster)) {
@@ -102,7 +104,7 @@
                 byName.set(caller.name, caller);
             }
         }
-        // Registrations are the newest word on where a gateway listens.
+        // Registrations have the most recent peer addresses.
         for (const gateway of this.#registered ?? []) {
             byName.set(gateway.name, gateway);
         }
@@ -113,7 +115,7 @@
         return this.isHeldByAll() || this.isMajorityWaitOver(nowMs);
     }
 
-    /** Whether everybody held the target at one and the same time. */
+    /** Whether all gateways held the target at the same time. */
     isHeldByAll(): boolean {
         if (this.#registered === undefined) {
             return false;
@@ -131,7 +133,10 @@
         return names.every(name => this.#heldAt(name, at));
     }
 
-    /** Whether a majority has held the target for so long that whoever doesn't has either heard of it or stopped. */
+    /**
+     * Whether a majority has held the target for so long that every other gateway has either learned of it or stopped
+     * accepting work.
+     */
     isMajorityWaitOver(nowMs: number): boolean {
         const heldAtMs = this.#majorityHeldAtMs();
         return heldAtMs !== undefined && nowMs >= heldAtMs + this.#timings.freshForMs + this.#timings.marginMs;
@@ -146,9 +151,10 @@
     }
 
     /**
-     * A gateway that said it holds the target may be started anew and learn an older one from others before these hold
-     * it; counted by its first answer alone, a majority could be counted that never held the target at one time. So
-     * every gateway has to say it again, in a call started after the last of them first said it.
+     * Whether a gateway is known to have held the target at a time. A gateway that reported the target may restart and
+     * learn an older revision from peers that don't hold the target yet. If its first response were enough, a majority
+     * could be counted that never held the target at the same time. So each gateway must report it again, in a call
+     * that started at this time or later.
      */
     #heldAt(name: string, atMs: number): boolean {
         const answered = this.#answers.get(name);
--- a/packages/membership/src/changeCoordinator.ts
+++ b/packages/membership/src/changeCoordinator.ts
@@ -3,48 +3,48 @@
 import { type Either } from "purify-ts";
 import { type GatewayIdentity } from "./messages.js";
 
-/** An operator's change. */
+/** A configuration change requested by an operator. */
 export interface ChangeRequest {
-    /** Names the call; the same id sent again gets the answer of the first. */
+    /** Idempotency key: a repeated request with the same id gets the result of the first. */
     readonly changeId: string;
-    /** The revision that the operator read; another present revision fails with `revisionConflict`. */
+    /** The revision that the operator read; the request fails with `revisionConflict` if it isn't the current one. */
     readonly expectedRevision: number;
     readonly configuration: Configuration;
 }
 
-/** Where one gateway stands with respect to a change. */
+/** Status of a change at one gateway. */
 export interface GatewayChangeStatus {
     readonly gateway: GatewayIdentity;
-    /** `lapsed`: not reached, and out of touch for so long that it takes no new work. */
+    /** `lapsed`: the gateway can't be reached, and its freshness has expired, so that it accepts no new work. */
     readonly state: "inForce" | "behind" | "unreachable" | "lapsed";
-    /** Highest revision that it has said it holds. */
+    /** Revision in its latest response; `undefined` if it hasn't responded. */
     readonly revision: number | undefined;
 }
 
-/** How far a stored change has come. */
+/** Status of a stored change. */
 export interface ChangeStatus {
     readonly revision: number;
     readonly changeId: string;
-    /** Whether no gateway can take new work under an older revision any more. */
+    /** Whether no gateway can accept new work under an older revision any more. */
     readonly inForce: boolean;
     readonly gateways: readonly GatewayChangeStatus[];
 }
 
-/** Orders operators' changes through the store and finds out when they are in force. */
+/** Writes operators' changes to the store, one after the other, and determines when they are in force. */
 export abstract class ChangeCoordinator {
-    /** Reads the present configuration; revision 0 where none was ever written. */
+    /** Reads the current configuration; revision 0 if none has been written yet. */
     abstract read(): Promise<Either<Failure, ConfigurationRevision>>;
-    /** Writes a change, then waits, at most `waitMs`, until it is in force. */
+    /** Writes a change, then waits until it is in force, for at most `waitMs` milliseconds. */
     abstract apply(req: ChangeRequest, waitMs: number): Promise<Either<Failure, ChangeStatus>>;
-    /** Says how far the present configuration has come. */
+    /** @returns the status of the current configuration */
     abstract changeStatus(): Promise<Either<Failure, ChangeStatus>>;
     /**
-     * Takes an operator's word that a gateway runs nowhere any more and won't be started again under its name without
-     * the store. Saying so again has no second effect.
+     * Records an operator's confirmation that a gateway has ended and that no process will be started under its name
+     * without the store. Idempotent.
      *
-     * @param name - the gateway's name
-     * @returns nothing; `badRequest` where the gateway lives, `notFound` where the fleet knows none of the name, or the
-     *          store's failure
+     * @param name - name of the gateway
+     * @returns nothing; `badRequest` if the gateway is alive, `notFound` if the fleet has no gateway of this name, or
+     *          the store's failure
      */
     abstract forget(name: string): Promise<Either<Failure, void>>;
 }
--- a/packages/membership/src/configurationHead.ts
+++ b/packages/membership/src/configurationHead.ts
@@ -4,39 +4,39 @@
 import { type ChangeRequest } from "./changeCoordinator.js";
 import { maxRecentChanges } from "./constants.js";
 
-/** A change that was written, whether or not later ones followed. */
+/** A change that was written to the store, possibly superseded by later ones. */
 export interface WrittenChange {
     readonly changeId: string;
     readonly revision: number;
 }
 
-/** What the store holds under the head's key. */
+/** Value of the head's key in the store. */
 export interface ConfigurationHead extends ConfigurationRevision {
     /**
-     * The newest changes, oldest first, written in one with the configuration. A compare-and-swap whose answer was
-     * lost is recognised here, also when other changes came after it; without the list its operator would be told of a
-     * conflict although the change took effect.
+     * The latest changes, oldest first, written atomically with the configuration. They identify a compare-and-swap
+     * whose response was lost, even after later changes. Without them, the operator would get a conflict although the
+     * change was applied.
      */
     readonly recentChanges: readonly WrittenChange[];
 }
 
 /**
- * Finds out whether a change has been written.
+ * Finds a change among the latest ones.
  *
- * @param head - the head as read; `undefined` where nothing was ever written
- * @param changeId - the operator's name for the call
- * @returns the change with its revision, or `undefined`
+ * @param head - the head as read; `undefined` if none has been written yet
+ * @param changeId - the change's id, as sent by the operator
+ * @returns the change with its revision; `undefined` if it isn't found
  */
 export function findChange(head: ConfigurationHead | undefined, changeId: string): WrittenChange | undefined {
     return head?.recentChanges.find(change => change.changeId === changeId);
 }
 
 /**
- * Makes the head that a change leads to.
+ * Creates the head that results from a change.
  *
- * @param head - the head as read; `undefined` where nothing was ever written
+ * @param head - the head as read; `undefined` if none has been written yet
  * @param req - the operator's change
- * @returns the next head, or `revisionConflict` where the operator read another revision
+ * @returns the next head, or `revisionConflict` if the operator read another revision
  */
 export function createNextHead(
     head: ConfigurationHead | undefined,
--- a/packages/membership/src/constants.ts
+++ b/packages/membership/src/constants.ts
@@ -1,24 +1,24 @@
-/** Times by which a fleet of gateways stays together; all in milliseconds, and the same in every process of a fleet. */
+/** Timeouts and intervals of a fleet, in milliseconds. They must be the same in all processes of the fleet. */
 export interface FleetTimings {
-    /** How long a gateway may take new work after it was last shown to hold the newest configuration. */
+    /** Time for which a gateway may accept new work after its configuration was last confirmed as the latest. */
     readonly freshForMs: number;
-    /** Added wherever one process waits until another's time has run out: clocks run at slightly different rates. */
+    /** Added when a process waits for a timeout in another process, since clocks run at slightly different rates. */
     readonly marginMs: number;
-    /** Between two reads of the store; a third of {@link freshForMs}, so that one lost answer costs nothing. */
+    /** Interval between reads of the store; less than a third of {@link freshForMs}, so that one read may fail. */
     readonly storeReadIntervalMs: number;
-    /** Shortest time between two heartbeats to the same peer; the traffic budget may stretch it. */
+    /** Minimum interval between heartbeats to the same peer; the traffic budget may extend it. */
     readonly heartbeatIntervalMs: number;
-    /** How long one call of a peer may take. */
+    /** Timeout of a call to a peer. */
     readonly callTimeoutMs: number;
-    /** How long a registration outlives its last renewal. */
+    /** Time from the last renewal of a registration to its expiry. */
     readonly leaseTtlMs: number;
-    /** How long a registration has to be gone until its gateway leaves the roster; longer than a restart takes. */
+    /** Time without a registration after which a gateway is removed from the roster; longer than a restart takes. */
     readonly removeAfterMs: number;
-    /** How much longer the next in line waits before it changes the roster, so that not all try at once. */
+    /** Additional delay of each further gateway before it writes the roster, so that they don't all write at once. */
     readonly rosterUpdateStaggerMs: number;
 }
 
-/** The times that are used where settings name none. */
+/** Used unless the settings specify other values. */
 export const defaultFleetTimings: FleetTimings = Object.freeze({
     freshForMs: 5_000,
     marginMs: 500,
@@ -30,19 +30,19 @@
     rosterUpdateStaggerMs: 2_000,
 });
 
-/** Control traffic that one gateway may send, in bytes a second. */
+/** Maximum rate of control traffic that a gateway sends, in bytes per second. */
 export const controlBytesPerSecond = 3_000;
-/** Budget that may be saved up, in bytes: one heartbeat to each of 14 peers. */
+/** Maximum burst of control traffic, in bytes: meant for one heartbeat to each of 14 peers. */
 export const controlBurstBytes = 8_000;
-/** What one heartbeat without loads costs, in bytes: a call and the answer to a peer's call, with headers. */
+/** Size of a heartbeat without signals and loads: a call and the response to a peer's call, with headers. */
 export const heartbeatBytes = 820;
-/** What one signal or one load adds to a heartbeat, in bytes. */
+/** Size of one signal or load in a heartbeat. */
 export const heartbeatEntryBytes = 110;
 
-/** Changes that are remembered beside the head, so that a repeated call is recognised after later ones. */
+/** Number of changes stored with the head, so that a repeated call is recognized after later changes. */
 export const maxRecentChanges = 64;
 
-/** Keys of the platform's store. */
+/** Keys in the platform's store. */
 export const storeKeys = Object.freeze({
     head: "configuration/head",
     fleetPrefix: "fleet/",
@@ -52,10 +52,10 @@
 });
 
 /**
- * Times that follow from how long a gateway may go without word from the store.
+ * Derives a fleet's timings from the time for which a gateway may accept work without a confirmation by the store.
  *
  * @param freshForMs - {@link FleetTimings.freshForMs}
- * @returns frozen times
+ * @returns the timings, frozen
  */
 export function resolveFleetTimings(freshForMs: number): FleetTimings {
     const defaults = defaultFleetTimings;
--- a/packages/membership/src/fleetEvents.ts
+++ b/packages/membership/src/fleetEvents.ts
@@ -3,19 +3,19 @@
 import { type ConfigurationOffer, type Heartbeat, type Roster } from "./messages.js";
 import { type FleetSurvey, type RosterSwap } from "./rosterReconciler.js";
 
-/** What a gateway is told. Times are monotonic, in milliseconds. */
+/** Input event of a gateway's state machine. Times are in milliseconds on the monotonic clock. */
 export type FleetEvent =
-    /** Time has passed; to be told often, about every 100 ms. */
+    /** Timer tick, about every 100 ms. */
     | { readonly type: "ticked"; }
-    /** A watch saw something, or ended. */
+    /** A watch reported a change, or a write of the roster has ended. */
     | { readonly type: "storeChanged"; }
-    /** First the roster was read, then the head; both after `startedAtMs`. */
+    /** The roster, then the head were read, both after `startedAtMs`. */
     | {
         readonly type: "storeRead";
         readonly startedAtMs: number;
         readonly head: ConfigurationRevision | undefined;
         readonly roster: Roster | undefined;
-        /** `undefined` where the registrations couldn't be had. */
+        /** `undefined` if the registrations couldn't be read. */
         readonly survey: FleetSurvey | undefined;
     }
     | { readonly type: "storeReadFailed"; }
@@ -35,10 +35,10 @@
     | { readonly type: "fetchFailed"; readonly address: string; }
     | { readonly type: "signalsPublished"; readonly signals: readonly ServerSignal[]; }
     | { readonly type: "loadsPublished"; readonly loads: readonly ServerLoad[]; }
-    /** The planned stop begins: no new work from now on. */
+    /** The planned stop begins: no new work is accepted from now on. */
     | { readonly type: "stopping"; };
 
-/** What a gateway is to do. */
+/** Command from a gateway's state machine to the process that runs it. */
 export type FleetCommand =
     | { readonly type: "readStore"; }
     | { readonly type: "register"; }
@@ -46,5 +46,5 @@
     | { readonly type: "sendHeartbeat"; readonly address: string; readonly heartbeat: Heartbeat; }
     | { readonly type: "fetch"; readonly address: string; }
     | { readonly type: "swapRoster"; readonly swap: RosterSwap; }
-    /** New work follows this configuration from now on. */
+    /** New work is sent under this configuration from now on. */
     | { readonly type: "apply"; readonly configuration: ConfigurationRevision; };
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -19,30 +19,34 @@
 import { SignalOutbox } from "./signalOutbox.js";
 import { TrafficBudget } from "./trafficBudget.js";
 
-/** Who a gateway is, and where it may find others. */
+/** Options of a {@link FleetMember}. */
 export interface FleetMemberOptions {
     readonly self: GatewayIdentity;
-    /** Peer addresses from settings, for a start without the store. */
+    /** Peer addresses from the settings, to start without the store. */
     readonly seeds: readonly string[];
     readonly timings: FleetTimings;
 }
 
-/** Where a gateway stands, for operators and metrics. */
+/** Membership status of a gateway, for operators and metrics. */
 export interface FleetStatus {
     readonly revision: number;
     readonly rosterVersion: number;
-    /** Whether the store's word lets it take new work. */
+    /** Whether the store's confirmation permits it to accept new work. */
     readonly confirmed: boolean;
-    /** Whether contact with a majority of the roster lets it take new work. */
+    /** Whether contact with a majority of the roster permits it to accept new work. */
     readonly inContact: boolean;
+    /** Whether it has started and not yet recovered the state that it may have held before. */
     readonly recovering: boolean;
     readonly registered: boolean;
     readonly member: boolean;
-    /** Peers whose answers count now. */
+    /** Names of the peers that are in contact. */
     readonly peers: readonly string[];
 }
 
-/** One gateway's part in the fleet: what it holds, and whether that is fresh enough to take new work. */
+/**
+ * State machine of one gateway in the fleet, without I/O: holds the configuration and roster, and determines whether
+ * they are recent enough to accept new work.
+ */
 export class FleetMember {
     readonly #self: GatewayIdentity;
     readonly #seeds: readonly string[];
@@ -87,13 +91,13 @@
     }
 
     /**
-     * Whether new work may be sent under {@link configuration}. To be asked in the same turn as the work is sent: a
-     * process that was stopped and goes on would otherwise act on a configuration that was replaced meanwhile, with
-     * the symptom that an availability zone gets work after it was taken out. The monotonic clock went on while the
-     * process stood, so asked again it refuses.
+     * Whether new work may be sent under {@link configuration}. Must be called in the same turn of the event loop in
+     * which the work is sent. Otherwise a process that was paused and resumes would act on a configuration that has
+     * been replaced, and an availability zone would get work after its evacuation. The monotonic clock advances during
+     * a pause, so that a call after it returns `false`.
      *
-     * @param nowMs - present monotonic time
-     * @returns `false` where the request is to be refused with `notFresh`
+     * @param nowMs - current time of the monotonic clock, in milliseconds
+     * @returns `false` if the request is to be rejected with `notFresh`
      */
     mayTakeNewWork(nowMs: number): boolean {
         if (this.#stopping || this.#holding.configuration === undefined) {
@@ -116,7 +120,7 @@
         };
     }
 
-    /** Answers a peer's heartbeat, and fetches from the peer what it has newer. */
+    /** Responds to a peer's heartbeat; the commands fetch newer state from the peer. */
     answerHeartbeat(heartbeat: Heartbeat, nowMs: number): {
         readonly answer: Heartbeat;
         readonly commands: readonly FleetCommand[];
@@ -125,7 +129,10 @@
         return { answer: this.#createHeartbeat(0, nowMs), commands: this.#fetchNewer(heartbeat) };
     }
 
-    /** Takes an offer and says what is held now; the commands are to be carried out before the answer is sent. */
+    /**
+     * Merges an offer and reports the versions held afterwards. The commands must be executed before the response is
+     * sent.
+     */
     answerOffer(offer: ConfigurationOffer, nowMs: number): {
         readonly answer: OfferAnswer;
         readonly commands: readonly FleetCommand[];
@@ -140,15 +147,15 @@
         return { answer, commands };
     }
 
-    /** @returns all that this gateway holds, for a peer that asks */
+    /** @returns the configuration and roster that this gateway holds, for a peer that fetches them */
     createOffer(): ConfigurationOffer {
         return { offered: this.#holding.configuration, roster: this.#holding.roster };
     }
 
     /**
-     * @param event - what happened
-     * @param nowMs - present monotonic time
-     * @returns what to do, in this order
+     * @param event - the event to process
+     * @param nowMs - current time of the monotonic clock, in milliseconds
+     * @returns the commands to execute, in this order
      */
     handle(event: FleetEvent, nowMs: number): readonly FleetCommand[] {
         switch (event.type) {
@@ -210,9 +217,9 @@
     }
 
     /**
-     * Whether a majority of the roster said, in answer to calls of the last moments, that it holds nothing newer. Their
-     * own touch with the store doesn't matter: a change that is in force is held by a majority, which has a gateway in
-     * common with this one, and that gateway told of it.
+     * Whether a majority of the roster reported in response to recent calls that it holds nothing newer. These gateways
+     * need no connection to the store: a change in force is held by a majority, which has at least one gateway in
+     * common with this one, and that gateway would have reported the change.
      */
     #isInContact(nowMs: number): boolean {
         const roster = this.#holding.roster;
@@ -266,8 +273,8 @@
         const commands = [...this.#take({ offered: head, roster })];
         const headRevision = head?.revision ?? 0;
         const rosterVersion = roster?.version ?? 0;
-        // A store that shows less than was already seen has been put back, or answers from the past: it confirms
-        // nothing, and nothing is written on the strength of it.
+        // A store that returns older state than this gateway holds was restored from a backup or serves stale reads. It
+        // confirms nothing, and nothing is written on the basis of this read.
         if (headRevision !== this.#holding.revision || rosterVersion !== this.#holding.rosterVersion) {
             return commands;
         }
@@ -335,9 +342,9 @@
     }
 
     /**
-     * A process that starts while the store is down takes up what it may have held before from a majority of the
-     * roster. It doesn't count itself: it may have been the one gateway that a majority for a change had in common with
-     * the others that answer now, and has forgotten the change.
+     * A process that starts while the store is down recovers the state that it may have held before from a majority of
+     * the roster, without counting itself. It may have been the only gateway that the majority for a change had in
+     * common with the peers that respond now, and it has lost the change.
      */
     #recoverFromPeers(): void {
         const roster = this.#holding.roster;
@@ -378,8 +385,8 @@
     }
 
     /**
-     * Where each peer listens: as it last said itself, else as the roster has it. Gateways that aren't in the roster
-     * yet are known by their calls. The seeds are called for as long as there is no contact with a majority.
+     * Peer addresses: the one that each peer reported last, otherwise the one in the roster. Gateways that aren't in
+     * the roster yet are known from their calls. The seeds are included while no majority is in contact.
      */
     #peerAddresses(nowMs: number): readonly string[] {
         const byName = new Map<string, string>();
@@ -394,6 +401,7 @@
         return [...byName.values(), ...seeds].filter(address => address !== this.#self.peerAddress);
     }
 
+    /** Expiry of a lease, counted from the start of the call and reduced by a margin for the rates of the clocks. */
     #validUntilMs(startedAtMs: number, ttlMs: number): number {
         return startedAtMs + ttlMs - Math.min(this.#timings.marginMs, ttlMs / 4);
     }
--- a/packages/membership/src/freshnessTracker.ts
+++ b/packages/membership/src/freshnessTracker.ts
@@ -2,25 +2,25 @@
 import { type Heartbeat } from "./messages.js";
 import { isMember } from "./roster.js";
 
-/** The store showed that what this gateway held was current. */
+/** A read of the store that confirmed the configuration and roster of this gateway as current. */
 interface Confirmation {
-    /** Before the store was asked. */
+    /** Start of the read, in milliseconds on the monotonic clock. */
     readonly startedAtMs: number;
     readonly rosterVersion: number;
-    /** Whether the roster that was shown current has this gateway as a member that stays. */
+    /** Whether this gateway is among the new members of the confirmed roster. */
     readonly asMember: boolean;
 }
 
 interface Registration {
-    /** When the store's answer came in: reads started after it are seen to come from a registered gateway. */
+    /** Arrival of the store's response. The gateway is certain to be registered when a later read starts. */
     readonly knownAtMs: number;
     readonly validUntilMs: number;
 }
 
 /**
- * When the store last showed that this gateway holds the newest configuration, and whether whoever accepts a change can
- * know of this gateway: it has to be in the roster, or registered since before the store was asked. A gateway that
- * nobody knows of would go on under an older configuration after a change has been called in force.
+ * Tracks when the store last confirmed that this gateway holds the latest configuration, and whether the process that
+ * applies a change can know of this gateway. For this it must be in the roster, or have been registered before the read
+ * started. An unknown gateway would continue under an older configuration after a change is declared in force.
  */
 export class FreshnessTracker {
     readonly #name: string;
@@ -32,7 +32,7 @@
         this.#name = name;
     }
 
-    /** The store was read, and this gateway holds what it said. */
+    /** Records a read of the store that matched what this gateway holds. */
     onStoreRead(startedAtMs: number, holding: VersionedState): void {
         if (this.#own === undefined || startedAtMs > this.#own.startedAtMs) {
             this.#own = this.#confirm(startedAtMs, holding);
@@ -40,9 +40,9 @@
     }
 
     /**
-     * A peer said how long ago the store showed its configuration to be current. This gateway may take it over for
-     * itself where it holds as much, since the store's word is about the head and not about who asked; the age runs
-     * on from before this gateway's own call. Ages add up over hops, so that it is never taken for longer.
+     * Adopts a peer's confirmation by the store if this gateway holds the same roster and at least the same revision:
+     * a confirmation concerns the head, whichever gateway read it. The age is counted from the start of this gateway's
+     * own call, and ages add up over several hops, so that no confirmation is valid for longer than the original one.
      */
     onPeerHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
         if (heartbeat.freshnessAgeMs === undefined || heartbeat.rosterVersion !== holding.rosterVersion) {
@@ -57,12 +57,15 @@
         }
     }
 
-    /** @param validUntilMs - counted from before the lease was asked for */
+    /**
+     * @param knownAtMs - arrival of the store's response, in milliseconds on the monotonic clock
+     * @param validUntilMs - expiry of the lease, counted from before it was requested
+     */
     onRegistered(knownAtMs: number, validUntilMs: number): void {
         this.#registration = { knownAtMs, validUntilMs };
     }
 
-    /** The lease was renewed: the registration is the same as before. */
+    /** Extends the existing registration after its lease was renewed. */
     onRenewed(validUntilMs: number): void {
         if (this.#registration !== undefined) {
             this.#registration = { ...this.#registration, validUntilMs };
@@ -74,8 +77,8 @@
     }
 
     /**
-     * @param sinceMs - earliest confirmation that still counts
-     * @returns whether the store's word lets this gateway take new work
+     * @param sinceMs - time of the earliest confirmation that is still valid
+     * @returns whether the store's confirmation permits this gateway to accept new work
      */
     isConfirmed(sinceMs: number, nowMs: number, holding: VersionedState): boolean {
         for (const confirmation of [this.#own, this.#fromPeer]) {
@@ -89,7 +92,7 @@
         return this.#isRegisteredAndConfirmed(sinceMs, nowMs);
     }
 
-    /** @returns age of the newest confirmation that a peer may take over, in milliseconds */
+    /** @returns age of the latest confirmation that a peer may adopt, in milliseconds; `undefined` if there is none */
     ageMs(nowMs: number, holding: VersionedState): number | undefined {
         let newest: number | undefined;
         for (const confirmation of [this.#own, this.#fromPeer]) {
@@ -98,7 +101,7 @@
             }
             newest = Math.max(newest ?? confirmation.startedAtMs, confirmation.startedAtMs);
         }
-        // Rounded up: older than it is does no harm, and whole numbers are short.
+        // Rounded up, since overstating the age is safe; integers keep the heartbeat small.
         return newest === undefined ? undefined : Math.ceil(nowMs - newest);
     }
 
@@ -114,7 +117,8 @@
         if (this.#own === undefined || this.#registration === undefined) {
             return false;
         }
-        // A read from before the registration may be older than a change whose acceptance didn't see this gateway.
+        // A read that started before the registration may precede a change that was declared in force without this
+        // gateway.
         const confirmedAtMs = this.#own.startedAtMs;
         return confirmedAtMs >= sinceMs
             && confirmedAtMs >= this.#registration.knownAtMs
--- a/packages/membership/src/heartbeatSchedule.ts
+++ b/packages/membership/src/heartbeatSchedule.ts
@@ -1,4 +1,4 @@
-/** Remembers when each peer was last called, and says who is due. */
+/** Schedules heartbeats: tracks the last heartbeat to each peer and determines which are due. */
 export class HeartbeatSchedule {
     readonly #intervalMs: number;
     readonly #sentAtMs = new Map<string, number>();
@@ -9,7 +9,7 @@
         this.#intervalMs = intervalMs;
     }
 
-    /** Calls everybody at once, whatever the interval and the budget say. */
+    /** Makes heartbeats to these peers due immediately, regardless of the interval and the traffic budget. */
     markUrgent(addresses: readonly string[]): void {
         this.#urgent = new Set(addresses);
     }
@@ -19,8 +19,8 @@
     }
 
     /**
-     * @param addresses - everybody who should hear
-     * @returns who is to be called now, longest waiting first
+     * @param addresses - addresses of all peers
+     * @returns addresses of the peers to be called now, the one with the oldest heartbeat first
      */
     due(addresses: readonly string[], nowMs: number): readonly string[] {
         const wanted = new Set(addresses);
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which gateways there are, and whether this one's configuration is fresh enough to take new work. */
+/** Fleet membership, and whether a gateway's configuration is recent enough to accept new work. */
 export { type AcceptanceTarget, AcceptanceTracker, type VersionReport } from "./acceptanceTracker.js";
 export {
     type ChangeStatus,
--- a/packages/membership/src/loadRotation.ts
+++ b/packages/membership/src/loadRotation.ts
@@ -1,21 +1,21 @@
 import { type ServerLoad } from "@galenaglade/routing";
 
-/** The loads that heartbeats carry as their budget allows, in turns, so that each goes out now and then. */
+/** Server loads to be sent with heartbeats as the traffic budget allows, in round-robin order. */
 export class LoadRotation {
     #loads: readonly ServerLoad[] = [];
     #atMs = 0;
     #next = 0;
 
-    /** Puts newer loads in place of all. */
+    /** Replaces all loads by newer ones. */
     replace(loads: readonly ServerLoad[], nowMs: number): void {
         this.#loads = loads;
         this.#atMs = nowMs;
     }
 
     /**
-     * @param limit - most loads to take
-     * @param nowMs - the present time
-     * @returns the next in turn, with their ages as of now
+     * @param limit - maximum number of loads
+     * @param nowMs - current time of the monotonic clock, in milliseconds
+     * @returns the next loads in the rotation, with their current ages in milliseconds
      */
     take(limit: number, nowMs: number): readonly ServerLoad[] {
         const count = Math.min(limit, this.#loads.length);
--- a/packages/membership/src/messages.ts
+++ b/packages/membership/src/messages.ts
@@ -1,60 +1,63 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ServerLoad, type ServerSignal } from "@galenaglade/routing";
 
-/** A gateway as its peers and the admin process know it. */
+/** Identity of a gateway process, as known to its peers and to the admin process. */
 export interface GatewayIdentity {
-    /** Name of its host; one gateway runs on a host. */
+    /** Name of its host, which runs a single gateway. */
     readonly name: string;
-    /** New with every start of the process. */
+    /** Unique for each start of the process. */
     readonly incarnation: string;
     readonly availabilityZone: string;
-    /** Where its peer port listens: IP number and port. */
+    /** IP address and port on which it listens for peers. */
     readonly peerAddress: string;
 }
 
 /**
- * Which gateways are counted when a change is accepted, and when a gateway decides whether it may serve without the
- * store. While `previous` is present the roster is changing from it to `members`, and a majority of both is needed.
+ * The gateways whose majority decides whether a change is in force, and whether a gateway may serve without the store.
+ * If `previous` is present, the roster is changing from it to `members`, and a majority of both is needed.
  */
 export interface Roster {
-    /** Rises by one with each change. */
+    /** Increases by one with each change. */
     readonly version: number;
     readonly members: readonly GatewayIdentity[];
     readonly previous?: readonly GatewayIdentity[] | undefined;
 }
 
-/** What gateways tell each other at short, regular intervals; the answer has the same shape. */
+/** Message that gateways send each other at short intervals; the response has the same shape. */
 export interface Heartbeat {
     readonly from: GatewayIdentity;
     /** Highest configuration revision that the sender holds. */
     readonly revision: number;
     readonly rosterVersion: number;
     /**
-     * Time since the sender's configuration and roster were last shown to be current by the store, counted from before
-     * the store was asked; `undefined` where that isn't known.
+     * Time in milliseconds since the store last confirmed the sender's configuration and roster as current, counted
+     * from the start of that read; `undefined` if unknown.
      */
     readonly freshnessAgeMs: number | undefined;
-    /** The sender started lately and hasn't yet learnt what it may have held before: its word counts for nothing. */
+    /**
+     * Whether the sender has started and not yet recovered the state that it may have held before. Until then its
+     * response doesn't count as contact.
+     */
     readonly recovering: boolean;
     readonly signals: readonly ServerSignal[];
     readonly loads: readonly ServerLoad[];
-    /** The sender is in its planned stop and takes no new work. */
+    /** Whether the sender is in a planned stop and accepts no new work. */
     readonly stopping: boolean;
 }
 
-/** What a process holds, offered to another. */
+/** Configuration and roster that one process holds and offers to another. */
 export interface ConfigurationOffer {
-    /** `undefined` where no configuration was ever written. */
+    /** `undefined` if the process holds no configuration. */
     readonly offered: ConfigurationRevision | undefined;
     readonly roster: Roster | undefined;
 }
 
-/** A gateway's word on an offer. */
+/** A gateway's response to an offer. */
 export interface OfferAnswer {
     readonly gateway: GatewayIdentity;
-    /** Highest revision held after the offer; new work follows it from now on. */
+    /** Highest revision held after the offer; new work is sent under it from now on. */
     readonly revision: number;
     readonly rosterVersion: number;
-    /** Who asked it for a heartbeat so lately that it may serve on the strength of the answer. */
+    /** Gateways whose last heartbeat is so recent that they may accept work on the basis of the response. */
     readonly recentCallers: readonly GatewayIdentity[];
 }
--- a/packages/membership/src/peerContactTracker.ts
+++ b/packages/membership/src/peerContactTracker.ts
@@ -1,7 +1,7 @@
 import { type VersionedState } from "./versionedState.js";
 import { type GatewayIdentity, type Heartbeat } from "./messages.js";
 
-/** A peer's newest answer. */
+/** A peer's response to a heartbeat. */
 interface Answered {
     readonly startedAtMs: number;
     readonly heartbeat: Heartbeat;
@@ -9,27 +9,27 @@
 
 interface Contact {
     newest: Answered;
-    /** When the newest call was started whose answer told of nothing newer than this gateway holds. */
+    /** Start of the latest call whose response had nothing newer than this gateway holds. */
     agreedAtMs: number | undefined;
 }
 
 /**
- * What peers said when asked. An answer counts as contact from the time before the call was started, and only once this
- * gateway holds all that the peer held: until then earlier answers of that peer go on counting for their time, so that
- * hearing of a change stops no work.
+ * Tracks the latest heartbeat response of each peer. A response counts as contact from the start of the call, and only
+ * once this gateway holds everything that the peer held. Until then earlier responses of the peer remain valid for
+ * their time, so that learning of a change doesn't interrupt work.
  */
 export class PeerContactTracker {
     readonly #byName = new Map<string, Contact>();
 
-    /** @returns the peers that ever answered, as they last named themselves */
+    /** The identities in the latest responses of all tracked peers. */
     get identities(): readonly GatewayIdentity[] {
         return [...this.#byName.values()].map(contact => contact.newest.heartbeat.from);
     }
 
     /**
-     * @param startedAtMs - when the call was started
-     * @param heartbeat - what came back
-     * @param holding - what this gateway holds
+     * @param startedAtMs - start of the call, in milliseconds on the monotonic clock
+     * @param heartbeat - the peer's response
+     * @param holding - configuration and roster of this gateway
      */
     onHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
         const contact = this.#byName.get(heartbeat.from.name);
@@ -43,12 +43,12 @@
         this.reevaluate(holding);
     }
 
-    /** Counts the answers that this gateway has caught up with. */
+    /** Counts the responses whose versions this gateway now holds. */
     reevaluate(holding: VersionedState): void {
         for (const contact of this.#byName.values()) {
             const { startedAtMs, heartbeat } = contact.newest;
-            // A process that has just started may have forgotten what it held. Its word would let an older revision
-            // be taken for the newest, so it counts only after it has learnt from the others or from the store.
+            // A process that has just started may have lost newer state. If its response counted, an older revision
+            // could be taken for the latest; so it counts only after recovery from its peers or from the store.
             if (!heartbeat.recovering && holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion)) {
                 contact.agreedAtMs = startedAtMs;
             }
@@ -56,8 +56,8 @@
     }
 
     /**
-     * @param sinceMs - earliest start of a call that counts
-     * @returns names of the peers that were in contact since then
+     * @param sinceMs - start time of the earliest call that counts
+     * @returns names of the peers that have been in contact since then
      */
     namesInContactSince(sinceMs: number): Set<string> {
         const names = new Set<string>();
@@ -69,7 +69,7 @@
         return names;
     }
 
-    /** Drops peers that neither the roster nor a fresh answer names any more. */
+    /** Deletes the peers that aren't among the names to keep and whose latest response is older than a time. */
     prune(keep: ReadonlySet<string>, sinceMs: number): void {
         for (const [name, contact] of this.#byName) {
             if (!keep.has(name) && contact.newest.startedAtMs < sinceMs) {
--- a/packages/membership/src/recentCallers.ts
+++ b/packages/membership/src/recentCallers.ts
@@ -6,9 +6,9 @@
 }
 
 /**
- * Who asked this gateway lately. A gateway that isn't in the roster may serve on the strength of these answers, and
- * only those who gave them know that it exists: unless they name it, a change is called in force while it still sends
- * work under the older one.
+ * Gateways that recently sent this one a heartbeat. A gateway outside the roster may accept new work on the basis of
+ * the responses, and only the gateways that gave them know of it. If they didn't report it, a change would be declared
+ * in force while that gateway still sends work under the older revision.
  */
 export class RecentCallers {
     readonly #calls = new Map<string, Call>();
@@ -18,8 +18,8 @@
     }
 
     /**
-     * @param sinceMs - earliest call that counts; earlier ones are forgotten
-     * @returns who called since then
+     * @param sinceMs - time of the earliest call to include; earlier ones are deleted
+     * @returns the gateways that have called since then
      */
     since(sinceMs: number): readonly GatewayIdentity[] {
         const callers: GatewayIdentity[] = [];
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -11,13 +11,13 @@
 }
 
 /**
- * Whether some gateways are more than half of the roster. While the roster changes, more than half of both its old and
- * its new members are needed: otherwise two groups without a gateway in common could each count themselves as the
- * majority, one under the old roster and one under the new.
+ * Whether a set of gateways is a majority of the roster. While the roster changes, a majority of both the old and the
+ * new members is needed. Otherwise two groups without a gateway in common could each be a majority, one under the old
+ * and one under the new roster.
  *
- * @param roster - the roster, perhaps changing
- * @param names - names of the gateways counted
- * @returns `true` for a majority of all that the roster asks for
+ * @param roster - the roster, possibly with a change in progress
+ * @param names - names of the gateways in the set
+ * @returns whether all required majorities are in the set
  */
 export function hasMajority(roster: Roster, names: ReadonlySet<string>): boolean {
     if (!holdsMajority(roster.members, names)) {
@@ -27,10 +27,10 @@
 }
 
 /**
- * Lists everybody that a roster names, old and new.
+ * Lists all gateways of a roster, with old and new members.
  *
- * @param roster - the roster; `undefined` where there is none yet
- * @returns each gateway once, as the newer list has it
+ * @param roster - the roster; `undefined` if there is none yet
+ * @returns each gateway once; for those in both lists, the identity of the new one
  */
 export function listRosterGateways(roster: Roster | undefined): readonly GatewayIdentity[] {
     const byName = new Map<string, GatewayIdentity>();
@@ -41,9 +41,9 @@
 }
 
 /**
- * @param roster - the roster; `undefined` where there is none yet
- * @param name - a gateway's name
- * @returns whether the gateway stays a member when a change under way has ended
+ * @param roster - the roster; `undefined` if there is none yet
+ * @param name - name of the gateway
+ * @returns whether the gateway is a member after any change in progress
  */
 export function isMember(roster: Roster | undefined, name: string): boolean {
     return roster?.members.some(member => member.name === name) ?? false;
--- a/packages/membership/src/rosterReconciler.ts
+++ b/packages/membership/src/rosterReconciler.ts
@@ -3,33 +3,34 @@
 import { type GatewayIdentity, type Roster } from "./messages.js";
 import { listRosterGateways } from "./roster.js";
 
-/** What the store and the platform said about the fleet, in one read each. */
+/** The fleet's state, as read from the store and from the platform's host list. */
 export interface FleetSurvey {
     readonly roster: Roster | undefined;
-    /** The store's revision of the roster's key; 0 where it doesn't exist. */
+    /** Store revision of the roster's key; 0 if the key doesn't exist. */
     readonly rosterKeyRevision: number;
-    /** Gateways whose lease holds. */
+    /** Gateways whose lease is valid. */
     readonly registered: readonly GatewayIdentity[];
-    /** Names of gateways that an operator has vouched for as gone. */
+    /** Names of gateways that an operator has confirmed as ended. */
     readonly forgotten: readonly string[];
-    /** Names of the platform's hosts, live or leaving; `undefined` where the list couldn't be had. */
+    /** Names of the platform's hosts, live or leaving; `undefined` if the list isn't available. */
     readonly hostNames: readonly string[] | undefined;
-    /** The head's revision, read after the roster. */
+    /** Revision of the configuration head, read after the roster. */
     readonly headRevision: number;
 }
 
-/** A change of the roster, to be written only while its key is as it was read. */
+/** A roster to be written by compare-and-swap if its key hasn't changed since it was read. */
 export interface RosterSwap {
     readonly expectedRevision: number;
     readonly roster: Roster;
 }
 
 /**
- * Keeps the roster in step with the registrations, in two steps of which each is one compare-and-swap: first old and
- * new members count together, then, once a majority of both knows of that, the new ones alone.
+ * Reconciles the roster with the registrations by joint consensus, in two steps with one compare-and-swap each. In the
+ * first step, decisions need a majority of the old and of the new members. Once a majority of both holds this roster,
+ * the second step leaves the new members only.
  *
- * Without the first step, a majority that is cut off from the store and serves on could be replaced by new gateways
- * behind its back, and a change would be called in force that it never heard of.
+ * Without the first step, new gateways could replace a majority that is disconnected from the store but still serves. A
+ * change that this majority never received would then be declared in force.
  */
 export class RosterReconciler {
     readonly #name: string;
@@ -44,21 +45,21 @@
         this.#timings = timings;
     }
 
-    /** Remembers which hosts the platform has shown, also while the store is out of reach. */
+    /** Records the hosts that the platform has listed, also while the store is unreachable. */
     onHostsListed(names: readonly string[]): void {
         for (const name of names) {
             this.#seenHosts.add(name);
         }
     }
 
-    /** Takes a peer's answer, or this gateway's own state, for the change under way. */
+    /** Records the versions held by a peer or by this gateway, for the roster change in progress. */
     onVersionReport(answer: VersionReport): void {
         this.#settling?.onVersionReport(answer);
     }
 
     /**
-     * @param survey - the newest read
-     * @returns a change to write now, or `undefined`
+     * @param survey - the latest state of the fleet
+     * @returns the roster to write now; `undefined` if none is to be written
      */
     reconcile(survey: FleetSurvey, nowMs: number): RosterSwap | undefined {
         this.#noteGone(survey, nowMs);
@@ -94,16 +95,17 @@
 
     #resolveSettled(roster: Roster, survey: FleetSurvey, nowMs: number): Roster | undefined {
         if (this.#settling?.target.rosterVersion !== roster.version) {
-            // Whatever was accepted by the old members alone is no newer than the head as read after the change
-            // began. Once a majority of the new ones holds that head too, dropping the old ones loses nothing.
+            // A change that only the old members accepted is no newer than the head that was read after the roster
+            // change began. Once a majority of the new members holds this head, no accepted change is lost when the
+            // old members are dropped.
             this.#settling = new AcceptanceTracker(
                 { revision: survey.headRevision, rosterVersion: roster.version },
                 this.#timings,
             );
         }
         this.#settling.onSurvey(roster, survey.registered, this.#vouchedFor(roster, survey));
-        // Even when everybody has answered, the wait has to be sat out: a gateway that leaves the roster may have been
-        // confirmed as its member just before, and whoever accepts a change afterwards would not ask it.
+        // The wait is needed even if all gateways have responded. A gateway that leaves the roster may just have been
+        // confirmed as a member, and it wouldn't be called before a later change is declared in force.
         if (!this.#settling.isMajorityWaitOver(nowMs)) {
             return undefined;
         }
@@ -122,8 +124,8 @@
         }
         for (const gateway of registered.values()) {
             const member = members.get(gateway.name);
-            // A restart is a change: what rests on a majority of the roster has to tell a process that forgot what it
-            // had in flight from the one that knew.
+            // A restart changes the roster, since decisions by a majority must distinguish a process that lost its
+            // requests in flight from its predecessor.
             if (member?.incarnation !== gateway.incarnation) {
                 members.set(gateway.name, gateway);
             }
@@ -131,7 +133,7 @@
         return [...members.values()].sort((a, b) => a.name < b.name ? -1 : 1);
     }
 
-    /** Gateways that can't answer any more: their host is gone, or an operator says that they run nowhere. */
+    /** Unregistered gateways that are known to have ended, since their host is gone or an operator confirmed it. */
     #vouchedFor(roster: Roster, survey: FleetSurvey): Set<string> {
         const registered = new Set(survey.registered.map(gateway => gateway.name));
         const names = new Set<string>();
@@ -147,9 +149,9 @@
     }
 
     /**
-     * The host list lags and may come up short: it is believed only if it shows this gateway's own host, and only of a
-     * host that it has shown before. A new host that it doesn't show yet would otherwise be counted as gone while it
-     * serves, cut off from the store, and a change would be called in force that it never heard of.
+     * The host list lags and may be incomplete. A host counts as gone only if it was listed before and if the current
+     * list has this gateway's own host. Otherwise a new host that isn't listed yet would count as gone while it serves
+     * without the store, and a change that it never received would be declared in force.
      */
     #isHostGone(name: string, hostNames: readonly string[] | undefined): boolean {
         if (hostNames?.includes(this.#name) !== true) {
@@ -170,13 +172,14 @@
         }
     }
 
-    /** Each registered gateway has its turn to write, so that as a rule only one tries. */
+    /** Delay before this gateway writes. It increases with the rank by name, so that usually only one gateway does. */
     #turnMs(survey: FleetSurvey): number {
         const names = survey.registered.map(gateway => gateway.name).sort();
         const place = names.indexOf(this.#name);
         const turn = place < 0 ? names.length : place;
-        // The first roster waits a turn for the others that start with this gateway. A roster of the quickest one alone
-        // would have to agree to the next, and if it were started anew just then without the store, nobody could serve.
+        // The first roster is delayed by one more step for gateways that start at the same time. A roster of the
+        // fastest gateway alone would be needed for the majority of the next one: if that gateway restarted while the
+        // store is down, no gateway could serve.
         const first = survey.roster === undefined ? 1 : 0;
         return (turn + first) * this.#timings.rosterUpdateStaggerMs;
     }
--- a/packages/membership/src/signalOutbox.ts
+++ b/packages/membership/src/signalOutbox.ts
@@ -1,6 +1,6 @@
 import { type ServerSignal } from "@galenaglade/routing";
 
-/** Signals that one gateway passes on at the same time; the oldest fall out. */
+/** Maximum number of signals that a gateway forwards at the same time; the oldest are dropped. */
 const maximumSignals = 64;
 
 interface Posted {
@@ -8,11 +8,12 @@
     readonly postedAtMs: number;
 }
 
-/** Signals to pass on to peers, each for a while, so that one lost heartbeat loses none. */
+/** Signals to forward to peers. Each is repeated for some time, so that a lost heartbeat doesn't lose it. */
 export class SignalOutbox {
     readonly #keepMs: number;
     #posted: readonly Posted[] = [];
 
+    /** @param keepMs - time for which each signal is repeated, in milliseconds */
     constructor(keepMs: number) {
         this.#keepMs = keepMs;
     }
@@ -22,7 +23,7 @@
         this.#posted = [...this.#posted, ...added].slice(-maximumSignals);
     }
 
-    /** @returns the signals still to be passed on, with their present ages */
+    /** @returns the signals that are still to be forwarded, with their current ages in milliseconds */
     read(nowMs: number): readonly ServerSignal[] {
         this.#posted = this.#posted.filter(posted => nowMs - posted.postedAtMs <= this.#keepMs);
         return this.#posted.map(({ signal, postedAtMs }) => ({
--- a/packages/membership/src/trafficBudget.ts
+++ b/packages/membership/src/trafficBudget.ts
@@ -1,11 +1,11 @@
 import { controlBurstBytes, controlBytesPerSecond } from "./constants.js";
 
-/** Keeps a gateway's control traffic within its bytes a second. */
+/** Token bucket that limits the control traffic of a gateway, in bytes. */
 export class TrafficBudget {
     #bytes = controlBurstBytes;
     #filledAtMs: number | undefined;
 
-    /** @returns bytes that may be sent now; negative after urgent traffic went beyond the budget */
+    /** @returns the number of bytes that may be sent now; negative after urgent traffic has exceeded the budget */
     available(nowMs: number): number {
         const elapsedMs = Math.max(0, nowMs - (this.#filledAtMs ?? nowMs));
         this.#filledAtMs = nowMs;
--- a/packages/membership/src/versionedState.ts
+++ b/packages/membership/src/versionedState.ts
@@ -1,14 +1,14 @@
 import { type ConfigurationRevision } from "@galenaglade/configuration";
 import { type ConfigurationOffer, type Roster } from "./messages.js";
 
-/** What an offer changed. */
+/** Changes made by an offer. */
 export interface StateChange {
-    /** Set where a newer configuration was taken. */
+    /** The new configuration; `undefined` if it hasn't changed. */
     readonly configuration: ConfigurationRevision | undefined;
     readonly rosterChanged: boolean;
 }
 
-/** The configuration and roster that a gateway holds; neither ever goes back. */
+/** The configuration and roster that a gateway holds. Their versions never decrease. */
 export class VersionedState {
     #configuration: ConfigurationRevision | undefined;
     #roster: Roster | undefined;
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Takes what is newer in an offer. An older revision may come in at any time, from a peer that is behind or in an
-     * answer that was overtaken; applied, it would bring back an availability zone that operators took out.
+     * Adopts the newer parts of an offer. An older revision may arrive at any time, from a peer that lags behind or in
+     * a delayed response. Applying it would send work to an availability zone that operators have evacuated.
      *
-     * @param offer - from the store, a peer or admin
-     * @returns what changed
+     * @param offer - offer from the store, a peer or the admin process
+     * @returns the changes
      */
     merge(offer: ConfigurationOffer): StateChange {
         let configuration: ConfigurationRevision | undefined;
@@ -50,9 +50,9 @@
     }
 
     /**
-     * @param revision - a revision that somebody else has
-     * @param rosterVersion - a roster version that somebody else has
-     * @returns whether this gateway holds both, or newer ones
+     * @param revision - configuration revision to compare with
+     * @param rosterVersion - roster version to compare with
+     * @returns whether this gateway holds these versions or newer ones
      */
     isAtLeast(revision: number, rosterVersion: number): boolean {
         return revision <= this.revision && rosterVersion <= this.rosterVersion;
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -4,7 +4,7 @@
 
 const all = ["gw1", "gw2", "gw3", "gw4", "gw5"];
 
-/** A fleet of five that serves under revision 1. */
+/** Starts a fleet of five gateways that serve under revision 1. */
 async function startFleet(seed = 1): Promise<Simulation> {
     const sim = new Simulation(seed);
     for (const name of all) {
@@ -17,7 +17,7 @@
     return sim;
 }
 
-/** Cuts the network between two groups, both ways. */
+/** Disconnects two groups of processes in both directions. */
 function split(sim: Simulation, side: readonly string[], others: readonly string[]): void {
     for (const a of side) {
         for (const b of others) {
@@ -27,7 +27,7 @@
     }
 }
 
-/** Runs for a while and says who sent work meanwhile. */
+/** Runs for a while. @returns names of the gateways that sent work in this time */
 async function whoServes(sim: Simulation, durationMs: number): Promise<readonly string[]> {
     const before = new Map([...sim.gateways.values()].map(({ name, sent }) => [name, sent]));
     await sim.run(durationMs);
@@ -47,10 +47,10 @@
     return sim.gateways.get(name)?.member.current()?.revision;
 }
 
-// The operator takes an availability zone out and is told that it is out; callers of one gateway still get answers
-// from it. That gateway is cut off from the store, its peers and admin, but not from its callers. It may go on for the
-// time that it has, so the change is called in force only after that, and by then it refuses.
-test("a gateway that is cut off, but not from its callers, stops before the change is in force", async () => {
+// Guards against work that is sent to a zone after its evacuation is in force. One gateway is disconnected from the
+// store, its peers and the admin process, but not from its callers. It may accept work until its freshness expires, so
+// the change must not be in force before that.
+test("a gateway that only its callers can reach stops before the change is in force", async () => {
     const sim = await startFleet();
     split(sim, ["gw5"], [...all, "op1"]);
     sim.cutFromStore.add("gw5");
@@ -66,23 +66,23 @@
     sim.check();
 });
 
-// The operator waits for ever, or the gateways go down one by one in an outage, although nothing is wrong with them.
-// A gateway that lost only the store hears of the change from admin and its peers and serves on.
-test("a gateway that is cut off from the store alone gets the change at once and serves on", async () => {
+// Guards against changes that wait forever, and against healthy gateways that stop one by one in an outage. A gateway
+// that is disconnected from the store only gets the change from the admin process and its peers and continues to serve.
+test("a gateway without the store neither delays a change nor stops", async () => {
     const sim = await startFleet();
     sim.cutFromStore.add("gw5");
     await sim.run(15_000);
     const startedAtMs = sim.time.nowMs;
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     assert.ok(acceptance.inForce);
-    assert.ok(sim.time.nowMs - startedAtMs < 2_000, "no wait for anybody's time to run out");
+    assert.ok(sim.time.nowMs - startedAtMs < 2_000, "no wait for the expiry of a gateway's freshness");
     assert.deepEqual(await whoServes(sim, 10_000), all);
     sim.check();
 });
 
-// Half of the hosts would refuse every caller in an outage that the other half doesn't see.
-// The store is down for three of five gateways; they go on through what their peers know, and take changes.
-test("with the store down for half of the gateways, all serve and changes come into force", async () => {
+// Guards against gateways that reject all callers in an outage that affects only some. The store is down for three of
+// five gateways; they continue with the confirmations of their peers, and adopt changes.
+test("with the store down for three of five gateways, all serve and changes are in force", async () => {
     const sim = await startFleet();
     ["gw1", "gw2", "gw3"].forEach(name => sim.cutFromStore.add(name));
     await sim.run(20_000);
@@ -93,9 +93,9 @@
     sim.check();
 });
 
-// The store is down for everybody for a minute, and one gateway is cut off from the rest as well.
-// A majority that talks serves on; the one alone can't know of what the others know and refuses.
-test("with the store down for all, a majority in contact serves on and a gateway alone refuses", async () => {
+// The store is down for all gateways for a minute, and one of them is also disconnected from the rest. A majority in
+// contact continues to serve; the isolated gateway may have missed a change and must reject work.
+test("with the store down for all, a majority in contact serves and an isolated gateway doesn't", async () => {
     const sim = await startFleet();
     sim.cutFromStore.add("*");
     split(sim, ["gw5"], all);
@@ -104,9 +104,9 @@
     sim.check();
 });
 
-// The operator's call fails, is sent again, and makes the change twice or is told of a conflict with itself.
-// The compare-and-swap took effect, its answer was lost, and another operator's change came before the second try.
-test("a change whose answer was lost is recognised, also after a later change", async () => {
+// Guards against a repeated call that applies the change twice, or fails with a conflict with itself. The
+// compare-and-swap took effect, its response was lost, and another operator's change came before the second attempt.
+test("a change whose response was lost isn't applied twice, even after a later change", async () => {
     const sim = await startFleet();
     const op1 = sim.startOperator("op1");
     const read = (await sim.until(op1.coordinator.read())).toMaybe().extract() ?? assert.fail();
@@ -119,15 +119,15 @@
     sim.cutFromStore.delete("op1");
     assert.ok((await sim.changeNow(sim.startOperator("op2"), "later")).inForce);
     const again = await sim.until(op1.coordinator.apply(req, 5_000));
-    const acceptance = again.toMaybe().extract() ?? assert.fail("the second try failed");
+    const acceptance = again.toMaybe().extract() ?? assert.fail("the second attempt failed");
     assert.deepEqual([acceptance.revision, acceptance.inForce], [2, true]);
     assert.equal(sim.writeCount("zone-out"), 1);
     sim.check();
 });
 
-// Two operators change the same thing at once, and one of the changes is gone without a word.
-// Both read revision 1; the store takes one, and the other's operator is told the present revision.
-test("of two operators at once one wins and the other is told of the conflict", async () => {
+// Guards against a change that is silently lost when two operators make a change at the same time. Both read revision
+// 1; the store accepts one change, and the other operator gets a conflict with the current revision.
+test("of two concurrent changes, one is in force and the other fails with a conflict", async () => {
     const sim = await startFleet();
     const results = ["op1", "op2"].map(name => sim.change(sim.startOperator(name), `by-${name}`));
     const ends = (await sim.until(Promise.all(results))).map(result =>
@@ -137,9 +137,9 @@
     sim.check();
 });
 
-// The operator's call breaks off, and nobody knows whether the zone is out.
-// Admin wrote the change and ended before it offered it to anybody; another admin process is asked how far it has come.
-test("a change whose admin process ended is brought into force by the next", async () => {
+// Guards against a change that stays incomplete when the operator's call is interrupted. The admin process ends after
+// it has written the change, before it offers it to any gateway; then another admin process is asked for the status.
+test("a change whose admin process ended is put in force by the next one", async () => {
     const sim = await startFleet();
     sim.storeFaults.silentWatches = true;
     const op1 = sim.startOperator("op1");
@@ -151,10 +151,10 @@
     sim.check();
 });
 
-// A host that was started anew takes up work under a configuration that was replaced before it started.
-// The change is held by gw1, gw2 and gw3; gw4 and gw5 were cut off and refuse. Then the store goes down for all, gw3
-// is started anew and reaches only gw4 and gw5. The three are a majority, and none of them knows of the change.
-test("a gateway that forgot what it held doesn't make up a majority", async () => {
+// Guards against a restarted gateway that accepts work under a configuration that was replaced before its start. gw1,
+// gw2 and gw3 hold the change; gw4 and gw5 are disconnected and reject work. Then the store goes down for all, and gw3
+// restarts and reaches only gw4 and gw5. These three are a majority, and none of them knows of the change.
+test("a restarted gateway without its former state doesn't count for a majority", async () => {
     const sim = await startFleet();
     split(sim, ["gw4", "gw5"], ["gw1", "gw2", "gw3", "op1"]);
     ["gw4", "gw5"].forEach(name => sim.cutFromStore.add(name));
@@ -163,9 +163,9 @@
     sim.network.heal();
     split(sim, ["gw1", "gw2"], ["gw3", "gw4", "gw5"]);
     sim.startGateway("gw3");
-    assert.deepEqual(await whoServes(sim, 3_000), ["gw1", "gw2"], "on what the store said last");
+    assert.deepEqual(await whoServes(sim, 3_000), ["gw1", "gw2"], "by the last confirmation of the store");
     await sim.run(5_000);
-    assert.deepEqual(await whoServes(sim, 20_000), [], "nobody reaches a majority that remembers");
+    assert.deepEqual(await whoServes(sim, 20_000), [], "no gateway reaches a majority that has kept its state");
     sim.check();
     sim.network.heal();
     await sim.run(5_000);
@@ -174,9 +174,9 @@
     sim.check();
 });
 
-// In a long outage of the store every host that is replaced or started anew would be lost to callers until its end.
-// One gateway is started anew and one is quite new; both take the configuration and roster from a majority.
-test("gateways that start in an outage of the store take the configuration from their peers and serve", async () => {
+// Guards against replaced or restarted hosts that can't serve until the end of a long outage of the store. One gateway
+// restarts and one is new; both get the configuration and roster from a majority.
+test("gateways that start in an outage of the store get the configuration from their peers and serve", async () => {
     const sim = await startFleet();
     assert.ok((await sim.changeNow(sim.startOperator("op1"), "zone-out")).inForce);
     sim.cutFromStore.add("*");
@@ -189,10 +189,10 @@
     sim.check();
 });
 
-// A change is called in force while callers of one gateway still get answers under the older configuration.
-// gw6 is in no roster and can't reach the store, so nobody who accepts a change knows of it; it serves because gw1 to
-// gw5 answer it. They name it to admin, which asks it too.
-test("a gateway outside the roster that serves by its peers' word is asked before a change is in force", async () => {
+// Guards against a change that is in force while one gateway still serves under the older configuration. gw6 isn't in
+// the roster and can't reach the store, so it is unknown to the admin process; it serves because gw1 to gw5 respond to
+// its heartbeats. They report it to the admin process, which then includes it.
+test("a change isn't in force before a gateway outside the roster that serves through its peers holds it", async () => {
     const sim = await startFleet();
     sim.cutFromStore.add("gw6");
     sim.startGateway("gw6");
@@ -205,11 +205,11 @@
     assert.equal(revisionOf(sim, "gw6"), 2);
 });
 
-// An operator takes a zone out and is told so, and callers of three gateways get answers from it for minutes.
-// gw1 to gw3 are cut off from the store and the rest; being a majority, they serve on. Their leases lapse, new gateways
-// register, and a roster of the new ones alone could accept a change that the three never hear of. While old and new
-// are counted together, the change waits; when the three are really gone, it comes into force.
-test("a majority that serves without the store isn't replaced behind its back", async () => {
+// Guards against a majority that keeps sending work to an evacuated zone. gw1 to gw3 are disconnected from the store
+// and the other gateways; as a majority, they continue to serve. Their leases expire, new gateways register, and a
+// roster of the new ones alone could accept a change that the three never receive. While majorities of the old and the
+// new members are needed, the change waits; once the three have ended, it is in force.
+test("a majority that serves without the store isn't replaced in the roster", async () => {
     const sim = await startFleet();
     const cutOff = ["gw1", "gw2", "gw3"];
     const others = ["gw4", "gw5", "gw6", "gw7", "gw8", "gw9", "op1"];
@@ -217,7 +217,7 @@
     cutOff.forEach(name => sim.cutFromStore.add(name));
     ["gw6", "gw7", "gw8", "gw9"].forEach(name => sim.startGateway(name));
     await sim.run(40_000);
-    assert.equal(sim.roster()?.previous?.length, 5, "the change of the roster waits for a majority of the old");
+    assert.equal(sim.roster()?.previous?.length, 5, "the roster change waits for a majority of the old members");
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     assert.equal(acceptance.inForce, false);
     const serving = await whoServes(sim, 1_000);
@@ -232,9 +232,9 @@
     sim.check();
 });
 
-// A process that stood still goes on with work that it held, under a configuration that was replaced meanwhile.
-// The gateway is stopped past its freshness and its lease; on going on, its held turns run before any answer comes in.
-test("a paused gateway refuses when it goes on", async () => {
+// Guards against a paused process that resumes with pending work under a configuration that has been replaced. The
+// pause exceeds the freshness and the lease; after it, deferred turns run before any response arrives.
+test("a gateway that resumes after a pause rejects work", async () => {
     const sim = await startFleet();
     sim.gateways.get("gw5")?.process.pause();
     assert.ok((await sim.changeNow(sim.startOperator("op1"), "zone-out")).inForce);
@@ -247,11 +247,11 @@
     sim.check();
 });
 
-// As above, but answers that were asked for before the pause lie waiting when the gateway goes on.
-// They are from before the change. Counted from when they are read, they would let the gateway go on for another while,
-// cut off as it now is from everybody who knows better.
+// The same with responses to calls from before the pause, which are pending when the gateway resumes. They are from
+// before the change. If their age counted from when they are read, the gateway, which is now disconnected from all
+// other processes, would accept work for another freshness period.
 for (const seed of [1, 2, 3, 4, 5]) {
-    test(`answers from before a pause don't count after it (seed ${seed})`, async () => {
+    test(`responses from before a pause don't extend the freshness after it (seed ${seed})`, async () => {
         const sim = await startFleet(seed);
         sim.storeDelayMs = 700;
         sim.network.maximumDelayMs = 450;
@@ -269,11 +269,11 @@
     });
 }
 
-// A gateway that is cut off from its peers reads the store, which is slow, and goes on past the time it has.
-// The head is read just before the change is written, and the answer is on its way for long. Whoever accepts the change
-// waits for as long as a read from before it may count, and not for as long as its answer may take.
+// Guards against a gateway that accepts work beyond its freshness. It is disconnected from its peers and reads the head
+// from a slow store just before the change is written. The admin process waits for the freshness of a read from before
+// the change, not for the time until the response arrives.
 for (const seed of [1, 2, 3, 4, 5]) {
-    test(`a slow answer of the store counts from before it was asked (seed ${seed})`, async () => {
+    test(`a slow response of the store doesn't extend the freshness (seed ${seed})`, async () => {
         const sim = await startFleet(seed);
         sim.storeFaults.silentWatches = true;
         sim.startGateway("gw5");
@@ -290,9 +290,9 @@
     });
 }
 
-// A gateway that reads the store all the time sends work under a configuration that was replaced long ago.
-// Reads come from a part of the store that has fallen behind, the watch is silent, and peers and admin can't reach it.
-test("reads from the store's past confirm nothing", async () => {
+// Guards against a gateway that regularly reads the store but sends work under a configuration that was replaced long
+// ago. Its reads are served by a lagging replica, the watch gets no response, and peers and admin can't reach it.
+test("stale reads of the store confirm nothing", async () => {
     const sim = await startFleet();
     sim.storeFaults.silentWatches = true;
     sim.startGateway("gw5");
@@ -302,6 +302,6 @@
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     await sim.run(10_000);
     sim.check();
-    assert.equal(revisionOf(sim, "gw5"), 2, "what it reads is the present");
-    assert.equal(acceptance.inForce, false, "admin can't list the registrations as they are and says so");
+    assert.equal(revisionOf(sim, "gw5"), 2, "it reads the current head");
+    assert.equal(acceptance.inForce, false, "the admin process can't list the current registrations");
 });
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -37,7 +37,7 @@
 
 type Step = Parameters<Parameters<typeof step.map>[0]>[0];
 
-/** Plays the steps of one run on a fleet. */
+/** One run of a fleet with a sequence of faults and changes. */
 class FaultyRun {
     readonly sim: Simulation;
     readonly #operators: SimulatedOperator[];
@@ -52,7 +52,7 @@
         this.#operators = [this.sim.startOperator("op0"), this.sim.startOperator("op1")];
     }
 
-    /** Besides what the steps bring, one operator makes a change every now and then, so that faults meet changes. */
+    /** Makes a change every 2 to 4 seconds in addition to the steps, so that faults coincide with changes. */
     changeRegularly(): void {
         const operator = this.sim.startOperator("regular");
         for (let atMs = 2_000; atMs < faultyMs; atMs += 2_000 + this.sim.random.nextInt(2_000)) {
@@ -144,7 +144,7 @@
         return this.#operators[who % 2] ?? assert.fail();
     }
 
-    /** Cuts gateways off from the store and from everybody else, as a host with a broken network is. */
+    /** Disconnects gateways from the store and from all other processes, like hosts with a broken network. */
     #isolate(names: readonly string[], lastsMs: number): void {
         this.#cut(new Set(names), true);
         names.forEach(name => this.sim.cutFromStore.add(name));
@@ -182,7 +182,7 @@
     sim.heal();
     await sim.run(20_000);
     const acceptance = await sim.changeNow(run.operator(), "last-change");
-    assert.ok(acceptance.inForce, "the last change came into force");
+    assert.ok(acceptance.inForce, "the last change is in force");
     await sim.run(5_000);
     const before = [...sim.gateways.values()].map(({ name, sent }) => ({ name, sent }));
     await sim.run(1_000);
@@ -192,20 +192,20 @@
     sim.check();
 }
 
-// An operator is told that a change is in force, and a caller gets an answer that an older configuration gave.
-// Each run lets changes, pauses, restarts, replaced hosts and faults of the store and the network fall together as its
-// seed has it, then ends the faults. Until then no answer may be wrong, and afterwards the fleet must serve again: a
-// fleet that refuses for good would be safe, and useless.
-test("whatever fails together, what is in force stays in force, and the fleet recovers", async () => {
+// Guards against work under an older configuration after a change was reported as in force. Each run combines changes,
+// pauses, restarts, replaced hosts and faults of the store and the network at random, then ends the faults. No work may
+// be sent under a wrong configuration, and after the faults all gateways must serve again, since a fleet that rejects
+// all work would be safe but useless.
+test("combined faults don't revert a change in force, and the fleet recovers", async () => {
     await fc.assert(
         fc.asyncProperty(fc.integer(), fc.array(step, { minLength: 4, maxLength: 24 }), playWhole),
-        // Shrinking a failure takes many minutes of a run that is to end within ten; the seed is enough to repeat it.
+        // Shrinking a failure would take many minutes, and the run must end within ten; the seed suffices to repeat it.
         { numRuns: runs, endOnFailure: true },
     );
 });
 
-// The same with a run that showed a fault.
-test("the run of seed 285211304 keeps what is in force, and the fleet recovers", () =>
+// The same for a run that once failed.
+test("the run with seed 285211304 doesn't revert a change in force, and the fleet recovers", () =>
     playWhole(285_211_304, [
         { atMs: 14, kind: "networkSlow", who: 428, lastsMs: 11_446 },
         { atMs: 20_370, kind: "operatorEnds", who: 87, lastsMs: 2_012 },
--- a/packages/peers/src/__tests__/fleetObserver.test.ts
+++ b/packages/peers/src/__tests__/fleetObserver.test.ts
@@ -57,7 +57,7 @@
     };
 }
 
-/** Waits for something that must come; the wide limit is the test runner's. */
+/** Waits until a gateway is registered, limited by the timeout of the test runner only. */
 async function untilRegistered(store: HttpKeyValueStore, name: string): Promise<void> {
     const isRegistered = async () => {
         const { entries } = (await store.list(storeKeys.memberPrefix)).unsafeCoerce();
@@ -68,7 +68,7 @@
     }
 }
 
-/** Opens a peer port that answers however the test wants. */
+/** Opens a peer port with a response that the test chooses. */
 async function openPort(t: TestContext, answer: (res: ServerResponse) => void): Promise<string> {
     const server = createServer((req, res) => {
         req.resume();
@@ -87,7 +87,7 @@
     res.end(JSON.stringify({ result: { data } }));
 }
 
-test("gateways' words stand side by side, of one service or of all", async t => {
+test("the observations of all gateways are returned, for one service or for all", async t => {
     const fleet = await startFleet(t);
     const calls = await fleet.startMember("gw1", [seen]);
     const unknown = { ...seen, state: undefined, reportedInFlight: undefined, reportedAgeMs: undefined };
@@ -103,11 +103,11 @@
     assert.deepEqual(calls, [undefined, "tables"]);
 });
 
-// An operator asks for the list while some gateways are ill, which is when the list is needed most. One is silent, one
-// stalls in its answer, one is gone, and the others answer what can't be used: no JSON, another shape, a number that
-// the operators' messages can't hold, an answer without end, and another gateway's word, since its address was given
-// away. The list must come with the good gateway's word and name each of the others.
-test("a gateway that gives no usable answer is named, and the others' words come", async t => {
+// Guards against a list that fails because of some faulty gateways, when operators need it most. One doesn't respond,
+// one stalls during its response, one is gone, and one has an unreadable registration. Others send an invalid response:
+// no JSON, another shape, a number beyond the operator API's range, or another gateway's observations, since the
+// address was reused. The list must have the working gateway's observations and name each of the others.
+test("a gateway without a valid response is named, and the others' observations are returned", async t => {
     const fleet = await startFleet(t);
     await fleet.startMember("good", [seen]);
     const word = { gateway: "", servers: [seen], omitted: 0 };
@@ -130,9 +130,9 @@
     assert.deepEqual(unanswered.toSorted(), [...Object.keys(ports), "gone", "unreadable"].toSorted());
 });
 
-// A faulty gateway answers without end. Whoever asked stops to read at the limit and closes the connection, long before
-// its memory is full; the answer that would be good if it were read whole shows that the limit is what ended it.
-test("an answer beyond the size limit is not read to its end", async t => {
+// Guards against a faulty gateway whose endless response exhausts the caller's memory. The caller stops reading at the
+// limit and closes the connection. The response would be valid if read completely, so the limit must have ended it.
+test("a response beyond the size limit isn't read to its end", async t => {
     const fleet = await startFleet(t);
     await fleet.register(
         "large",
@@ -144,18 +144,18 @@
     assert.deepEqual((await fleet.observe()).unsafeCoerce(), { answered: [], unanswered: ["large"] });
 });
 
-// A stranger on the network could learn which servers are weak, and keep gateways busy with his questions.
-test("a stranger without the fleet's key learns nothing", async t => {
+// Guards against a client on the network that learns which servers are overloaded, or keeps gateways busy with calls.
+test("a caller without the fleet's key gets no observations", async t => {
     const fleet = await startFleet(t);
     const calls = await fleet.startMember("gw1", [seen]);
     assert.deepEqual((await fleet.observe("other")).unsafeCoerce(), { answered: [], unanswered: ["gw1"] });
     assert.deepEqual(calls, []);
 });
 
-// More servers are declared than one answer may tell of, with the longest names. An answer cut at random could lack the
-// very server that still has requests; an answer of full size could be refused whole. The busy servers come, with how
-// many others are lacking.
-test("of more servers than fit the size limit, the busy ones are told of", async t => {
+// More servers are configured than one response may have, with names of the maximum length. A response truncated at
+// random could omit the very server that still has requests, and a full response could be rejected as a whole. The busy
+// servers must be included, with the number of omitted ones.
+test("busy servers aren't omitted if there are more servers than fit the size limit", async t => {
     const fleet = await startFleet(t);
     const servers = Array.from({ length: 2_500 }, (_, i): ServerObservation => ({
         ...seen,
@@ -166,13 +166,13 @@
     }));
     await fleet.startMember("gw1", servers);
     const { answered } = (await fleet.observe()).unsafeCoerce();
-    assert.equal(answered.length, 1, "the largest answer is within what is read");
+    assert.equal(answered.length, 1, "the largest response is within the size limit");
     assert.equal(answered[0]?.omitted, 500);
     assert.equal(answered[0].servers.length, 2_000);
     assert.equal(answered[0].servers.filter(({ ownInFlight }) => ownInFlight > 0).length, 500);
 });
 
-test("the store's failure is told, not taken for an empty fleet", async t => {
+test("a failure of the store is reported rather than taken for an empty fleet", async t => {
     const fleet = await startFleet(t);
     fleet.platform.setFaults({ down: "refusing" });
     assert.equal((await fleet.observe()).swap().unsafeCoerce().kind, "storeUnavailable");
--- a/packages/peers/src/__tests__/fleetOverTcp.test.ts
+++ b/packages/peers/src/__tests__/fleetOverTcp.test.ts
@@ -40,7 +40,7 @@
     return member;
 }
 
-/** Waits for something that must come; the wide limit is the test runner's. */
+/** Waits for a condition, limited by the timeout of the test runner only. */
 async function until(holds: () => boolean): Promise<void> {
     while (!holds()) {
         await new Promise(resolve => setTimeout(resolve, 20));
@@ -52,9 +52,9 @@
         ?? assert.fail();
 }
 
-// The whole way with sockets and timers: two gateways register, take a change, pass signals on, and go on by each
-// other's word when the store is gone; a change with the store gone is refused as not made.
-test("two gateways over TCP agree on changes, pass signals on, and serve on without the store", async () => {
+// End to end with sockets and timers: two gateways register, adopt a change, forward signals, and continue through
+// contact with each other when the store is down. A change while the store is down is rejected without effect.
+test("two gateways over TCP adopt changes, forward signals, and serve without the store", async () => {
     const members = [await startMember("gw1"), await startMember("gw2")];
     const coordinator = createChangeCoordinator({ store: connectStore("admin"), fleetKey });
     const [gw1, gw2] = members;
--- a/packages/peers/src/__tests__/forgetGateway.test.ts
+++ b/packages/peers/src/__tests__/forgetGateway.test.ts
@@ -16,10 +16,10 @@
     return sim;
 }
 
-// A change is called in force by the word of gateways that no longer count.
-// Between admin's reads of the roster and of the head, the roster moves on and a change is written. Counted by the
-// roster that was read before, the change would be in force without a word from the members that count since.
-test("standing counts by a roster that was read after the change was written", async () => {
+// Guards against a change that is declared in force by gateways that aren't members any more. Between two reads of the
+// admin process, the roster changes and a configuration change is written. By the older roster, the change would be in
+// force without a response from the current members.
+test("a change isn't in force by a roster that was read before the change was written", async () => {
     const sim = await startFleet();
     const present = sim.roster() ?? assert.fail();
     const joined = present.members.map(member => ({ ...member, name: `${member.name}-new` }));
@@ -30,16 +30,16 @@
         sim.overwrite(storeKeys.head, JSON.stringify({ ...head, revision: 2, changeId: "zone-out" }));
     });
     const before = await sim.until(sim.changeStatus(sim.startOperator("op1")));
-    assert.equal(before?.changeId, "first", "nothing is said of a change that came after the roster was read");
+    assert.equal(before?.changeId, "first", "a change that was written after the roster was read isn't reported");
     const after = await sim.until(sim.changeStatus(sim.startOperator("op2")));
     assert.equal(after?.changeId, "zone-out");
     const names = after.gateways.map(({ gateway }) => gateway.name);
     assert.ok(joined.every(({ name }) => names.includes(name)), names.join());
 });
 
-// Two of three hosts are lost at once and the host list still shows them: no majority of the old roster is left, and
-// the operators' changes would wait for ever. An operator vouches for both; the word ends when one is started again.
-test("an operator's word lets a lost majority go, and ends with the next start", async () => {
+// Guards against changes that wait forever after two of three hosts are lost at once: no majority of the old roster is
+// left, and the host list still has both. An operator confirms that they have ended; a restart deletes the record.
+test("a lost majority that an operator forgets doesn't block changes, and counts again after a restart", async () => {
     const sim = await startFleet();
     sim.isHostListFrozen = true;
     ["gw2", "gw3"].forEach(name => sim.endGateway(name));
@@ -61,10 +61,10 @@
     return sim.engine.get(`${storeKeys.forgottenPrefix}${name}`, sim.time.nowMs) !== undefined;
 }
 
-// An operator vouches for the wrong host. Counted as gone while it serves, it would send work to a zone that was taken
-// out, after the change was called in force. First the gateway still renews its registration; then it is cut off from
-// the store and its registration has lapsed, but it serves on by its peers and answers. Both times the word is refused.
-test("an operator's word for a gateway that lives is refused", async () => {
+// Guards against an operator who forgets the wrong host. A live gateway that counts as ended would send work to a zone
+// after its evacuation is in force. First the gateway still renews its registration. Then it is disconnected from the
+// store and its registration has expired, but it serves through its peers and responds. Both calls are rejected.
+test("a live gateway isn't forgotten, whether it is registered or only responds", async () => {
     const sim = await startFleet();
     const op = sim.startOperator("op1");
     const forget = async () => (await sim.until(op.coordinator.forget("gw2"))).swap().toMaybe().extract();
@@ -76,10 +76,10 @@
     sim.check();
 });
 
-// The operators' server can't reach a gateway that is registered, and loses the store as soon as it has written a word.
-// Written first and looked at afterwards, the word would stay, and the gateway would be counted as gone as soon as it
-// misses a renewal. So no word is written for a gateway that is seen to be registered.
-test("no word is written for a registered gateway", async () => {
+// The admin process can't reach a registered gateway, and would lose the store right after writing the record. If the
+// registration were checked only after the write, the record would stay, and the gateway would count as ended once it
+// misses a renewal.
+test("a registered gateway isn't recorded as forgotten, even briefly", async () => {
     const sim = await startFleet();
     const op = sim.startOperator("op1");
     sim.network.cut("op1", "gw2");
@@ -88,9 +88,9 @@
     assert.deepEqual([refused?.kind, isForgotten(sim, "gw2")], ["badRequest", false]);
 });
 
-// An operator whose call went unanswered runs it again, perhaps after the gateway has left the roster: it must be told
-// that it is done, not that the name is unknown. A name that was never there is a slip of the keyboard.
-test("an operator's word may be given twice, but not for a name that nobody knows", async () => {
+// An operator whose call got no response repeats it, possibly after the gateway has left the roster: the call must
+// succeed rather than report an unknown name. A name that the fleet never had is a typing error.
+test("a repeated forget call succeeds, and one for an unknown name fails", async () => {
     const sim = await startFleet();
     sim.isHostListFrozen = true;
     sim.endGateway("gw3");
@@ -107,9 +107,9 @@
     sim.check();
 });
 
-// A lost host comes back just as an operator vouches for it. Its gateway registers after the look that found it gone,
-// having found no word to take back. The word must not stay: it would speak for the new process.
-test("an operator's word that a registration overtakes is taken back", async () => {
+// A lost host returns while an operator forgets it. Its gateway registers after the check that found it gone, when no
+// record to delete existed yet. The record must not stay, since it would apply to the new process.
+test("a forget record doesn't stay if the gateway registers between the check and the write", async () => {
     const sim = await startFleet();
     sim.isHostListFrozen = true;
     const identity = sim.roster()?.members.find(({ name }) => name === "gw3") ?? assert.fail();
@@ -121,7 +121,7 @@
     assert.deepEqual([refused?.kind, isForgotten(sim, "gw3")], ["badRequest", false]);
 });
 
-/** A store on which an operator's word is written just after a gateway has looked for one. */
+/** A store in which an operator's record is written just after a gateway has checked for one. */
 class OvertakenStore extends HttpKeyValueStore {
     #isOvertaken = false;
 
@@ -135,9 +135,9 @@
     }
 }
 
-// The same with the word between the gateway's look and its registration, and the operator's second look before the
-// registration too: neither sees the other. The gateway looks again once it is registered.
-test("a registration that an operator's word overtakes takes it back", async t => {
+// The same if the record is written between the gateway's check and its registration, and the admin process also makes
+// its second check before the registration: neither sees the other. The gateway checks again once it is registered.
+test("a forget record doesn't stay if it is written between the gateway's check and its registration", async t => {
     const platform = await PlatformServer.start();
     t.after(() => platform.stop());
     const connection = new PlatformClient({ addresses: [platform.url], client: "gw1" });
--- a/packages/peers/src/__tests__/peerPort.test.ts
+++ b/packages/peers/src/__tests__/peerPort.test.ts
@@ -56,7 +56,7 @@
 
 after(() => listener.close());
 
-/** Sends a call byte for byte and says the status of the answer. */
+/** Sends a call with an exact body. @returns status code of the response */
 async function send(path: string, body: string, headers: Readonly<Record<string, string>> = {}): Promise<number> {
     const req = request(`http://${address}/${path}`, {
         method: "POST",
@@ -70,7 +70,7 @@
     return res.statusCode;
 }
 
-test("heartbeats, fetches, offers and words on cold start pass unchanged over TCP", async () => {
+test("heartbeats, fetches, offers and cold start messages arrive unchanged over TCP", async () => {
     const caller = createPeerCaller({ fleetKey: "secret", callTimeoutMs: 10_000 });
     assert.deepEqual((await caller.heartbeat(address, heartbeat)).toMaybe().extract(), heartbeat);
     assert.deepEqual((await caller.fetch(address)).toMaybe().extract(), {
@@ -82,9 +82,9 @@
     assert.deepEqual(word.toMaybe().extract(), coldStartWord);
 });
 
-// A stranger on the network could hand every gateway a configuration of his own.
-// Without the fleet's key no call reaches a procedure, whatever else is right about it.
-test("a caller without the fleet's key is turned away", async () => {
+// Guards against a client on the network that sends gateways its own configuration. Without the fleet's key, no call
+// reaches a procedure, even if it is valid otherwise.
+test("a caller without the fleet's key is rejected", async () => {
     const before = received.length;
     for (const authorization of ["", "Bearer", "Bearer secreT", "Bearer secret2", "secret"]) {
         assert.equal(await send("heartbeat", JSON.stringify(heartbeat), { authorization }), 401);
@@ -94,8 +94,8 @@
     assert.equal(received.length, before);
 });
 
-// One faulty process of the fleet could stop the others, or fill their memory.
-test("malformed and oversized calls are refused, and good ones are answered after them", async () => {
+// Guards against one faulty process of the fleet that crashes the others or exhausts their memory.
+test("malformed and oversized calls are rejected, and valid ones get a response after them", async () => {
     const before = received.length;
     assert.equal(await send("heartbeat", "{"), 400);
     assert.equal(await send("heartbeat", JSON.stringify({ ...heartbeat, revision: -1 })), 400);
@@ -110,9 +110,9 @@
     assert.equal(await send("heartbeat", JSON.stringify(heartbeat)), 200);
 });
 
-// Callers that never finish a call would hold connections until none is left for the fleet.
-// The port closes such a connection itself; the wide limit is the test runner's.
-test("a call that is never finished is ended", async () => {
+// Guards against callers that never finish a call and use up the connections of the fleet. The port closes such a
+// connection; the wait is limited by the timeout of the test runner only.
+test("the connection of a call that is never finished is closed", async () => {
     const [host = "", port] = address.split(":");
     const socket = connect(Number(port), host);
     socket.on("error", () => undefined);
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -13,7 +13,7 @@
     readonly handler: PeerHandler;
 }
 
-/** The network between simulated processes: each way of each call takes its own time, or is lost. */
+/** Network between simulated processes. Each request and each response has its own random delay, or is lost. */
 export class SimulatedNetwork {
     readonly #time: VirtualClock;
     readonly #random: RandomSource;
@@ -35,7 +35,7 @@
         this.#maximumDelayMs = delayMs;
     }
 
-    /** Nothing passes from `from` to `to` any more; the other way stays open. */
+    /** Drops all messages from `from` to `to`; the opposite direction stays open. */
     cut(from: string, to: string): void {
         this.#cut.add(`${from}>${to}`);
     }
--- a/packages/peers/src/__tests__/support/simulatedProcess.ts
+++ b/packages/peers/src/__tests__/support/simulatedProcess.ts
@@ -1,7 +1,7 @@
 import { type VirtualClock } from "@galenaglade/stand-ins";
 import { Clock } from "../../clock.js";
 
-/** One process of a simulated run: it can be stopped for a while, go on, or end. */
+/** A process in a simulation, which can be paused, resumed and ended. */
 export class SimulatedProcess {
     readonly name: string;
     readonly #time: VirtualClock;
@@ -17,7 +17,7 @@
         return this.#state === "running";
     }
 
-    /** Runs a turn of the process; held back while it is paused, lost once it has ended. */
+    /** Runs a turn of the process; it is deferred while the process is paused, and dropped after its end. */
     run(turn: () => void): void {
         if (this.#state === "running") {
             turn();
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Goes on with everything that came in meanwhile, in its order. */
+    /** Resumes the process and runs all deferred turns in order. */
     resume(): void {
         if (this.#state !== "paused") {
             return;
--- a/packages/peers/src/__tests__/support/simulatedStore.ts
+++ b/packages/peers/src/__tests__/support/simulatedStore.ts
@@ -13,20 +13,20 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type SimulatedProcess } from "./simulatedProcess.js";
 
-/** How often a waiting watch looks, in milliseconds. */
+/** Interval at which a waiting watch polls for changes, in milliseconds. */
 const watchLookMs = 250;
 
-/** What the store does wrong for everybody. */
+/** Faults of the store that affect all processes. */
 export interface StoreFaults {
-    /** Plain reads come from this state of the past. */
+    /** Earlier state of the store from which plain reads are served. */
     staleEngine: KeyValueEngine | undefined;
-    /** Watches that are asked for now never end. */
+    /** Watches that start now never get a response. */
     silentWatches: boolean;
-    /** The next write of the head takes effect, and its answer is lost. */
+    /** The next write of the head takes effect, but its response is lost. */
     losesNextHeadResponse: boolean;
 }
 
-/** The store as one simulated process sees it. */
+/** Client of the store in one simulated process. */
 export class SimulatedStore extends KeyValueStore {
     readonly #process: SimulatedProcess;
     readonly #store: FakeStore;
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -26,22 +26,22 @@
 import { SimulatedProcess } from "./simulatedProcess.js";
 import { SimulatedStore, type StoreFaults } from "./simulatedStore.js";
 
-/** Every gateway tries to send work this often, in milliseconds. */
+/** Interval at which each gateway attempts to send work, in milliseconds. */
 const workIntervalMs = 50;
-/** The host list shows the end of a host this late, in milliseconds. */
+/** Time after which the host list shows that a host has ended, in milliseconds. */
 const hostListLagMs = 4_000;
 const storeTimeoutMs = 1_000;
-/** Moments at which something happens in one run; about ten times those of a long one. */
+/** Maximum number of clock events in one run; about ten times the number in a long one. */
 const maximumTurns = 1_000_000;
 
-/** Removal from the roster comes sooner than in earnest, so that a run sees several. */
+/** Gateways are removed from the roster sooner than in production, so that a run has several roster changes. */
 const timings: FleetTimings = { ...defaultFleetTimings, removeAfterMs: 6_000, rosterUpdateStaggerMs: 500 };
 
 export interface SimulatedGateway {
     readonly name: string;
     readonly process: SimulatedProcess;
     readonly member: FleetMembership;
-    /** Work sent since the start. */
+    /** Number of requests sent since the start. */
     sent: number;
 }
 
@@ -50,26 +50,26 @@
     readonly coordinator: StoreChangeCoordinator;
 }
 
-/** A fleet on virtual time, with the real shells on fake networks, a fake store and a recorder. */
+/** A fleet on virtual time: the real membership code on a simulated network and store, with a recorded history. */
 export class Simulation {
     readonly time = new VirtualClock();
     readonly random: RandomSource;
     readonly network: SimulatedNetwork;
     readonly engine = new KeyValueEngine();
     readonly storeFaults: StoreFaults = { staleEngine: undefined, silentWatches: false, losesNextHeadResponse: false };
-    /** Names of processes whose calls of the store are lost. */
+    /** Names of processes whose calls to the store are lost; `*` stands for all. */
     readonly cutFromStore = new Set<string>();
     readonly history: HistoryLine[] = [];
     readonly gateways = new Map<string, SimulatedGateway>();
     readonly #store: FakeStore;
     readonly #endedHosts = new Map<string, number>();
-    /** Share of store calls whose answer is lost after they took effect. */
+    /** Share of store calls whose response is lost after they took effect. */
     lostResponseShare = 0;
     storeDelayMs = 5;
-    /** The host list shows hosts that have ended for ever. */
+    /** Whether the host list keeps hosts that have ended. */
     isHostListFrozen = false;
     #afterRead: { readonly key: string; readonly run: () => void; } | undefined;
-    /** Longest time that one way of a store call takes for a process, in place of {@link storeDelayMs}. */
+    /** Overrides {@link storeDelayMs} for some processes; maximum delay in each direction, in milliseconds. */
     readonly maxStoreDelayMsByProcess = new Map<string, number>();
     #starts = 0;
     #turns = 0;
@@ -84,7 +84,7 @@
         this.history.push({ sequence: this.history.length, atMs: this.time.nowMs, process, ...event });
     }
 
-    /** Starts a gateway, or starts it anew under its name. */
+    /** Starts a gateway, or restarts it under the same name. */
     startGateway(name: string, address = this.#resolveAddress(name)): SimulatedGateway {
         this.gateways.get(name)?.process.end();
         this.#endedHosts.delete(name);
@@ -113,7 +113,7 @@
         return gateway;
     }
 
-    /** Ends a gateway's process for good; the host list shows it later. */
+    /** Ends a gateway's process permanently; the host list shows this later. */
     endGateway(name: string): void {
         this.gateways.get(name)?.process.end();
         this.gateways.delete(name);
@@ -132,7 +132,7 @@
         return { process, coordinator };
     }
 
-    /** Applies a change as an operator would, and records its acceptance. */
+    /** Applies a change like an operator, with one retry, and records whether it is in force. */
     async change(
         operator: SimulatedOperator,
         changeId: string,
@@ -152,7 +152,7 @@
         return applied;
     }
 
-    /** Asks how far the present change has come, and records its acceptance. */
+    /** Gets the status of the current change, and records whether it is in force. */
     async changeStatus(operator: SimulatedOperator): Promise<ChangeStatus | undefined> {
         const standing = (await operator.coordinator.changeStatus()).toMaybe().extract();
         if (standing !== undefined && standing.revision > 0) {
@@ -161,13 +161,13 @@
         return standing;
     }
 
-    /** Starts a change and lets the clock run until it has ended. */
+    /** Applies a change and runs the clock until the call has ended. */
     async changeNow(operator: SimulatedOperator, changeId: string): Promise<ChangeStatus> {
         const applied = await this.until(this.change(operator, changeId));
         return applied.caseOf({ Left: failure => assert.fail(failure.detail), Right: acceptance => acceptance });
     }
 
-    /** Lets the clock run until a promise has settled. */
+    /** Runs the clock until a promise has settled. */
     async until<T>(promise: Promise<T>, limitMs = 40_000): Promise<T> {
         let settled: { readonly value: T; } | undefined;
         void promise.then(value => {
@@ -183,7 +183,7 @@
         return assert.fail("not settled in time");
     }
 
-    /** Moves the clock, and lets every promise settle after each event. */
+    /** Advances the clock, and lets all promises settle after each event. */
     async run(durationMs: number): Promise<void> {
         const untilMs = this.time.nowMs + durationMs;
         for (;;) {
@@ -193,35 +193,35 @@
             }
             this.time.runUntil(nextAtMs);
             await settle();
-            // A loop without an end would hide its seed.
+            // An endless run would never print its seed.
             assert.ok(++this.#turns < maximumTurns, "the run never ends");
         }
         this.time.runUntil(untilMs);
     }
 
-    /** Does something just after the next call that reads a key. */
+    /** Runs a function just after an operator's next read of a key. */
     afterNextRead(key: string, run: () => void): void {
         this.#afterRead = { key, run };
     }
 
-    /** Writes a key past everybody. */
+    /** Writes a key directly to the store's state. */
     overwrite(key: string, value: string): void {
         const expectedRevision = this.engine.get(key, this.time.nowMs)?.modifiedRevision ?? 0;
         this.engine.compareAndSwap({ key, expectedRevision, value }, this.time.nowMs);
     }
 
-    /** @returns how often a change was written */
+    /** @returns the number of times that a change was written */
     writeCount(changeId: string): number {
         return this.history.filter(line => line.type === "configurationWritten" && line.changeId === changeId).length;
     }
 
-    /** @returns the roster as the store has it */
+    /** @returns the roster in the store */
     roster(): Roster | undefined {
         const entry = this.engine.get(storeKeys.roster, this.time.nowMs);
         return entry === undefined ? undefined : JSON.parse(entry.value) as Roster;
     }
 
-    /** Ends every fault; paused processes go on unless they are to stay as they are. */
+    /** Ends all faults; resumes paused processes unless they are to stay paused. */
     heal(stays: { readonly paused: boolean; } = { paused: false }): void {
         this.network.heal();
         this.cutFromStore.clear();
@@ -235,7 +235,7 @@
         }
     }
 
-    /** Fails where a checker finds anything in the history so far. */
+    /** Fails if a checker finds a violation in the history so far. */
     check(): void {
         assert.deepEqual(
             [
@@ -338,7 +338,7 @@
         .caseOf({ Left: faults => assert.fail(faults[0]?.message), Right: cfg => cfg });
 }
 
-/** Lets every promise that can settle do so. */
+/** Lets all promises that can settle do so. */
 function settle(): Promise<void> {
     return new Promise(resolve => {
         setImmediate(resolve);
--- a/packages/peers/src/clock.ts
+++ b/packages/peers/src/clock.ts
@@ -1,11 +1,11 @@
-/** Time as the shells see it, so that tests can move it. */
+/** Clock and timers of a process; tests replace it by a virtual one. */
 export abstract class Clock {
     /** @returns monotonic time in milliseconds */
     abstract nowMs(): number;
     /**
-     * @param delayMs - how long to wait
-     * @param run - called once, unless cancelled
-     * @returns cancels the call
+     * @param delayMs - delay in milliseconds
+     * @param run - called once after the delay, unless cancelled
+     * @returns function that cancels the call
      */
     abstract after(delayMs: number, run: () => void): () => void;
 }
@@ -21,16 +21,16 @@
     }
 }
 
-/** @returns the process's own monotonic clock */
+/** @returns the monotonic clock of the process */
 export function createSystemClock(): Clock {
     return new SystemClock();
 }
 
 /**
- * @param clock - the clock to wait on
- * @param delayMs - how long
- * @param signal - ends the wait early, so that a process that stops isn't kept alive by it
- * @returns settles after the wait
+ * @param clock - clock to use
+ * @param delayMs - delay in milliseconds
+ * @param signal - ends the delay early, so that it doesn't keep a stopping process alive
+ * @returns resolves after the delay
  */
 export function delay(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
     return new Promise(resolve => {
@@ -45,14 +45,14 @@
 }
 
 /**
- * Waits for an answer, but not for ever. A client that never settles would otherwise end the loop that waits for it,
- * with the symptom of a gateway that stops reading the store for good.
+ * Limits the time to wait for a promise. Otherwise a client whose call never settles would block the loop that awaits
+ * it, and a gateway would stop reading the store forever.
  *
- * @param clock - the clock to wait on
- * @param limitMs - longest wait
- * @param answer - what is waited for
- * @param otherwise - makes the result when the limit has passed
- * @returns the answer, or what `otherwise` makes
+ * @param clock - clock to use
+ * @param limitMs - timeout in milliseconds
+ * @param answer - promise to wait for
+ * @param otherwise - creates the result after a timeout
+ * @returns the result of the promise, or of `otherwise` after a timeout
  */
 export function withTimeout<T>(clock: Clock, limitMs: number, answer: Promise<T>, otherwise: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
--- a/packages/peers/src/constants.ts
+++ b/packages/peers/src/constants.ts
@@ -1,33 +1,34 @@
-/** Largest body of a call that carries a configuration, in bytes: the store's largest value, and the roster. */
+/** Maximum body size of a call with a configuration, in bytes: the store's maximum value size, plus the roster. */
 export const maxOfferBytes = 1_500_000;
-/** Largest answer that a caller reads, in bytes: an offer, or observations of as many servers as one may name. */
+/** Maximum size of a response in bytes: an offer, or observations of the maximum number of servers. */
 export const maxResponseBytes = 1_500_000;
-/** Backend servers that one answer tells of; with the longest names that are allowed, about 800,000 bytes. */
+/** Maximum number of backend servers in a response; about 800,000 bytes if all names have the maximum length. */
 export const maxObservedServers = 2_000;
-/** Largest body of any other call, in bytes. */
+/** Maximum body size of any other call, in bytes. */
 export const maxCallBytes = 300_000;
-/** Connections that the peer port holds open; a fleet of 15 with two admin calls each uses about 45. */
+/** Maximum number of connections at the peer port; a fleet of 15 gateways with two admin calls each uses about 45. */
 export const maxPeerConnections = 256;
-/** How long a caller may take to send a call's headers, and the whole call, in milliseconds. */
+/** Timeout for a call's headers, in milliseconds. */
 export const headersTimeoutMs = 2_000;
+/** Timeout for a whole call with its body, in milliseconds. */
 export const requestTimeoutMs = 5_000;
-/** How long a connection without a call stays open, in milliseconds; longer than between two heartbeats. */
+/** Time until a connection without calls is closed, in milliseconds; longer than the interval between heartbeats. */
 export const idleConnectionTimeoutMs = 30_000;
-/** How often overdue calls are looked for, in milliseconds. */
+/** Interval between checks for calls that exceed their timeout, in milliseconds. */
 export const connectionsCheckIntervalMs = 1_000;
-/** How often the decisions are told that time has passed, in milliseconds. */
+/** Interval between ticks of a gateway's state machine, in milliseconds. */
 export const tickMs = 100;
-/** How long a watch waits at the store, in milliseconds. */
+/** Time for which the store holds a watch open if nothing changes, in milliseconds. */
 export const watchWaitMs = 20_000;
-/** Added to a watch's wait before it is given up as silent, in milliseconds. */
+/** Time beyond {@link watchWaitMs} after which a watch without a response has failed, in milliseconds. */
 export const watchTimeoutMarginMs = 5_000;
-/** Pause after a watch failed, in milliseconds. */
+/** Delay after a failed watch, in milliseconds. */
 export const watchRetryMs = 1_000;
-/** Between two rounds of offers, in milliseconds. */
+/** Interval between rounds of offers, in milliseconds. */
 export const offerIntervalMs = 250;
-/** Between two reads of the store while a change is waited for, in milliseconds. */
+/** Interval between reads of the store during the wait for a change, in milliseconds. */
 export const surveyIntervalMs = 1_000;
-/** Between two tries of a write whose answer was lost, in milliseconds. */
+/** Delay between attempts of a write whose response was lost, in milliseconds. */
 export const writeRetryMs = 200;
-/** Length of a process's incarnation, in random bytes; it goes into every heartbeat. */
+/** Number of random bytes in the incarnation of a process; kept short because every heartbeat has it. */
 export const incarnationBytes = 8;
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -9,58 +9,63 @@
 import { type PeerCaller, type PeerListener } from "./peerCaller.js";
 import { type ObserveServers } from "./serverObservation.js";
 
-/** What a gateway needs to take part in its fleet. */
+/** Options of a gateway's {@link FleetMembership}. */
 export interface FleetMembershipOptions {
     readonly store: KeyValueStore;
-    /** Tells which hosts are gone for good; without it only an operator can say so. */
+    /** Shows which hosts have ended; without it only an operator can confirm this. */
     readonly hosts?: HostList | undefined;
     readonly name: string;
-    /** New with every start of the process. */
+    /** Unique for each start of the process; random by default. */
     readonly incarnation?: string | undefined;
     readonly availabilityZone: string;
-    /** Where the peer port listens; port 0 for any free one. */
+    /** Address of the peer port; port 0 for any free one. */
     readonly listen: { readonly host: string; readonly port: number; };
-    /** Peer addresses for a start without the store. */
+    /** Peer addresses to start without the store. */
     readonly seeds: readonly string[];
     readonly fleetKey: string;
     readonly timings?: FleetTimings | undefined;
-    /** For tests: in place of the process's clock, the peer port and the calls to peers. */
+    /** Replaces the process's clock in tests. */
     readonly clock?: Clock | undefined;
+    /** Replaces the peer port in tests. */
     readonly listener?: PeerListener | undefined;
+    /** Replaces the calls to peers in tests. */
     readonly caller?: PeerCaller | undefined;
 }
 
-/** Gets a peer's signals, with their ages as of now at least. */
+/** Receives a peer's signals; their ages include the maximum transit time. */
 export type OnSignals = (signals: readonly ServerSignal[], from: GatewayIdentity) => void;
-/** Gets a peer's loads, with their ages as of now at least. */
+/** Receives a peer's loads; their ages include the maximum transit time. */
 export type OnLoads = (loads: readonly ServerLoad[], from: GatewayIdentity) => void;
 
-/** A gateway's part in its fleet. */
+/** A gateway's membership in its fleet. */
 export interface FleetMembership {
-    /** Opens the peer port and begins to read the store; fails with `internal` where the port can't be opened. */
+    /** Opens the peer port and starts reading the store; fails with `internal` if the port can't be opened. */
     start(): Promise<Either<Failure, void>>;
-    /** @returns the configuration that new work follows; `undefined` until one is known */
+    /** @returns the configuration for new work; `undefined` until one is known */
     current(): ConfigurationRevision | undefined;
-    /** To be asked in the same turn as work is sent; `false` means to refuse it with `notFresh`. */
+    /**
+     * Must be called in the same turn of the event loop in which work is sent; if `false`, the work is to be rejected
+     * with `notFresh`.
+     */
     mayTakeNewWork(): boolean;
-    /** Calls back with each newer configuration, before anybody is told that it is held. */
+    /** Adds a callback for each newer configuration; it runs before the new revision is reported to other processes. */
     onConfiguration(callback: (configuration: ConfigurationRevision) => void): void;
-    /** Passes signals on to every peer at once. */
+    /** Sends signals to all peers immediately. */
     publishSignals(signals: readonly ServerSignal[]): void;
-    /** Replaces the loads that heartbeats carry as the budget allows. */
+    /** Replaces the loads that are sent with heartbeats as the traffic budget allows. */
     publishLoads(loads: readonly ServerLoad[]): void;
     onSignals(callback: OnSignals): void;
     onLoads(callback: OnLoads): void;
-    /** Sets who says what this gateway knows of the backend servers when an operators' server asks. */
+    /** Sets the handler that returns this gateway's observations of the backend servers to the admin process. */
     setObservationHandler(observe: ObserveServers): void;
-    /** Sets who answers peers' words on cold start; until then their calls fail. */
+    /** Sets the handler for peers' cold start messages; until then their calls fail. */
     setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void;
-    /** Sends a word on cold start to every other gateway of the roster. @returns one promise for each */
+    /** Sends a cold start message to all other gateways of the roster. @returns one promise for each of them */
     exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[];
-    /** @returns the roster that this gateway knows; `undefined` until it knows one */
+    /** @returns the roster that this gateway holds; `undefined` until it holds one */
     roster(): Roster | undefined;
     status(): FleetStatus | undefined;
-    /** The planned stop has begun: takes no new work, and says so to peers. */
+    /** Begins the planned stop: accepts no new work, and reports this to peers. */
     beginStop(): void;
     /** Ends the registration and closes the peer port. */
     stop(): Promise<void>;
--- a/packages/peers/src/fleetObserver.ts
+++ b/packages/peers/src/fleetObserver.ts
@@ -8,32 +8,33 @@
 import { parseIdentity } from "./storeCodec.js";
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
-/** What is needed to ask the gateways. */
+/** Options of a {@link FleetObserver}. */
 export interface FleetObserverOptions {
     readonly store: KeyValueStore;
     readonly fleetKey: string;
     readonly timings?: FleetTimings | undefined;
-    /** For tests: in place of the process's clock and the calls to gateways. */
+    /** Replaces the process's clock in tests. */
     readonly clock?: Clock | undefined;
+    /** Replaces the calls to gateways in tests. */
     readonly caller?: PeerCaller | undefined;
 }
 
-/** What the registered gateways know of the backend servers. */
+/** The registered gateways' observations of the backend servers. */
 export interface FleetObservations {
     readonly answered: readonly ServerObservations[];
-    /** Names of the registered gateways that gave no usable answer within the time. */
+    /** Names of the registered gateways that didn't send a valid response in time. */
     readonly unanswered: readonly string[];
 }
 
 /**
- * @param options - the store and the fleet's key
- * @returns asks the registered gateways what they know of the backend servers
+ * @param options - the store, the fleet's key and overrides for tests
+ * @returns an observer of the backend servers through the gateways
  */
 export function createFleetObserver(options: FleetObserverOptions): FleetObserver {
     return new FleetObserver(options);
 }
 
-/** Asks all registered gateways at once. */
+/** Collects observations of the backend servers from all registered gateways in parallel. */
 export class FleetObserver {
     readonly #store: KeyValueStore;
     readonly #timings: FleetTimings;
@@ -49,9 +50,9 @@
     }
 
     /**
-     * @param service - only this service's servers; all where `undefined`
-     * @returns every registered gateway's word, or its name among those that gave none; the store's failure where it
-     *          doesn't say which gateways there are
+     * @param service - service whose servers are included; `undefined` for all services
+     * @returns the observations of each registered gateway, or its name if it sent no valid response; the store's
+     *          failure if the gateways can't be listed
      */
     async observe(service: string | undefined): Promise<Either<Failure, FleetObservations>> {
         const listed = await withTimeout(
@@ -71,7 +72,7 @@
         });
     }
 
-    /** @returns a gateway's word, or only its name */
+    /** @returns a gateway's observations, or only its name if it sent no valid response */
     async #ask(entry: KeyValue, service: string | undefined): Promise<ServerObservations | string> {
         const name = entry.key.slice(storeKeys.memberPrefix.length);
         const identity = parseIdentity(entry);
@@ -80,7 +81,7 @@
         }
         const { peerAddress } = identity.unsafeCoerce();
         const answer = (await this.#caller.observe(peerAddress, service)).toMaybe().extract();
-        // Addresses are used again: a registration that outlives its process for some seconds may lead to another
+        // Addresses are reused: a registration that has outlived its process by some seconds may lead to another
         // gateway, whose requests would be counted twice and under the wrong name.
         return answer?.gateway === name ? answer : name;
     }
--- a/packages/peers/src/fleetStore.ts
+++ b/packages/peers/src/fleetStore.ts
@@ -4,42 +4,45 @@
 import { type Either, Left, Right } from "purify-ts";
 import { parseHead, parseIdentity, parseRoster } from "./storeCodec.js";
 
-/** The first try finds an earlier registration, the second replaces it. */
+/** The first attempt finds an earlier registration, the second replaces it. */
 const registrationTries = 2;
 
-/** The fleet as the store has it. */
+/** The fleet's state in the store. */
 export interface StoredFleet {
     readonly roster: Roster | undefined;
     readonly rosterKeyRevision: number;
     /** Read after the roster. */
     readonly head: StoredHead;
-    /** Listed after the head; `undefined` where the list failed, or showed the fleet as it was before the head. */
+    /** Listed after the head; `undefined` if the list failed, or is older than the roster or the head. */
     readonly listed: ListedFleet | undefined;
 }
 
-/** What the store lists of the fleet. */
+/** The fleet's keys that are read by listing. */
 export interface ListedFleet {
+    /** Gateways with a valid lease. */
     readonly registered: readonly GatewayIdentity[];
+    /** Names of gateways that an operator has confirmed as ended. */
     readonly forgotten: readonly string[];
 }
 
-/** The head with its key's revision, 0 where it doesn't exist. */
+/** The configuration head and the store revision of its key. */
 export interface StoredHead {
     readonly head: ConfigurationHead | undefined;
+    /** 0 if the key doesn't exist. */
     readonly keyRevision: number;
 }
 
 /**
- * Reads a key through the store's compare-and-swap, as a deletion that is to happen only if the key doesn't exist: it
- * changes nothing either way, and answers with the present value.
+ * Makes a linearizable read of a key by compare-and-swap: a deletion on condition that the key doesn't exist. It has no
+ * effect in either case, and returns the current value.
  *
- * A plain read may be answered by a part of the store that has fallen behind. A gateway would then take an old
- * configuration for confirmed and go on under it after a newer one was called in force. A compare-and-swap can't be
- * decided by what was, so its answer is no older than the call.
+ * A plain read may be served by a replica of the store that lags behind. A gateway could then take an old configuration
+ * for confirmed and keep sending work under it after a newer one is in force. A compare-and-swap isn't decided on stale
+ * data, so its result is never older than the call.
  *
  * @param store - the platform's store
- * @param key - what to read
- * @returns the key as it is; `undefined` where it doesn't exist
+ * @param key - key to read
+ * @returns the key's current entry; `undefined` if it doesn't exist
  */
 async function readPresent(store: KeyValueStore, key: string): Promise<Either<Failure, KeyValue | undefined>> {
     const swap = await store.compareAndSwap({ key, expectedRevision: 0, value: undefined });
@@ -48,7 +51,7 @@
 
 /**
  * @param store - the platform's store
- * @returns the head as written last
+ * @returns the current head
  */
 export async function readHead(store: KeyValueStore): Promise<Either<Failure, StoredHead>> {
     const read = await readPresent(store, storeKeys.head);
@@ -56,12 +59,12 @@
 }
 
 /**
- * Reads the roster, then the head, then the registrations. In this order, whoever holds a roster also holds every
- * configuration that was written before that roster, which the steps of a roster change build on; and a gateway that
- * isn't among the registrations registers after the head was written, and reads it after that.
+ * Reads the roster, then the head, then the registrations. Due to this order, a process that holds a roster also holds
+ * every configuration that was written before that roster, which the steps of a roster change depend on. A gateway that
+ * isn't among the registrations registers after the head was written, and reads the head after that.
  *
  * @param store - the platform's store
- * @returns roster and head, with the registrations where they could be had; or the first failure
+ * @returns roster and head, with the registrations if they could be listed; otherwise the first failure
  */
 export async function readFleet(store: KeyValueStore): Promise<Either<Failure, StoredFleet>> {
     const rosterEntry = await readPresent(store, storeKeys.roster);
@@ -89,7 +92,7 @@
     const forgotten: string[] = [];
     for (const entry of entries) {
         if (entry.key.startsWith(storeKeys.memberPrefix)) {
-            // One registration that can't be read must not stop everybody's reads.
+            // A single invalid registration must not fail the reads of all gateways.
             parseIdentity(entry).ifRight(identity => registered.push(identity));
         }
         else if (entry.key.startsWith(storeKeys.forgottenPrefix)) {
@@ -101,8 +104,8 @@
 
 /**
  * @param store - the platform's store
- * @param name - a gateway's name
- * @returns whether the gateway's registration stands
+ * @param name - name of the gateway
+ * @returns whether the gateway is registered
  */
 export async function isRegistered(store: KeyValueStore, name: string): Promise<Either<Failure, boolean>> {
     return (await readPresent(store, `${storeKeys.memberPrefix}${name}`)).map(entry => entry !== undefined);
@@ -110,21 +113,21 @@
 
 /**
  * @param store - the platform's store
- * @param name - a gateway's name
- * @returns whether an operator's word that it runs nowhere stands
+ * @param name - name of the gateway
+ * @returns whether an operator's confirmation that the gateway has ended is stored
  */
 export async function isForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, boolean>> {
     return (await readPresent(store, `${storeKeys.forgottenPrefix}${name}`)).map(entry => entry !== undefined);
 }
 
 /**
- * Registers a gateway under a lease of its own. An earlier registration of the same name is replaced: one gateway runs
- * on a host, so that it belongs to a process that has ended.
+ * Registers a gateway with its own lease. An earlier registration of the same name is replaced: a host runs a single
+ * gateway, so the earlier process has ended.
  *
  * @param store - the platform's store
- * @param self - the gateway
- * @param ttlMs - how long the registration outlives its last renewal
- * @returns the lease's id
+ * @param self - identity of the gateway
+ * @param ttlMs - time to live of the lease, in milliseconds
+ * @returns id of the lease
  */
 export async function register(
     store: KeyValueStore,
@@ -149,7 +152,8 @@
         }
         const outcome = swap.unsafeCoerce();
         if (outcome.swapped) {
-            // Again: a word that was given between the first look and the registration found none to be refused by.
+            // Checked again: a confirmation that was written between the first check and the registration wasn't
+            // rejected, since the gateway wasn't registered yet.
             return (await clearForgotten(store, self.name)).map(() => leaseId);
         }
         expectedRevision = outcome.current?.modifiedRevision ?? 0;
@@ -158,11 +162,11 @@
 }
 
 /**
- * Takes back an operator's word that a gateway of this name runs nowhere. Left in place, it would speak for the new
- * process too: once cut off from the store, that one would be counted as gone while it serves on.
+ * Deletes an operator's confirmation that the gateway of this name has ended. It would apply to the new process too: if
+ * that process were disconnected from the store, it would count as ended while it serves.
  *
  * @param store - the platform's store
- * @param name - the gateway's name
+ * @param name - name of the gateway
  * @returns nothing, or the store's failure
  */
 export async function clearForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, void>> {
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -27,8 +27,8 @@
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
 /**
- * @param options - who this gateway is and whom it talks to
- * @returns its part in the fleet, to be started
+ * @param options - identity of the gateway, and its connections to the store and to peers
+ * @returns the gateway's fleet membership, to be started
  */
 export function createFleetMembership(options: FleetMembershipOptions): FleetMembership {
     return new FleetMemberShell(options);
@@ -136,7 +136,8 @@
     }
 
     async stop(): Promise<void> {
-        // No new work from here on: whoever accepts a change may not know of this gateway once its lease is gone.
+        // No new work is accepted from here on: without its lease, this gateway may be unknown to the admin process
+        // when a change is declared in force.
         this.beginStop();
         this.#stopped.abort();
         this.#cancelTick();
@@ -171,7 +172,10 @@
         };
     }
 
-    /** The peer port opens a moment before the address is known that the member needs; calls until then fail. */
+    /**
+     * The peer port accepts calls shortly before the member is created, which needs the port's address. Calls in this
+     * time fail.
+     */
     #startedMember(): FleetMember {
         if (this.#member === undefined) {
             throw new Error("not started yet");
@@ -308,7 +312,7 @@
         }
     }
 
-    /** Tells of changes as they come. A watch may go silent for good, so the regular reads go on beside it. */
+    /** Triggers a read when the head changes. Regular reads continue, since a watch may stop responding forever. */
     async #watch(): Promise<void> {
         let afterRevision = 0;
         while (!this.#stopped.signal.aborted) {
--- a/packages/peers/src/httpPeerListener.ts
+++ b/packages/peers/src/httpPeerListener.ts
@@ -16,19 +16,19 @@
 import { type PeerHandler, PeerListener } from "./peerCaller.js";
 import { createPeerRouter } from "./peerRouter.js";
 
-/** Where peers' calls come in, and who may call. */
+/** Options of {@link createPeerListener}. */
 export interface PeerListenerOptions {
-    /** IP number to listen at. */
+    /** IP address to listen on. */
     readonly host: string;
-    /** 0 for any free port. */
+    /** Port to listen on; 0 for any free port. */
     readonly port: number;
-    /** Every caller has to know it. */
+    /** Shared secret of the fleet, required in each call. */
     readonly fleetKey: string;
 }
 
 /**
- * @param options - where to listen, and the fleet's key
- * @returns a listener for calls over HTTP
+ * @param options - the address to listen on and the fleet's key
+ * @returns a listener for tRPC calls over HTTP
  */
 export function createPeerListener(options: PeerListenerOptions): PeerListener {
     return new HttpPeerListener(options);
@@ -55,7 +55,7 @@
                 maxHeaderSize: 8_192,
             },
             (req, res) => {
-                // Nobody reads the date, and it is a tenth of a heartbeat's answer.
+                // The Date header is unused and would make up a tenth of a heartbeat response.
                 res.sendDate = false;
                 if (isAdmitted(req, res, expected)) {
                     const path = resolvePath(req);
@@ -90,10 +90,9 @@
     return createHash("sha256").update(text).digest();
 }
 
-/** Turns strangers away before a byte of their body is kept. */
+/** Authenticates a caller; rejects it before any of its body is buffered. */
 function isAdmitted(req: IncomingMessage, res: ServerResponse, expected: Buffer): boolean {
-    // Compared in constant time: a comparison that stops at the first difference tells a stranger, by its duration,
-    // how much of a guess was right.
+    // Compared in constant time: otherwise the duration would reveal how many leading characters of a guess are right.
     if (timingSafeEqual(digest(req.headers.authorization ?? ""), expected)) {
         return true;
     }
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,4 +1,4 @@
-/** What gateways and admin say to each other, and the shells that take part in the fleet. */
+/** Calls between gateways and from the admin process, with the processes' parts in the fleet on top of them. */
 export { Clock, createSystemClock } from "./clock.js";
 export { type FleetMembership, type FleetMembershipOptions, type OnLoads, type OnSignals } from "./fleetMembership.js";
 export {
--- a/packages/peers/src/peerCaller.ts
+++ b/packages/peers/src/peerCaller.ts
@@ -4,19 +4,19 @@
 import { type Either } from "purify-ts";
 import { type ServerObservations } from "./serverObservation.js";
 
-/** Calls peers at their addresses. Every failure is `peerUnreachable`. */
+/** Client for the calls between peers. All failures have the kind `peerUnreachable`. */
 export abstract class PeerCaller {
     abstract heartbeat(address: string, heartbeat: Heartbeat): Promise<Either<Failure, Heartbeat>>;
-    /** Asks for all that a peer holds. */
+    /** Fetches the configuration and roster that a peer holds. */
     abstract fetch(address: string): Promise<Either<Failure, ConfigurationOffer>>;
     abstract offer(address: string, offer: ConfigurationOffer): Promise<Either<Failure, OfferAnswer>>;
-    /** Tells a peer what concerns cold start, and hears the same of it. */
+    /** Exchanges cold start state with a peer. */
     abstract exchangeColdStart(address: string, word: ColdStartHeartbeat): Promise<Either<Failure, ColdStartHeartbeat>>;
-    /** Asks what a gateway knows of one service's backend servers or, without a name, of all. */
+    /** Gets a gateway's observations of one service's backend servers or, without a name, of all. */
     abstract observe(address: string, service: string | undefined): Promise<Either<Failure, ServerObservations>>;
 }
 
-/** Answers peers' calls. */
+/** Handles calls from peers and from the admin process. */
 export interface PeerHandler {
     heartbeat(heartbeat: Heartbeat): Heartbeat;
     fetch(): ConfigurationOffer;
@@ -25,9 +25,9 @@
     observe(service: string | undefined): ServerObservations;
 }
 
-/** Where peers' calls come in. */
+/** Server for the calls between peers. */
 export abstract class PeerListener {
-    /** @returns the address at which peers reach the handler */
+    /** @returns the address at which peers can reach the handler */
     abstract listen(handler: PeerHandler): Promise<Either<Failure, string>>;
     abstract close(): Promise<void>;
 }
--- a/packages/peers/src/peerRouter.ts
+++ b/packages/peers/src/peerRouter.ts
@@ -6,8 +6,8 @@
 const trpc = initTRPC.create({ isDev: false });
 
 /**
- * @param handler - answers the calls
- * @returns the procedures that gateways and admin call on each other
+ * @param handler - handles the calls
+ * @returns router with the procedures that gateways call on each other and the admin process calls on gateways
  */
 export function createPeerRouter(handler: PeerHandler) {
     return trpc.router({
@@ -25,5 +25,5 @@
     });
 }
 
-/** The procedures as a client sees them. */
+/** Type of the router, for clients. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>;
--- a/packages/peers/src/serverObservation.ts
+++ b/packages/peers/src/serverObservation.ts
@@ -1,38 +1,38 @@
 import { type ServerId } from "@galenaglade/routing";
 import { maxObservedServers } from "./constants.js";
 
-/** What one gateway knows of one backend server. */
+/** One gateway's view of one backend server. */
 export interface ServerObservation {
     readonly serverId: ServerId;
-    /** `undefined` where the gateway doesn't know. */
+    /** `undefined` if unknown to the gateway. */
     readonly state: "cold" | "warm" | "leaving" | undefined;
     /** Requests in flight from this gateway. */
     readonly ownInFlight: number;
-    /** Requests in flight from all gateways as the server last said of itself; `undefined` where it said nothing. */
+    /** Requests in flight from all gateways, as last reported by the server; `undefined` if it reported none. */
     readonly reportedInFlight: number | undefined;
-    /** Age of the server's own word when the gateway answered, in whole milliseconds. */
+    /** Age of the server's report when the gateway responded, in whole milliseconds. */
     readonly reportedAgeMs: number | undefined;
 }
 
-/** What one gateway knows of the backend servers. */
+/** One gateway's view of the backend servers. */
 export interface ServerObservations {
     /** Name of the gateway. */
     readonly gateway: string;
     readonly servers: readonly ServerObservation[];
-    /** Servers that were left out because the answer would have been too large. */
+    /** Number of servers omitted because of the size limit of the response. */
     readonly omitted: number;
 }
 
-/** Says what this gateway knows now, of one service's backend servers or, without a name, of all. */
+/** Returns this gateway's current view of one service's backend servers or, without a name, of all. */
 export type ObserveServers = (service: string | undefined) => readonly ServerObservation[];
 
 /**
- * Keeps an answer within the size that is read. Servers with requests in flight from this gateway stay in first: a
- * server that an operator waits for must not be missing because idle ones took the room.
+ * Limits the number of servers in a response to the size that callers accept. Servers with the most requests in flight
+ * from this gateway are kept: a server that an operator is waiting for must not be omitted in favor of idle ones.
  *
  * @param gateway - name of the gateway
- * @param servers - what it knows
- * @returns the answer, with the number of servers that it leaves out
+ * @param servers - its observations
+ * @returns the response, with the number of omitted servers
  */
 export function limitObservations(gateway: string, servers: readonly ServerObservation[]): ServerObservations {
     const omitted = Math.max(0, servers.length - maxObservedServers);
--- a/packages/peers/src/storeChangeCoordinator.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -23,31 +23,32 @@
 import { type PeerCaller } from "./peerCaller.js";
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
-/** What admin needs to order changes. */
+/** Options of a {@link StoreChangeCoordinator}. */
 export interface ChangeCoordinatorOptions {
     readonly store: KeyValueStore;
     readonly fleetKey: string;
     readonly timings?: FleetTimings | undefined;
-    /** For tests: in place of the process's clock and the calls to gateways. */
+    /** Replaces the process's clock in tests. */
     readonly clock?: Clock | undefined;
+    /** Replaces the calls to gateways in tests. */
     readonly caller?: PeerCaller | undefined;
 }
 
 /**
- * @param options - the store and the fleet's key
- * @returns orders changes and waits until they are in force
+ * @param options - the store, the fleet's key and overrides for tests
+ * @returns a coordinator for the admin process
  */
 export function createChangeCoordinator(options: ChangeCoordinatorOptions): StoreChangeCoordinator {
     return new StoreChangeCoordinator(options);
 }
 
-/** Orders changes by compare-and-swap on the head, and offers them to every gateway. */
+/** Writes changes by compare-and-swap on the head, and offers them to all gateways. */
 export class StoreChangeCoordinator extends ChangeCoordinator {
     readonly #store: KeyValueStore;
     readonly #timings: FleetTimings;
     readonly #clock: Clock;
     readonly #caller: PeerCaller;
-    /** Kept from one call to the next, so that asking again finds out what the time between has settled. */
+    /** Tracker of the latest revision. It is kept between calls, so that the time between them counts. */
     #newest: AcceptanceTracker | undefined;
 
     constructor(options: ChangeCoordinatorOptions) {
@@ -74,8 +75,8 @@
     }
 
     override async changeStatus(): Promise<Either<Failure, ChangeStatus>> {
-        // The roster has to be read after the change is known to be written. One that was read before may have been
-        // left behind by the time of the change, and a majority of it says nothing of the gateways that count since.
+        // The roster must be read after the head. A roster that was read before may have been replaced before the
+        // change was written, and a majority of it says nothing about the current members.
         const head = await this.#limited(readHead(this.#store));
         const read = await this.#limited(readFleet(this.#store));
         if (head.isLeft() || read.isLeft()) {
@@ -85,20 +86,21 @@
         const { revision, changeId } = head.unsafeCoerce().head ?? emptyConfiguration;
         const tracker = this.#trackerFor(revision);
         this.#survey(tracker, fleet);
-        // Twice: the second round shows that the first one's answers held at the same time.
+        // The second round confirms that the versions in the first responses were held at the same time.
         await this.#offerToAll(tracker, fleet);
         await this.#offerToAll(tracker, fleet);
         return Right(this.#acceptance(tracker, { revision, changeId }));
     }
 
     /**
-     * Vouches that a gateway runs nowhere any more and won't be started again under its name without the store. It
-     * then counts as having agreed to leave the roster; needed where more than half of the roster was lost at once and
-     * the platform's host list doesn't say so.
+     * Records an operator's confirmation that a gateway has ended and that no process will be started under its name
+     * without the store. The gateway then counts as having agreed to leave the roster. This is needed if more than half
+     * of the roster is lost at once and the platform's host list doesn't show it.
      *
-     * A word given for a gateway that lives would let a change be called in force while that gateway still sends work
-     * under the older configuration. So it is refused of a gateway that is registered, and of one that is cut off from
-     * the store but answers here. One that does neither, and serves on, is what the operator vouches against.
+     * If a live gateway were recorded, a change could be declared in force while that gateway still sends work under
+     * the older configuration. So the call is rejected for a gateway that is registered, and for one that is
+     * disconnected from the store but responds to the admin process. The operator has to exclude the remaining case, a
+     * gateway that still serves but neither is registered nor responds.
      */
     override async forget(name: string): Promise<Either<Failure, void>> {
         const fleet = await this.#limited(readFleet(this.#store));
@@ -130,7 +132,7 @@
             return createStillRegistered(name);
         }
         const answers = await Promise.all(known.map(({ peerAddress }) => this.#caller.offer(peerAddress, nothing)));
-        // The address alone says nothing: it may have been given to another gateway since.
+        // The name is compared, since the address may have been reused by another gateway.
         if (answers.some(answer => answer.toMaybe().extract()?.gateway.name === name)) {
             return createFailure("badRequest", `gateway ${name} answers at its peer port`, { didRun: "no" });
         }
@@ -146,13 +148,14 @@
     }
 
     /**
-     * A gateway may have registered between the look and the word. It took back what words there were before it
-     * registered, and this one would stay: once its registration lapses while it serves, it would be counted as gone.
+     * Deletes the record again if the gateway registered between the check and the write. A gateway deletes existing
+     * records when it registers, but would miss this one. If its registration later expired while it serves, it would
+     * count as ended.
      */
     async #takeBackIfRegistered(name: string): Promise<Either<Failure, void>> {
         const registered = await this.#limited(isRegistered(this.#store, name));
         if (registered.isLeft()) {
-            // The word is stored, and whether it may stay isn't known; said again, it is looked at again.
+            // The record is stored, but whether it may stay is unknown; a repeated call checks again.
             return Left(createFailure("storeOutcomeUnknown", registered.extract().detail));
         }
         if (!registered.unsafeCoerce()) {
@@ -175,7 +178,7 @@
             mayBeWritten ||= tried.mayBeWritten;
             const failure = tried.failure;
             if (failure !== undefined && !mayBeWritten) {
-                // Nothing but reads has gone unanswered so far, so that the change certainly isn't stored.
+                // Only reads have failed so far, so the change is certainly not stored.
                 return Left(asRead(failure));
             }
             if (this.#clock.nowMs() + writeRetryMs >= deadlineMs) {
@@ -187,7 +190,7 @@
         }
     }
 
-    /** Reads first: a write whose answer was lost, in this call or an earlier one, is found by its change id. */
+    /** Reads first: a write whose response was lost, in this call or an earlier one, is found by its change id. */
     async #tryWrite(req: ChangeRequest): Promise<WriteTry> {
         const read = await this.#limited(readHead(this.#store));
         if (read.isLeft()) {
@@ -253,7 +256,7 @@
     }
 
     #survey(tracker: AcceptanceTracker, fleet: StoredFleet | undefined): void {
-        // Without the registrations, a gateway that isn't in the roster would not be asked.
+        // Without the registrations, gateways outside the roster wouldn't be called.
         if (fleet?.listed === undefined) {
             return;
         }
@@ -308,7 +311,7 @@
     return createFailure("badRequest", detail, { didRun: "no" });
 }
 
-/** A read changes nothing, though it goes through the store's compare-and-swap. */
+/** A failed read has no effect, even if it was made by compare-and-swap, so its outcome is never unknown. */
 function asRead({ kind, detail }: Failure): Failure {
     return createFailure(kind === "storeOutcomeUnknown" ? "storeUnavailable" : kind, detail, { didRun: "no" });
 }
@@ -316,7 +319,7 @@
 type WriteTry =
     | { readonly type: "written"; readonly change: WrittenChange; }
     | { readonly type: "refused"; readonly failure: Failure; }
-    /** To be tried again; `failure` is absent where another change came first. */
+    /** To be retried; `failure` is `undefined` if another change was written first. */
     | { readonly type: "open"; readonly mayBeWritten: boolean; readonly failure: Failure | undefined; };
 
 const emptyConfiguration: ConfigurationRevision = Object.freeze({
--- a/packages/peers/src/storeCodec.ts
+++ b/packages/peers/src/storeCodec.ts
@@ -30,17 +30,17 @@
     return Right(parsed.data);
 }
 
-/** @returns the head, `undefined` where nothing was ever written, or a failure for a value that can't be read */
+/** @returns the head, `undefined` if none has been written yet, or a failure if the value is invalid */
 export function parseHead(entry: KeyValue | undefined): Either<Failure, ConfigurationHead | undefined> {
     return entry === undefined ? Right(undefined) : parse(headSchema, entry);
 }
 
-/** @returns the roster, `undefined` where there is none yet, or a failure for a value that can't be read */
+/** @returns the roster, `undefined` if there is none yet, or a failure if the value is invalid */
 export function parseRoster(entry: KeyValue | undefined): Either<Failure, Roster | undefined> {
     return entry === undefined ? Right(undefined) : parse(rosterSchema, entry);
 }
 
-/** @returns the gateway, or a failure for a value that can't be read */
+/** @returns the gateway's identity, or a failure if the value is invalid */
 export function parseIdentity(entry: KeyValue): Either<Failure, GatewayIdentity> {
     return parse(identitySchema, entry);
 }
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -21,19 +21,20 @@
 type FetchInit = Parameters<HttpFetch>[1];
 type ResponseEsque = Awaited<ReturnType<HttpFetch>>;
 
-/** Clients that are kept; gateways come and go, and each has its own address. */
+/** Maximum number of cached clients, one for each address. Gateways are replaced, so unused ones would accumulate. */
 const maximumClients = 256;
 
-/** How peers are called. */
+/** Options of {@link createPeerCaller}. */
 export interface PeerCallerOptions {
+    /** Shared secret of the fleet, sent with each call. */
     readonly fleetKey: string;
-    /** How long a call may take, in milliseconds. */
+    /** Timeout of a call, in milliseconds. */
     readonly callTimeoutMs: number;
 }
 
 /**
- * @param options - the fleet's key and the patience
- * @returns a caller over HTTP
+ * @param options - the fleet's key and the timeout
+ * @returns a caller that uses tRPC over HTTP
  */
 export function createPeerCaller(options: PeerCallerOptions): PeerCaller {
     return new TrpcPeerCaller(options);
@@ -84,7 +85,7 @@
         );
     }
 
-    /** A timeout closes the connection, so that one which has gone silent isn't used for the next call. */
+    /** A timeout closes the connection, so that an unresponsive one isn't reused for the next call. */
     async #call<T>(
         address: string,
         schema: z.ZodType<T>,
@@ -104,7 +105,7 @@
         }
     }
 
-    /** In place of the platform's `fetch`, whose headers for browsers are a seventh of a heartbeat. */
+    /** Replaces the global `fetch`, whose browser headers would make up a seventh of a heartbeat. */
     async #send(url: string, init: FetchInit): Promise<ResponseEsque> {
         const res = await request(url, {
             method: "POST",
@@ -140,8 +141,8 @@
 }
 
 /**
- * Reads an answer up to the largest that is allowed. A faulty peer that sends without end would otherwise fill the
- * memory of whoever asked, within the time that a call may take.
+ * Reads a response up to the maximum size. Otherwise a faulty peer that sends an endless response could exhaust the
+ * caller's memory before the timeout.
  */
 async function readJson(body: AsyncIterable<Buffer>): Promise<unknown> {
     const chunks: Buffer[] = [];
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -12,7 +12,7 @@
 import { maxObservedServers } from "./constants.js";
 import { type ServerObservations } from "./serverObservation.js";
 
-/** Most gateways that a message may name. */
+/** Maximum number of gateways in each list of a message. */
 const maximumGateways = 1_000;
 const maximumSignals = 256;
 const maximumLoads = 2_000;
@@ -22,7 +22,7 @@
 const ageMs = z.number().min(0);
 const serverId = z.string().max(256).regex(/^[^/]+\/[^/]+$/).transform(text => text as ServerId);
 
-/** A gateway's identity as messages and the store hold it. */
+/** A gateway's identity in messages and in the store. */
 export const identitySchema: z.ZodType<GatewayIdentity> = z.object({
     name,
     incarnation: name,
@@ -32,7 +32,7 @@
 
 const identities = z.array(identitySchema).max(maximumGateways);
 
-/** A roster as messages and the store hold it. */
+/** A roster in messages and in the store. */
 export const rosterSchema: z.ZodType<Roster> = z.object({
     version: z.number().int().min(1),
     members: identities,
@@ -60,7 +60,7 @@
     ageMs,
 }).transform(load => ({ ...load, reportedInFlight: load.reportedInFlight }));
 
-/** A heartbeat, and the answer to one. */
+/** A heartbeat or the response to one. */
 export const heartbeatSchema: z.ZodType<Heartbeat> = z.object({
     from: identitySchema,
     revision: count,
@@ -72,12 +72,12 @@
     stopping: z.boolean(),
 }).transform(heartbeat => ({ ...heartbeat, freshnessAgeMs: heartbeat.freshnessAgeMs }));
 
-/** `name/incarnation`. */
+/** A gateway process, as `name/incarnation`. */
 const gatewayLife = z.string().min(1).max(512);
-/** Most backend servers that one word on cold start may be about. */
+/** Maximum number of backend servers in a cold start message. */
 const maximumWords = 10_000;
 
-/** What gateways tell each other about servers that they may not send to freely. */
+/** Cold start state that gateways exchange, about servers to which they may send a limited number of requests. */
 export const coldStartWordSchema: z.ZodType<ColdStartHeartbeat> = z.object({
     from: gatewayLife,
     rosterVersion: count,
@@ -89,13 +89,13 @@
     signals: z.array(serverSignal).max(maximumWords),
 });
 
-/** All that a process holds. */
+/** The configuration and roster that a process holds. */
 export const offerSchema: z.ZodType<ConfigurationOffer> = z.object({
     offered: revisedConfiguration.optional(),
     roster: rosterSchema.optional(),
 }).transform(offer => ({ offered: offer.offered, roster: offer.roster }));
 
-/** A gateway's word on an offer. */
+/** A gateway's response to an offer. */
 export const offerAnswerSchema: z.ZodType<OfferAnswer> = z.object({
     gateway: identitySchema,
     revision: count,
@@ -103,11 +103,11 @@
     recentCallers: identities,
 });
 
-/** Which backend servers are asked for. */
+/** Request for observations of one service's backend servers or, without a name, of all. */
 export const observationQuerySchema = z.object({ service: name.optional() });
 
-// The operators' messages hold 32 bits. A number beyond them would fail the whole list, with every gateway's word, for
-// the fault of one.
+// The operator API has 32-bit fields. A larger number from one faulty gateway would fail the whole list, with the
+// observations of all gateways.
 const count32 = count.max(2 ** 32 - 1);
 
 const serverObservation = z.object({
@@ -123,7 +123,7 @@
     reportedAgeMs: seen.reportedAgeMs,
 }));
 
-/** What a gateway knows of the backend servers. */
+/** A gateway's view of the backend servers. */
 export const serverObservationsSchema: z.ZodType<ServerObservations> = z.object({
     gateway: name,
     servers: z.array(serverObservation).max(maxObservedServers),
