--- a/packages/membership/src/__tests__/acceptance.test.ts
+++ b/packages/membership/src/__tests__/acceptance.test.ts
@@ -57,7 +57,7 @@
 
 const changing = roster(2, ["gw1", "gw2", "gw3", "gw4"], ["gw1", "gw2", "gw3"]);
 
-function tellAll(keeper: RosterReconciler, names: readonly string[], startedAtMs: number, revision: number): void {
+function reportAll(keeper: RosterReconciler, names: readonly string[], startedAtMs: number, revision: number): void {
     for (const name of names) {
         keeper.onVersionReport(answer(name, revision, startedAtMs, { rosterVersion: 2 }));
     }
@@ -69,9 +69,9 @@
     const keeper = new RosterReconciler("gw1", timings);
     const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
     keeper.reconcile(present, 0);
-    [10, 20].forEach(startedAtMs => tellAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 0));
+    [10, 20].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 0));
     assert.equal(keeper.reconcile(present, 10 * majorityWaitMs), undefined);
-    [30, 40].forEach(startedAtMs => tellAll(keeper, ["gw1", "gw2", "gw3"], startedAtMs, 1));
+    [30, 40].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3"], startedAtMs, 1));
     assert.deepEqual(keeper.reconcile(present, 20 * majorityWaitMs)?.roster, {
         version: 3,
         members: changing.members,
@@ -84,7 +84,7 @@
     const keeper = new RosterReconciler("gw1", timings);
     const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
     keeper.reconcile(present, 0);
-    [10, 20].forEach(startedAtMs => tellAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 1));
+    [10, 20].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 1));
     assert.equal(keeper.reconcile(present, majorityWaitMs), undefined);
     assert.notEqual(keeper.reconcile(present, majorityWaitMs + 11), undefined);
 });
--- a/packages/membership/src/acceptanceTracker.ts
+++ b/packages/membership/src/acceptanceTracker.ts
@@ -21,12 +21,12 @@
     readonly answeredAtMs: number;
 }
 
-interface Answered {
-    readonly newest: VersionReport;
+interface GatewayReports {
+    readonly latest: VersionReport;
     /** Arrival of this incarnation's first response with the target; `undefined` if it doesn't hold the target. */
     readonly heldSinceMs: number | undefined;
     /** Whether the latest call succeeded. */
-    readonly reached: boolean;
+    readonly isReachable: boolean;
 }
 
 /**
@@ -39,10 +39,10 @@
 export class AcceptanceTracker {
     readonly #target: AcceptanceTarget;
     readonly #timings: FleetTimings;
-    readonly #answers = new Map<string, Answered>();
+    readonly #reports = new Map<string, GatewayReports>();
     #roster: Roster | undefined;
     #registered: readonly GatewayIdentity[] | undefined;
-    #vouchedFor: ReadonlySet<string> = new Set();
+    #endedNames: ReadonlySet<string> = new Set();
 
     constructor(target: AcceptanceTarget, timings: FleetTimings) {
         this.#target = target;
@@ -56,40 +56,40 @@
     /**
      * @param roster - roster read from the store after the change was written
      * @param registered - gateways that were registered in the store at that time
-     * @param vouchedFor - names of gateways that are known to have ended; they count as holding the target
+     * @param endedNames - names of gateways that are known to have ended; they count as holding the target
      */
     onSurvey(
         roster: Roster | undefined,
         registered: readonly GatewayIdentity[],
-        vouchedFor: ReadonlySet<string> = new Set(),
+        endedNames: ReadonlySet<string> = new Set(),
     ): void {
         this.#roster = roster;
         this.#registered = registered;
-        this.#vouchedFor = vouchedFor;
+        this.#endedNames = endedNames;
     }
 
     onVersionReport(answer: VersionReport): void {
-        const before = this.#answers.get(answer.gateway.name);
-        if (before !== undefined && answer.startedAtMs < before.newest.startedAtMs) {
+        const before = this.#reports.get(answer.gateway.name);
+        if (before !== undefined && answer.startedAtMs < before.latest.startedAtMs) {
             return;
         }
-        const holds = answer.revision >= this.#target.revision
+        const holdsTarget = answer.revision >= this.#target.revision
             && answer.rosterVersion >= this.#target.rosterVersion;
         // A restarted process may have lost the state of its predecessor, so its time starts again.
-        const same = before?.newest.gateway.incarnation === answer.gateway.incarnation;
-        const heldBefore = same ? before.heldSinceMs : undefined;
-        this.#answers.set(answer.gateway.name, {
-            newest: answer,
-            heldSinceMs: holds ? heldBefore ?? answer.answeredAtMs : undefined,
-            reached: true,
+        const isSameIncarnation = before?.latest.gateway.incarnation === answer.gateway.incarnation;
+        const previousHeldSinceMs = isSameIncarnation ? before.heldSinceMs : undefined;
+        this.#reports.set(answer.gateway.name, {
+            latest: answer,
+            heldSinceMs: holdsTarget ? previousHeldSinceMs ?? answer.answeredAtMs : undefined,
+            isReachable: true,
         });
     }
 
     /** Records that a call to a gateway failed. */
     onCallFailed(name: string): void {
-        const before = this.#answers.get(name);
+        const before = this.#reports.get(name);
         if (before !== undefined) {
-            this.#answers.set(name, { ...before, reached: false });
+            this.#reports.set(name, { ...before, isReachable: false });
         }
     }
 
@@ -99,8 +99,8 @@
         for (const gateway of listRosterGateways(this.#roster)) {
             byName.set(gateway.name, gateway);
         }
-        for (const { newest } of this.#answers.values()) {
-            for (const caller of newest.recentCallers) {
+        for (const { latest } of this.#reports.values()) {
+            for (const caller of latest.recentCallers) {
                 byName.set(caller.name, caller);
             }
         }
@@ -121,16 +121,16 @@
             return false;
         }
         const names = this.gateways.map(gateway => gateway.name);
-        let togetherAtMs = 0;
+        let heldByAllSinceMs = 0;
         for (const name of names) {
-            const heldSinceMs = this.#answers.get(name)?.heldSinceMs;
+            const heldSinceMs = this.#reports.get(name)?.heldSinceMs;
             if (heldSinceMs === undefined) {
                 return false;
             }
-            togetherAtMs = Math.max(togetherAtMs, heldSinceMs);
+            heldByAllSinceMs = Math.max(heldByAllSinceMs, heldSinceMs);
         }
-        const at = togetherAtMs;
-        return names.every(name => this.#heldAt(name, at));
+        const at = heldByAllSinceMs;
+        return names.every(name => this.#isHeldAt(name, at));
     }
 
     /**
@@ -145,8 +145,8 @@
     gatewayStatuses(nowMs: number): readonly GatewayChangeStatus[] {
         const lapsed = this.isMajorityWaitOver(nowMs);
         return this.gateways.map(gateway => {
-            const answered = this.#answers.get(gateway.name);
-            return { gateway, state: resolveState(answered, lapsed), revision: answered?.newest.revision };
+            const answered = this.#reports.get(gateway.name);
+            return { gateway, state: resolveState(answered, lapsed), revision: answered?.latest.revision };
         });
     }
 
@@ -156,11 +156,11 @@
      * could be counted that never held the target at the same time. So each gateway must report it again, in a call
      * that started at this time or later.
      */
-    #heldAt(name: string, atMs: number): boolean {
-        const answered = this.#answers.get(name);
+    #isHeldAt(name: string, atMs: number): boolean {
+        const answered = this.#reports.get(name);
         return answered?.heldSinceMs !== undefined
             && answered.heldSinceMs <= atMs
-            && answered.newest.startedAtMs >= atMs;
+            && answered.latest.startedAtMs >= atMs;
     }
 
     #majorityHeldAtMs(): number | undefined {
@@ -168,14 +168,14 @@
         if (roster === undefined) {
             return undefined;
         }
-        const times = [...this.#answers.values()]
+        const times = [...this.#reports.values()]
             .map(answered => answered.heldSinceMs)
             .filter(time => time !== undefined)
             .sort((a, b) => a - b);
         for (const atMs of times) {
-            const names = new Set(this.#vouchedFor);
-            for (const name of this.#answers.keys()) {
-                if (this.#heldAt(name, atMs)) {
+            const names = new Set(this.#endedNames);
+            for (const name of this.#reports.keys()) {
+                if (this.#isHeldAt(name, atMs)) {
                     names.add(name);
                 }
             }
@@ -187,11 +187,11 @@
     }
 }
 
-function resolveState(answered: Answered | undefined, lapsed: boolean): GatewayChangeStatus["state"] {
+function resolveState(answered: GatewayReports | undefined, lapsed: boolean): GatewayChangeStatus["state"] {
     if (answered?.heldSinceMs !== undefined) {
         return "inForce";
     }
-    if (answered?.reached === true) {
+    if (answered?.isReachable === true) {
         return "behind";
     }
     return lapsed ? "lapsed" : "unreachable";
--- a/packages/membership/src/configurationHead.ts
+++ b/packages/membership/src/configurationHead.ts
@@ -42,14 +42,14 @@
     head: ConfigurationHead | undefined,
     req: ChangeRequest,
 ): Either<Failure, ConfigurationHead> {
-    const present = head?.revision ?? 0;
-    if (req.expectedRevision !== present) {
+    const currentRevision = head?.revision ?? 0;
+    if (req.expectedRevision !== currentRevision) {
         return Left(createFailure(
             "revisionConflict",
-            `the change was made for revision ${req.expectedRevision}; the present revision is ${present}`,
+            `the change was made for revision ${req.expectedRevision}; the present revision is ${currentRevision}`,
         ));
     }
-    const written = { changeId: req.changeId, revision: present + 1 };
+    const written = { changeId: req.changeId, revision: currentRevision + 1 };
     return Right({
         revision: written.revision,
         changeId: written.changeId,
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -52,17 +52,17 @@
     readonly #seeds: readonly string[];
     readonly #timings: FleetTimings;
     readonly #startedAtMs: number;
-    readonly #holding = new VersionedState();
+    readonly #state = new VersionedState();
     readonly #contacts = new PeerContactTracker();
-    readonly #callers = new RecentCallers();
+    readonly #recentCallers = new RecentCallers();
     readonly #budget = new TrafficBudget();
     readonly #freshness: FreshnessTracker;
     readonly #schedule: HeartbeatSchedule;
-    readonly #keeper: RosterReconciler;
+    readonly #rosterReconciler: RosterReconciler;
     readonly #fetching = new Set<string>();
     #recovering = true;
     #stopping = false;
-    #reading = false;
+    #isReading = false;
     #readDueAtMs: number;
     #registration: "none" | "asking" | "held" = "none";
     #registrationDueAtMs: number;
@@ -79,15 +79,15 @@
         this.#freshness = new FreshnessTracker(options.self.name);
         this.#schedule = new HeartbeatSchedule(options.timings.heartbeatIntervalMs);
         this.#signals = new SignalOutbox(options.timings.freshForMs);
-        this.#keeper = new RosterReconciler(options.self.name, options.timings);
+        this.#rosterReconciler = new RosterReconciler(options.self.name, options.timings);
     }
 
     get configuration(): ConfigurationRevision | undefined {
-        return this.#holding.configuration;
+        return this.#state.configuration;
     }
 
     get roster(): Roster | undefined {
-        return this.#holding.roster;
+        return this.#state.roster;
     }
 
     /**
@@ -100,17 +100,17 @@
      * @returns `false` if the request is to be rejected with `notFresh`
      */
     mayTakeNewWork(nowMs: number): boolean {
-        if (this.#stopping || this.#holding.configuration === undefined) {
+        if (this.#stopping || this.#state.configuration === undefined) {
             return false;
         }
         return this.#isConfirmed(nowMs) || this.#isInContact(nowMs);
     }
 
     status(nowMs: number): FleetStatus {
-        const names = listRosterGateways(this.#holding.roster).map(gateway => gateway.name);
+        const names = listRosterGateways(this.#state.roster).map(gateway => gateway.name);
         return {
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
             confirmed: this.#isConfirmed(nowMs),
             inContact: this.#isInContact(nowMs),
             recovering: this.#recovering,
@@ -125,7 +125,7 @@
         readonly answer: Heartbeat;
         readonly commands: readonly FleetCommand[];
     } {
-        this.#callers.onCall(heartbeat.from, nowMs);
+        this.#recentCallers.onCall(heartbeat.from, nowMs);
         return { answer: this.#createHeartbeat(0, nowMs), commands: this.#fetchNewer(heartbeat) };
     }
 
@@ -137,19 +137,19 @@
         readonly answer: OfferAnswer;
         readonly commands: readonly FleetCommand[];
     } {
-        const commands = this.#take(offer);
+        const commands = this.#mergeOffer(offer);
         const answer = {
             gateway: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
-            recentCallers: this.#recentCallers(nowMs),
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
+            recentCallers: this.#listRecentCallers(nowMs),
         };
         return { answer, commands };
     }
 
     /** @returns the configuration and roster that this gateway holds, for a peer that fetches them */
     createOffer(): ConfigurationOffer {
-        return { offered: this.#holding.configuration, roster: this.#holding.roster };
+        return { offered: this.#state.configuration, roster: this.#state.roster };
     }
 
     /**
@@ -167,10 +167,10 @@
             case "storeRead":
                 return this.#storeRead(event, nowMs);
             case "storeReadFailed":
-                this.#reading = false;
+                this.#isReading = false;
                 return [];
             case "hostsListed":
-                this.#keeper.onHostsListed(event.names);
+                this.#rosterReconciler.onHostsListed(event.names);
                 return [];
             case "registered":
                 this.#registration = "held";
@@ -195,7 +195,7 @@
                 return [];
             case "fetched":
                 this.#fetching.delete(event.address);
-                return this.#take(event.offer);
+                return this.#mergeOffer(event.offer);
             case "fetchFailed":
                 this.#fetching.delete(event.address);
                 return [];
@@ -213,7 +213,7 @@
     }
 
     #isConfirmed(nowMs: number): boolean {
-        return this.#freshness.isConfirmed(nowMs - this.#timings.freshForMs, nowMs, this.#holding);
+        return this.#freshness.isConfirmed(nowMs - this.#timings.freshForMs, nowMs, this.#state);
     }
 
     /**
@@ -222,7 +222,7 @@
      * common with this one, and that gateway would have reported the change.
      */
     #isInContact(nowMs: number): boolean {
-        const roster = this.#holding.roster;
+        const roster = this.#state.roster;
         if (this.#recovering || roster === undefined) {
             return false;
         }
@@ -233,8 +233,8 @@
 
     #tick(nowMs: number): readonly FleetCommand[] {
         const commands: FleetCommand[] = [];
-        if (!this.#reading && nowMs >= this.#readDueAtMs) {
-            this.#reading = true;
+        if (!this.#isReading && nowMs >= this.#readDueAtMs) {
+            this.#isReading = true;
             this.#readDueAtMs = nowMs + this.#timings.storeReadIntervalMs;
             commands.push({ type: "readStore" });
         }
@@ -249,16 +249,16 @@
     }
 
     #heartbeats(nowMs: number): readonly FleetCommand[] {
-        const rosterNames = new Set(listRosterGateways(this.#holding.roster).map(gateway => gateway.name));
+        const rosterNames = new Set(listRosterGateways(this.#state.roster).map(gateway => gateway.name));
         this.#contacts.prune(rosterNames, nowMs - 2 * this.#timings.freshForMs);
         const commands: FleetCommand[] = [];
         for (const address of this.#schedule.due(this.#peerAddresses(nowMs), nowMs)) {
             const signalBytes = this.#signals.read(nowMs).length * heartbeatEntryBytes;
-            const sparedBytes = this.#budget.available(nowMs) - heartbeatBytes - signalBytes;
-            if (sparedBytes < 0 && !this.#schedule.isUrgent(address)) {
+            const remainingBytes = this.#budget.available(nowMs) - heartbeatBytes - signalBytes;
+            if (remainingBytes < 0 && !this.#schedule.isUrgent(address)) {
                 break;
             }
-            const loadLimit = Math.max(0, Math.floor(sparedBytes / heartbeatEntryBytes));
+            const loadLimit = Math.max(0, Math.floor(remainingBytes / heartbeatEntryBytes));
             const heartbeat = this.#createHeartbeat(loadLimit, nowMs);
             this.#budget.spend(heartbeatBytes + signalBytes + heartbeat.loads.length * heartbeatEntryBytes);
             this.#schedule.onSent(address, nowMs);
@@ -269,22 +269,22 @@
 
     #storeRead(event: Extract<FleetEvent, { readonly type: "storeRead"; }>, nowMs: number): readonly FleetCommand[] {
         const { startedAtMs, head, roster, survey } = event;
-        this.#reading = false;
-        const commands = [...this.#take({ offered: head, roster })];
+        this.#isReading = false;
+        const commands = [...this.#mergeOffer({ offered: head, roster })];
         const headRevision = head?.revision ?? 0;
         const rosterVersion = roster?.version ?? 0;
         // A store that returns older state than this gateway holds was restored from a backup or serves stale reads. It
         // confirms nothing, and nothing is written on the basis of this read.
-        if (headRevision !== this.#holding.revision || rosterVersion !== this.#holding.rosterVersion) {
+        if (headRevision !== this.#state.revision || rosterVersion !== this.#state.rosterVersion) {
             return commands;
         }
-        if (head !== undefined && head.changeId !== this.#holding.configuration?.changeId) {
+        if (head !== undefined && head.changeId !== this.#state.configuration?.changeId) {
             return commands;
         }
         this.#recovering = false;
-        this.#freshness.onStoreRead(startedAtMs, this.#holding);
-        this.#tellKeeperOwnState(nowMs);
-        const swap = survey === undefined ? undefined : this.#keeper.reconcile(survey, nowMs);
+        this.#freshness.onStoreRead(startedAtMs, this.#state);
+        this.#reportOwnVersions(nowMs);
+        const swap = survey === undefined ? undefined : this.#rosterReconciler.reconcile(survey, nowMs);
         if (swap !== undefined && !this.#stopping) {
             commands.push({ type: "swapRoster", swap });
         }
@@ -301,9 +301,9 @@
         if (heartbeat.from.name === this.#self.name) {
             return [];
         }
-        this.#contacts.onHeartbeat(startedAtMs, heartbeat, this.#holding);
-        this.#freshness.onPeerHeartbeat(startedAtMs, heartbeat, this.#holding);
-        this.#keeper.onVersionReport({
+        this.#contacts.onHeartbeat(startedAtMs, heartbeat, this.#state);
+        this.#freshness.onPeerHeartbeat(startedAtMs, heartbeat, this.#state);
+        this.#rosterReconciler.onVersionReport({
             gateway: heartbeat.from,
             revision: heartbeat.revision,
             rosterVersion: heartbeat.rosterVersion,
@@ -317,7 +317,7 @@
 
     #fetchNewer(heartbeat: Heartbeat): readonly FleetCommand[] {
         const address = heartbeat.from.peerAddress;
-        if (this.#holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
+        if (this.#state.isAtLeast(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
             return [];
         }
         this.#fetching.add(address);
@@ -334,11 +334,11 @@
         return this.#tick(nowMs);
     }
 
-    #take(offer: ConfigurationOffer): readonly FleetCommand[] {
-        const taken: StateChange = this.#holding.merge(offer);
-        this.#contacts.reevaluate(this.#holding);
+    #mergeOffer(offer: ConfigurationOffer): readonly FleetCommand[] {
+        const change: StateChange = this.#state.merge(offer);
+        this.#contacts.reevaluate(this.#state);
         this.#recoverFromPeers();
-        return taken.configuration === undefined ? [] : [{ type: "apply", configuration: taken.configuration }];
+        return change.configuration === undefined ? [] : [{ type: "apply", configuration: change.configuration }];
     }
 
     /**
@@ -347,7 +347,7 @@
      * common with the peers that respond now, and it has lost the change.
      */
     #recoverFromPeers(): void {
-        const roster = this.#holding.roster;
+        const roster = this.#state.roster;
         if (!this.#recovering || roster === undefined) {
             return;
         }
@@ -356,11 +356,11 @@
         this.#recovering = !hasMajority(roster, names);
     }
 
-    #tellKeeperOwnState(nowMs: number): void {
-        this.#keeper.onVersionReport({
+    #reportOwnVersions(nowMs: number): void {
+        this.#rosterReconciler.onVersionReport({
             gateway: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
             recentCallers: [],
             startedAtMs: nowMs,
             answeredAtMs: nowMs,
@@ -370,9 +370,9 @@
     #createHeartbeat(loadLimit: number, nowMs: number): Heartbeat {
         return {
             from: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
-            freshnessAgeMs: this.#freshness.ageMs(nowMs, this.#holding),
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
+            freshnessAgeMs: this.#freshness.ageMs(nowMs, this.#state),
             recovering: this.#recovering,
             signals: this.#signals.read(nowMs),
             loads: this.#loads.take(loadLimit, nowMs),
@@ -380,8 +380,8 @@
         };
     }
 
-    #recentCallers(nowMs: number): readonly GatewayIdentity[] {
-        return this.#callers.since(nowMs - this.#timings.freshForMs - this.#timings.marginMs);
+    #listRecentCallers(nowMs: number): readonly GatewayIdentity[] {
+        return this.#recentCallers.since(nowMs - this.#timings.freshForMs - this.#timings.marginMs);
     }
 
     /**
@@ -390,10 +390,10 @@
      */
     #peerAddresses(nowMs: number): readonly string[] {
         const byName = new Map<string, string>();
-        for (const gateway of listRosterGateways(this.#holding.roster)) {
+        for (const gateway of listRosterGateways(this.#state.roster)) {
             byName.set(gateway.name, gateway.peerAddress);
         }
-        for (const gateway of [...this.#contacts.identities, ...this.#recentCallers(nowMs)]) {
+        for (const gateway of [...this.#contacts.identities, ...this.#listRecentCallers(nowMs)]) {
             byName.set(gateway.name, gateway.peerAddress);
         }
         byName.delete(this.#self.name);
--- a/packages/membership/src/freshnessTracker.ts
+++ b/packages/membership/src/freshnessTracker.ts
@@ -24,8 +24,8 @@
  */
 export class FreshnessTracker {
     readonly #name: string;
-    #own: Confirmation | undefined;
-    #fromPeer: Confirmation | undefined;
+    #ownConfirmation: Confirmation | undefined;
+    #peerConfirmation: Confirmation | undefined;
     #registration: Registration | undefined;
 
     constructor(name: string) {
@@ -34,8 +34,8 @@
 
     /** Records a read of the store that matched what this gateway holds. */
     onStoreRead(startedAtMs: number, holding: VersionedState): void {
-        if (this.#own === undefined || startedAtMs > this.#own.startedAtMs) {
-            this.#own = this.#confirm(startedAtMs, holding);
+        if (this.#ownConfirmation === undefined || startedAtMs > this.#ownConfirmation.startedAtMs) {
+            this.#ownConfirmation = this.#confirm(startedAtMs, holding);
         }
     }
 
@@ -52,8 +52,8 @@
             return;
         }
         const confirmedAtMs = startedAtMs - heartbeat.freshnessAgeMs;
-        if (this.#fromPeer === undefined || confirmedAtMs > this.#fromPeer.startedAtMs) {
-            this.#fromPeer = this.#confirm(confirmedAtMs, holding);
+        if (this.#peerConfirmation === undefined || confirmedAtMs > this.#peerConfirmation.startedAtMs) {
+            this.#peerConfirmation = this.#confirm(confirmedAtMs, holding);
         }
     }
 
@@ -81,7 +81,7 @@
      * @returns whether the store's confirmation permits this gateway to accept new work
      */
     isConfirmed(sinceMs: number, nowMs: number, holding: VersionedState): boolean {
-        for (const confirmation of [this.#own, this.#fromPeer]) {
+        for (const confirmation of [this.#ownConfirmation, this.#peerConfirmation]) {
             if (confirmation === undefined || confirmation.startedAtMs < sinceMs) {
                 continue;
             }
@@ -95,7 +95,7 @@
     /** @returns age of the latest confirmation that a peer may adopt, in milliseconds; `undefined` if there is none */
     ageMs(nowMs: number, holding: VersionedState): number | undefined {
         let newest: number | undefined;
-        for (const confirmation of [this.#own, this.#fromPeer]) {
+        for (const confirmation of [this.#ownConfirmation, this.#peerConfirmation]) {
             if (confirmation?.rosterVersion !== holding.rosterVersion) {
                 continue;
             }
@@ -114,12 +114,12 @@
     }
 
     #isRegisteredAndConfirmed(sinceMs: number, nowMs: number): boolean {
-        if (this.#own === undefined || this.#registration === undefined) {
+        if (this.#ownConfirmation === undefined || this.#registration === undefined) {
             return false;
         }
         // A read that started before the registration may precede a change that was declared in force without this
         // gateway.
-        const confirmedAtMs = this.#own.startedAtMs;
+        const confirmedAtMs = this.#ownConfirmation.startedAtMs;
         return confirmedAtMs >= sinceMs
             && confirmedAtMs >= this.#registration.knownAtMs
             && nowMs < this.#registration.validUntilMs;
--- a/packages/membership/src/heartbeatSchedule.ts
+++ b/packages/membership/src/heartbeatSchedule.ts
@@ -23,23 +23,23 @@
      * @returns addresses of the peers to be called now, the one with the oldest heartbeat first
      */
     due(addresses: readonly string[], nowMs: number): readonly string[] {
-        const wanted = new Set(addresses);
+        const current = new Set(addresses);
         for (const address of this.#sentAtMs.keys()) {
-            if (!wanted.has(address)) {
+            if (!current.has(address)) {
                 this.#sentAtMs.delete(address);
             }
         }
-        const waiting: string[] = [];
-        for (const address of wanted) {
+        const dueAddresses: string[] = [];
+        for (const address of current) {
             const sentAtMs = this.#sentAtMs.get(address) ?? Number.NEGATIVE_INFINITY;
             if (this.#inFlight.has(address)) {
                 continue;
             }
             if (this.#urgent.has(address) || nowMs >= sentAtMs + this.#intervalMs) {
-                waiting.push(address);
+                dueAddresses.push(address);
             }
         }
-        return waiting.sort((a, b) => this.#lastSentAtMs(a) - this.#lastSentAtMs(b));
+        return dueAddresses.sort((a, b) => this.#lastSentAtMs(a) - this.#lastSentAtMs(b));
     }
 
     onSent(address: string, nowMs: number): void {
--- a/packages/membership/src/loadRotation.ts
+++ b/packages/membership/src/loadRotation.ts
@@ -3,13 +3,13 @@
 /** Server loads to be sent with heartbeats as the traffic budget allows, in round-robin order. */
 export class LoadRotation {
     #loads: readonly ServerLoad[] = [];
-    #atMs = 0;
+    #replacedAtMs = 0;
     #next = 0;
 
     /** Replaces all loads by newer ones. */
     replace(loads: readonly ServerLoad[], nowMs: number): void {
         this.#loads = loads;
-        this.#atMs = nowMs;
+        this.#replacedAtMs = nowMs;
     }
 
     /**
@@ -23,7 +23,7 @@
         for (let i = 0; i < count; i++) {
             const load = this.#loads[this.#next++ % this.#loads.length];
             if (load !== undefined) {
-                chosen.push({ ...load, ageMs: Math.ceil(load.ageMs + nowMs - this.#atMs) });
+                chosen.push({ ...load, ageMs: Math.ceil(load.ageMs + nowMs - this.#replacedAtMs) });
             }
         }
         return chosen;
--- a/packages/membership/src/peerContactTracker.ts
+++ b/packages/membership/src/peerContactTracker.ts
@@ -2,15 +2,15 @@
 import { type GatewayIdentity, type Heartbeat } from "./messages.js";
 
 /** A peer's response to a heartbeat. */
-interface Answered {
+interface HeartbeatResponse {
     readonly startedAtMs: number;
     readonly heartbeat: Heartbeat;
 }
 
 interface Contact {
-    newest: Answered;
+    latest: HeartbeatResponse;
     /** Start of the latest call whose response had nothing newer than this gateway holds. */
-    agreedAtMs: number | undefined;
+    contactAtMs: number | undefined;
 }
 
 /**
@@ -23,7 +23,7 @@
 
     /** The identities in the latest responses of all tracked peers. */
     get identities(): readonly GatewayIdentity[] {
-        return [...this.#byName.values()].map(contact => contact.newest.heartbeat.from);
+        return [...this.#byName.values()].map(contact => contact.latest.heartbeat.from);
     }
 
     /**
@@ -33,12 +33,12 @@
      */
     onHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
         const contact = this.#byName.get(heartbeat.from.name);
-        const answered = { startedAtMs, heartbeat };
+        const response = { startedAtMs, heartbeat };
         if (contact === undefined) {
-            this.#byName.set(heartbeat.from.name, { newest: answered, agreedAtMs: undefined });
+            this.#byName.set(heartbeat.from.name, { latest: response, contactAtMs: undefined });
         }
-        else if (startedAtMs >= contact.newest.startedAtMs) {
-            contact.newest = answered;
+        else if (startedAtMs >= contact.latest.startedAtMs) {
+            contact.latest = response;
         }
         this.reevaluate(holding);
     }
@@ -46,11 +46,11 @@
     /** Counts the responses whose versions this gateway now holds. */
     reevaluate(holding: VersionedState): void {
         for (const contact of this.#byName.values()) {
-            const { startedAtMs, heartbeat } = contact.newest;
+            const { startedAtMs, heartbeat } = contact.latest;
             // A process that has just started may have lost newer state. If its response counted, an older revision
             // could be taken for the latest; so it counts only after recovery from its peers or from the store.
             if (!heartbeat.recovering && holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion)) {
-                contact.agreedAtMs = startedAtMs;
+                contact.contactAtMs = startedAtMs;
             }
         }
     }
@@ -62,7 +62,7 @@
     namesInContactSince(sinceMs: number): Set<string> {
         const names = new Set<string>();
         for (const [name, contact] of this.#byName) {
-            if (contact.agreedAtMs !== undefined && contact.agreedAtMs >= sinceMs) {
+            if (contact.contactAtMs !== undefined && contact.contactAtMs >= sinceMs) {
                 names.add(name);
             }
         }
@@ -72,7 +72,7 @@
     /** Deletes the peers that aren't among the names to keep and whose latest response is older than a time. */
     prune(keep: ReadonlySet<string>, sinceMs: number): void {
         for (const [name, contact] of this.#byName) {
-            if (!keep.has(name) && contact.newest.startedAtMs < sinceMs) {
+            if (!keep.has(name) && contact.latest.startedAtMs < sinceMs) {
                 this.#byName.delete(name);
             }
         }
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -1,6 +1,6 @@
 import { type GatewayIdentity, type Roster } from "./messages.js";
 
-function holdsMajority(members: readonly GatewayIdentity[], names: ReadonlySet<string>): boolean {
+function includesMajorityOf(members: readonly GatewayIdentity[], names: ReadonlySet<string>): boolean {
     let count = 0;
     for (const member of members) {
         if (names.has(member.name)) {
@@ -20,10 +20,10 @@
  * @returns whether all required majorities are in the set
  */
 export function hasMajority(roster: Roster, names: ReadonlySet<string>): boolean {
-    if (!holdsMajority(roster.members, names)) {
+    if (!includesMajorityOf(roster.members, names)) {
         return false;
     }
-    return roster.previous === undefined || holdsMajority(roster.previous, names);
+    return roster.previous === undefined || includesMajorityOf(roster.previous, names);
 }
 
 /**
--- a/packages/membership/src/rosterReconciler.ts
+++ b/packages/membership/src/rosterReconciler.ts
@@ -35,10 +35,10 @@
 export class RosterReconciler {
     readonly #name: string;
     readonly #timings: FleetTimings;
-    readonly #goneSinceMs = new Map<string, number>();
-    readonly #seenHosts = new Set<string>();
-    #settling: AcceptanceTracker | undefined;
-    #wantedSinceMs: number | undefined;
+    readonly #missingSinceMs = new Map<string, number>();
+    readonly #listedHosts = new Set<string>();
+    #changeTracker: AcceptanceTracker | undefined;
+    #pendingSinceMs: number | undefined;
 
     constructor(name: string, timings: FleetTimings) {
         this.#name = name;
@@ -48,13 +48,13 @@
     /** Records the hosts that the platform has listed, also while the store is unreachable. */
     onHostsListed(names: readonly string[]): void {
         for (const name of names) {
-            this.#seenHosts.add(name);
+            this.#listedHosts.add(name);
         }
     }
 
     /** Records the versions held by a peer or by this gateway, for the roster change in progress. */
     onVersionReport(answer: VersionReport): void {
-        this.#settling?.onVersionReport(answer);
+        this.#changeTracker?.onVersionReport(answer);
     }
 
     /**
@@ -62,51 +62,51 @@
      * @returns the roster to write now; `undefined` if none is to be written
      */
     reconcile(survey: FleetSurvey, nowMs: number): RosterSwap | undefined {
-        this.#noteGone(survey, nowMs);
+        this.#updateMissing(survey, nowMs);
         this.onHostsListed(survey.hostNames ?? []);
-        const next = this.#resolveNext(survey, nowMs);
+        const next = this.#resolveNextRoster(survey, nowMs);
         if (next === undefined) {
-            this.#wantedSinceMs = undefined;
+            this.#pendingSinceMs = undefined;
             return undefined;
         }
-        this.#wantedSinceMs ??= nowMs;
-        if (nowMs < this.#wantedSinceMs + this.#turnMs(survey)) {
+        this.#pendingSinceMs ??= nowMs;
+        if (nowMs < this.#pendingSinceMs + this.#writeDelayMs(survey)) {
             return undefined;
         }
-        this.#wantedSinceMs = nowMs;
+        this.#pendingSinceMs = nowMs;
         return { expectedRevision: survey.rosterKeyRevision, roster: next };
     }
 
-    #resolveNext(survey: FleetSurvey, nowMs: number): Roster | undefined {
+    #resolveNextRoster(survey: FleetSurvey, nowMs: number): Roster | undefined {
         const roster = survey.roster;
         if (roster === undefined) {
             return survey.registered.length === 0 ? undefined : { version: 1, members: survey.registered };
         }
         if (roster.previous !== undefined) {
-            return this.#resolveSettled(roster, survey, nowMs);
+            return this.#resolveFinalRoster(roster, survey, nowMs);
         }
-        this.#settling = undefined;
+        this.#changeTracker = undefined;
         const members = this.#resolveMembers(roster, survey, nowMs);
-        if (members.length === 0 || isSame(members, roster.members)) {
+        if (members.length === 0 || haveSameProcesses(members, roster.members)) {
             return undefined;
         }
         return { version: roster.version + 1, members, previous: roster.members };
     }
 
-    #resolveSettled(roster: Roster, survey: FleetSurvey, nowMs: number): Roster | undefined {
-        if (this.#settling?.target.rosterVersion !== roster.version) {
+    #resolveFinalRoster(roster: Roster, survey: FleetSurvey, nowMs: number): Roster | undefined {
+        if (this.#changeTracker?.target.rosterVersion !== roster.version) {
             // A change that only the old members accepted is no newer than the head that was read after the roster
             // change began. Once a majority of the new members holds this head, no accepted change is lost when the
             // old members are dropped.
-            this.#settling = new AcceptanceTracker(
+            this.#changeTracker = new AcceptanceTracker(
                 { revision: survey.headRevision, rosterVersion: roster.version },
                 this.#timings,
             );
         }
-        this.#settling.onSurvey(roster, survey.registered, this.#vouchedFor(roster, survey));
+        this.#changeTracker.onSurvey(roster, survey.registered, this.#findEnded(roster, survey));
         // The wait is needed even if all gateways have responded. A gateway that leaves the roster may just have been
         // confirmed as a member, and it wouldn't be called before a later change is declared in force.
-        if (!this.#settling.isMajorityWaitOver(nowMs)) {
+        if (!this.#changeTracker.isMajorityWaitOver(nowMs)) {
             return undefined;
         }
         return { version: roster.version + 1, members: roster.members };
@@ -114,11 +114,11 @@
 
     #resolveMembers(roster: Roster, survey: FleetSurvey, nowMs: number): readonly GatewayIdentity[] {
         const registered = new Map(survey.registered.map(gateway => [gateway.name, gateway]));
-        const vouchedFor = this.#vouchedFor(roster, survey);
+        const endedNames = this.#findEnded(roster, survey);
         const members = new Map<string, GatewayIdentity>();
         for (const member of roster.members) {
-            const goneForMs = nowMs - (this.#goneSinceMs.get(member.name) ?? nowMs);
-            if (!vouchedFor.has(member.name) && goneForMs < this.#timings.removeAfterMs) {
+            const missingForMs = nowMs - (this.#missingSinceMs.get(member.name) ?? nowMs);
+            if (!endedNames.has(member.name) && missingForMs < this.#timings.removeAfterMs) {
                 members.set(member.name, member);
             }
         }
@@ -134,7 +134,7 @@
     }
 
     /** Unregistered gateways that are known to have ended, since their host is gone or an operator confirmed it. */
-    #vouchedFor(roster: Roster, survey: FleetSurvey): Set<string> {
+    #findEnded(roster: Roster, survey: FleetSurvey): Set<string> {
         const registered = new Set(survey.registered.map(gateway => gateway.name));
         const names = new Set<string>();
         for (const { name } of listRosterGateways(roster)) {
@@ -157,35 +157,35 @@
         if (hostNames?.includes(this.#name) !== true) {
             return false;
         }
-        return this.#seenHosts.has(name) && !hostNames.includes(name);
+        return this.#listedHosts.has(name) && !hostNames.includes(name);
     }
 
-    #noteGone(survey: FleetSurvey, nowMs: number): void {
+    #updateMissing(survey: FleetSurvey, nowMs: number): void {
         const registered = new Set(survey.registered.map(gateway => gateway.name));
         for (const { name } of listRosterGateways(survey.roster)) {
             if (registered.has(name)) {
-                this.#goneSinceMs.delete(name);
+                this.#missingSinceMs.delete(name);
             }
-            else if (!this.#goneSinceMs.has(name)) {
-                this.#goneSinceMs.set(name, nowMs);
+            else if (!this.#missingSinceMs.has(name)) {
+                this.#missingSinceMs.set(name, nowMs);
             }
         }
     }
 
     /** Delay before this gateway writes. It increases with the rank by name, so that usually only one gateway does. */
-    #turnMs(survey: FleetSurvey): number {
+    #writeDelayMs(survey: FleetSurvey): number {
         const names = survey.registered.map(gateway => gateway.name).sort();
-        const place = names.indexOf(this.#name);
-        const turn = place < 0 ? names.length : place;
+        const index = names.indexOf(this.#name);
+        const rank = index < 0 ? names.length : index;
         // The first roster is delayed by one more step for gateways that start at the same time. A roster of the
         // fastest gateway alone would be needed for the majority of the next one: if that gateway restarted while the
         // store is down, no gateway could serve.
-        const first = survey.roster === undefined ? 1 : 0;
-        return (turn + first) * this.#timings.rosterUpdateStaggerMs;
+        const initialSteps = survey.roster === undefined ? 1 : 0;
+        return (rank + initialSteps) * this.#timings.rosterUpdateStaggerMs;
     }
 }
 
-function isSame(a: readonly GatewayIdentity[], b: readonly GatewayIdentity[]): boolean {
+function haveSameProcesses(a: readonly GatewayIdentity[], b: readonly GatewayIdentity[]): boolean {
     return a.length === b.length
         && a.every(gateway =>
             b.some(other => other.name === gateway.name && other.incarnation === gateway.incarnation)
--- a/packages/membership/src/signalOutbox.ts
+++ b/packages/membership/src/signalOutbox.ts
@@ -1,9 +1,9 @@
 import { type ServerSignal } from "@galenaglade/routing";
 
 /** Maximum number of signals that a gateway forwards at the same time; the oldest are dropped. */
-const maximumSignals = 64;
+const maxSignals = 64;
 
-interface Posted {
+interface OutboxEntry {
     readonly signal: ServerSignal;
     readonly postedAtMs: number;
 }
@@ -11,7 +11,7 @@
 /** Signals to forward to peers. Each is repeated for some time, so that a lost heartbeat doesn't lose it. */
 export class SignalOutbox {
     readonly #keepMs: number;
-    #posted: readonly Posted[] = [];
+    #entries: readonly OutboxEntry[] = [];
 
     /** @param keepMs - time for which each signal is repeated, in milliseconds */
     constructor(keepMs: number) {
@@ -20,13 +20,13 @@
 
     add(signals: readonly ServerSignal[], nowMs: number): void {
         const added = signals.map(signal => ({ signal, postedAtMs: nowMs }));
-        this.#posted = [...this.#posted, ...added].slice(-maximumSignals);
+        this.#entries = [...this.#entries, ...added].slice(-maxSignals);
     }
 
     /** @returns the signals that are still to be forwarded, with their current ages in milliseconds */
     read(nowMs: number): readonly ServerSignal[] {
-        this.#posted = this.#posted.filter(posted => nowMs - posted.postedAtMs <= this.#keepMs);
-        return this.#posted.map(({ signal, postedAtMs }) => ({
+        this.#entries = this.#entries.filter(posted => nowMs - posted.postedAtMs <= this.#keepMs);
+        return this.#entries.map(({ signal, postedAtMs }) => ({
             ...signal,
             ageMs: Math.ceil(signal.ageMs + nowMs - postedAtMs),
         }));
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -28,7 +28,7 @@
 }
 
 /** Runs for a while. @returns names of the gateways that sent work in this time */
-async function whoServes(sim: Simulation, durationMs: number): Promise<readonly string[]> {
+async function servingGateways(sim: Simulation, durationMs: number): Promise<readonly string[]> {
     const before = new Map([...sim.gateways.values()].map(({ name, sent }) => [name, sent]));
     await sim.run(durationMs);
     return [...sim.gateways.values()]
@@ -57,12 +57,12 @@
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     assert.ok(acceptance.inForce);
     assert.equal(acceptance.gateways.find(({ gateway }) => gateway.name === "gw5")?.state, "lapsed");
-    assert.deepEqual(await whoServes(sim, 2_000), ["gw1", "gw2", "gw3", "gw4"]);
+    assert.deepEqual(await servingGateways(sim, 2_000), ["gw1", "gw2", "gw3", "gw4"]);
     sim.check();
     sim.heal();
     await sim.run(5_000);
     assert.equal(revisionOf(sim, "gw5"), 2);
-    assert.deepEqual(await whoServes(sim, 1_000), all);
+    assert.deepEqual(await servingGateways(sim, 1_000), all);
     sim.check();
 });
 
@@ -76,7 +76,7 @@
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     assert.ok(acceptance.inForce);
     assert.ok(sim.time.nowMs - startedAtMs < 2_000, "no wait for the expiry of a gateway's freshness");
-    assert.deepEqual(await whoServes(sim, 10_000), all);
+    assert.deepEqual(await servingGateways(sim, 10_000), all);
     sim.check();
 });
 
@@ -86,10 +86,10 @@
     const sim = await startFleet();
     ["gw1", "gw2", "gw3"].forEach(name => sim.cutFromStore.add(name));
     await sim.run(20_000);
-    assert.deepEqual(await whoServes(sim, 1_000), all);
+    assert.deepEqual(await servingGateways(sim, 1_000), all);
     assert.ok((await sim.changeNow(sim.startOperator("op1"), "zone-out")).inForce);
     assert.deepEqual(all.map(name => revisionOf(sim, name)), [2, 2, 2, 2, 2]);
-    assert.deepEqual(await whoServes(sim, 20_000), all);
+    assert.deepEqual(await servingGateways(sim, 20_000), all);
     sim.check();
 });
 
@@ -100,7 +100,7 @@
     sim.cutFromStore.add("*");
     split(sim, ["gw5"], all);
     await sim.run(60_000);
-    assert.deepEqual(await whoServes(sim, 10_000), ["gw1", "gw2", "gw3", "gw4"]);
+    assert.deepEqual(await servingGateways(sim, 10_000), ["gw1", "gw2", "gw3", "gw4"]);
     sim.check();
 });
 
@@ -163,14 +163,14 @@
     sim.network.heal();
     split(sim, ["gw1", "gw2"], ["gw3", "gw4", "gw5"]);
     sim.startGateway("gw3");
-    assert.deepEqual(await whoServes(sim, 3_000), ["gw1", "gw2"], "by the last confirmation of the store");
+    assert.deepEqual(await servingGateways(sim, 3_000), ["gw1", "gw2"], "by the last confirmation of the store");
     await sim.run(5_000);
-    assert.deepEqual(await whoServes(sim, 20_000), [], "no gateway reaches a majority that has kept its state");
+    assert.deepEqual(await servingGateways(sim, 20_000), [], "no gateway reaches a majority that has kept its state");
     sim.check();
     sim.network.heal();
     await sim.run(5_000);
     assert.deepEqual(all.map(name => revisionOf(sim, name)), [2, 2, 2, 2, 2]);
-    assert.deepEqual(await whoServes(sim, 1_000), all);
+    assert.deepEqual(await servingGateways(sim, 1_000), all);
     sim.check();
 });
 
@@ -185,7 +185,7 @@
     sim.startGateway("gw6");
     await sim.run(6_000);
     assert.deepEqual([revisionOf(sim, "gw2"), revisionOf(sim, "gw6")], [2, 2]);
-    assert.deepEqual(await whoServes(sim, 10_000), [...all, "gw6"]);
+    assert.deepEqual(await servingGateways(sim, 10_000), [...all, "gw6"]);
     sim.check();
 });
 
@@ -197,7 +197,7 @@
     sim.cutFromStore.add("gw6");
     sim.startGateway("gw6");
     await sim.run(6_000);
-    assert.deepEqual(await whoServes(sim, 1_000), [...all, "gw6"]);
+    assert.deepEqual(await servingGateways(sim, 1_000), [...all, "gw6"]);
     split(sim, ["gw6"], ["op1"]);
     assert.ok((await sim.changeNow(sim.startOperator("op1"), "zone-out")).inForce);
     await sim.run(3_000);
@@ -220,7 +220,7 @@
     assert.equal(sim.roster()?.previous?.length, 5, "the roster change waits for a majority of the old members");
     const acceptance = await sim.changeNow(sim.startOperator("op1"), "zone-out");
     assert.equal(acceptance.inForce, false);
-    const serving = await whoServes(sim, 1_000);
+    const serving = await servingGateways(sim, 1_000);
     assert.deepEqual(cutOff.filter(name => serving.includes(name)), cutOff);
     sim.check();
     cutOff.forEach(name => sim.endGateway(name));
@@ -228,7 +228,7 @@
     assert.deepEqual(sim.roster()?.members.map(({ name }) => name), others.slice(0, -1));
     assert.equal(sim.roster()?.previous, undefined);
     assert.equal((await sim.until(sim.changeStatus(sim.startOperator("op2"))))?.inForce, true);
-    assert.deepEqual(await whoServes(sim, 1_000), others.slice(0, -1));
+    assert.deepEqual(await servingGateways(sim, 1_000), others.slice(0, -1));
     sim.check();
 });
 
@@ -243,7 +243,7 @@
     sim.check();
     await sim.run(5_000);
     assert.equal(revisionOf(sim, "gw5"), 2);
-    assert.deepEqual(await whoServes(sim, 1_000), all);
+    assert.deepEqual(await servingGateways(sim, 1_000), all);
     sim.check();
 });
 
--- a/packages/peers/src/__tests__/fleetObserver.test.ts
+++ b/packages/peers/src/__tests__/fleetObserver.test.ts
@@ -9,7 +9,7 @@
 import { createFleetMembership, createFleetObserver, type ServerObservation } from "../index.js";
 
 const fleetKey = "secret";
-const seen: ServerObservation = {
+const observation: ServerObservation = {
     serverId: "tables/t1",
     state: "warm",
     ownInFlight: 2,
@@ -89,12 +89,12 @@
 
 test("the observations of all gateways are returned, for one service or for all", async t => {
     const fleet = await startFleet(t);
-    const calls = await fleet.startMember("gw1", [seen]);
-    const unknown = { ...seen, state: undefined, reportedInFlight: undefined, reportedAgeMs: undefined };
+    const calls = await fleet.startMember("gw1", [observation]);
+    const unknown = { ...observation, state: undefined, reportedInFlight: undefined, reportedAgeMs: undefined };
     await fleet.startMember("gw2", [unknown]);
     assert.deepEqual((await fleet.observe()).unsafeCoerce(), {
         answered: [
-            { gateway: "gw1", servers: [seen], omitted: 0 },
+            { gateway: "gw1", servers: [observation], omitted: 0 },
             { gateway: "gw2", servers: [unknown], omitted: 0 },
         ],
         unanswered: [],
@@ -109,16 +109,20 @@
 // address was reused. The list must have the working gateway's observations and name each of the others.
 test("a gateway without a valid response is named, and the others' observations are returned", async t => {
     const fleet = await startFleet(t);
-    await fleet.startMember("good", [seen]);
-    const word = { gateway: "", servers: [seen], omitted: 0 };
+    await fleet.startMember("good", [observation]);
+    const observations = { gateway: "", servers: [observation], omitted: 0 };
     const ports: Readonly<Record<string, (res: ServerResponse) => void>> = {
         silent: () => undefined,
         stalling: res => res.write("{"),
         noJson: res => res.end("<html>"),
         otherShape: res => sendData(res, { gateway: "otherShape", servers: "none" }),
         largeNumber: res =>
-            sendData(res, { ...word, gateway: "largeNumber", servers: [{ ...seen, ownInFlight: 1e15 }] }),
-        reused: res => sendData(res, { ...word, gateway: "good" }),
+            sendData(res, {
+                ...observations,
+                gateway: "largeNumber",
+                servers: [{ ...observation, ownInFlight: 1e15 }],
+            }),
+        reused: res => sendData(res, { ...observations, gateway: "good" }),
     };
     for (const [name, answer] of Object.entries(ports)) {
         await fleet.register(name, await openPort(t, answer));
@@ -126,7 +130,7 @@
     await fleet.register("gone", "127.0.0.1:1");
     await fleet.store.compareAndSwap({ key: `${storeKeys.memberPrefix}unreadable`, expectedRevision: 0, value: "{" });
     const { answered, unanswered } = (await fleet.observe()).unsafeCoerce();
-    assert.deepEqual(answered, [{ ...word, gateway: "good" }]);
+    assert.deepEqual(answered, [{ ...observations, gateway: "good" }]);
     assert.deepEqual(unanswered.toSorted(), [...Object.keys(ports), "gone", "unreadable"].toSorted());
 });
 
@@ -147,7 +151,7 @@
 // Guards against a client on the network that learns which servers are overloaded, or keeps gateways busy with calls.
 test("a caller without the fleet's key gets no observations", async t => {
     const fleet = await startFleet(t);
-    const calls = await fleet.startMember("gw1", [seen]);
+    const calls = await fleet.startMember("gw1", [observation]);
     assert.deepEqual((await fleet.observe("other")).unsafeCoerce(), { answered: [], unanswered: ["gw1"] });
     assert.deepEqual(calls, []);
 });
@@ -158,7 +162,7 @@
 test("busy servers aren't omitted if there are more servers than fit the size limit", async t => {
     const fleet = await startFleet(t);
     const servers = Array.from({ length: 2_500 }, (_, i): ServerObservation => ({
-        ...seen,
+        ...observation,
         serverId: createServerId("s".repeat(120), `${i}-`.padEnd(128, "x")),
         ownInFlight: i < 2_000 ? 0 : 4_000_000_000,
         reportedInFlight: 4_000_000_000,
--- a/packages/peers/src/__tests__/fleetOverTcp.test.ts
+++ b/packages/peers/src/__tests__/fleetOverTcp.test.ts
@@ -66,13 +66,13 @@
     assert.ok(members.every(member => member.current()?.revision === 1));
     await until(() => members.every(member => member.mayTakeNewWork()));
 
-    const heardBy: string[] = [];
-    gw2?.onSignals((signals, from) => heardBy.push(`${from.name} ${signals[0]?.serverId ?? ""}`));
+    const receivedSignals: string[] = [];
+    gw2?.onSignals((signals, from) => receivedSignals.push(`${from.name} ${signals[0]?.serverId ?? ""}`));
     gw1?.publishSignals([
         { serverId: "tables/t1", kind: "leaving", epoch: 0, incarnation: undefined, ageMs: 0 },
     ]);
-    await until(() => heardBy.length > 0);
-    assert.equal(heardBy[0], "gw1 tables/t1");
+    await until(() => receivedSignals.length > 0);
+    assert.equal(receivedSignals[0], "gw1 tables/t1");
 
     platform.setFaults({ down: "refusing" });
     await until(() => members.every(member => member.status()?.confirmed === false));
--- a/packages/peers/src/__tests__/forgetGateway.test.ts
+++ b/packages/peers/src/__tests__/forgetGateway.test.ts
@@ -122,13 +122,13 @@
 });
 
 /** A store in which an operator's record is written just after a gateway has checked for one. */
-class OvertakenStore extends HttpKeyValueStore {
-    #isOvertaken = false;
+class RacingStore extends HttpKeyValueStore {
+    #hasWrittenRecord = false;
 
     override async compareAndSwap(req: CompareAndSwap): ReturnType<HttpKeyValueStore["compareAndSwap"]> {
         const outcome = await super.compareAndSwap(req);
-        if (!this.#isOvertaken && req.key.startsWith(storeKeys.forgottenPrefix)) {
-            this.#isOvertaken = true;
+        if (!this.#hasWrittenRecord && req.key.startsWith(storeKeys.forgottenPrefix)) {
+            this.#hasWrittenRecord = true;
             await super.compareAndSwap({ key: req.key, expectedRevision: 0, value: "{}" });
         }
         return outcome;
@@ -142,7 +142,7 @@
     t.after(() => platform.stop());
     const connection = new PlatformClient({ addresses: [platform.url], client: "gw1" });
     t.after(() => connection.close());
-    const store = new OvertakenStore(connection);
+    const store = new RacingStore(connection);
     const self = { name: "gw1", incarnation: "1", availabilityZone: "a", peerAddress: "127.0.0.1:1" };
     assert.ok((await register(store, self, 10_000)).isRight());
     const { entries } = (await store.list(storeKeys.fleetPrefix)).unsafeCoerce();
--- a/packages/peers/src/__tests__/peerPort.test.ts
+++ b/packages/peers/src/__tests__/peerPort.test.ts
@@ -19,7 +19,7 @@
     stopping: false,
 };
 const offer: ConfigurationOffer = { offered: undefined, roster: { version: 1, members: [identity] } };
-const coldStartWord: ColdStartHeartbeat = {
+const coldStartHeartbeat: ColdStartHeartbeat = {
     from: "gw1/1",
     rosterVersion: 1,
     leases: [{ holder: "gw1/1", sequence: 3, ageMs: 40 }],
@@ -78,8 +78,8 @@
         roster: { version: 1, members: [identity] },
     });
     assert.equal((await caller.offer(address, offer)).toMaybe().extract()?.gateway.name, "gw1");
-    const word = await caller.exchangeColdStart(address, coldStartWord);
-    assert.deepEqual(word.toMaybe().extract(), coldStartWord);
+    const response = await caller.exchangeColdStart(address, coldStartHeartbeat);
+    assert.deepEqual(response.toMaybe().extract(), coldStartHeartbeat);
 });
 
 // Guards against a client on the network that sends gateways its own configuration. Without the fleet's key, no call
@@ -89,8 +89,8 @@
     for (const authorization of ["", "Bearer", "Bearer secreT", "Bearer secret2", "secret"]) {
         assert.equal(await send("heartbeat", JSON.stringify(heartbeat), { authorization }), 401);
     }
-    const stranger = createPeerCaller({ fleetKey: "other", callTimeoutMs: 10_000 });
-    assert.equal((await stranger.offer(address, offer)).swap().toMaybe().extract()?.kind, "peerUnreachable");
+    const unauthorizedCaller = createPeerCaller({ fleetKey: "other", callTimeoutMs: 10_000 });
+    assert.equal((await unauthorizedCaller.offer(address, offer)).swap().toMaybe().extract()?.kind, "peerUnreachable");
     assert.equal(received.length, before);
 });
 
--- a/packages/peers/src/__tests__/support/simulatedProcess.ts
+++ b/packages/peers/src/__tests__/support/simulatedProcess.ts
@@ -6,7 +6,7 @@
     readonly name: string;
     readonly #time: VirtualClock;
     #state: "running" | "paused" | "ended" = "running";
-    #held: (() => void)[] = [];
+    #deferred: (() => void)[] = [];
 
     constructor(name: string, time: VirtualClock) {
         this.name = name;
@@ -23,7 +23,7 @@
             turn();
         }
         else if (this.#state === "paused") {
-            this.#held.push(turn);
+            this.#deferred.push(turn);
         }
     }
 
@@ -39,8 +39,8 @@
             return;
         }
         this.#state = "running";
-        const held = this.#held;
-        this.#held = [];
+        const held = this.#deferred;
+        this.#deferred = [];
         for (const turn of held) {
             turn();
         }
@@ -48,7 +48,7 @@
 
     end(): void {
         this.#state = "ended";
-        this.#held = [];
+        this.#deferred = [];
     }
 
     createClock(): Clock {
--- a/packages/peers/src/__tests__/support/simulatedStore.ts
+++ b/packages/peers/src/__tests__/support/simulatedStore.ts
@@ -14,7 +14,7 @@
 import { type SimulatedProcess } from "./simulatedProcess.js";
 
 /** Interval at which a waiting watch polls for changes, in milliseconds. */
-const watchLookMs = 250;
+const watchPollIntervalMs = 250;
 
 /** Faults of the store that affect all processes. */
 export interface StoreFaults {
@@ -53,15 +53,15 @@
     }
 
     override get(key: string): Promise<Either<Failure, KeyValue | undefined>> {
-        return this.#call(nowMs => this.#readable().get(key, nowMs));
+        return this.#call(nowMs => this.#readEngine().get(key, nowMs));
     }
 
     override list(
         prefix: string,
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
         return this.#call(nowMs => {
-            const entries = this.#readable().list(prefix, nowMs);
-            return { revision: this.#readable().revision, entries };
+            const entries = this.#readEngine().list(prefix, nowMs);
+            return { revision: this.#readEngine().revision, entries };
         });
     }
 
@@ -69,7 +69,7 @@
         const swap = await this.#call(nowMs => {
             const outcome = this.#engine.compareAndSwap(req, nowMs);
             this.#onSwap(req, outcome.swapped);
-            return { outcome, lost: outcome.swapped && this.#loses(req) };
+            return { outcome, lost: outcome.swapped && this.#losesResponse(req) };
         });
         return swap.chain(({ outcome, lost }) =>
             lost ? Left(createFailure("storeOutcomeUnknown", "timeout")) : Right(outcome)
@@ -95,19 +95,19 @@
         }
         const untilMs = this.#time.nowMs + req.waitMs;
         return new Promise(resolve => {
-            const look = (): void => {
+            const poll = (): void => {
                 const events = this.#engine.changesSince(req.prefix, req.afterRevision, this.#time.nowMs);
                 if (events.changed.length > 0 || this.#time.nowMs >= untilMs) {
                     void this.#call(() => events).then(resolve);
                     return;
                 }
-                this.#time.schedule(watchLookMs, look);
+                this.#time.schedule(watchPollIntervalMs, poll);
             };
-            look();
+            poll();
         });
     }
 
-    #loses(req: CompareAndSwap): boolean {
+    #losesResponse(req: CompareAndSwap): boolean {
         if (!this.#faults.losesNextHeadResponse || req.key !== storeKeys.head || req.value === undefined) {
             return false;
         }
@@ -115,7 +115,7 @@
         return true;
     }
 
-    #readable(): KeyValueEngine {
+    #readEngine(): KeyValueEngine {
         return this.#faults.staleEngine ?? this.#engine;
     }
 
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -32,7 +32,7 @@
 const hostListLagMs = 4_000;
 const storeTimeoutMs = 1_000;
 /** Maximum number of clock events in one run; about ten times the number in a long one. */
-const maximumTurns = 1_000_000;
+const maxClockEvents = 1_000_000;
 
 /** Gateways are removed from the roster sooner than in production, so that a run has several roster changes. */
 const timings: FleetTimings = { ...defaultFleetTimings, removeAfterMs: 6_000, rosterUpdateStaggerMs: 500 };
@@ -72,12 +72,12 @@
     /** Overrides {@link storeDelayMs} for some processes; maximum delay in each direction, in milliseconds. */
     readonly maxStoreDelayMsByProcess = new Map<string, number>();
     #starts = 0;
-    #turns = 0;
+    #clockEvents = 0;
 
     constructor(seed: number) {
         this.random = createRandomSource(seed);
         this.network = new SimulatedNetwork(this.time, this.random);
-        this.#store = new FakeStore(this.engine, this.time, client => this.#fateOf(client));
+        this.#store = new FakeStore(this.engine, this.time, client => this.#drawOutcome(client));
     }
 
     record(process: string, event: HistoryEvent): void {
@@ -92,7 +92,7 @@
         const processName = `${name}/${++this.#starts}`;
         const member = createFleetMembership({
             store: this.#createStore(process),
-            hosts: new SimulatedHosts(() => this.#shownHosts()),
+            hosts: new SimulatedHosts(() => this.#listHosts()),
             name,
             availabilityZone: "a",
             listen: { host: "127.0.0.1", port: 0 },
@@ -194,7 +194,7 @@
             this.time.runUntil(nextAtMs);
             await settle();
             // An endless run would never print its seed.
-            assert.ok(++this.#turns < maximumTurns, "the run never ends");
+            assert.ok(++this.#clockEvents < maxClockEvents, "the run never ends");
         }
         this.time.runUntil(untilMs);
     }
@@ -222,7 +222,7 @@
     }
 
     /** Ends all faults; resumes paused processes unless they are to stay paused. */
-    heal(stays: { readonly paused: boolean; } = { paused: false }): void {
+    heal(keep: { readonly paused: boolean; } = { paused: false }): void {
         this.network.heal();
         this.cutFromStore.clear();
         this.maxStoreDelayMsByProcess.clear();
@@ -230,7 +230,7 @@
         this.storeDelayMs = 5;
         this.storeFaults.staleEngine = undefined;
         this.storeFaults.silentWatches = false;
-        for (const { process } of stays.paused ? [] : this.gateways.values()) {
+        for (const { process } of keep.paused ? [] : this.gateways.values()) {
             process.resume();
         }
     }
@@ -292,7 +292,7 @@
         });
     }
 
-    #fateOf(client: string): StoreCallOutcome {
+    #drawOutcome(client: string): StoreCallOutcome {
         if (this.cutFromStore.has(client) || this.cutFromStore.has("*")) {
             return { type: "requestLost", timeoutMs: storeTimeoutMs };
         }
@@ -304,7 +304,7 @@
         return { type: "answered", outMs, backMs: 1 + this.random.nextInt(delayMs) };
     }
 
-    #shownHosts(): readonly HostEntry[] {
+    #listHosts(): readonly HostEntry[] {
         const names = new Set(this.gateways.keys());
         for (const [name, endedAtMs] of this.#endedHosts) {
             if (this.isHostListFrozen || this.time.nowMs < endedAtMs + hostListLagMs) {
@@ -320,15 +320,15 @@
 }
 
 class SimulatedHosts extends HostList {
-    readonly #shown: () => readonly HostEntry[];
+    readonly #listHosts: () => readonly HostEntry[];
 
     constructor(shown: () => readonly HostEntry[]) {
         super();
-        this.#shown = shown;
+        this.#listHosts = shown;
     }
 
     override list(): Promise<Either<Failure, readonly HostEntry[]>> {
-        return Promise.resolve(Right(this.#shown()));
+        return Promise.resolve(Right(this.#listHosts()));
     }
 }
 
--- a/packages/peers/src/fleetObserver.ts
+++ b/packages/peers/src/fleetObserver.ts
@@ -65,7 +65,7 @@
             return Left(listed.extract());
         }
         const { entries } = listed.unsafeCoerce();
-        const answers = await Promise.all(entries.map(entry => this.#ask(entry, service)));
+        const answers = await Promise.all(entries.map(entry => this.#observeGateway(entry, service)));
         return Right({
             answered: answers.filter(answer => typeof answer !== "string"),
             unanswered: answers.filter(answer => typeof answer === "string"),
@@ -73,7 +73,7 @@
     }
 
     /** @returns a gateway's observations, or only its name if it sent no valid response */
-    async #ask(entry: KeyValue, service: string | undefined): Promise<ServerObservations | string> {
+    async #observeGateway(entry: KeyValue, service: string | undefined): Promise<ServerObservations | string> {
         const name = entry.key.slice(storeKeys.memberPrefix.length);
         const identity = parseIdentity(entry);
         if (identity.isLeft()) {
--- a/packages/peers/src/fleetStore.ts
+++ b/packages/peers/src/fleetStore.ts
@@ -5,7 +5,7 @@
 import { parseHead, parseIdentity, parseRoster } from "./storeCodec.js";
 
 /** The first attempt finds an earlier registration, the second replaces it. */
-const registrationTries = 2;
+const registrationAttempts = 2;
 
 /** The fleet's state in the store. */
 export interface StoredFleet {
@@ -44,7 +44,7 @@
  * @param key - key to read
  * @returns the key's current entry; `undefined` if it doesn't exist
  */
-async function readPresent(store: KeyValueStore, key: string): Promise<Either<Failure, KeyValue | undefined>> {
+async function readLinearizable(store: KeyValueStore, key: string): Promise<Either<Failure, KeyValue | undefined>> {
     const swap = await store.compareAndSwap({ key, expectedRevision: 0, value: undefined });
     return swap.map(outcome => outcome.swapped ? undefined : outcome.current);
 }
@@ -54,7 +54,7 @@
  * @returns the current head
  */
 export async function readHead(store: KeyValueStore): Promise<Either<Failure, StoredHead>> {
-    const read = await readPresent(store, storeKeys.head);
+    const read = await readLinearizable(store, storeKeys.head);
     return read.chain(entry => parseHead(entry).map(head => ({ head, keyRevision: entry?.modifiedRevision ?? 0 })));
 }
 
@@ -67,7 +67,7 @@
  * @returns roster and head, with the registrations if they could be listed; otherwise the first failure
  */
 export async function readFleet(store: KeyValueStore): Promise<Either<Failure, StoredFleet>> {
-    const rosterEntry = await readPresent(store, storeKeys.roster);
+    const rosterEntry = await readLinearizable(store, storeKeys.roster);
     if (rosterEntry.isLeft()) {
         return Left(rosterEntry.extract());
     }
@@ -80,14 +80,14 @@
     const rosterKeyRevision = roster?.modifiedRevision ?? 0;
     return head.chain(storedHead =>
         parseRoster(roster).map(parsed => {
-            const atLeast = Math.max(rosterKeyRevision, storedHead.keyRevision);
-            const entries = listed.toMaybe().filter(list => list.revision >= atLeast).map(list => list.entries);
-            return { roster: parsed, rosterKeyRevision, head: storedHead, listed: entries.map(sortEntries).extract() };
+            const minRevision = Math.max(rosterKeyRevision, storedHead.keyRevision);
+            const entries = listed.toMaybe().filter(list => list.revision >= minRevision).map(list => list.entries);
+            return { roster: parsed, rosterKeyRevision, head: storedHead, listed: entries.map(groupEntries).extract() };
         })
     );
 }
 
-function sortEntries(entries: readonly KeyValue[]): ListedFleet {
+function groupEntries(entries: readonly KeyValue[]): ListedFleet {
     const registered: GatewayIdentity[] = [];
     const forgotten: string[] = [];
     for (const entry of entries) {
@@ -108,7 +108,7 @@
  * @returns whether the gateway is registered
  */
 export async function isRegistered(store: KeyValueStore, name: string): Promise<Either<Failure, boolean>> {
-    return (await readPresent(store, `${storeKeys.memberPrefix}${name}`)).map(entry => entry !== undefined);
+    return (await readLinearizable(store, `${storeKeys.memberPrefix}${name}`)).map(entry => entry !== undefined);
 }
 
 /**
@@ -117,7 +117,7 @@
  * @returns whether an operator's confirmation that the gateway has ended is stored
  */
 export async function isForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, boolean>> {
-    return (await readPresent(store, `${storeKeys.forgottenPrefix}${name}`)).map(entry => entry !== undefined);
+    return (await readLinearizable(store, `${storeKeys.forgottenPrefix}${name}`)).map(entry => entry !== undefined);
 }
 
 /**
@@ -138,14 +138,14 @@
     if (lease.isLeft()) {
         return Left(lease.extract());
     }
-    const remembered = await clearForgotten(store, self.name);
-    if (remembered.isLeft()) {
-        return Left(remembered.extract());
+    const cleared = await clearForgotten(store, self.name);
+    if (cleared.isLeft()) {
+        return Left(cleared.extract());
     }
     const key = `${storeKeys.memberPrefix}${self.name}`;
     const leaseId = lease.unsafeCoerce().id;
     let expectedRevision = 0;
-    for (let i = 0; i < registrationTries; i++) {
+    for (let i = 0; i < registrationAttempts; i++) {
         const swap = await store.compareAndSwap({ key, expectedRevision, value: JSON.stringify(self), leaseId });
         if (swap.isLeft()) {
             return Left(swap.extract());
@@ -171,11 +171,11 @@
  */
 export async function clearForgotten(store: KeyValueStore, name: string): Promise<Either<Failure, void>> {
     const key = `${storeKeys.forgottenPrefix}${name}`;
-    const present = await readPresent(store, key);
-    if (present.isLeft()) {
-        return Left(present.extract());
+    const current = await readLinearizable(store, key);
+    if (current.isLeft()) {
+        return Left(current.extract());
     }
-    const expectedRevision = present.toMaybe().extract()?.modifiedRevision;
+    const expectedRevision = current.toMaybe().extract()?.modifiedRevision;
     if (expectedRevision === undefined) {
         return Right(undefined);
     }
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -31,10 +31,10 @@
  * @returns the gateway's fleet membership, to be started
  */
 export function createFleetMembership(options: FleetMembershipOptions): FleetMembership {
-    return new FleetMemberShell(options);
+    return new GatewayFleetMembership(options);
 }
 
-class FleetMemberShell implements FleetMembership {
+class GatewayFleetMembership implements FleetMembership {
     readonly #options: FleetMembershipOptions;
     readonly #timings: FleetTimings;
     readonly #clock: Clock;
@@ -43,8 +43,8 @@
     readonly #onConfiguration: ((configuration: ConfigurationRevision) => void)[] = [];
     readonly #onSignals: OnSignals[] = [];
     readonly #onLoads: OnLoads[] = [];
-    #observe: ObserveServers = () => [];
-    #answerColdStart: ((word: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
+    #observationHandler: ObserveServers = () => [];
+    #coldStartHandler: ((word: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
     readonly #stopped = new AbortController();
     #self: GatewayIdentity | undefined;
     #member: FleetMember | undefined;
@@ -111,11 +111,11 @@
     }
 
     setObservationHandler(observe: ObserveServers): void {
-        this.#observe = observe;
+        this.#observationHandler = observe;
     }
 
     setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void {
-        this.#answerColdStart = answer;
+        this.#coldStartHandler = answer;
     }
 
     exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
@@ -142,7 +142,7 @@
         this.#stopped.abort();
         this.#cancelTick();
         if (this.#leaseId !== undefined) {
-            await this.#limited(this.#options.store.revokeLease(this.#leaseId));
+            await this.#withStoreTimeout(this.#options.store.revokeLease(this.#leaseId));
         }
         await this.#listener.close();
     }
@@ -150,25 +150,25 @@
     #createHandler(): PeerHandler {
         return {
             heartbeat: heartbeat => {
-                const member = this.#startedMember();
-                this.#passOn(heartbeat, 0);
+                const member = this.#requireMember();
+                this.#notifyListeners(heartbeat, 0);
                 const { answer, commands } = member.answerHeartbeat(heartbeat, this.#clock.nowMs());
                 this.#run(commands);
                 return answer;
             },
-            fetch: () => this.#startedMember().createOffer(),
+            fetch: () => this.#requireMember().createOffer(),
             offer: offer => {
-                const { answer, commands } = this.#startedMember().answerOffer(offer, this.#clock.nowMs());
+                const { answer, commands } = this.#requireMember().answerOffer(offer, this.#clock.nowMs());
                 this.#run(commands);
                 return answer;
             },
             exchangeColdStart: word => {
-                if (this.#answerColdStart === undefined) {
+                if (this.#coldStartHandler === undefined) {
                     throw new Error("cold start isn't looked after here");
                 }
-                return this.#answerColdStart(word);
+                return this.#coldStartHandler(word);
             },
-            observe: service => limitObservations(this.#options.name, this.#observe(service)),
+            observe: service => limitObservations(this.#options.name, this.#observationHandler(service)),
         };
     }
 
@@ -176,7 +176,7 @@
      * The peer port accepts calls shortly before the member is created, which needs the port's address. Calls in this
      * time fail.
      */
-    #startedMember(): FleetMember {
+    #requireMember(): FleetMember {
         if (this.#member === undefined) {
             throw new Error("not started yet");
         }
@@ -196,11 +196,11 @@
 
     #run(commands: readonly FleetCommand[]): void {
         for (const command of commands) {
-            this.#runOne(command);
+            this.#runCommand(command);
         }
     }
 
-    #runOne(command: FleetCommand): void {
+    #runCommand(command: FleetCommand): void {
         switch (command.type) {
             case "apply":
                 for (const callback of this.#onConfiguration) {
@@ -223,7 +223,7 @@
                 void this.#fetch(command.address);
                 return;
             case "swapRoster":
-                void this.#limited(this.#options.store.compareAndSwap({
+                void this.#withStoreTimeout(this.#options.store.compareAndSwap({
                     key: storeKeys.roster,
                     expectedRevision: command.swap.expectedRevision,
                     value: JSON.stringify(command.swap.roster),
@@ -234,7 +234,7 @@
 
     async #readStore(): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
-        const read = await this.#limited(readFleet(this.#options.store));
+        const read = await this.#withStoreTimeout(readFleet(this.#options.store));
         if (read.isLeft()) {
             this.#handle({ type: "storeReadFailed" });
             return;
@@ -256,7 +256,7 @@
         }
         const startedAtMs = this.#clock.nowMs();
         const ttlMs = this.#timings.leaseTtlMs;
-        const registered = await this.#limited(register(this.#options.store, this.#self, ttlMs));
+        const registered = await this.#withStoreTimeout(register(this.#options.store, this.#self, ttlMs));
         if (registered.isLeft()) {
             this.#handle({ type: "registrationFailed" });
             return;
@@ -270,7 +270,7 @@
             return;
         }
         const startedAtMs = this.#clock.nowMs();
-        const renewed = await this.#limited(this.#options.store.renewLease(this.#leaseId));
+        const renewed = await this.#withStoreTimeout(this.#options.store.renewLease(this.#leaseId));
         renewed.caseOf({
             Left: failure => this.#handle({ type: "renewalFailed", lapsed: failure.kind === "notFound" }),
             Right: lease => this.#handle({ type: "renewed", startedAtMs, ttlMs: lease.ttlMs }),
@@ -283,7 +283,7 @@
         answered.caseOf({
             Left: () => this.#handle({ type: "heartbeatFailed", address }),
             Right: answer => {
-                this.#passOn(answer, this.#clock.nowMs() - startedAtMs);
+                this.#notifyListeners(answer, this.#clock.nowMs() - startedAtMs);
                 this.#handle({ type: "heartbeatAnswered", address, startedAtMs, heartbeat: answer });
             },
         });
@@ -297,15 +297,15 @@
         });
     }
 
-    #passOn(heartbeat: Heartbeat, onTheWayMs: number): void {
+    #notifyListeners(heartbeat: Heartbeat, maxTransitMs: number): void {
         if (heartbeat.signals.length > 0) {
-            const signals = heartbeat.signals.map(signal => ({ ...signal, ageMs: signal.ageMs + onTheWayMs }));
+            const signals = heartbeat.signals.map(signal => ({ ...signal, ageMs: signal.ageMs + maxTransitMs }));
             for (const callback of this.#onSignals) {
                 callback(signals, heartbeat.from);
             }
         }
         if (heartbeat.loads.length > 0) {
-            const loads = heartbeat.loads.map(load => ({ ...load, ageMs: load.ageMs + onTheWayMs }));
+            const loads = heartbeat.loads.map(load => ({ ...load, ageMs: load.ageMs + maxTransitMs }));
             for (const callback of this.#onLoads) {
                 callback(loads, heartbeat.from);
             }
@@ -342,14 +342,14 @@
     async #readHosts(): Promise<void> {
         const hosts = this.#options.hosts;
         while (hosts !== undefined && !this.#stopped.signal.aborted) {
-            const listed = await this.#limited(hosts.list());
+            const listed = await this.#withStoreTimeout(hosts.list());
             this.#hostNames = listed.map(entries => entries.map(entry => entry.name)).toMaybe().extract();
             this.#handle({ type: "hostsListed", names: this.#hostNames ?? [] });
             await delay(this.#clock, this.#timings.removeAfterMs / 3, this.#stopped.signal);
         }
     }
 
-    #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
--- a/packages/peers/src/httpPeerListener.ts
+++ b/packages/peers/src/httpPeerListener.ts
@@ -57,9 +57,9 @@
             (req, res) => {
                 // The Date header is unused and would make up a tenth of a heartbeat response.
                 res.sendDate = false;
-                if (isAdmitted(req, res, expected)) {
+                if (authenticate(req, res, expected)) {
                     const path = resolvePath(req);
-                    void nodeHTTPRequestHandler({ router, req, res, path, maxBodySize: limitFor(path) });
+                    void nodeHTTPRequestHandler({ router, req, res, path, maxBodySize: maxBodyBytesFor(path) });
                 }
             },
         );
@@ -91,16 +91,16 @@
 }
 
 /** Authenticates a caller; rejects it before any of its body is buffered. */
-function isAdmitted(req: IncomingMessage, res: ServerResponse, expected: Buffer): boolean {
+function authenticate(req: IncomingMessage, res: ServerResponse, expected: Buffer): boolean {
     // Compared in constant time: otherwise the duration would reveal how many leading characters of a guess are right.
     if (timingSafeEqual(digest(req.headers.authorization ?? ""), expected)) {
         return true;
     }
-    refuse(res, 401);
+    reject(res, 401);
     return false;
 }
 
-function refuse(res: ServerResponse, status: number): void {
+function reject(res: ServerResponse, status: number): void {
     res.writeHead(status, { "connection": "close", "content-length": 0 });
     res.end();
 }
@@ -109,6 +109,6 @@
     return (req.url ?? "/").slice(1).split("?", 1)[0] ?? "";
 }
 
-function limitFor(path: string): number {
+function maxBodyBytesFor(path: string): number {
     return path === "offer" ? maxOfferBytes : maxCallBytes;
 }
--- a/packages/peers/src/storeChangeCoordinator.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -49,7 +49,7 @@
     readonly #clock: Clock;
     readonly #caller: PeerCaller;
     /** Tracker of the latest revision. It is kept between calls, so that the time between them counts. */
-    #newest: AcceptanceTracker | undefined;
+    #latestTracker: AcceptanceTracker | undefined;
 
     constructor(options: ChangeCoordinatorOptions) {
         super();
@@ -61,7 +61,7 @@
     }
 
     override async read(): Promise<Either<Failure, ConfigurationRevision>> {
-        const read = await this.#limited(readHead(this.#store));
+        const read = await this.#withStoreTimeout(readHead(this.#store));
         return read.map(({ head }) => head ?? emptyConfiguration);
     }
 
@@ -77,19 +77,19 @@
     override async changeStatus(): Promise<Either<Failure, ChangeStatus>> {
         // The roster must be read after the head. A roster that was read before may have been replaced before the
         // change was written, and a majority of it says nothing about the current members.
-        const head = await this.#limited(readHead(this.#store));
-        const read = await this.#limited(readFleet(this.#store));
+        const head = await this.#withStoreTimeout(readHead(this.#store));
+        const read = await this.#withStoreTimeout(readFleet(this.#store));
         if (head.isLeft() || read.isLeft()) {
             return Left((head.isLeft() ? head : read).extract() as Failure);
         }
         const fleet = read.unsafeCoerce();
         const { revision, changeId } = head.unsafeCoerce().head ?? emptyConfiguration;
         const tracker = this.#trackerFor(revision);
-        this.#survey(tracker, fleet);
+        this.#updateSurvey(tracker, fleet);
         // The second round confirms that the versions in the first responses were held at the same time.
         await this.#offerToAll(tracker, fleet);
         await this.#offerToAll(tracker, fleet);
-        return Right(this.#acceptance(tracker, { revision, changeId }));
+        return Right(this.#createStatus(tracker, { revision, changeId }));
     }
 
     /**
@@ -103,16 +103,16 @@
      * gateway that still serves but neither is registered nor responds.
      */
     override async forget(name: string): Promise<Either<Failure, void>> {
-        const fleet = await this.#limited(readFleet(this.#store));
+        const fleet = await this.#withStoreTimeout(readFleet(this.#store));
         if (fleet.isLeft()) {
-            return Left(asRead(fleet.extract()));
+            return Left(toReadFailure(fleet.extract()));
         }
         const known = findByName(fleet.unsafeCoerce().roster, name);
-        const refused = await this.#refuseToForget(name, known);
-        if (refused !== undefined) {
-            return Left(refused);
+        const rejection = await this.#checkForget(name, known);
+        if (rejection !== undefined) {
+            return Left(rejection);
         }
-        const swap = await this.#limited(this.#store.compareAndSwap({
+        const swap = await this.#withStoreTimeout(this.#store.compareAndSwap({
             key: `${storeKeys.forgottenPrefix}${name}`,
             expectedRevision: 0,
             value: "{}",
@@ -120,18 +120,18 @@
         if (swap.isLeft()) {
             return Left(swap.extract());
         }
-        return this.#takeBackIfRegistered(name);
+        return this.#undoForgetIfRegistered(name);
     }
 
-    async #refuseToForget(name: string, known: readonly GatewayIdentity[]): Promise<Failure | undefined> {
-        const registered = await this.#limited(isRegistered(this.#store, name));
+    async #checkForget(name: string, known: readonly GatewayIdentity[]): Promise<Failure | undefined> {
+        const registered = await this.#withStoreTimeout(isRegistered(this.#store, name));
         if (registered.isLeft()) {
-            return asRead(registered.extract());
+            return toReadFailure(registered.extract());
         }
         if (registered.unsafeCoerce()) {
-            return createStillRegistered(name);
+            return createRegisteredFailure(name);
         }
-        const answers = await Promise.all(known.map(({ peerAddress }) => this.#caller.offer(peerAddress, nothing)));
+        const answers = await Promise.all(known.map(({ peerAddress }) => this.#caller.offer(peerAddress, emptyOffer)));
         // The name is compared, since the address may have been reused by another gateway.
         if (answers.some(answer => answer.toMaybe().extract()?.gateway.name === name)) {
             return createFailure("badRequest", `gateway ${name} answers at its peer port`, { didRun: "no" });
@@ -139,9 +139,9 @@
         if (known.length > 0) {
             return undefined;
         }
-        const forgotten = await this.#limited(isForgotten(this.#store, name));
+        const forgotten = await this.#withStoreTimeout(isForgotten(this.#store, name));
         return forgotten.caseOf<Failure | undefined>({
-            Left: asRead,
+            Left: toReadFailure,
             Right: isKnown =>
                 isKnown ? undefined : createFailure("notFound", `no gateway ${name} in the fleet's roster`),
         });
@@ -152,8 +152,8 @@
      * records when it registers, but would miss this one. If its registration later expired while it serves, it would
      * count as ended.
      */
-    async #takeBackIfRegistered(name: string): Promise<Either<Failure, void>> {
-        const registered = await this.#limited(isRegistered(this.#store, name));
+    async #undoForgetIfRegistered(name: string): Promise<Either<Failure, void>> {
+        const registered = await this.#withStoreTimeout(isRegistered(this.#store, name));
         if (registered.isLeft()) {
             // The record is stored, but whether it may stay is unknown; a repeated call checks again.
             return Left(createFailure("storeOutcomeUnknown", registered.extract().detail));
@@ -161,25 +161,25 @@
         if (!registered.unsafeCoerce()) {
             return Right(undefined);
         }
-        const dropped = await this.#limited(clearForgotten(this.#store, name));
-        return dropped.chain(() => Left(createStillRegistered(name)));
+        const dropped = await this.#withStoreTimeout(clearForgotten(this.#store, name));
+        return dropped.chain(() => Left(createRegisteredFailure(name)));
     }
 
     async #write(req: ChangeRequest, deadlineMs: number): Promise<Either<Failure, WrittenChange>> {
         let mayBeWritten = false;
         for (;;) {
-            const tried = await this.#tryWrite(req);
-            if (tried.type === "written") {
-                return Right(tried.change);
+            const attempt = await this.#attemptWrite(req);
+            if (attempt.type === "written") {
+                return Right(attempt.change);
             }
-            if (tried.type === "refused") {
-                return Left(tried.failure);
+            if (attempt.type === "refused") {
+                return Left(attempt.failure);
             }
-            mayBeWritten ||= tried.mayBeWritten;
-            const failure = tried.failure;
+            mayBeWritten ||= attempt.mayBeWritten;
+            const failure = attempt.failure;
             if (failure !== undefined && !mayBeWritten) {
                 // Only reads have failed so far, so the change is certainly not stored.
-                return Left(asRead(failure));
+                return Left(toReadFailure(failure));
             }
             if (this.#clock.nowMs() + writeRetryMs >= deadlineMs) {
                 return Left(createFailure("storeOutcomeUnknown", "the store did not say whether the change is stored"));
@@ -191,8 +191,8 @@
     }
 
     /** Reads first: a write whose response was lost, in this call or an earlier one, is found by its change id. */
-    async #tryWrite(req: ChangeRequest): Promise<WriteTry> {
-        const read = await this.#limited(readHead(this.#store));
+    async #attemptWrite(req: ChangeRequest): Promise<WriteAttempt> {
+        const read = await this.#withStoreTimeout(readHead(this.#store));
         if (read.isLeft()) {
             return { type: "open", mayBeWritten: false, failure: read.extract() };
         }
@@ -206,7 +206,7 @@
             return { type: "refused", failure: next.extract() };
         }
         const nextHead = next.unsafeCoerce();
-        const swap = await this.#limited(this.#store.compareAndSwap({
+        const swap = await this.#withStoreTimeout(this.#store.compareAndSwap({
             key: storeKeys.head,
             expectedRevision: keyRevision,
             value: JSON.stringify(nextHead),
@@ -228,15 +228,15 @@
         for (let round = 0;; round++) {
             if (this.#clock.nowMs() >= surveyedAtMs + surveyIntervalMs) {
                 surveyedAtMs = this.#clock.nowMs();
-                fleet = (await this.#limited(readFleet(this.#store))).toMaybe().extract() ?? fleet;
-                this.#survey(tracker, fleet);
+                fleet = (await this.#withStoreTimeout(readFleet(this.#store))).toMaybe().extract() ?? fleet;
+                this.#updateSurvey(tracker, fleet);
             }
             if (fleet !== undefined) {
                 await this.#offerToAll(tracker, fleet);
             }
-            const acceptance = this.#acceptance(tracker, change);
-            if (acceptance.inForce || this.#clock.nowMs() >= deadlineMs) {
-                return acceptance;
+            const status = this.#createStatus(tracker, change);
+            if (status.inForce || this.#clock.nowMs() >= deadlineMs) {
+                return status;
             }
             if (round > 0) {
                 await delay(this.#clock, offerIntervalMs);
@@ -245,17 +245,17 @@
     }
 
     #trackerFor(revision: number): AcceptanceTracker {
-        if (this.#newest?.target.revision === revision) {
-            return this.#newest;
+        if (this.#latestTracker?.target.revision === revision) {
+            return this.#latestTracker;
         }
         const tracker = new AcceptanceTracker({ revision, rosterVersion: 0 }, this.#timings);
-        if (revision > (this.#newest?.target.revision ?? -1)) {
-            this.#newest = tracker;
+        if (revision > (this.#latestTracker?.target.revision ?? -1)) {
+            this.#latestTracker = tracker;
         }
         return tracker;
     }
 
-    #survey(tracker: AcceptanceTracker, fleet: StoredFleet | undefined): void {
+    #updateSurvey(tracker: AcceptanceTracker, fleet: StoredFleet | undefined): void {
         // Without the registrations, gateways outside the roster wouldn't be called.
         if (fleet?.listed === undefined) {
             return;
@@ -272,14 +272,14 @@
     async #offer(tracker: AcceptanceTracker, fleet: StoredFleet, gateway: GatewayIdentity): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
         const offer = { offered: fleet.head.head, roster: fleet.roster };
-        const answered = await this.#caller.offer(gateway.peerAddress, offer);
-        answered.caseOf({
+        const response = await this.#caller.offer(gateway.peerAddress, offer);
+        response.caseOf({
             Left: () => tracker.onCallFailed(gateway.name),
             Right: answer => tracker.onVersionReport({ ...answer, startedAtMs, answeredAtMs: this.#clock.nowMs() }),
         });
     }
 
-    #acceptance(tracker: AcceptanceTracker, change: WrittenChange): ChangeStatus {
+    #createStatus(tracker: AcceptanceTracker, change: WrittenChange): ChangeStatus {
         const nowMs = this.#clock.nowMs();
         return {
             revision: change.revision,
@@ -289,7 +289,7 @@
         };
     }
 
-    #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
@@ -299,24 +299,24 @@
     }
 }
 
-const nothing: ConfigurationOffer = Object.freeze({ offered: undefined, roster: undefined });
+const emptyOffer: ConfigurationOffer = Object.freeze({ offered: undefined, roster: undefined });
 
 function findByName(roster: Roster | undefined, name: string): readonly GatewayIdentity[] {
     const members = [...roster?.members ?? [], ...roster?.previous ?? []];
     return members.filter(member => member.name === name);
 }
 
-function createStillRegistered(name: string): Failure {
+function createRegisteredFailure(name: string): Failure {
     const detail = `gateway ${name} is registered; it runs, or ended only some seconds ago`;
     return createFailure("badRequest", detail, { didRun: "no" });
 }
 
 /** A failed read has no effect, even if it was made by compare-and-swap, so its outcome is never unknown. */
-function asRead({ kind, detail }: Failure): Failure {
+function toReadFailure({ kind, detail }: Failure): Failure {
     return createFailure(kind === "storeOutcomeUnknown" ? "storeUnavailable" : kind, detail, { didRun: "no" });
 }
 
-type WriteTry =
+type WriteAttempt =
     | { readonly type: "written"; readonly change: WrittenChange; }
     | { readonly type: "refused"; readonly failure: Failure; }
     /** To be retried; `failure` is `undefined` if another change was written first. */
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -22,7 +22,7 @@
 type ResponseEsque = Awaited<ReturnType<HttpFetch>>;
 
 /** Maximum number of cached clients, one for each address. Gateways are replaced, so unused ones would accumulate. */
-const maximumClients = 256;
+const maxClients = 256;
 
 /** Options of {@link createPeerCaller}. */
 export interface PeerCallerOptions {
@@ -118,12 +118,12 @@
     }
 
     #clientFor(address: string): TRPCClient<PeerRouter> {
-        const present = this.#clients.get(address);
-        if (present !== undefined) {
-            return present;
+        const existing = this.#clients.get(address);
+        if (existing !== undefined) {
+            return existing;
         }
         for (const oldest of this.#clients.keys()) {
-            if (this.#clients.size < maximumClients) {
+            if (this.#clients.size < maxClients) {
                 break;
             }
             this.#clients.delete(oldest);
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -13,9 +13,9 @@
 import { type ServerObservations } from "./serverObservation.js";
 
 /** Maximum number of gateways in each list of a message. */
-const maximumGateways = 1_000;
-const maximumSignals = 256;
-const maximumLoads = 2_000;
+const maxGateways = 1_000;
+const maxSignals = 256;
+const maxLoads = 2_000;
 
 const name = z.string().min(1).max(128);
 const count = z.number().int().min(0);
@@ -30,7 +30,7 @@
     peerAddress: z.string().max(64).regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, "IP number and port"),
 });
 
-const identities = z.array(identitySchema).max(maximumGateways);
+const identities = z.array(identitySchema).max(maxGateways);
 
 /** A roster in messages and in the store. */
 export const rosterSchema: z.ZodType<Roster> = z.object({
@@ -67,26 +67,26 @@
     rosterVersion: count,
     freshnessAgeMs: ageMs.optional(),
     recovering: z.boolean(),
-    signals: z.array(serverSignal).max(maximumSignals),
-    loads: z.array(serverLoad).max(maximumLoads),
+    signals: z.array(serverSignal).max(maxSignals),
+    loads: z.array(serverLoad).max(maxLoads),
     stopping: z.boolean(),
 }).transform(heartbeat => ({ ...heartbeat, freshnessAgeMs: heartbeat.freshnessAgeMs }));
 
 /** A gateway process, as `name/incarnation`. */
-const gatewayLife = z.string().min(1).max(512);
+const gatewayProcess = z.string().min(1).max(512);
 /** Maximum number of backend servers in a cold start message. */
-const maximumWords = 10_000;
+const maxColdServers = 10_000;
 
 /** Cold start state that gateways exchange, about servers to which they may send a limited number of requests. */
 export const coldStartWordSchema: z.ZodType<ColdStartHeartbeat> = z.object({
-    from: gatewayLife,
+    from: gatewayProcess,
     rosterVersion: count,
-    leases: z.array(z.object({ holder: gatewayLife, sequence: count, ageMs })).max(maximumGateways),
-    words: z.array(z.object({ serverId, epoch: count, inFlight: count })).max(maximumWords),
-    departures: z.array(z.object({ gateway: gatewayLife, stoppedAgoMs: z.number() })).max(maximumGateways),
-    absent: z.array(gatewayLife).max(maximumGateways),
+    leases: z.array(z.object({ holder: gatewayProcess, sequence: count, ageMs })).max(maxGateways),
+    words: z.array(z.object({ serverId, epoch: count, inFlight: count })).max(maxColdServers),
+    departures: z.array(z.object({ gateway: gatewayProcess, stoppedAgoMs: z.number() })).max(maxGateways),
+    absent: z.array(gatewayProcess).max(maxGateways),
     isAskerSuspended: z.boolean(),
-    signals: z.array(serverSignal).max(maximumWords),
+    signals: z.array(serverSignal).max(maxColdServers),
 });
 
 /** The configuration and roster that a process holds. */
