--- a/packages/membership/src/__tests__/acceptance.test.ts
+++ b/packages/membership/src/__tests__/acceptance.test.ts
@@ -57,22 +57,27 @@
 
 const changing = roster(2, ["gw1", "gw2", "gw3", "gw4"], ["gw1", "gw2", "gw3"]);
 
-function reportAll(keeper: RosterReconciler, names: readonly string[], startedAtMs: number, revision: number): void {
+function reportAll(
+    reconciler: RosterReconciler,
+    names: readonly string[],
+    startedAtMs: number,
+    revision: number,
+): void {
     for (const name of names) {
-        keeper.onVersionReport(answer(name, revision, startedAtMs, { rosterVersion: 2 }));
+        reconciler.onVersionReport(answer(name, revision, startedAtMs, { rosterVersion: 2 }));
     }
 }
 
 // Guards against a gateway of the new roster that continues under an old configuration, since only the old members
 // accepted the change. The old members may be dropped only once a majority of the new ones holds the head as well.
 test("the old members aren't dropped before a majority of the new ones holds the head", () => {
-    const keeper = new RosterReconciler("gw1", timings);
-    const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
-    keeper.reconcile(present, 0);
-    [10, 20].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 0));
-    assert.equal(keeper.reconcile(present, 10 * majorityWaitMs), undefined);
-    [30, 40].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3"], startedAtMs, 1));
-    assert.deepEqual(keeper.reconcile(present, 20 * majorityWaitMs)?.roster, {
+    const reconciler = new RosterReconciler("gw1", timings);
+    const current = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
+    reconciler.reconcile(current, 0);
+    [10, 20].forEach(startedAtMs => reportAll(reconciler, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 0));
+    assert.equal(reconciler.reconcile(current, 10 * majorityWaitMs), undefined);
+    [30, 40].forEach(startedAtMs => reportAll(reconciler, ["gw1", "gw2", "gw3"], startedAtMs, 1));
+    assert.deepEqual(reconciler.reconcile(current, 20 * majorityWaitMs)?.roster, {
         version: 3,
         members: changing.members,
     });
@@ -81,19 +86,19 @@
 // Guards against a change that is in force while a gateway that has just left the roster sends work under the older
 // revision. The gateway was confirmed as a member shortly before, and isn't called for the change any more.
 test("the old members aren't dropped while one of them may still accept work as a member", () => {
-    const keeper = new RosterReconciler("gw1", timings);
-    const present = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
-    keeper.reconcile(present, 0);
-    [10, 20].forEach(startedAtMs => reportAll(keeper, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 1));
-    assert.equal(keeper.reconcile(present, majorityWaitMs), undefined);
-    assert.notEqual(keeper.reconcile(present, majorityWaitMs + 11), undefined);
+    const reconciler = new RosterReconciler("gw1", timings);
+    const current = survey(changing, ["gw1", "gw2", "gw3", "gw4"]);
+    reconciler.reconcile(current, 0);
+    [10, 20].forEach(startedAtMs => reportAll(reconciler, ["gw1", "gw2", "gw3", "gw4"], startedAtMs, 1));
+    assert.equal(reconciler.reconcile(current, majorityWaitMs), undefined);
+    assert.notEqual(reconciler.reconcile(current, majorityWaitMs + 11), undefined);
 });
 
 test("new gateways join immediately and missing ones leave after the removal delay, in a single change", () => {
-    const keeper = new RosterReconciler("gw1", timings);
+    const reconciler = new RosterReconciler("gw1", timings);
     const settled = roster(3, ["gw1", "gw2", "gw3"]);
-    assert.equal(keeper.reconcile(survey(settled, ["gw1", "gw2"]), 0), undefined);
-    const swap = keeper.reconcile(survey(settled, ["gw1", "gw2", "gw4", "gw5"]), timings.removeAfterMs);
+    assert.equal(reconciler.reconcile(survey(settled, ["gw1", "gw2"]), 0), undefined);
+    const swap = reconciler.reconcile(survey(settled, ["gw1", "gw2", "gw4", "gw5"]), timings.removeAfterMs);
     assert.deepEqual(swap?.roster, roster(4, ["gw1", "gw2", "gw4", "gw5"], ["gw1", "gw2", "gw3"]));
     assert.equal(swap.expectedRevision, 3);
 });
@@ -102,19 +107,22 @@
 // because the host list is incomplete: it is empty, or doesn't have a new host yet.
 test("a gateway doesn't count as gone by a host list without the own host, or if its host was never listed", () => {
     const settled = roster(3, ["gw1", "gw2", "gw3"]);
-    const keeper = new RosterReconciler("gw1", timings);
+    const reconciler = new RosterReconciler("gw1", timings);
     const listing = (hostNames: readonly string[]) => ({ ...survey(settled, ["gw1"]), hostNames });
-    assert.equal(keeper.reconcile(listing(["gw1", "gw2"]), 0), undefined, "gw3 was never listed");
-    assert.equal(keeper.reconcile(listing([]), 10), undefined, "an empty list");
-    assert.deepEqual(keeper.reconcile(listing(["gw1"]), 20)?.roster.members.map(({ name }) => name), ["gw1", "gw3"]);
+    assert.equal(reconciler.reconcile(listing(["gw1", "gw2"]), 0), undefined, "gw3 was never listed");
+    assert.equal(reconciler.reconcile(listing([]), 10), undefined, "an empty list");
+    assert.deepEqual(reconciler.reconcile(listing(["gw1"]), 20)?.roster.members.map(({ name }) => name), [
+        "gw1",
+        "gw3",
+    ]);
 });
 
 // Guards against a fleet that can't serve while the store is down. If the fastest gateway wrote a first roster of only
 // itself and then restarted, it would have to recover from a majority without itself, which doesn't exist.
 test("the first roster doesn't leave out gateways that start at the same time", () => {
-    const keeper = new RosterReconciler("gw1", timings);
-    assert.equal(keeper.reconcile(survey(undefined, ["gw1"]), 0), undefined);
-    const swap = keeper.reconcile(survey(undefined, ["gw1", "gw2", "gw3"]), timings.rosterUpdateStaggerMs);
+    const reconciler = new RosterReconciler("gw1", timings);
+    assert.equal(reconciler.reconcile(survey(undefined, ["gw1"]), 0), undefined);
+    const swap = reconciler.reconcile(survey(undefined, ["gw1", "gw2", "gw3"]), timings.rosterUpdateStaggerMs);
     assert.deepEqual(swap, {
         expectedRevision: 0,
         roster: { version: 1, members: roster(1, ["gw1", "gw2", "gw3"]).members },
--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -59,10 +59,10 @@
     };
 }
 
-export function survey(present: Roster | undefined, registered: readonly string[]): FleetSurvey {
+export function survey(current: Roster | undefined, registered: readonly string[]): FleetSurvey {
     return {
-        roster: present,
-        rosterKeyRevision: present?.version ?? 0,
+        roster: current,
+        rosterKeyRevision: current?.version ?? 0,
         registered: registered.map(name => gateway(name)),
         forgotten: [],
         hostNames: undefined,
@@ -75,9 +75,9 @@
 }
 
 /** Passes the result of a read of the store to a member. */
-export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, present: Roster) {
+export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, current: Roster) {
     return member.handle(
-        { type: "storeRead", startedAtMs, head: createRevision(head), roster: present, survey: undefined },
+        { type: "storeRead", startedAtMs, head: createRevision(head), roster: current, survey: undefined },
         nowMs,
     );
 }
--- a/packages/membership/src/acceptanceTracker.ts
+++ b/packages/membership/src/acceptanceTracker.ts
@@ -26,7 +26,7 @@
     /** Arrival of this incarnation's first response with the target; `undefined` if it doesn't hold the target. */
     readonly heldSinceMs: number | undefined;
     /** Whether the latest call succeeded. */
-    readonly isReachable: boolean;
+    readonly reached: boolean;
 }
 
 /**
@@ -68,28 +68,28 @@
         this.#endedNames = endedNames;
     }
 
-    onVersionReport(answer: VersionReport): void {
-        const before = this.#reports.get(answer.gateway.name);
-        if (before !== undefined && answer.startedAtMs < before.latest.startedAtMs) {
+    onVersionReport(report: VersionReport): void {
+        const previous = this.#reports.get(report.gateway.name);
+        if (previous !== undefined && report.startedAtMs < previous.latest.startedAtMs) {
             return;
         }
-        const holdsTarget = answer.revision >= this.#target.revision
-            && answer.rosterVersion >= this.#target.rosterVersion;
+        const holdsTarget = report.revision >= this.#target.revision
+            && report.rosterVersion >= this.#target.rosterVersion;
         // A restarted process may have lost the state of its predecessor, so its time starts again.
-        const isSameIncarnation = before?.latest.gateway.incarnation === answer.gateway.incarnation;
-        const previousHeldSinceMs = isSameIncarnation ? before.heldSinceMs : undefined;
-        this.#reports.set(answer.gateway.name, {
-            latest: answer,
-            heldSinceMs: holdsTarget ? previousHeldSinceMs ?? answer.answeredAtMs : undefined,
-            isReachable: true,
+        const isSameIncarnation = previous?.latest.gateway.incarnation === report.gateway.incarnation;
+        const previousHeldSinceMs = isSameIncarnation ? previous.heldSinceMs : undefined;
+        this.#reports.set(report.gateway.name, {
+            latest: report,
+            heldSinceMs: holdsTarget ? previousHeldSinceMs ?? report.answeredAtMs : undefined,
+            reached: true,
         });
     }
 
     /** Records that a call to a gateway failed. */
     onCallFailed(name: string): void {
-        const before = this.#reports.get(name);
-        if (before !== undefined) {
-            this.#reports.set(name, { ...before, isReachable: false });
+        const previous = this.#reports.get(name);
+        if (previous !== undefined) {
+            this.#reports.set(name, { ...previous, reached: false });
         }
     }
 
@@ -145,8 +145,8 @@
     gatewayStatuses(nowMs: number): readonly GatewayChangeStatus[] {
         const lapsed = this.isMajorityWaitOver(nowMs);
         return this.gateways.map(gateway => {
-            const answered = this.#reports.get(gateway.name);
-            return { gateway, state: resolveState(answered, lapsed), revision: answered?.latest.revision };
+            const reports = this.#reports.get(gateway.name);
+            return { gateway, state: resolveState(reports, lapsed), revision: reports?.latest.revision };
         });
     }
 
@@ -157,10 +157,10 @@
      * that started at this time or later.
      */
     #isHeldAt(name: string, atMs: number): boolean {
-        const answered = this.#reports.get(name);
-        return answered?.heldSinceMs !== undefined
-            && answered.heldSinceMs <= atMs
-            && answered.latest.startedAtMs >= atMs;
+        const reports = this.#reports.get(name);
+        return reports?.heldSinceMs !== undefined
+            && reports.heldSinceMs <= atMs
+            && reports.latest.startedAtMs >= atMs;
     }
 
     #majorityHeldAtMs(): number | undefined {
@@ -168,11 +168,11 @@
         if (roster === undefined) {
             return undefined;
         }
-        const times = [...this.#reports.values()]
-            .map(answered => answered.heldSinceMs)
-            .filter(time => time !== undefined)
+        const heldTimesMs = [...this.#reports.values()]
+            .map(reports => reports.heldSinceMs)
+            .filter(timeMs => timeMs !== undefined)
             .sort((a, b) => a - b);
-        for (const atMs of times) {
+        for (const atMs of heldTimesMs) {
             const names = new Set(this.#endedNames);
             for (const name of this.#reports.keys()) {
                 if (this.#isHeldAt(name, atMs)) {
@@ -187,11 +187,11 @@
     }
 }
 
-function resolveState(answered: GatewayReports | undefined, lapsed: boolean): GatewayChangeStatus["state"] {
-    if (answered?.heldSinceMs !== undefined) {
+function resolveState(reports: GatewayReports | undefined, lapsed: boolean): GatewayChangeStatus["state"] {
+    if (reports?.heldSinceMs !== undefined) {
         return "inForce";
     }
-    if (answered?.isReachable === true) {
+    if (reports?.reached === true) {
         return "behind";
     }
     return lapsed ? "lapsed" : "unreachable";
--- a/packages/membership/src/freshnessTracker.ts
+++ b/packages/membership/src/freshnessTracker.ts
@@ -33,9 +33,9 @@
     }
 
     /** Records a read of the store that matched what this gateway holds. */
-    onStoreRead(startedAtMs: number, holding: VersionedState): void {
+    onStoreRead(startedAtMs: number, state: VersionedState): void {
         if (this.#ownConfirmation === undefined || startedAtMs > this.#ownConfirmation.startedAtMs) {
-            this.#ownConfirmation = this.#confirm(startedAtMs, holding);
+            this.#ownConfirmation = this.#confirm(startedAtMs, state);
         }
     }
 
@@ -44,16 +44,16 @@
      * a confirmation concerns the head, whichever gateway read it. The age is counted from the start of this gateway's
      * own call, and ages add up over several hops, so that no confirmation is valid for longer than the original one.
      */
-    onPeerHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
-        if (heartbeat.freshnessAgeMs === undefined || heartbeat.rosterVersion !== holding.rosterVersion) {
+    onPeerHeartbeat(startedAtMs: number, heartbeat: Heartbeat, state: VersionedState): void {
+        if (heartbeat.freshnessAgeMs === undefined || heartbeat.rosterVersion !== state.rosterVersion) {
             return;
         }
-        if (heartbeat.revision > holding.revision) {
+        if (heartbeat.revision > state.revision) {
             return;
         }
         const confirmedAtMs = startedAtMs - heartbeat.freshnessAgeMs;
         if (this.#peerConfirmation === undefined || confirmedAtMs > this.#peerConfirmation.startedAtMs) {
-            this.#peerConfirmation = this.#confirm(confirmedAtMs, holding);
+            this.#peerConfirmation = this.#confirm(confirmedAtMs, state);
         }
     }
 
@@ -80,12 +80,12 @@
      * @param sinceMs - time of the earliest confirmation that is still valid
      * @returns whether the store's confirmation permits this gateway to accept new work
      */
-    isConfirmed(sinceMs: number, nowMs: number, holding: VersionedState): boolean {
+    isConfirmed(sinceMs: number, nowMs: number, state: VersionedState): boolean {
         for (const confirmation of [this.#ownConfirmation, this.#peerConfirmation]) {
             if (confirmation === undefined || confirmation.startedAtMs < sinceMs) {
                 continue;
             }
-            if (confirmation.asMember && isMember(holding.roster, this.#name)) {
+            if (confirmation.asMember && isMember(state.roster, this.#name)) {
                 return true;
             }
         }
@@ -93,10 +93,10 @@
     }
 
     /** @returns age of the latest confirmation that a peer may adopt, in milliseconds; `undefined` if there is none */
-    ageMs(nowMs: number, holding: VersionedState): number | undefined {
+    ageMs(nowMs: number, state: VersionedState): number | undefined {
         let newest: number | undefined;
         for (const confirmation of [this.#ownConfirmation, this.#peerConfirmation]) {
-            if (confirmation?.rosterVersion !== holding.rosterVersion) {
+            if (confirmation?.rosterVersion !== state.rosterVersion) {
                 continue;
             }
             newest = Math.max(newest ?? confirmation.startedAtMs, confirmation.startedAtMs);
@@ -105,11 +105,11 @@
         return newest === undefined ? undefined : Math.ceil(nowMs - newest);
     }
 
-    #confirm(startedAtMs: number, holding: VersionedState): Confirmation {
+    #confirm(startedAtMs: number, state: VersionedState): Confirmation {
         return {
             startedAtMs,
-            rosterVersion: holding.rosterVersion,
-            asMember: isMember(holding.roster, this.#name),
+            rosterVersion: state.rosterVersion,
+            asMember: isMember(state.roster, this.#name),
         };
     }
 
--- a/packages/membership/src/peerContactTracker.ts
+++ b/packages/membership/src/peerContactTracker.ts
@@ -29,9 +29,9 @@
     /**
      * @param startedAtMs - start of the call, in milliseconds on the monotonic clock
      * @param heartbeat - the peer's response
-     * @param holding - configuration and roster of this gateway
+     * @param state - configuration and roster of this gateway
      */
-    onHeartbeat(startedAtMs: number, heartbeat: Heartbeat, holding: VersionedState): void {
+    onHeartbeat(startedAtMs: number, heartbeat: Heartbeat, state: VersionedState): void {
         const contact = this.#byName.get(heartbeat.from.name);
         const response = { startedAtMs, heartbeat };
         if (contact === undefined) {
@@ -40,16 +40,16 @@
         else if (startedAtMs >= contact.latest.startedAtMs) {
             contact.latest = response;
         }
-        this.reevaluate(holding);
+        this.reevaluate(state);
     }
 
     /** Counts the responses whose versions this gateway now holds. */
-    reevaluate(holding: VersionedState): void {
+    reevaluate(state: VersionedState): void {
         for (const contact of this.#byName.values()) {
             const { startedAtMs, heartbeat } = contact.latest;
             // A process that has just started may have lost newer state. If its response counted, an older revision
             // could be taken for the latest; so it counts only after recovery from its peers or from the store.
-            if (!heartbeat.recovering && holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion)) {
+            if (!heartbeat.recovering && state.isAtLeast(heartbeat.revision, heartbeat.rosterVersion)) {
                 contact.contactAtMs = startedAtMs;
             }
         }
--- a/packages/membership/src/rosterReconciler.ts
+++ b/packages/membership/src/rosterReconciler.ts
@@ -53,8 +53,8 @@
     }
 
     /** Records the versions held by a peer or by this gateway, for the roster change in progress. */
-    onVersionReport(answer: VersionReport): void {
-        this.#changeTracker?.onVersionReport(answer);
+    onVersionReport(report: VersionReport): void {
+        this.#changeTracker?.onVersionReport(report);
     }
 
     /**
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -31,8 +31,8 @@
 const step = fc.record({
     atMs: fc.integer({ min: 0, max: faultyMs }),
     kind: fc.constantFrom(...kinds),
-    who: fc.integer({ min: 0, max: 1_023 }),
-    lastsMs: fc.integer({ min: 100, max: 15_000 }),
+    selector: fc.integer({ min: 0, max: 1_023 }),
+    durationMs: fc.integer({ min: 100, max: 15_000 }),
 });
 
 type Step = Parameters<Parameters<typeof step.map>[0]>[0];
@@ -60,45 +60,45 @@
         }
     }
 
-    play({ kind, who, lastsMs }: Step): void {
+    play({ kind, selector, durationMs }: Step): void {
         const sim = this.sim;
         const gateways = [...sim.gateways.values()];
-        const gateway = gateways[who % gateways.length];
-        const chosen = [...gateways.map(({ name }) => name), "op0", "op1"].filter((_, i) => (who >> i & 1) === 1);
+        const gateway = gateways[selector % gateways.length];
+        const chosen = [...gateways.map(({ name }) => name), "op0", "op1"].filter((_, i) => (selector >> i & 1) === 1);
         switch (kind) {
             case "change":
-                void sim.change(this.#operatorFor(who), `change-${this.#changes++}`);
+                void sim.change(this.#operatorFor(selector), `change-${this.#changes++}`);
                 return;
             case "standing":
-                void sim.changeStatus(this.#operatorFor(who));
+                void sim.changeStatus(this.#operatorFor(selector));
                 return;
             case "operatorEnds":
-                this.#operatorFor(who).process.end();
-                this.#operators[who % 2] = sim.startOperator(`op${who % 2}`);
+                this.#operatorFor(selector).process.end();
+                this.#operators[selector % 2] = sim.startOperator(`op${selector % 2}`);
                 return;
             case "storeCut":
                 chosen.forEach(name => sim.cutFromStore.add(name));
-                sim.time.schedule(lastsMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
+                sim.time.schedule(durationMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
                 return;
             case "storeDown":
                 sim.cutFromStore.add("*");
-                sim.time.schedule(lastsMs, () => sim.cutFromStore.delete("*"));
+                sim.time.schedule(durationMs, () => sim.cutFromStore.delete("*"));
                 return;
             case "storeSlow":
-                sim.storeDelayMs = 1 + who;
-                sim.time.schedule(lastsMs, () => {
+                sim.storeDelayMs = 1 + selector;
+                sim.time.schedule(durationMs, () => {
                     sim.storeDelayMs = 5;
                 });
                 return;
             case "answersLost":
-                sim.lostResponseShare = who / 1_024;
-                sim.time.schedule(lastsMs, () => {
+                sim.lostResponseShare = selector / 1_024;
+                sim.time.schedule(durationMs, () => {
                     sim.lostResponseShare = 0;
                 });
                 return;
             case "readsStale":
                 sim.storeFaults.staleEngine = sim.engine.snapshot();
-                sim.time.schedule(lastsMs, () => {
+                sim.time.schedule(durationMs, () => {
                     sim.storeFaults.staleEngine = undefined;
                 });
                 return;
@@ -106,21 +106,21 @@
                 sim.storeFaults.silentWatches = true;
                 return;
             case "networkCut":
-                this.#cut(new Set(chosen), (who & 512) === 0);
-                sim.time.schedule(lastsMs, () => sim.network.heal());
+                this.#cut(new Set(chosen), (selector & 512) === 0);
+                sim.time.schedule(durationMs, () => sim.network.heal());
                 return;
             case "isolated":
-                this.#isolate(chosen.filter(name => !name.startsWith("op")), lastsMs);
+                this.#isolate(chosen.filter(name => !name.startsWith("op")), durationMs);
                 return;
             case "networkLossy":
-                sim.network.lossShare = who / 2_048;
+                sim.network.lossShare = selector / 2_048;
                 return;
             case "networkSlow":
-                sim.network.maximumDelayMs = 1 + who;
+                sim.network.maximumDelayMs = 1 + selector;
                 return;
             case "pause":
                 gateway?.process.pause();
-                sim.time.schedule(lastsMs, () => gateway?.process.resume());
+                sim.time.schedule(durationMs, () => gateway?.process.resume());
                 return;
             case "restart":
                 if (gateway !== undefined) {
@@ -140,15 +140,15 @@
         return this.sim.startOperator("op2");
     }
 
-    #operatorFor(who: number): SimulatedOperator {
-        return this.#operators[who % 2] ?? assert.fail();
+    #operatorFor(selector: number): SimulatedOperator {
+        return this.#operators[selector % 2] ?? assert.fail();
     }
 
     /** Disconnects gateways from the store and from all other processes, like hosts with a broken network. */
-    #isolate(names: readonly string[], lastsMs: number): void {
+    #isolate(names: readonly string[], durationMs: number): void {
         this.#cut(new Set(names), true);
         names.forEach(name => this.sim.cutFromStore.add(name));
-        this.sim.time.schedule(lastsMs, () => {
+        this.sim.time.schedule(durationMs, () => {
             this.sim.network.heal();
             names.forEach(name => this.sim.cutFromStore.delete(name));
         });
@@ -169,7 +169,7 @@
     }
 }
 
-async function playWhole(seed: number, steps: readonly Step[]): Promise<void> {
+async function playRun(seed: number, steps: readonly Step[]): Promise<void> {
     const run = new FaultyRun(seed);
     const sim = run.sim;
     run.changeRegularly();
@@ -198,7 +198,7 @@
 // all work would be safe but useless.
 test("combined faults don't revert a change in force, and the fleet recovers", async () => {
     await fc.assert(
-        fc.asyncProperty(fc.integer(), fc.array(step, { minLength: 4, maxLength: 24 }), playWhole),
+        fc.asyncProperty(fc.integer(), fc.array(step, { minLength: 4, maxLength: 24 }), playRun),
         // Shrinking a failure would take many minutes, and the run must end within ten; the seed suffices to repeat it.
         { numRuns: runs, endOnFailure: true },
     );
@@ -206,21 +206,21 @@
 
 // The same for a run that once failed.
 test("the run with seed 285211304 doesn't revert a change in force, and the fleet recovers", () =>
-    playWhole(285_211_304, [
-        { atMs: 14, kind: "networkSlow", who: 428, lastsMs: 11_446 },
-        { atMs: 20_370, kind: "operatorEnds", who: 87, lastsMs: 2_012 },
-        { atMs: 10_498, kind: "isolated", who: 4, lastsMs: 5_065 },
-        { atMs: 6_398, kind: "replace", who: 935, lastsMs: 9_345 },
-        { atMs: 2, kind: "isolated", who: 414, lastsMs: 14_997 },
-        { atMs: 22_185, kind: "networkLossy", who: 1_018, lastsMs: 5_861 },
-        { atMs: 10, kind: "restart", who: 993, lastsMs: 8_265 },
-        { atMs: 8_610, kind: "storeSlow", who: 83, lastsMs: 14_067 },
-        { atMs: 3_977, kind: "storeDown", who: 231, lastsMs: 8_236 },
-        { atMs: 14_926, kind: "change", who: 7, lastsMs: 14_131 },
-        { atMs: 12_591, kind: "storeDown", who: 778, lastsMs: 8_916 },
-        { atMs: 12, kind: "operatorEnds", who: 5, lastsMs: 14_756 },
-        { atMs: 16_972, kind: "change", who: 1_003, lastsMs: 10_396 },
-        { atMs: 13_801, kind: "storeCut", who: 790, lastsMs: 4_607 },
-        { atMs: 3_115, kind: "change", who: 497, lastsMs: 106 },
-        { atMs: 10_699, kind: "storeCut", who: 859, lastsMs: 101 },
+    playRun(285_211_304, [
+        { atMs: 14, kind: "networkSlow", selector: 428, durationMs: 11_446 },
+        { atMs: 20_370, kind: "operatorEnds", selector: 87, durationMs: 2_012 },
+        { atMs: 10_498, kind: "isolated", selector: 4, durationMs: 5_065 },
+        { atMs: 6_398, kind: "replace", selector: 935, durationMs: 9_345 },
+        { atMs: 2, kind: "isolated", selector: 414, durationMs: 14_997 },
+        { atMs: 22_185, kind: "networkLossy", selector: 1_018, durationMs: 5_861 },
+        { atMs: 10, kind: "restart", selector: 993, durationMs: 8_265 },
+        { atMs: 8_610, kind: "storeSlow", selector: 83, durationMs: 14_067 },
+        { atMs: 3_977, kind: "storeDown", selector: 231, durationMs: 8_236 },
+        { atMs: 14_926, kind: "change", selector: 7, durationMs: 14_131 },
+        { atMs: 12_591, kind: "storeDown", selector: 778, durationMs: 8_916 },
+        { atMs: 12, kind: "operatorEnds", selector: 5, durationMs: 14_756 },
+        { atMs: 16_972, kind: "change", selector: 1_003, durationMs: 10_396 },
+        { atMs: 13_801, kind: "storeCut", selector: 790, durationMs: 4_607 },
+        { atMs: 3_115, kind: "change", selector: 497, durationMs: 106 },
+        { atMs: 10_699, kind: "storeCut", selector: 859, durationMs: 101 },
     ]));
--- a/packages/peers/src/__tests__/fleetObserver.test.ts
+++ b/packages/peers/src/__tests__/fleetObserver.test.ts
@@ -69,11 +69,11 @@
 }
 
 /** Opens a peer port with a response that the test chooses. */
-async function openPort(t: TestContext, answer: (res: ServerResponse) => void): Promise<string> {
+async function openPort(t: TestContext, respond: (res: ServerResponse) => void): Promise<string> {
     const server = createServer((req, res) => {
         req.resume();
         res.on("error", () => undefined);
-        answer(res);
+        respond(res);
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     t.after(() => {
@@ -124,8 +124,8 @@
             }),
         reused: res => sendData(res, { ...observations, gateway: "good" }),
     };
-    for (const [name, answer] of Object.entries(ports)) {
-        await fleet.register(name, await openPort(t, answer));
+    for (const [name, respond] of Object.entries(ports)) {
+        await fleet.register(name, await openPort(t, respond));
     }
     await fleet.register("gone", "127.0.0.1:1");
     await fleet.store.compareAndSwap({ key: `${storeKeys.memberPrefix}unreadable`, expectedRevision: 0, value: "{" });
--- a/packages/peers/src/__tests__/forgetGateway.test.ts
+++ b/packages/peers/src/__tests__/forgetGateway.test.ts
@@ -21,10 +21,10 @@
 // force without a response from the current members.
 test("a change isn't in force by a roster that was read before the change was written", async () => {
     const sim = await startFleet();
-    const present = sim.roster() ?? assert.fail();
-    const joined = present.members.map(member => ({ ...member, name: `${member.name}-new` }));
+    const current = sim.roster() ?? assert.fail();
+    const joined = current.members.map(member => ({ ...member, name: `${member.name}-new` }));
     sim.afterNextRead(storeKeys.roster, () => {
-        const roster = { version: present.version + 1, members: joined, previous: present.members };
+        const roster = { version: current.version + 1, members: joined, previous: current.members };
         sim.overwrite(storeKeys.roster, JSON.stringify(roster));
         const head = JSON.parse(sim.engine.get(storeKeys.head, sim.time.nowMs)?.value ?? "") as object;
         sim.overwrite(storeKeys.head, JSON.stringify({ ...head, revision: 2, changeId: "zone-out" }));
--- a/packages/peers/src/__tests__/peerPort.test.ts
+++ b/packages/peers/src/__tests__/peerPort.test.ts
@@ -70,7 +70,7 @@
     return res.statusCode;
 }
 
-test("heartbeats, fetches, offers and cold start messages arrive unchanged over TCP", async () => {
+test("heartbeats, fetches, offers and cold start heartbeats arrive unchanged over TCP", async () => {
     const caller = createPeerCaller({ fleetKey: "secret", callTimeoutMs: 10_000 });
     assert.deepEqual((await caller.heartbeat(address, heartbeat)).toMaybe().extract(), heartbeat);
     assert.deepEqual((await caller.fetch(address)).toMaybe().extract(), {
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -71,8 +71,8 @@
                 return;
             }
             this.#deliver(from, to.process, () => {
-                const answer = run(to.handler);
-                this.#deliver(to.process, from, () => resolve(Right(answer)));
+                const response = run(to.handler);
+                this.#deliver(to.process, from, () => resolve(Right(response)));
             });
         });
     }
@@ -129,9 +129,9 @@
 
     override exchangeColdStart(
         address: string,
-        word: ColdStartHeartbeat,
+        heartbeat: ColdStartHeartbeat,
     ): Promise<Either<Failure, ColdStartHeartbeat>> {
-        return this.#run(address, handler => handler.exchangeColdStart(word));
+        return this.#run(address, handler => handler.exchangeColdStart(heartbeat));
     }
 
     override observe(address: string, service: string | undefined): Promise<Either<Failure, ServerObservations>> {
--- a/packages/peers/src/__tests__/support/simulation.ts
+++ b/packages/peers/src/__tests__/support/simulation.ts
@@ -139,11 +139,11 @@
         waitMs = 15_000,
     ): Promise<Either<Failure, ChangeStatus>> {
         const read = await operator.coordinator.read();
-        const present = read.toMaybe().extract();
-        if (present === undefined) {
+        const current = read.toMaybe().extract();
+        if (current === undefined) {
             return read.map(() => assert.fail("unreachable"));
         }
-        const req = { changeId, expectedRevision: present.revision, configuration: createConfiguration(changeId) };
+        const req = { changeId, expectedRevision: current.revision, configuration: createConfiguration(changeId) };
         let applied = await operator.coordinator.apply(req, waitMs);
         if (applied.toMaybe().extract()?.inForce !== true) {
             applied = await operator.coordinator.apply(req, waitMs);
--- a/packages/peers/src/clock.ts
+++ b/packages/peers/src/clock.ts
@@ -49,14 +49,14 @@
  * it, and a gateway would stop reading the store forever.
  *
  * @param clock - clock to use
- * @param limitMs - timeout in milliseconds
- * @param answer - promise to wait for
- * @param otherwise - creates the result after a timeout
+ * @param timeoutMs - timeout in milliseconds
+ * @param promise - promise to wait for
+ * @param onTimeout - creates the result after a timeout
  * @returns the result of the promise, or of `otherwise` after a timeout
  */
-export function withTimeout<T>(clock: Clock, limitMs: number, answer: Promise<T>, otherwise: () => T): Promise<T> {
+export function withTimeout<T>(clock: Clock, timeoutMs: number, promise: Promise<T>, onTimeout: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
-        const cancel = clock.after(limitMs, () => resolve(otherwise()));
-        answer.then(resolve, reject).finally(cancel);
+        const cancel = clock.after(timeoutMs, () => resolve(onTimeout()));
+        promise.then(resolve, reject).finally(cancel);
     });
 }
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -57,11 +57,11 @@
     onSignals(callback: OnSignals): void;
     onLoads(callback: OnLoads): void;
     /** Sets the handler that returns this gateway's observations of the backend servers to the admin process. */
-    setObservationHandler(observe: ObserveServers): void;
-    /** Sets the handler for peers' cold start messages; until then their calls fail. */
-    setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void;
-    /** Sends a cold start message to all other gateways of the roster. @returns one promise for each of them */
-    exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[];
+    setObservationHandler(handler: ObserveServers): void;
+    /** Sets the handler for peers' cold start heartbeats; until then their calls fail. */
+    setColdStartHandler(handler: (heartbeat: ColdStartHeartbeat) => ColdStartHeartbeat): void;
+    /** Sends a cold start heartbeat to all other gateways of the roster. @returns one promise for each of them */
+    exchangeColdStart(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[];
     /** @returns the roster that this gateway holds; `undefined` until it holds one */
     roster(): Roster | undefined;
     status(): FleetStatus | undefined;
--- a/packages/peers/src/fleetObserver.ts
+++ b/packages/peers/src/fleetObserver.ts
@@ -65,10 +65,10 @@
             return Left(listed.extract());
         }
         const { entries } = listed.unsafeCoerce();
-        const answers = await Promise.all(entries.map(entry => this.#observeGateway(entry, service)));
+        const results = await Promise.all(entries.map(entry => this.#observeGateway(entry, service)));
         return Right({
-            answered: answers.filter(answer => typeof answer !== "string"),
-            unanswered: answers.filter(answer => typeof answer === "string"),
+            answered: results.filter(result => typeof result !== "string"),
+            unanswered: results.filter(result => typeof result === "string"),
         });
     }
 
@@ -80,9 +80,9 @@
             return name;
         }
         const { peerAddress } = identity.unsafeCoerce();
-        const answer = (await this.#caller.observe(peerAddress, service)).toMaybe().extract();
+        const observations = (await this.#caller.observe(peerAddress, service)).toMaybe().extract();
         // Addresses are reused: a registration that has outlived its process by some seconds may lead to another
         // gateway, whose requests would be counted twice and under the wrong name.
-        return answer?.gateway === name ? answer : name;
+        return observations?.gateway === name ? observations : name;
     }
 }
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -44,7 +44,7 @@
     readonly #onSignals: OnSignals[] = [];
     readonly #onLoads: OnLoads[] = [];
     #observationHandler: ObserveServers = () => [];
-    #coldStartHandler: ((word: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
+    #coldStartHandler: ((heartbeat: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
     readonly #stopped = new AbortController();
     #self: GatewayIdentity | undefined;
     #member: FleetMember | undefined;
@@ -110,17 +110,17 @@
         this.#onLoads.push(callback);
     }
 
-    setObservationHandler(observe: ObserveServers): void {
-        this.#observationHandler = observe;
+    setObservationHandler(handler: ObserveServers): void {
+        this.#observationHandler = handler;
     }
 
-    setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void {
-        this.#coldStartHandler = answer;
+    setColdStartHandler(handler: (heartbeat: ColdStartHeartbeat) => ColdStartHeartbeat): void {
+        this.#coldStartHandler = handler;
     }
 
-    exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
+    exchangeColdStart(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         const others = listRosterGateways(this.roster()).filter(({ name }) => name !== this.#options.name);
-        return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, word));
+        return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, heartbeat));
     }
 
     roster(): Roster | undefined {
@@ -162,11 +162,11 @@
                 this.#run(commands);
                 return answer;
             },
-            exchangeColdStart: word => {
+            exchangeColdStart: heartbeat => {
                 if (this.#coldStartHandler === undefined) {
                     throw new Error("cold start isn't looked after here");
                 }
-                return this.#coldStartHandler(word);
+                return this.#coldStartHandler(heartbeat);
             },
             observe: service => limitObservations(this.#options.name, this.#observationHandler(service)),
         };
@@ -349,11 +349,11 @@
         }
     }
 
-    #withStoreTimeout<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(call: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
-            answer,
+            call,
             () => Left(createFailure("storeOutcomeUnknown", "the store took too long")),
         );
     }
--- a/packages/peers/src/peerCaller.ts
+++ b/packages/peers/src/peerCaller.ts
@@ -11,7 +11,10 @@
     abstract fetch(address: string): Promise<Either<Failure, ConfigurationOffer>>;
     abstract offer(address: string, offer: ConfigurationOffer): Promise<Either<Failure, OfferAnswer>>;
     /** Exchanges cold start state with a peer. */
-    abstract exchangeColdStart(address: string, word: ColdStartHeartbeat): Promise<Either<Failure, ColdStartHeartbeat>>;
+    abstract exchangeColdStart(
+        address: string,
+        heartbeat: ColdStartHeartbeat,
+    ): Promise<Either<Failure, ColdStartHeartbeat>>;
     /** Gets a gateway's observations of one service's backend servers or, without a name, of all. */
     abstract observe(address: string, service: string | undefined): Promise<Either<Failure, ServerObservations>>;
 }
@@ -21,7 +24,7 @@
     heartbeat(heartbeat: Heartbeat): Heartbeat;
     fetch(): ConfigurationOffer;
     offer(offer: ConfigurationOffer): OfferAnswer;
-    exchangeColdStart(word: ColdStartHeartbeat): ColdStartHeartbeat;
+    exchangeColdStart(heartbeat: ColdStartHeartbeat): ColdStartHeartbeat;
     observe(service: string | undefined): ServerObservations;
 }
 
--- a/packages/peers/src/storeChangeCoordinator.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -107,8 +107,8 @@
         if (fleet.isLeft()) {
             return Left(toReadFailure(fleet.extract()));
         }
-        const known = findByName(fleet.unsafeCoerce().roster, name);
-        const rejection = await this.#checkForget(name, known);
+        const identities = findByName(fleet.unsafeCoerce().roster, name);
+        const rejection = await this.#checkForget(name, identities);
         if (rejection !== undefined) {
             return Left(rejection);
         }
@@ -123,7 +123,7 @@
         return this.#undoForgetIfRegistered(name);
     }
 
-    async #checkForget(name: string, known: readonly GatewayIdentity[]): Promise<Failure | undefined> {
+    async #checkForget(name: string, identities: readonly GatewayIdentity[]): Promise<Failure | undefined> {
         const registered = await this.#withStoreTimeout(isRegistered(this.#store, name));
         if (registered.isLeft()) {
             return toReadFailure(registered.extract());
@@ -131,19 +131,21 @@
         if (registered.unsafeCoerce()) {
             return createRegisteredFailure(name);
         }
-        const answers = await Promise.all(known.map(({ peerAddress }) => this.#caller.offer(peerAddress, emptyOffer)));
+        const responses = await Promise.all(
+            identities.map(({ peerAddress }) => this.#caller.offer(peerAddress, emptyOffer)),
+        );
         // The name is compared, since the address may have been reused by another gateway.
-        if (answers.some(answer => answer.toMaybe().extract()?.gateway.name === name)) {
+        if (responses.some(response => response.toMaybe().extract()?.gateway.name === name)) {
             return createFailure("badRequest", `gateway ${name} answers at its peer port`, { didRun: "no" });
         }
-        if (known.length > 0) {
+        if (identities.length > 0) {
             return undefined;
         }
         const forgotten = await this.#withStoreTimeout(isForgotten(this.#store, name));
         return forgotten.caseOf<Failure | undefined>({
             Left: toReadFailure,
-            Right: isKnown =>
-                isKnown ? undefined : createFailure("notFound", `no gateway ${name} in the fleet's roster`),
+            Right: isAlreadyForgotten =>
+                isAlreadyForgotten ? undefined : createFailure("notFound", `no gateway ${name} in the fleet's roster`),
         });
     }
 
@@ -289,11 +291,11 @@
         };
     }
 
-    #withStoreTimeout<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(call: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
-            answer,
+            call,
             () => Left(createFailure("storeOutcomeUnknown", "the store took too long")),
         );
     }
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -68,12 +68,12 @@
 
     override exchangeColdStart(
         address: string,
-        word: ColdStartHeartbeat,
+        heartbeat: ColdStartHeartbeat,
     ): Promise<Either<Failure, ColdStartHeartbeat>> {
         return this.#call(
             address,
             coldStartWordSchema,
-            (client, signal) => client.exchangeColdStart.mutate(word, { signal }),
+            (client, signal) => client.exchangeColdStart.mutate(heartbeat, { signal }),
         );
     }
 
@@ -92,8 +92,8 @@
         run: (client: TRPCClient<PeerRouter>, signal: AbortSignal) => Promise<unknown>,
     ): Promise<Either<Failure, T>> {
         try {
-            const answer = await run(this.#clientFor(address), AbortSignal.timeout(this.#options.callTimeoutMs));
-            const parsed = schema.safeParse(answer);
+            const response = await run(this.#clientFor(address), AbortSignal.timeout(this.#options.callTimeoutMs));
+            const parsed = schema.safeParse(response);
             if (!parsed.success) {
                 return Left(createFailure("peerUnreachable", `${address} gave an answer that can't be read`));
             }
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -74,7 +74,7 @@
 
 /** A gateway process, as `name/incarnation`. */
 const gatewayProcess = z.string().min(1).max(512);
-/** Maximum number of backend servers in a cold start message. */
+/** Maximum number of backend servers in a cold start heartbeat. */
 const maxColdServers = 10_000;
 
 /** Cold start state that gateways exchange, about servers to which they may send a limited number of requests. */
