--- a/packages/membership/src/__tests__/acceptance.test.ts
+++ b/packages/membership/src/__tests__/acceptance.test.ts
@@ -105,7 +105,7 @@
 
 // Guards against a change that is in force while gateways that count as gone send work under the older revision,
 // because the host list is incomplete: it is empty, or doesn't have a new host yet.
-test("a gateway doesn't count as gone by a host list without the own host, or if its host was never listed", () => {
+test("a host list without the own host, or without a host that was never listed, shows no gateway as gone", () => {
     const settled = roster(3, ["gw1", "gw2", "gw3"]);
     const reconciler = new RosterReconciler("gw1", timings);
     const listing = (hostNames: readonly string[]) => ({ ...survey(settled, ["gw1"]), hostNames });
--- a/packages/membership/src/acceptanceTracker.ts
+++ b/packages/membership/src/acceptanceTracker.ts
@@ -32,9 +32,10 @@
 /**
  * Determines when a change is in force: from then on no gateway can accept new work under an older revision.
  *
- * A change is in force as soon as every gateway that may accept work holds it. Otherwise it is in force some time after
- * a majority of the roster holds it: a gateway without the store needs responses from a majority to continue. Either it
- * learns of the change from the gateway that both majorities have in common, or its freshness expires and it stops.
+ * A change is in force as soon as every gateway that may accept work holds it. Otherwise it is in force once a majority
+ * of the roster has held it for the maximum freshness plus a margin: a gateway without the store needs responses from a
+ * majority to continue. Either it learns of the change from the gateway that both majorities have in common, or its
+ * freshness expires and it stops.
  */
 export class AcceptanceTracker {
     readonly #target: AcceptanceTarget;
--- a/packages/membership/src/rosterReconciler.ts
+++ b/packages/membership/src/rosterReconciler.ts
@@ -177,9 +177,9 @@
         const names = survey.registered.map(gateway => gateway.name).sort();
         const index = names.indexOf(this.#name);
         const rank = index < 0 ? names.length : index;
-        // The first roster is delayed by one more step for gateways that start at the same time. A roster of the
-        // fastest gateway alone would be needed for the majority of the next one: if that gateway restarted while the
-        // store is down, no gateway could serve.
+        // The first roster is delayed by one more step, to include gateways that start at the same time. If it had only
+        // the fastest gateway, the next roster would need that gateway's consent: if the gateway then restarted while
+        // the store is down, no gateway could serve.
         const initialSteps = survey.roster === undefined ? 1 : 0;
         return (rank + initialSteps) * this.#timings.rosterUpdateStaggerMs;
     }
--- a/packages/membership/src/signalOutbox.ts
+++ b/packages/membership/src/signalOutbox.ts
@@ -5,7 +5,7 @@
 
 interface OutboxEntry {
     readonly signal: ServerSignal;
-    readonly postedAtMs: number;
+    readonly addedAtMs: number;
 }
 
 /** Signals to forward to peers. Each is repeated for some time, so that a lost heartbeat doesn't lose it. */
@@ -19,16 +19,16 @@
     }
 
     add(signals: readonly ServerSignal[], nowMs: number): void {
-        const added = signals.map(signal => ({ signal, postedAtMs: nowMs }));
+        const added = signals.map(signal => ({ signal, addedAtMs: nowMs }));
         this.#entries = [...this.#entries, ...added].slice(-maxSignals);
     }
 
     /** @returns the signals that are still to be forwarded, with their current ages in milliseconds */
     read(nowMs: number): readonly ServerSignal[] {
-        this.#entries = this.#entries.filter(posted => nowMs - posted.postedAtMs <= this.#keepMs);
-        return this.#entries.map(({ signal, postedAtMs }) => ({
+        this.#entries = this.#entries.filter(entry => nowMs - entry.addedAtMs <= this.#keepMs);
+        return this.#entries.map(({ signal, addedAtMs }) => ({
             ...signal,
-            ageMs: Math.ceil(signal.ageMs + nowMs - postedAtMs),
+            ageMs: Math.ceil(signal.ageMs + nowMs - addedAtMs),
         }));
     }
 }
--- a/packages/peers/src/clock.ts
+++ b/packages/peers/src/clock.ts
@@ -52,7 +52,7 @@
  * @param timeoutMs - timeout in milliseconds
  * @param promise - promise to wait for
  * @param onTimeout - creates the result after a timeout
- * @returns the result of the promise, or of `otherwise` after a timeout
+ * @returns the result of the promise, or of `onTimeout` after a timeout
  */
 export function withTimeout<T>(clock: Clock, timeoutMs: number, promise: Promise<T>, onTimeout: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -32,9 +32,12 @@
     readonly caller?: PeerCaller | undefined;
 }
 
-/** Receives a peer's signals; their ages include the maximum transit time. */
+/**
+ * Receives a peer's signals. If they arrive in the response to a heartbeat, their ages include the duration of the call;
+ * if they arrive in a peer's call, the transit time isn't known and not included.
+ */
 export type OnSignals = (signals: readonly ServerSignal[], from: GatewayIdentity) => void;
-/** Receives a peer's loads; their ages include the maximum transit time. */
+/** Receives a peer's loads, with ages as for {@link OnSignals}. */
 export type OnLoads = (loads: readonly ServerLoad[], from: GatewayIdentity) => void;
 
 /** A gateway's membership in its fleet. */
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -279,12 +279,12 @@
 
     async #sendHeartbeat(address: string, heartbeat: Heartbeat): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
-        const answered = await this.#caller.heartbeat(address, heartbeat);
-        answered.caseOf({
+        const result = await this.#caller.heartbeat(address, heartbeat);
+        result.caseOf({
             Left: () => this.#handle({ type: "heartbeatFailed", address }),
-            Right: answer => {
-                this.#notifyListeners(answer, this.#clock.nowMs() - startedAtMs);
-                this.#handle({ type: "heartbeatAnswered", address, startedAtMs, heartbeat: answer });
+            Right: response => {
+                this.#notifyListeners(response, this.#clock.nowMs() - startedAtMs);
+                this.#handle({ type: "heartbeatAnswered", address, startedAtMs, heartbeat: response });
             },
         });
     }
--- a/packages/peers/src/storeChangeCoordinator.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -163,8 +163,8 @@
         if (!registered.unsafeCoerce()) {
             return Right(undefined);
         }
-        const dropped = await this.#withStoreTimeout(clearForgotten(this.#store, name));
-        return dropped.chain(() => Left(createRegisteredFailure(name)));
+        const cleared = await this.#withStoreTimeout(clearForgotten(this.#store, name));
+        return cleared.chain(() => Left(createRegisteredFailure(name)));
     }
 
     async #write(req: ChangeRequest, deadlineMs: number): Promise<Either<Failure, WrittenChange>> {
