--- a/packages/peers/src/fleetMembership.ts
+++ b/packages/peers/src/fleetMembership.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * Receives a peer's signals. If they arrive in the response to a heartbeat, their ages include the duration of the call;
- * if they arrive in a peer's call, the transit time isn't known and not included.
+ * Receives a peer's signals. If they arrive in the response to a heartbeat, their ages include the duration of the
+ * call; if they arrive in a peer's call, the transit time is unknown and not included.
  */
 export type OnSignals = (signals: readonly ServerSignal[], from: GatewayIdentity) => void;
 /** Receives a peer's loads, with ages as for {@link OnSignals}. */
