--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -10,7 +10,7 @@
 } from "../index.js";
 
 export const timings = defaultFleetTimings;
-/** Until this long after a majority held a change, a gateway may not have heard of it and go on. */
+/** Time for which a gateway that missed a change may accept work after a majority holds the change. */
 export const majorityWaitMs = timings.freshForMs + timings.marginMs;
 
 export function gateway(name: string, incarnation = "1"): GatewayIdentity {
@@ -59,10 +59,10 @@
     };
 }
 
-export function survey(present: Roster | undefined, registered: readonly string[]): FleetSurvey {
+export function survey(current: Roster | undefined, registered: readonly string[]): FleetSurvey {
     return {
-        roster: present,
-        rosterKeyRevision: present?.version ?? 0,
+        roster: current,
+        rosterKeyRevision: current?.version ?? 0,
         registered: registered.map(name => gateway(name)),
         forgotten: [],
         hostNames: undefined,
@@ -74,14 +74,15 @@
     return new FleetMember({ self: gateway(name), seeds: [], timings }, 0);
 }
 
-/** The store was read: first the roster, then the head. */
-export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, present: Roster) {
+/** Passes the result of a read of the store to a member. */
+export function storeRead(member: FleetMember, startedAtMs: number, nowMs: number, head: number, current: Roster) {
     return member.handle(
-        { type: "storeRead", startedAtMs, head: createRevision(head), roster: present, survey: undefined },
+        { type: "storeRead", startedAtMs, head: createRevision(head), roster: current, survey: undefined },
         nowMs,
     );
 }
 
+/** Passes a peer's heartbeat response to a member. */
 export function heartbeatAnswered(member: FleetMember, startedAtMs: number, nowMs: number, peer: Heartbeat) {
     const event = { type: "heartbeatAnswered", address: peer.from.peerAddress, startedAtMs, heartbeat: peer } as const;
     return member.handle(event, nowMs);
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -19,46 +19,50 @@
 import { SignalOutbox } from "./signalOutbox.js";
 import { TrafficBudget } from "./trafficBudget.js";
 
-/** Who a gateway is, and where it may find others. */
+/** Options of a {@link FleetMember}. */
 export interface FleetMemberOptions {
     readonly self: GatewayIdentity;
-    /** Peer addresses from settings, for a start without the store. */
+    /** Peer addresses from the settings, to start without the store. */
     readonly seeds: readonly string[];
     readonly timings: FleetTimings;
 }
 
-/** Where a gateway stands, for operators and metrics. */
+/** Membership status of a gateway, for operators and metrics. */
 export interface FleetStatus {
     readonly revision: number;
     readonly rosterVersion: number;
-    /** Whether the store's word lets it take new work. */
+    /** Whether the store's confirmation permits it to accept new work. */
     readonly confirmed: boolean;
-    /** Whether contact with a majority of the roster lets it take new work. */
+    /** Whether contact with a majority of the roster permits it to accept new work. */
     readonly inContact: boolean;
+    /** Whether it has started and not yet recovered the state that it may have held before. */
     readonly recovering: boolean;
     readonly registered: boolean;
     readonly member: boolean;
-    /** Peers whose answers count now. */
+    /** Names of the peers that are in contact. */
     readonly peers: readonly string[];
 }
 
-/** One gateway's part in the fleet: what it holds, and whether that is fresh enough to take new work. */
+/**
+ * State machine of one gateway in the fleet, without I/O: holds the configuration and roster, and determines whether
+ * they are recent enough to accept new work.
+ */
 export class FleetMember {
     readonly #self: GatewayIdentity;
     readonly #seeds: readonly string[];
     readonly #timings: FleetTimings;
     readonly #startedAtMs: number;
-    readonly #holding = new VersionedState();
+    readonly #state = new VersionedState();
     readonly #contacts = new PeerContactTracker();
-    readonly #callers = new RecentCallers();
+    readonly #recentCallers = new RecentCallers();
     readonly #budget = new TrafficBudget();
     readonly #freshness: FreshnessTracker;
     readonly #schedule: HeartbeatSchedule;
-    readonly #keeper: RosterReconciler;
+    readonly #rosterReconciler: RosterReconciler;
     readonly #fetching = new Set<string>();
     #recovering = true;
     #stopping = false;
-    #reading = false;
+    #isReading = false;
     #readDueAtMs: number;
     #registration: "none" | "asking" | "held" = "none";
     #registrationDueAtMs: number;
@@ -75,38 +79,38 @@
         this.#freshness = new FreshnessTracker(options.self.name);
         this.#schedule = new HeartbeatSchedule(options.timings.heartbeatIntervalMs);
         this.#signals = new SignalOutbox(options.timings.freshForMs);
-        this.#keeper = new RosterReconciler(options.self.name, options.timings);
+        this.#rosterReconciler = new RosterReconciler(options.self.name, options.timings);
     }
 
     get configuration(): ConfigurationRevision | undefined {
-        return this.#holding.configuration;
+        return this.#state.configuration;
     }
 
     get roster(): Roster | undefined {
-        return this.#holding.roster;
+        return this.#state.roster;
     }
 
     /**
-     * Whether new work may be sent under {@link configuration}. To be asked in the same turn as the work is sent: a
-     * process that was stopped and goes on would otherwise act on a configuration that was replaced meanwhile, with
-     * the symptom that an availability zone gets work after it was taken out. The monotonic clock went on while the
-     * process stood, so asked again it refuses.
+     * Whether new work may be sent under {@link configuration}. Must be called in the same turn of the event loop in
+     * which the work is sent. Otherwise a process that was paused and resumes would act on a configuration that has
+     * been replaced, and an availability zone would get work after its evacuation. The monotonic clock advances during
+     * a pause, so that a call after it returns `false`.
      *
-     * @param nowMs - present monotonic time
-     * @returns `false` where the request is to be refused with `notFresh`
+     * @param nowMs - current time of the monotonic clock, in milliseconds
+     * @returns `false` if the request is to be rejected with `notFresh`
      */
     mayTakeNewWork(nowMs: number): boolean {
-        if (this.#stopping || this.#holding.configuration === undefined) {
+        if (this.#stopping || this.#state.configuration === undefined) {
             return false;
         }
         return this.#isConfirmed(nowMs) || this.#isInContact(nowMs);
     }
 
     status(nowMs: number): FleetStatus {
-        const names = listRosterGateways(this.#holding.roster).map(gateway => gateway.name);
+        const names = listRosterGateways(this.#state.roster).map(gateway => gateway.name);
         return {
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
             confirmed: this.#isConfirmed(nowMs),
             inContact: this.#isInContact(nowMs),
             recovering: this.#recovering,
@@ -116,39 +120,42 @@
         };
     }
 
-    /** Answers a peer's heartbeat, and fetches from the peer what it has newer. */
+    /** Responds to a peer's heartbeat; the commands fetch newer state from the peer. */
     answerHeartbeat(heartbeat: Heartbeat, nowMs: number): {
         readonly answer: Heartbeat;
         readonly commands: readonly FleetCommand[];
     } {
-        this.#callers.onCall(heartbeat.from, nowMs);
+        this.#recentCallers.onCall(heartbeat.from, nowMs);
         return { answer: this.#createHeartbeat(0, nowMs), commands: this.#fetchNewer(heartbeat) };
     }
 
-    /** Takes an offer and says what is held now; the commands are to be carried out before the answer is sent. */
+    /**
+     * Merges an offer and reports the versions held afterwards. The commands must be executed before the response is
+     * sent.
+     */
     answerOffer(offer: ConfigurationOffer, nowMs: number): {
         readonly answer: OfferAnswer;
         readonly commands: readonly FleetCommand[];
     } {
-        const commands = this.#take(offer);
+        const commands = this.#mergeOffer(offer);
         const answer = {
             gateway: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
-            recentCallers: this.#recentCallers(nowMs),
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
+            recentCallers: this.#listRecentCallers(nowMs),
         };
         return { answer, commands };
     }
 
-    /** @returns all that this gateway holds, for a peer that asks */
+    /** @returns the configuration and roster that this gateway holds, for a peer that fetches them */
     createOffer(): ConfigurationOffer {
-        return { offered: this.#holding.configuration, roster: this.#holding.roster };
+        return { offered: this.#state.configuration, roster: this.#state.roster };
     }
 
     /**
-     * @param event - what happened
-     * @param nowMs - present monotonic time
-     * @returns what to do, in this order
+     * @param event - the event to process
+     * @param nowMs - current time of the monotonic clock, in milliseconds
+     * @returns the commands to execute, in this order
      */
     handle(event: FleetEvent, nowMs: number): readonly FleetCommand[] {
         switch (event.type) {
@@ -160,10 +167,10 @@
             case "storeRead":
                 return this.#storeRead(event, nowMs);
             case "storeReadFailed":
-                this.#reading = false;
+                this.#isReading = false;
                 return [];
             case "hostsListed":
-                this.#keeper.onHostsListed(event.names);
+                this.#rosterReconciler.onHostsListed(event.names);
                 return [];
             case "registered":
                 this.#registration = "held";
@@ -188,7 +195,7 @@
                 return [];
             case "fetched":
                 this.#fetching.delete(event.address);
-                return this.#take(event.offer);
+                return this.#mergeOffer(event.offer);
             case "fetchFailed":
                 this.#fetching.delete(event.address);
                 return [];
@@ -206,16 +213,16 @@
     }
 
     #isConfirmed(nowMs: number): boolean {
-        return this.#freshness.isConfirmed(nowMs - this.#timings.freshForMs, nowMs, this.#holding);
+        return this.#freshness.isConfirmed(nowMs - this.#timings.freshForMs, nowMs, this.#state);
     }
 
     /**
-     * Whether a majority of the roster said, in answer to calls of the last moments, that it holds nothing newer. Their
-     * own touch with the store doesn't matter: a change that is in force is held by a majority, which has a gateway in
-     * common with this one, and that gateway told of it.
+     * Whether a majority of the roster reported in response to recent calls that it holds nothing newer. These gateways
+     * need no connection to the store: a change in force is held by a majority, which has at least one gateway in
+     * common with this one, and that gateway would have reported the change.
      */
     #isInContact(nowMs: number): boolean {
-        const roster = this.#holding.roster;
+        const roster = this.#state.roster;
         if (this.#recovering || roster === undefined) {
             return false;
         }
@@ -226,8 +233,8 @@
 
     #tick(nowMs: number): readonly FleetCommand[] {
         const commands: FleetCommand[] = [];
-        if (!this.#reading && nowMs >= this.#readDueAtMs) {
-            this.#reading = true;
+        if (!this.#isReading && nowMs >= this.#readDueAtMs) {
+            this.#isReading = true;
             this.#readDueAtMs = nowMs + this.#timings.storeReadIntervalMs;
             commands.push({ type: "readStore" });
         }
@@ -242,16 +249,16 @@
     }
 
     #heartbeats(nowMs: number): readonly FleetCommand[] {
-        const rosterNames = new Set(listRosterGateways(this.#holding.roster).map(gateway => gateway.name));
+        const rosterNames = new Set(listRosterGateways(this.#state.roster).map(gateway => gateway.name));
         this.#contacts.prune(rosterNames, nowMs - 2 * this.#timings.freshForMs);
         const commands: FleetCommand[] = [];
         for (const address of this.#schedule.due(this.#peerAddresses(nowMs), nowMs)) {
             const signalBytes = this.#signals.read(nowMs).length * heartbeatEntryBytes;
-            const sparedBytes = this.#budget.available(nowMs) - heartbeatBytes - signalBytes;
-            if (sparedBytes < 0 && !this.#schedule.isUrgent(address)) {
+            const remainingBytes = this.#budget.available(nowMs) - heartbeatBytes - signalBytes;
+            if (remainingBytes < 0 && !this.#schedule.isUrgent(address)) {
                 break;
             }
-            const loadLimit = Math.max(0, Math.floor(sparedBytes / heartbeatEntryBytes));
+            const loadLimit = Math.max(0, Math.floor(remainingBytes / heartbeatEntryBytes));
             const heartbeat = this.#createHeartbeat(loadLimit, nowMs);
             this.#budget.spend(heartbeatBytes + signalBytes + heartbeat.loads.length * heartbeatEntryBytes);
             this.#schedule.onSent(address, nowMs);
@@ -262,22 +269,22 @@
 
     #storeRead(event: Extract<FleetEvent, { readonly type: "storeRead"; }>, nowMs: number): readonly FleetCommand[] {
         const { startedAtMs, head, roster, survey } = event;
-        this.#reading = false;
-        const commands = [...this.#take({ offered: head, roster })];
+        this.#isReading = false;
+        const commands = [...this.#mergeOffer({ offered: head, roster })];
         const headRevision = head?.revision ?? 0;
         const rosterVersion = roster?.version ?? 0;
-        // A store that shows less than was already seen has been put back, or answers from the past: it confirms
-        // nothing, and nothing is written on the strength of it.
-        if (headRevision !== this.#holding.revision || rosterVersion !== this.#holding.rosterVersion) {
+        // A store that returns older state than this gateway holds was restored from a backup or serves stale reads. It
+        // confirms nothing, and nothing is written on the basis of this read.
+        if (headRevision !== this.#state.revision || rosterVersion !== this.#state.rosterVersion) {
             return commands;
         }
-        if (head !== undefined && head.changeId !== this.#holding.configuration?.changeId) {
+        if (head !== undefined && head.changeId !== this.#state.configuration?.changeId) {
             return commands;
         }
         this.#recovering = false;
-        this.#freshness.onStoreRead(startedAtMs, this.#holding);
-        this.#tellKeeperOwnState(nowMs);
-        const swap = survey === undefined ? undefined : this.#keeper.reconcile(survey, nowMs);
+        this.#freshness.onStoreRead(startedAtMs, this.#state);
+        this.#reportOwnVersions(nowMs);
+        const swap = survey === undefined ? undefined : this.#rosterReconciler.reconcile(survey, nowMs);
         if (swap !== undefined && !this.#stopping) {
             commands.push({ type: "swapRoster", swap });
         }
@@ -294,9 +301,9 @@
         if (heartbeat.from.name === this.#self.name) {
             return [];
         }
-        this.#contacts.onHeartbeat(startedAtMs, heartbeat, this.#holding);
-        this.#freshness.onPeerHeartbeat(startedAtMs, heartbeat, this.#holding);
-        this.#keeper.onVersionReport({
+        this.#contacts.onHeartbeat(startedAtMs, heartbeat, this.#state);
+        this.#freshness.onPeerHeartbeat(startedAtMs, heartbeat, this.#state);
+        this.#rosterReconciler.onVersionReport({
             gateway: heartbeat.from,
             revision: heartbeat.revision,
             rosterVersion: heartbeat.rosterVersion,
@@ -310,7 +317,7 @@
 
     #fetchNewer(heartbeat: Heartbeat): readonly FleetCommand[] {
         const address = heartbeat.from.peerAddress;
-        if (this.#holding.isAtLeast(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
+        if (this.#state.isAtLeast(heartbeat.revision, heartbeat.rosterVersion) || this.#fetching.has(address)) {
             return [];
         }
         this.#fetching.add(address);
@@ -327,20 +334,20 @@
         return this.#tick(nowMs);
     }
 
-    #take(offer: ConfigurationOffer): readonly FleetCommand[] {
-        const taken: StateChange = this.#holding.merge(offer);
-        this.#contacts.reevaluate(this.#holding);
+    #mergeOffer(offer: ConfigurationOffer): readonly FleetCommand[] {
+        const change: StateChange = this.#state.merge(offer);
+        this.#contacts.reevaluate(this.#state);
         this.#recoverFromPeers();
-        return taken.configuration === undefined ? [] : [{ type: "apply", configuration: taken.configuration }];
+        return change.configuration === undefined ? [] : [{ type: "apply", configuration: change.configuration }];
     }
 
     /**
-     * A process that starts while the store is down takes up what it may have held before from a majority of the
-     * roster. It doesn't count itself: it may have been the one gateway that a majority for a change had in common with
-     * the others that answer now, and has forgotten the change.
+     * A process that starts while the store is down recovers the state that it may have held before from a majority of
+     * the roster, without counting itself. It may have been the only gateway that the majority for a change had in
+     * common with the peers that respond now, and it has lost the change.
      */
     #recoverFromPeers(): void {
-        const roster = this.#holding.roster;
+        const roster = this.#state.roster;
         if (!this.#recovering || roster === undefined) {
             return;
         }
@@ -349,11 +356,11 @@
         this.#recovering = !hasMajority(roster, names);
     }
 
-    #tellKeeperOwnState(nowMs: number): void {
-        this.#keeper.onVersionReport({
+    #reportOwnVersions(nowMs: number): void {
+        this.#rosterReconciler.onVersionReport({
             gateway: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
             recentCallers: [],
             startedAtMs: nowMs,
             answeredAtMs: nowMs,
@@ -363,9 +370,9 @@
     #createHeartbeat(loadLimit: number, nowMs: number): Heartbeat {
         return {
             from: this.#self,
-            revision: this.#holding.revision,
-            rosterVersion: this.#holding.rosterVersion,
-            freshnessAgeMs: this.#freshness.ageMs(nowMs, this.#holding),
+            revision: this.#state.revision,
+            rosterVersion: this.#state.rosterVersion,
+            freshnessAgeMs: this.#freshness.ageMs(nowMs, this.#state),
             recovering: this.#recovering,
             signals: this.#signals.read(nowMs),
             loads: this.#loads.take(loadLimit, nowMs),
@@ -373,20 +380,20 @@
         };
     }
 
-    #recentCallers(nowMs: number): readonly GatewayIdentity[] {
-        return this.#callers.since(nowMs - this.#timings.freshForMs - this.#timings.marginMs);
+    #listRecentCallers(nowMs: number): readonly GatewayIdentity[] {
+        return this.#recentCallers.since(nowMs - this.#timings.freshForMs - this.#timings.marginMs);
     }
 
     /**
-     * Where each peer listens: as it last said itself, else as the roster has it. Gateways that aren't in the roster
-     * yet are known by their calls. The seeds are called for as long as there is no contact with a majority.
+     * Peer addresses: the one that each peer reported last, otherwise the one in the roster. Gateways that aren't in
+     * the roster yet are known from their calls. The seeds are included while no majority is in contact.
      */
     #peerAddresses(nowMs: number): readonly string[] {
         const byName = new Map<string, string>();
-        for (const gateway of listRosterGateways(this.#holding.roster)) {
+        for (const gateway of listRosterGateways(this.#state.roster)) {
             byName.set(gateway.name, gateway.peerAddress);
         }
-        for (const gateway of [...this.#contacts.identities, ...this.#recentCallers(nowMs)]) {
+        for (const gateway of [...this.#contacts.identities, ...this.#listRecentCallers(nowMs)]) {
             byName.set(gateway.name, gateway.peerAddress);
         }
         byName.delete(this.#self.name);
@@ -394,6 +401,7 @@
         return [...byName.values(), ...seeds].filter(address => address !== this.#self.peerAddress);
     }
 
+    /** Expiry of a lease, counted from the start of the call and reduced by a margin for the rates of the clocks. */
     #validUntilMs(startedAtMs: number, ttlMs: number): number {
         return startedAtMs + ttlMs - Math.min(this.#timings.marginMs, ttlMs / 4);
     }
--- a/packages/membership/src/heartbeatSchedule.ts
+++ b/packages/membership/src/heartbeatSchedule.ts
@@ -1,4 +1,4 @@
-/** Remembers when each peer was last called, and says who is due. */
+/** Schedules heartbeats: tracks the last heartbeat to each peer and determines which are due. */
 export class HeartbeatSchedule {
     readonly #intervalMs: number;
     readonly #sentAtMs = new Map<string, number>();
@@ -9,7 +9,7 @@
         this.#intervalMs = intervalMs;
     }
 
-    /** Calls everybody at once, whatever the interval and the budget say. */
+    /** Makes heartbeats to these peers due immediately, regardless of the interval and the traffic budget. */
     markUrgent(addresses: readonly string[]): void {
         this.#urgent = new Set(addresses);
     }
@@ -19,27 +19,27 @@
     }
 
     /**
-     * @param addresses - everybody who should hear
-     * @returns who is to be called now, longest waiting first
+     * @param addresses - addresses of all peers
+     * @returns addresses of the peers to be called now, the one with the oldest heartbeat first
      */
     due(addresses: readonly string[], nowMs: number): readonly string[] {
-        const wanted = new Set(addresses);
+        const current = new Set(addresses);
         for (const address of this.#sentAtMs.keys()) {
-            if (!wanted.has(address)) {
+            if (!current.has(address)) {
                 this.#sentAtMs.delete(address);
             }
         }
-        const waiting: string[] = [];
-        for (const address of wanted) {
+        const dueAddresses: string[] = [];
+        for (const address of current) {
             const sentAtMs = this.#sentAtMs.get(address) ?? Number.NEGATIVE_INFINITY;
             if (this.#inFlight.has(address)) {
                 continue;
             }
             if (this.#urgent.has(address) || nowMs >= sentAtMs + this.#intervalMs) {
-                waiting.push(address);
+                dueAddresses.push(address);
             }
         }
-        return waiting.sort((a, b) => this.#lastSentAtMs(a) - this.#lastSentAtMs(b));
+        return dueAddresses.sort((a, b) => this.#lastSentAtMs(a) - this.#lastSentAtMs(b));
     }
 
     onSent(address: string, nowMs: number): void {
--- a/packages/membership/src/signalOutbox.ts
+++ b/packages/membership/src/signalOutbox.ts
@@ -1,33 +1,34 @@
 import { type ServerSignal } from "@galenaglade/routing";
 
-/** Signals that one gateway passes on at the same time; the oldest fall out. */
-const maximumSignals = 64;
+/** Maximum number of signals that a gateway forwards at the same time; the oldest are dropped. */
+const maxSignals = 64;
 
-interface Posted {
+interface OutboxEntry {
     readonly signal: ServerSignal;
-    readonly postedAtMs: number;
+    readonly addedAtMs: number;
 }
 
-/** Signals to pass on to peers, each for a while, so that one lost heartbeat loses none. */
+/** Signals to forward to peers. Each is repeated for some time, so that a lost heartbeat doesn't lose it. */
 export class SignalOutbox {
     readonly #keepMs: number;
-    #posted: readonly Posted[] = [];
+    #entries: readonly OutboxEntry[] = [];
 
+    /** @param keepMs - time for which each signal is repeated, in milliseconds */
     constructor(keepMs: number) {
         this.#keepMs = keepMs;
     }
 
     add(signals: readonly ServerSignal[], nowMs: number): void {
-        const added = signals.map(signal => ({ signal, postedAtMs: nowMs }));
-        this.#posted = [...this.#posted, ...added].slice(-maximumSignals);
+        const added = signals.map(signal => ({ signal, addedAtMs: nowMs }));
+        this.#entries = [...this.#entries, ...added].slice(-maxSignals);
     }
 
-    /** @returns the signals still to be passed on, with their present ages */
+    /** @returns the signals that are still to be forwarded, with their current ages in milliseconds */
     read(nowMs: number): readonly ServerSignal[] {
-        this.#posted = this.#posted.filter(posted => nowMs - posted.postedAtMs <= this.#keepMs);
-        return this.#posted.map(({ signal, postedAtMs }) => ({
+        this.#entries = this.#entries.filter(entry => nowMs - entry.addedAtMs <= this.#keepMs);
+        return this.#entries.map(({ signal, addedAtMs }) => ({
             ...signal,
-            ageMs: Math.ceil(signal.ageMs + nowMs - postedAtMs),
+            ageMs: Math.ceil(signal.ageMs + nowMs - addedAtMs),
         }));
     }
 }
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -31,13 +31,13 @@
 const step = fc.record({
     atMs: fc.integer({ min: 0, max: faultyMs }),
     kind: fc.constantFrom(...kinds),
-    who: fc.integer({ min: 0, max: 1_023 }),
-    lastsMs: fc.integer({ min: 100, max: 15_000 }),
+    selector: fc.integer({ min: 0, max: 1_023 }),
+    durationMs: fc.integer({ min: 100, max: 15_000 }),
 });
 
 type Step = Parameters<Parameters<typeof step.map>[0]>[0];
 
-/** Plays the steps of one run on a fleet. */
+/** One run of a fleet with a sequence of faults and changes. */
 class FaultyRun {
     readonly sim: Simulation;
     readonly #operators: SimulatedOperator[];
@@ -52,7 +52,7 @@
         this.#operators = [this.sim.startOperator("op0"), this.sim.startOperator("op1")];
     }
 
-    /** Besides what the steps bring, one operator makes a change every now and then, so that faults meet changes. */
+    /** Makes a change every 2 to 4 seconds in addition to the steps, so that faults coincide with changes. */
     changeRegularly(): void {
         const operator = this.sim.startOperator("regular");
         for (let atMs = 2_000; atMs < faultyMs; atMs += 2_000 + this.sim.random.nextInt(2_000)) {
@@ -60,45 +60,45 @@
         }
     }
 
-    play({ kind, who, lastsMs }: Step): void {
+    play({ kind, selector, durationMs }: Step): void {
         const sim = this.sim;
         const gateways = [...sim.gateways.values()];
-        const gateway = gateways[who % gateways.length];
-        const chosen = [...gateways.map(({ name }) => name), "op0", "op1"].filter((_, i) => (who >> i & 1) === 1);
+        const gateway = gateways[selector % gateways.length];
+        const chosen = [...gateways.map(({ name }) => name), "op0", "op1"].filter((_, i) => (selector >> i & 1) === 1);
         switch (kind) {
             case "change":
-                void sim.change(this.#operatorFor(who), `change-${this.#changes++}`);
+                void sim.change(this.#operatorFor(selector), `change-${this.#changes++}`);
                 return;
             case "standing":
-                void sim.changeStatus(this.#operatorFor(who));
+                void sim.changeStatus(this.#operatorFor(selector));
                 return;
             case "operatorEnds":
-                this.#operatorFor(who).process.end();
-                this.#operators[who % 2] = sim.startOperator(`op${who % 2}`);
+                this.#operatorFor(selector).process.end();
+                this.#operators[selector % 2] = sim.startOperator(`op${selector % 2}`);
                 return;
             case "storeCut":
                 chosen.forEach(name => sim.cutFromStore.add(name));
-                sim.time.schedule(lastsMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
+                sim.time.schedule(durationMs, () => chosen.forEach(name => sim.cutFromStore.delete(name)));
                 return;
             case "storeDown":
                 sim.cutFromStore.add("*");
-                sim.time.schedule(lastsMs, () => sim.cutFromStore.delete("*"));
+                sim.time.schedule(durationMs, () => sim.cutFromStore.delete("*"));
                 return;
             case "storeSlow":
-                sim.storeDelayMs = 1 + who;
-                sim.time.schedule(lastsMs, () => {
+                sim.storeDelayMs = 1 + selector;
+                sim.time.schedule(durationMs, () => {
                     sim.storeDelayMs = 5;
                 });
                 return;
             case "answersLost":
-                sim.lostResponseShare = who / 1_024;
-                sim.time.schedule(lastsMs, () => {
+                sim.lostResponseShare = selector / 1_024;
+                sim.time.schedule(durationMs, () => {
                     sim.lostResponseShare = 0;
                 });
                 return;
             case "readsStale":
                 sim.storeFaults.staleEngine = sim.engine.snapshot();
-                sim.time.schedule(lastsMs, () => {
+                sim.time.schedule(durationMs, () => {
                     sim.storeFaults.staleEngine = undefined;
                 });
                 return;
@@ -106,21 +106,21 @@
                 sim.storeFaults.silentWatches = true;
                 return;
             case "networkCut":
-                this.#cut(new Set(chosen), (who & 512) === 0);
-                sim.time.schedule(lastsMs, () => sim.network.heal());
+                this.#cut(new Set(chosen), (selector & 512) === 0);
+                sim.time.schedule(durationMs, () => sim.network.heal());
                 return;
             case "isolated":
-                this.#isolate(chosen.filter(name => !name.startsWith("op")), lastsMs);
+                this.#isolate(chosen.filter(name => !name.startsWith("op")), durationMs);
                 return;
             case "networkLossy":
-                sim.network.lossShare = who / 2_048;
+                sim.network.lossShare = selector / 2_048;
                 return;
             case "networkSlow":
-                sim.network.maximumDelayMs = 1 + who;
+                sim.network.maximumDelayMs = 1 + selector;
                 return;
             case "pause":
                 gateway?.process.pause();
-                sim.time.schedule(lastsMs, () => gateway?.process.resume());
+                sim.time.schedule(durationMs, () => gateway?.process.resume());
                 return;
             case "restart":
                 if (gateway !== undefined) {
@@ -140,15 +140,15 @@
         return this.sim.startOperator("op2");
     }
 
-    #operatorFor(who: number): SimulatedOperator {
-        return this.#operators[who % 2] ?? assert.fail();
+    #operatorFor(selector: number): SimulatedOperator {
+        return this.#operators[selector % 2] ?? assert.fail();
     }
 
-    /** Cuts gateways off from the store and from everybody else, as a host with a broken network is. */
-    #isolate(names: readonly string[], lastsMs: number): void {
+    /** Disconnects gateways from the store and from all other processes, like hosts with a broken network. */
+    #isolate(names: readonly string[], durationMs: number): void {
         this.#cut(new Set(names), true);
         names.forEach(name => this.sim.cutFromStore.add(name));
-        this.sim.time.schedule(lastsMs, () => {
+        this.sim.time.schedule(durationMs, () => {
             this.sim.network.heal();
             names.forEach(name => this.sim.cutFromStore.delete(name));
         });
@@ -169,7 +169,7 @@
     }
 }
 
-async function playWhole(seed: number, steps: readonly Step[]): Promise<void> {
+async function playRun(seed: number, steps: readonly Step[]): Promise<void> {
     const run = new FaultyRun(seed);
     const sim = run.sim;
     run.changeRegularly();
@@ -182,7 +182,7 @@
     sim.heal();
     await sim.run(20_000);
     const acceptance = await sim.changeNow(run.operator(), "last-change");
-    assert.ok(acceptance.inForce, "the last change came into force");
+    assert.ok(acceptance.inForce, "the last change is in force");
     await sim.run(5_000);
     const before = [...sim.gateways.values()].map(({ name, sent }) => ({ name, sent }));
     await sim.run(1_000);
@@ -192,35 +192,35 @@
     sim.check();
 }
 
-// An operator is told that a change is in force, and a caller gets an answer that an older configuration gave.
-// Each run lets changes, pauses, restarts, replaced hosts and faults of the store and the network fall together as its
-// seed has it, then ends the faults. Until then no answer may be wrong, and afterwards the fleet must serve again: a
-// fleet that refuses for good would be safe, and useless.
-test("whatever fails together, what is in force stays in force, and the fleet recovers", async () => {
+// Guards against work under an older configuration after a change was reported as in force. Each run combines changes,
+// pauses, restarts, replaced hosts and faults of the store and the network at random, then ends the faults. No work may
+// be sent under a wrong configuration, and after the faults all gateways must serve again, since a fleet that rejects
+// all work would be safe but useless.
+test("combined faults don't revert a change in force, and the fleet recovers", async () => {
     await fc.assert(
-        fc.asyncProperty(fc.integer(), fc.array(step, { minLength: 4, maxLength: 24 }), playWhole),
-        // Shrinking a failure takes many minutes of a run that is to end within ten; the seed is enough to repeat it.
+        fc.asyncProperty(fc.integer(), fc.array(step, { minLength: 4, maxLength: 24 }), playRun),
+        // Shrinking a failure would take many minutes, and the run must end within ten; the seed suffices to repeat it.
         { numRuns: runs, endOnFailure: true },
     );
 });
 
-// The same with a run that showed a fault.
-test("the run of seed 285211304 keeps what is in force, and the fleet recovers", () =>
-    playWhole(285_211_304, [
-        { atMs: 14, kind: "networkSlow", who: 428, lastsMs: 11_446 },
-        { atMs: 20_370, kind: "operatorEnds", who: 87, lastsMs: 2_012 },
-        { atMs: 10_498, kind: "isolated", who: 4, lastsMs: 5_065 },
-        { atMs: 6_398, kind: "replace", who: 935, lastsMs: 9_345 },
-        { atMs: 2, kind: "isolated", who: 414, lastsMs: 14_997 },
-        { atMs: 22_185, kind: "networkLossy", who: 1_018, lastsMs: 5_861 },
-        { atMs: 10, kind: "restart", who: 993, lastsMs: 8_265 },
-        { atMs: 8_610, kind: "storeSlow", who: 83, lastsMs: 14_067 },
-        { atMs: 3_977, kind: "storeDown", who: 231, lastsMs: 8_236 },
-        { atMs: 14_926, kind: "change", who: 7, lastsMs: 14_131 },
-        { atMs: 12_591, kind: "storeDown", who: 778, lastsMs: 8_916 },
-        { atMs: 12, kind: "operatorEnds", who: 5, lastsMs: 14_756 },
-        { atMs: 16_972, kind: "change", who: 1_003, lastsMs: 10_396 },
-        { atMs: 13_801, kind: "storeCut", who: 790, lastsMs: 4_607 },
-        { atMs: 3_115, kind: "change", who: 497, lastsMs: 106 },
-        { atMs: 10_699, kind: "storeCut", who: 859, lastsMs: 101 },
+// The same for a run that once failed.
+test("the run with seed 285211304 doesn't revert a change in force, and the fleet recovers", () =>
+    playRun(285_211_304, [
+        { atMs: 14, kind: "networkSlow", selector: 428, durationMs: 11_446 },
+        { atMs: 20_370, kind: "operatorEnds", selector: 87, durationMs: 2_012 },
+        { atMs: 10_498, kind: "isolated", selector: 4, durationMs: 5_065 },
+        { atMs: 6_398, kind: "replace", selector: 935, durationMs: 9_345 },
+        { atMs: 2, kind: "isolated", selector: 414, durationMs: 14_997 },
+        { atMs: 22_185, kind: "networkLossy", selector: 1_018, durationMs: 5_861 },
+        { atMs: 10, kind: "restart", selector: 993, durationMs: 8_265 },
+        { atMs: 8_610, kind: "storeSlow", selector: 83, durationMs: 14_067 },
+        { atMs: 3_977, kind: "storeDown", selector: 231, durationMs: 8_236 },
+        { atMs: 14_926, kind: "change", selector: 7, durationMs: 14_131 },
+        { atMs: 12_591, kind: "storeDown", selector: 778, durationMs: 8_916 },
+        { atMs: 12, kind: "operatorEnds", selector: 5, durationMs: 14_756 },
+        { atMs: 16_972, kind: "change", selector: 1_003, durationMs: 10_396 },
+        { atMs: 13_801, kind: "storeCut", selector: 790, durationMs: 4_607 },
+        { atMs: 3_115, kind: "change", selector: 497, durationMs: 106 },
+        { atMs: 10_699, kind: "storeCut", selector: 859, durationMs: 101 },
     ]));
--- a/packages/peers/src/__tests__/support/simulatedProcess.ts
+++ b/packages/peers/src/__tests__/support/simulatedProcess.ts
@@ -1,12 +1,12 @@
 import { type VirtualClock } from "@galenaglade/stand-ins";
 import { Clock } from "../../clock.js";
 
-/** One process of a simulated run: it can be stopped for a while, go on, or end. */
+/** A process in a simulation, which can be paused, resumed and ended. */
 export class SimulatedProcess {
     readonly name: string;
     readonly #time: VirtualClock;
     #state: "running" | "paused" | "ended" = "running";
-    #held: (() => void)[] = [];
+    #deferred: (() => void)[] = [];
 
     constructor(name: string, time: VirtualClock) {
         this.name = name;
@@ -17,13 +17,13 @@
         return this.#state === "running";
     }
 
-    /** Runs a turn of the process; held back while it is paused, lost once it has ended. */
+    /** Runs a turn of the process; it is deferred while the process is paused, and dropped after its end. */
     run(turn: () => void): void {
         if (this.#state === "running") {
             turn();
         }
         else if (this.#state === "paused") {
-            this.#held.push(turn);
+            this.#deferred.push(turn);
         }
     }
 
@@ -33,14 +33,14 @@
         }
     }
 
-    /** Goes on with everything that came in meanwhile, in its order. */
+    /** Resumes the process and runs all deferred turns in order. */
     resume(): void {
         if (this.#state !== "paused") {
             return;
         }
         this.#state = "running";
-        const held = this.#held;
-        this.#held = [];
+        const held = this.#deferred;
+        this.#deferred = [];
         for (const turn of held) {
             turn();
         }
@@ -48,7 +48,7 @@
 
     end(): void {
         this.#state = "ended";
-        this.#held = [];
+        this.#deferred = [];
     }
 
     createClock(): Clock {
--- a/packages/peers/src/__tests__/support/simulatedStore.ts
+++ b/packages/peers/src/__tests__/support/simulatedStore.ts
@@ -13,20 +13,20 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type SimulatedProcess } from "./simulatedProcess.js";
 
-/** How often a waiting watch looks, in milliseconds. */
-const watchLookMs = 250;
+/** Interval at which a waiting watch polls for changes, in milliseconds. */
+const watchPollIntervalMs = 250;
 
-/** What the store does wrong for everybody. */
+/** Faults of the store that affect all processes. */
 export interface StoreFaults {
-    /** Plain reads come from this state of the past. */
+    /** Earlier state of the store from which plain reads are served. */
     staleEngine: KeyValueEngine | undefined;
-    /** Watches that are asked for now never end. */
+    /** Watches that start now never get a response. */
     silentWatches: boolean;
-    /** The next write of the head takes effect, and its answer is lost. */
+    /** The next write of the head takes effect, but its response is lost. */
     losesNextHeadResponse: boolean;
 }
 
-/** The store as one simulated process sees it. */
+/** Client of the store in one simulated process. */
 export class SimulatedStore extends KeyValueStore {
     readonly #process: SimulatedProcess;
     readonly #store: FakeStore;
@@ -53,15 +53,15 @@
     }
 
     override get(key: string): Promise<Either<Failure, KeyValue | undefined>> {
-        return this.#call(nowMs => this.#readable().get(key, nowMs));
+        return this.#call(nowMs => this.#readEngine().get(key, nowMs));
     }
 
     override list(
         prefix: string,
     ): Promise<Either<Failure, { readonly revision: number; readonly entries: readonly KeyValue[]; }>> {
         return this.#call(nowMs => {
-            const entries = this.#readable().list(prefix, nowMs);
-            return { revision: this.#readable().revision, entries };
+            const entries = this.#readEngine().list(prefix, nowMs);
+            return { revision: this.#readEngine().revision, entries };
         });
     }
 
@@ -69,7 +69,7 @@
         const swap = await this.#call(nowMs => {
             const outcome = this.#engine.compareAndSwap(req, nowMs);
             this.#onSwap(req, outcome.swapped);
-            return { outcome, lost: outcome.swapped && this.#loses(req) };
+            return { outcome, lost: outcome.swapped && this.#losesResponse(req) };
         });
         return swap.chain(({ outcome, lost }) =>
             lost ? Left(createFailure("storeOutcomeUnknown", "timeout")) : Right(outcome)
@@ -95,19 +95,19 @@
         }
         const untilMs = this.#time.nowMs + req.waitMs;
         return new Promise(resolve => {
-            const look = (): void => {
+            const poll = (): void => {
                 const events = this.#engine.changesSince(req.prefix, req.afterRevision, this.#time.nowMs);
                 if (events.changed.length > 0 || this.#time.nowMs >= untilMs) {
                     void this.#call(() => events).then(resolve);
                     return;
                 }
-                this.#time.schedule(watchLookMs, look);
+                this.#time.schedule(watchPollIntervalMs, poll);
             };
-            look();
+            poll();
         });
     }
 
-    #loses(req: CompareAndSwap): boolean {
+    #losesResponse(req: CompareAndSwap): boolean {
         if (!this.#faults.losesNextHeadResponse || req.key !== storeKeys.head || req.value === undefined) {
             return false;
         }
@@ -115,7 +115,7 @@
         return true;
     }
 
-    #readable(): KeyValueEngine {
+    #readEngine(): KeyValueEngine {
         return this.#faults.staleEngine ?? this.#engine;
     }
 
--- a/packages/peers/src/gatewayFleetMembership.ts
+++ b/packages/peers/src/gatewayFleetMembership.ts
@@ -27,14 +27,14 @@
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
 /**
- * @param options - who this gateway is and whom it talks to
- * @returns its part in the fleet, to be started
+ * @param options - identity of the gateway, and its connections to the store and to peers
+ * @returns the gateway's fleet membership, to be started
  */
 export function createFleetMembership(options: FleetMembershipOptions): FleetMembership {
-    return new FleetMemberShell(options);
+    return new GatewayFleetMembership(options);
 }
 
-class FleetMemberShell implements FleetMembership {
+class GatewayFleetMembership implements FleetMembership {
     readonly #options: FleetMembershipOptions;
     readonly #timings: FleetTimings;
     readonly #clock: Clock;
@@ -43,8 +43,8 @@
     readonly #onConfiguration: ((configuration: ConfigurationRevision) => void)[] = [];
     readonly #onSignals: OnSignals[] = [];
     readonly #onLoads: OnLoads[] = [];
-    #observe: ObserveServers = () => [];
-    #answerColdStart: ((word: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
+    #observationHandler: ObserveServers = () => [];
+    #coldStartHandler: ((heartbeat: ColdStartHeartbeat) => ColdStartHeartbeat) | undefined;
     readonly #stopped = new AbortController();
     #self: GatewayIdentity | undefined;
     #member: FleetMember | undefined;
@@ -110,17 +110,17 @@
         this.#onLoads.push(callback);
     }
 
-    setObservationHandler(observe: ObserveServers): void {
-        this.#observe = observe;
+    setObservationHandler(handler: ObserveServers): void {
+        this.#observationHandler = handler;
     }
 
-    setColdStartHandler(answer: (word: ColdStartHeartbeat) => ColdStartHeartbeat): void {
-        this.#answerColdStart = answer;
+    setColdStartHandler(handler: (heartbeat: ColdStartHeartbeat) => ColdStartHeartbeat): void {
+        this.#coldStartHandler = handler;
     }
 
-    exchangeColdStart(word: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
+    exchangeColdStart(heartbeat: ColdStartHeartbeat): readonly Promise<Either<Failure, ColdStartHeartbeat>>[] {
         const others = listRosterGateways(this.roster()).filter(({ name }) => name !== this.#options.name);
-        return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, word));
+        return others.map(({ peerAddress }) => this.#caller.exchangeColdStart(peerAddress, heartbeat));
     }
 
     roster(): Roster | undefined {
@@ -136,12 +136,13 @@
     }
 
     async stop(): Promise<void> {
-        // No new work from here on: whoever accepts a change may not know of this gateway once its lease is gone.
+        // No new work is accepted from here on: without its lease, this gateway may be unknown to the admin process
+        // when a change is declared in force.
         this.beginStop();
         this.#stopped.abort();
         this.#cancelTick();
         if (this.#leaseId !== undefined) {
-            await this.#limited(this.#options.store.revokeLease(this.#leaseId));
+            await this.#withStoreTimeout(this.#options.store.revokeLease(this.#leaseId));
         }
         await this.#listener.close();
     }
@@ -149,30 +150,33 @@
     #createHandler(): PeerHandler {
         return {
             heartbeat: heartbeat => {
-                const member = this.#startedMember();
-                this.#passOn(heartbeat, 0);
+                const member = this.#requireMember();
+                this.#notifyListeners(heartbeat, 0);
                 const { answer, commands } = member.answerHeartbeat(heartbeat, this.#clock.nowMs());
                 this.#run(commands);
                 return answer;
             },
-            fetch: () => this.#startedMember().createOffer(),
+            fetch: () => this.#requireMember().createOffer(),
             offer: offer => {
-                const { answer, commands } = this.#startedMember().answerOffer(offer, this.#clock.nowMs());
+                const { answer, commands } = this.#requireMember().answerOffer(offer, this.#clock.nowMs());
                 this.#run(commands);
                 return answer;
             },
-            exchangeColdStart: word => {
-                if (this.#answerColdStart === undefined) {
+            exchangeColdStart: heartbeat => {
+                if (this.#coldStartHandler === undefined) {
                     throw new Error("cold start isn't looked after here");
                 }
-                return this.#answerColdStart(word);
+                return this.#coldStartHandler(heartbeat);
             },
-            observe: service => limitObservations(this.#options.name, this.#observe(service)),
+            observe: service => limitObservations(this.#options.name, this.#observationHandler(service)),
         };
     }
 
-    /** The peer port opens a moment before the address is known that the member needs; calls until then fail. */
-    #startedMember(): FleetMember {
+    /**
+     * The peer port accepts calls shortly before the member is created, which needs the port's address. Calls in this
+     * time fail.
+     */
+    #requireMember(): FleetMember {
         if (this.#member === undefined) {
             throw new Error("not started yet");
         }
@@ -192,11 +196,11 @@
 
     #run(commands: readonly FleetCommand[]): void {
         for (const command of commands) {
-            this.#runOne(command);
+            this.#runCommand(command);
         }
     }
 
-    #runOne(command: FleetCommand): void {
+    #runCommand(command: FleetCommand): void {
         switch (command.type) {
             case "apply":
                 for (const callback of this.#onConfiguration) {
@@ -219,7 +223,7 @@
                 void this.#fetch(command.address);
                 return;
             case "swapRoster":
-                void this.#limited(this.#options.store.compareAndSwap({
+                void this.#withStoreTimeout(this.#options.store.compareAndSwap({
                     key: storeKeys.roster,
                     expectedRevision: command.swap.expectedRevision,
                     value: JSON.stringify(command.swap.roster),
@@ -230,7 +234,7 @@
 
     async #readStore(): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
-        const read = await this.#limited(readFleet(this.#options.store));
+        const read = await this.#withStoreTimeout(readFleet(this.#options.store));
         if (read.isLeft()) {
             this.#handle({ type: "storeReadFailed" });
             return;
@@ -252,7 +256,7 @@
         }
         const startedAtMs = this.#clock.nowMs();
         const ttlMs = this.#timings.leaseTtlMs;
-        const registered = await this.#limited(register(this.#options.store, this.#self, ttlMs));
+        const registered = await this.#withStoreTimeout(register(this.#options.store, this.#self, ttlMs));
         if (registered.isLeft()) {
             this.#handle({ type: "registrationFailed" });
             return;
@@ -266,7 +270,7 @@
             return;
         }
         const startedAtMs = this.#clock.nowMs();
-        const renewed = await this.#limited(this.#options.store.renewLease(this.#leaseId));
+        const renewed = await this.#withStoreTimeout(this.#options.store.renewLease(this.#leaseId));
         renewed.caseOf({
             Left: failure => this.#handle({ type: "renewalFailed", lapsed: failure.kind === "notFound" }),
             Right: lease => this.#handle({ type: "renewed", startedAtMs, ttlMs: lease.ttlMs }),
@@ -275,12 +279,12 @@
 
     async #sendHeartbeat(address: string, heartbeat: Heartbeat): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
-        const answered = await this.#caller.heartbeat(address, heartbeat);
-        answered.caseOf({
+        const result = await this.#caller.heartbeat(address, heartbeat);
+        result.caseOf({
             Left: () => this.#handle({ type: "heartbeatFailed", address }),
-            Right: answer => {
-                this.#passOn(answer, this.#clock.nowMs() - startedAtMs);
-                this.#handle({ type: "heartbeatAnswered", address, startedAtMs, heartbeat: answer });
+            Right: response => {
+                this.#notifyListeners(response, this.#clock.nowMs() - startedAtMs);
+                this.#handle({ type: "heartbeatAnswered", address, startedAtMs, heartbeat: response });
             },
         });
     }
@@ -293,22 +297,22 @@
         });
     }
 
-    #passOn(heartbeat: Heartbeat, onTheWayMs: number): void {
+    #notifyListeners(heartbeat: Heartbeat, maxTransitMs: number): void {
         if (heartbeat.signals.length > 0) {
-            const signals = heartbeat.signals.map(signal => ({ ...signal, ageMs: signal.ageMs + onTheWayMs }));
+            const signals = heartbeat.signals.map(signal => ({ ...signal, ageMs: signal.ageMs + maxTransitMs }));
             for (const callback of this.#onSignals) {
                 callback(signals, heartbeat.from);
             }
         }
         if (heartbeat.loads.length > 0) {
-            const loads = heartbeat.loads.map(load => ({ ...load, ageMs: load.ageMs + onTheWayMs }));
+            const loads = heartbeat.loads.map(load => ({ ...load, ageMs: load.ageMs + maxTransitMs }));
             for (const callback of this.#onLoads) {
                 callback(loads, heartbeat.from);
             }
         }
     }
 
-    /** Tells of changes as they come. A watch may go silent for good, so the regular reads go on beside it. */
+    /** Triggers a read when the head changes. Regular reads continue, since a watch may stop responding forever. */
     async #watch(): Promise<void> {
         let afterRevision = 0;
         while (!this.#stopped.signal.aborted) {
@@ -338,18 +342,18 @@
     async #readHosts(): Promise<void> {
         const hosts = this.#options.hosts;
         while (hosts !== undefined && !this.#stopped.signal.aborted) {
-            const listed = await this.#limited(hosts.list());
+            const listed = await this.#withStoreTimeout(hosts.list());
             this.#hostNames = listed.map(entries => entries.map(entry => entry.name)).toMaybe().extract();
             this.#handle({ type: "hostsListed", names: this.#hostNames ?? [] });
             await delay(this.#clock, this.#timings.removeAfterMs / 3, this.#stopped.signal);
         }
     }
 
-    #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(call: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
-            answer,
+            call,
             () => Left(createFailure("storeOutcomeUnknown", "the store took too long")),
         );
     }
--- a/packages/peers/src/httpPeerListener.ts
+++ b/packages/peers/src/httpPeerListener.ts
@@ -16,19 +16,19 @@
 import { type PeerHandler, PeerListener } from "./peerCaller.js";
 import { createPeerRouter } from "./peerRouter.js";
 
-/** Where peers' calls come in, and who may call. */
+/** Options of {@link createPeerListener}. */
 export interface PeerListenerOptions {
-    /** IP number to listen at. */
+    /** IP address to listen on. */
     readonly host: string;
-    /** 0 for any free port. */
+    /** Port to listen on; 0 for any free port. */
     readonly port: number;
-    /** Every caller has to know it. */
+    /** Shared secret of the fleet, required in each call. */
     readonly fleetKey: string;
 }
 
 /**
- * @param options - where to listen, and the fleet's key
- * @returns a listener for calls over HTTP
+ * @param options - the address to listen on and the fleet's key
+ * @returns a listener for tRPC calls over HTTP
  */
 export function createPeerListener(options: PeerListenerOptions): PeerListener {
     return new HttpPeerListener(options);
@@ -55,11 +55,11 @@
                 maxHeaderSize: 8_192,
             },
             (req, res) => {
-                // Nobody reads the date, and it is a tenth of a heartbeat's answer.
+                // The Date header is unused and would make up a tenth of a heartbeat response.
                 res.sendDate = false;
-                if (isAdmitted(req, res, expected)) {
+                if (authenticate(req, res, expected)) {
                     const path = resolvePath(req);
-                    void nodeHTTPRequestHandler({ router, req, res, path, maxBodySize: limitFor(path) });
+                    void nodeHTTPRequestHandler({ router, req, res, path, maxBodySize: maxBodyBytesFor(path) });
                 }
             },
         );
@@ -90,18 +90,17 @@
     return createHash("sha256").update(text).digest();
 }
 
-/** Turns strangers away before a byte of their body is kept. */
-function isAdmitted(req: IncomingMessage, res: ServerResponse, expected: Buffer): boolean {
-    // Compared in constant time: a comparison that stops at the first difference tells a stranger, by its duration,
-    // how much of a guess was right.
+/** Authenticates a caller; rejects it before any of its body is buffered. */
+function authenticate(req: IncomingMessage, res: ServerResponse, expected: Buffer): boolean {
+    // Compared in constant time: otherwise the duration would reveal how many leading characters of a guess are right.
     if (timingSafeEqual(digest(req.headers.authorization ?? ""), expected)) {
         return true;
     }
-    refuse(res, 401);
+    reject(res, 401);
     return false;
 }
 
-function refuse(res: ServerResponse, status: number): void {
+function reject(res: ServerResponse, status: number): void {
     res.writeHead(status, { "connection": "close", "content-length": 0 });
     res.end();
 }
@@ -110,6 +109,6 @@
     return (req.url ?? "/").slice(1).split("?", 1)[0] ?? "";
 }
 
-function limitFor(path: string): number {
+function maxBodyBytesFor(path: string): number {
     return path === "offer" ? maxOfferBytes : maxCallBytes;
 }
--- a/packages/peers/src/storeChangeCoordinator.ts
+++ b/packages/peers/src/storeChangeCoordinator.ts
@@ -23,32 +23,33 @@
 import { type PeerCaller } from "./peerCaller.js";
 import { createPeerCaller } from "./trpcPeerCaller.js";
 
-/** What admin needs to order changes. */
+/** Options of a {@link StoreChangeCoordinator}. */
 export interface ChangeCoordinatorOptions {
     readonly store: KeyValueStore;
     readonly fleetKey: string;
     readonly timings?: FleetTimings | undefined;
-    /** For tests: in place of the process's clock and the calls to gateways. */
+    /** Replaces the process's clock in tests. */
     readonly clock?: Clock | undefined;
+    /** Replaces the calls to gateways in tests. */
     readonly caller?: PeerCaller | undefined;
 }
 
 /**
- * @param options - the store and the fleet's key
- * @returns orders changes and waits until they are in force
+ * @param options - the store, the fleet's key and overrides for tests
+ * @returns a coordinator for the admin process
  */
 export function createChangeCoordinator(options: ChangeCoordinatorOptions): StoreChangeCoordinator {
     return new StoreChangeCoordinator(options);
 }
 
-/** Orders changes by compare-and-swap on the head, and offers them to every gateway. */
+/** Writes changes by compare-and-swap on the head, and offers them to all gateways. */
 export class StoreChangeCoordinator extends ChangeCoordinator {
     readonly #store: KeyValueStore;
     readonly #timings: FleetTimings;
     readonly #clock: Clock;
     readonly #caller: PeerCaller;
-    /** Kept from one call to the next, so that asking again finds out what the time between has settled. */
-    #newest: AcceptanceTracker | undefined;
+    /** Tracker of the latest revision. It is kept between calls, so that the time between them counts. */
+    #latestTracker: AcceptanceTracker | undefined;
 
     constructor(options: ChangeCoordinatorOptions) {
         super();
@@ -60,7 +61,7 @@
     }
 
     override async read(): Promise<Either<Failure, ConfigurationRevision>> {
-        const read = await this.#limited(readHead(this.#store));
+        const read = await this.#withStoreTimeout(readHead(this.#store));
         return read.map(({ head }) => head ?? emptyConfiguration);
     }
 
@@ -74,43 +75,44 @@
     }
 
     override async changeStatus(): Promise<Either<Failure, ChangeStatus>> {
-        // The roster has to be read after the change is known to be written. One that was read before may have been
-        // left behind by the time of the change, and a majority of it says nothing of the gateways that count since.
-        const head = await this.#limited(readHead(this.#store));
-        const read = await this.#limited(readFleet(this.#store));
+        // The roster must be read after the head. A roster that was read before may have been replaced before the
+        // change was written, and a majority of it says nothing about the current members.
+        const head = await this.#withStoreTimeout(readHead(this.#store));
+        const read = await this.#withStoreTimeout(readFleet(this.#store));
         if (head.isLeft() || read.isLeft()) {
             return Left((head.isLeft() ? head : read).extract() as Failure);
         }
         const fleet = read.unsafeCoerce();
         const { revision, changeId } = head.unsafeCoerce().head ?? emptyConfiguration;
         const tracker = this.#trackerFor(revision);
-        this.#survey(tracker, fleet);
-        // Twice: the second round shows that the first one's answers held at the same time.
+        this.#updateSurvey(tracker, fleet);
+        // The second round confirms that the versions in the first responses were held at the same time.
         await this.#offerToAll(tracker, fleet);
         await this.#offerToAll(tracker, fleet);
-        return Right(this.#acceptance(tracker, { revision, changeId }));
+        return Right(this.#createStatus(tracker, { revision, changeId }));
     }
 
     /**
-     * Vouches that a gateway runs nowhere any more and won't be started again under its name without the store. It
-     * then counts as having agreed to leave the roster; needed where more than half of the roster was lost at once and
-     * the platform's host list doesn't say so.
+     * Records an operator's confirmation that a gateway has ended and that no process will be started under its name
+     * without the store. The gateway then counts as having agreed to leave the roster. This is needed if more than half
+     * of the roster is lost at once and the platform's host list doesn't show it.
      *
-     * A word given for a gateway that lives would let a change be called in force while that gateway still sends work
-     * under the older configuration. So it is refused of a gateway that is registered, and of one that is cut off from
-     * the store but answers here. One that does neither, and serves on, is what the operator vouches against.
+     * If a live gateway were recorded, a change could be declared in force while that gateway still sends work under
+     * the older configuration. So the call is rejected for a gateway that is registered, and for one that is
+     * disconnected from the store but responds to the admin process. The operator has to exclude the remaining case, a
+     * gateway that still serves but neither is registered nor responds.
      */
     override async forget(name: string): Promise<Either<Failure, void>> {
-        const fleet = await this.#limited(readFleet(this.#store));
+        const fleet = await this.#withStoreTimeout(readFleet(this.#store));
         if (fleet.isLeft()) {
-            return Left(asRead(fleet.extract()));
+            return Left(toReadFailure(fleet.extract()));
         }
-        const known = findByName(fleet.unsafeCoerce().roster, name);
-        const refused = await this.#refuseToForget(name, known);
-        if (refused !== undefined) {
-            return Left(refused);
+        const identities = findByName(fleet.unsafeCoerce().roster, name);
+        const rejection = await this.#checkForget(name, identities);
+        if (rejection !== undefined) {
+            return Left(rejection);
         }
-        const swap = await this.#limited(this.#store.compareAndSwap({
+        const swap = await this.#withStoreTimeout(this.#store.compareAndSwap({
             key: `${storeKeys.forgottenPrefix}${name}`,
             expectedRevision: 0,
             value: "{}",
@@ -118,65 +120,68 @@
         if (swap.isLeft()) {
             return Left(swap.extract());
         }
-        return this.#takeBackIfRegistered(name);
+        return this.#undoForgetIfRegistered(name);
     }
 
-    async #refuseToForget(name: string, known: readonly GatewayIdentity[]): Promise<Failure | undefined> {
-        const registered = await this.#limited(isRegistered(this.#store, name));
+    async #checkForget(name: string, identities: readonly GatewayIdentity[]): Promise<Failure | undefined> {
+        const registered = await this.#withStoreTimeout(isRegistered(this.#store, name));
         if (registered.isLeft()) {
-            return asRead(registered.extract());
+            return toReadFailure(registered.extract());
         }
         if (registered.unsafeCoerce()) {
-            return createStillRegistered(name);
+            return createRegisteredFailure(name);
         }
-        const answers = await Promise.all(known.map(({ peerAddress }) => this.#caller.offer(peerAddress, nothing)));
-        // The address alone says nothing: it may have been given to another gateway since.
-        if (answers.some(answer => answer.toMaybe().extract()?.gateway.name === name)) {
+        const responses = await Promise.all(
+            identities.map(({ peerAddress }) => this.#caller.offer(peerAddress, emptyOffer)),
+        );
+        // The name is compared, since the address may have been reused by another gateway.
+        if (responses.some(response => response.toMaybe().extract()?.gateway.name === name)) {
             return createFailure("badRequest", `gateway ${name} answers at its peer port`, { didRun: "no" });
         }
-        if (known.length > 0) {
+        if (identities.length > 0) {
             return undefined;
         }
-        const forgotten = await this.#limited(isForgotten(this.#store, name));
+        const forgotten = await this.#withStoreTimeout(isForgotten(this.#store, name));
         return forgotten.caseOf<Failure | undefined>({
-            Left: asRead,
-            Right: isKnown =>
-                isKnown ? undefined : createFailure("notFound", `no gateway ${name} in the fleet's roster`),
+            Left: toReadFailure,
+            Right: isAlreadyForgotten =>
+                isAlreadyForgotten ? undefined : createFailure("notFound", `no gateway ${name} in the fleet's roster`),
         });
     }
 
     /**
-     * A gateway may have registered between the look and the word. It took back what words there were before it
-     * registered, and this one would stay: once its registration lapses while it serves, it would be counted as gone.
+     * Deletes the record again if the gateway registered between the check and the write. A gateway deletes existing
+     * records when it registers, but would miss this one. If its registration later expired while it serves, it would
+     * count as ended.
      */
-    async #takeBackIfRegistered(name: string): Promise<Either<Failure, void>> {
-        const registered = await this.#limited(isRegistered(this.#store, name));
+    async #undoForgetIfRegistered(name: string): Promise<Either<Failure, void>> {
+        const registered = await this.#withStoreTimeout(isRegistered(this.#store, name));
         if (registered.isLeft()) {
-            // The word is stored, and whether it may stay isn't known; said again, it is looked at again.
+            // The record is stored, but whether it may stay is unknown; a repeated call checks again.
             return Left(createFailure("storeOutcomeUnknown", registered.extract().detail));
         }
         if (!registered.unsafeCoerce()) {
             return Right(undefined);
         }
-        const dropped = await this.#limited(clearForgotten(this.#store, name));
-        return dropped.chain(() => Left(createStillRegistered(name)));
+        const cleared = await this.#withStoreTimeout(clearForgotten(this.#store, name));
+        return cleared.chain(() => Left(createRegisteredFailure(name)));
     }
 
     async #write(req: ChangeRequest, deadlineMs: number): Promise<Either<Failure, WrittenChange>> {
         let mayBeWritten = false;
         for (;;) {
-            const tried = await this.#tryWrite(req);
-            if (tried.type === "written") {
-                return Right(tried.change);
+            const attempt = await this.#attemptWrite(req);
+            if (attempt.type === "written") {
+                return Right(attempt.change);
             }
-            if (tried.type === "refused") {
-                return Left(tried.failure);
+            if (attempt.type === "refused") {
+                return Left(attempt.failure);
             }
-            mayBeWritten ||= tried.mayBeWritten;
-            const failure = tried.failure;
+            mayBeWritten ||= attempt.mayBeWritten;
+            const failure = attempt.failure;
             if (failure !== undefined && !mayBeWritten) {
-                // Nothing but reads has gone unanswered so far, so that the change certainly isn't stored.
-                return Left(asRead(failure));
+                // Only reads have failed so far, so the change is certainly not stored.
+                return Left(toReadFailure(failure));
             }
             if (this.#clock.nowMs() + writeRetryMs >= deadlineMs) {
                 return Left(createFailure("storeOutcomeUnknown", "the store did not say whether the change is stored"));
@@ -187,9 +192,9 @@
         }
     }
 
-    /** Reads first: a write whose answer was lost, in this call or an earlier one, is found by its change id. */
-    async #tryWrite(req: ChangeRequest): Promise<WriteTry> {
-        const read = await this.#limited(readHead(this.#store));
+    /** Reads first: a write whose response was lost, in this call or an earlier one, is found by its change id. */
+    async #attemptWrite(req: ChangeRequest): Promise<WriteAttempt> {
+        const read = await this.#withStoreTimeout(readHead(this.#store));
         if (read.isLeft()) {
             return { type: "open", mayBeWritten: false, failure: read.extract() };
         }
@@ -203,7 +208,7 @@
             return { type: "refused", failure: next.extract() };
         }
         const nextHead = next.unsafeCoerce();
-        const swap = await this.#limited(this.#store.compareAndSwap({
+        const swap = await this.#withStoreTimeout(this.#store.compareAndSwap({
             key: storeKeys.head,
             expectedRevision: keyRevision,
             value: JSON.stringify(nextHead),
@@ -225,15 +230,15 @@
         for (let round = 0;; round++) {
             if (this.#clock.nowMs() >= surveyedAtMs + surveyIntervalMs) {
                 surveyedAtMs = this.#clock.nowMs();
-                fleet = (await this.#limited(readFleet(this.#store))).toMaybe().extract() ?? fleet;
-                this.#survey(tracker, fleet);
+                fleet = (await this.#withStoreTimeout(readFleet(this.#store))).toMaybe().extract() ?? fleet;
+                this.#updateSurvey(tracker, fleet);
             }
             if (fleet !== undefined) {
                 await this.#offerToAll(tracker, fleet);
             }
-            const acceptance = this.#acceptance(tracker, change);
-            if (acceptance.inForce || this.#clock.nowMs() >= deadlineMs) {
-                return acceptance;
+            const status = this.#createStatus(tracker, change);
+            if (status.inForce || this.#clock.nowMs() >= deadlineMs) {
+                return status;
             }
             if (round > 0) {
                 await delay(this.#clock, offerIntervalMs);
@@ -242,18 +247,18 @@
     }
 
     #trackerFor(revision: number): AcceptanceTracker {
-        if (this.#newest?.target.revision === revision) {
-            return this.#newest;
+        if (this.#latestTracker?.target.revision === revision) {
+            return this.#latestTracker;
         }
         const tracker = new AcceptanceTracker({ revision, rosterVersion: 0 }, this.#timings);
-        if (revision > (this.#newest?.target.revision ?? -1)) {
-            this.#newest = tracker;
+        if (revision > (this.#latestTracker?.target.revision ?? -1)) {
+            this.#latestTracker = tracker;
         }
         return tracker;
     }
 
-    #survey(tracker: AcceptanceTracker, fleet: StoredFleet | undefined): void {
-        // Without the registrations, a gateway that isn't in the roster would not be asked.
+    #updateSurvey(tracker: AcceptanceTracker, fleet: StoredFleet | undefined): void {
+        // Without the registrations, gateways outside the roster wouldn't be called.
         if (fleet?.listed === undefined) {
             return;
         }
@@ -269,14 +274,14 @@
     async #offer(tracker: AcceptanceTracker, fleet: StoredFleet, gateway: GatewayIdentity): Promise<void> {
         const startedAtMs = this.#clock.nowMs();
         const offer = { offered: fleet.head.head, roster: fleet.roster };
-        const answered = await this.#caller.offer(gateway.peerAddress, offer);
-        answered.caseOf({
+        const response = await this.#caller.offer(gateway.peerAddress, offer);
+        response.caseOf({
             Left: () => tracker.onCallFailed(gateway.name),
             Right: answer => tracker.onVersionReport({ ...answer, startedAtMs, answeredAtMs: this.#clock.nowMs() }),
         });
     }
 
-    #acceptance(tracker: AcceptanceTracker, change: WrittenChange): ChangeStatus {
+    #createStatus(tracker: AcceptanceTracker, change: WrittenChange): ChangeStatus {
         const nowMs = this.#clock.nowMs();
         return {
             revision: change.revision,
@@ -286,37 +291,37 @@
         };
     }
 
-    #limited<T>(answer: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
+    #withStoreTimeout<T>(call: Promise<Either<Failure, T>>): Promise<Either<Failure, T>> {
         return withTimeout(
             this.#clock,
             this.#timings.freshForMs,
-            answer,
+            call,
             () => Left(createFailure("storeOutcomeUnknown", "the store took too long")),
         );
     }
 }
 
-const nothing: ConfigurationOffer = Object.freeze({ offered: undefined, roster: undefined });
+const emptyOffer: ConfigurationOffer = Object.freeze({ offered: undefined, roster: undefined });
 
 function findByName(roster: Roster | undefined, name: string): readonly GatewayIdentity[] {
     const members = [...roster?.members ?? [], ...roster?.previous ?? []];
     return members.filter(member => member.name === name);
 }
 
-function createStillRegistered(name: string): Failure {
+function createRegisteredFailure(name: string): Failure {
     const detail = `gateway ${name} is registered; it runs, or ended only some seconds ago`;
     return createFailure("badRequest", detail, { didRun: "no" });
 }
 
-/** A read changes nothing, though it goes through the store's compare-and-swap. */
-function asRead({ kind, detail }: Failure): Failure {
+/** A failed read has no effect, even if it was made by compare-and-swap, so its outcome is never unknown. */
+function toReadFailure({ kind, detail }: Failure): Failure {
     return createFailure(kind === "storeOutcomeUnknown" ? "storeUnavailable" : kind, detail, { didRun: "no" });
 }
 
-type WriteTry =
+type WriteAttempt =
     | { readonly type: "written"; readonly change: WrittenChange; }
     | { readonly type: "refused"; readonly failure: Failure; }
-    /** To be tried again; `failure` is absent where another change came first. */
+    /** To be retried; `failure` is `undefined` if another change was written first. */
     | { readonly type: "open"; readonly mayBeWritten: boolean; readonly failure: Failure | undefined; };
 
 const emptyConfiguration: ConfigurationRevision = Object.freeze({
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -12,17 +12,17 @@
 import { maxObservedServers } from "./constants.js";
 import { type ServerObservations } from "./serverObservation.js";
 
-/** Most gateways that a message may name. */
-const maximumGateways = 1_000;
-const maximumSignals = 256;
-const maximumLoads = 2_000;
+/** Maximum number of gateways in each list of a message. */
+const maxGateways = 1_000;
+const maxSignals = 256;
+const maxLoads = 2_000;
 
 const name = z.string().min(1).max(128);
 const count = z.number().int().min(0);
 const ageMs = z.number().min(0);
 const serverId = z.string().max(256).regex(/^[^/]+\/[^/]+$/).transform(text => text as ServerId);
 
-/** A gateway's identity as messages and the store hold it. */
+/** A gateway's identity in messages and in the store. */
 export const identitySchema: z.ZodType<GatewayIdentity> = z.object({
     name,
     incarnation: name,
@@ -30,9 +30,9 @@
     peerAddress: z.string().max(64).regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, "IP number and port"),
 });
 
-const identities = z.array(identitySchema).max(maximumGateways);
+const identities = z.array(identitySchema).max(maxGateways);
 
-/** A roster as messages and the store hold it. */
+/** A roster in messages and in the store. */
 export const rosterSchema: z.ZodType<Roster> = z.object({
     version: z.number().int().min(1),
     members: identities,
@@ -60,42 +60,42 @@
     ageMs,
 }).transform(load => ({ ...load, reportedInFlight: load.reportedInFlight }));
 
-/** A heartbeat, and the answer to one. */
+/** A heartbeat or the response to one. */
 export const heartbeatSchema: z.ZodType<Heartbeat> = z.object({
     from: identitySchema,
     revision: count,
     rosterVersion: count,
     freshnessAgeMs: ageMs.optional(),
     recovering: z.boolean(),
-    signals: z.array(serverSignal).max(maximumSignals),
-    loads: z.array(serverLoad).max(maximumLoads),
+    signals: z.array(serverSignal).max(maxSignals),
+    loads: z.array(serverLoad).max(maxLoads),
     stopping: z.boolean(),
 }).transform(heartbeat => ({ ...heartbeat, freshnessAgeMs: heartbeat.freshnessAgeMs }));
 
-/** `name/incarnation`. */
-const gatewayLife = z.string().min(1).max(512);
-/** Most backend servers that one word on cold start may be about. */
-const maximumWords = 10_000;
+/** A gateway process, as `name/incarnation`. */
+const gatewayProcess = z.string().min(1).max(512);
+/** Maximum number of backend servers in a cold start heartbeat. */
+const maxColdServers = 10_000;
 
-/** What gateways tell each other about servers that they may not send to freely. */
+/** Cold start state that gateways exchange, about servers to which they may send a limited number of requests. */
 export const coldStartWordSchema: z.ZodType<ColdStartHeartbeat> = z.object({
-    from: gatewayLife,
+    from: gatewayProcess,
     rosterVersion: count,
-    leases: z.array(z.object({ holder: gatewayLife, sequence: count, ageMs })).max(maximumGateways),
-    words: z.array(z.object({ serverId, epoch: count, inFlight: count })).max(maximumWords),
-    departures: z.array(z.object({ gateway: gatewayLife, stoppedAgoMs: z.number() })).max(maximumGateways),
-    absent: z.array(gatewayLife).max(maximumGateways),
+    leases: z.array(z.object({ holder: gatewayProcess, sequence: count, ageMs })).max(maxGateways),
+    words: z.array(z.object({ serverId, epoch: count, inFlight: count })).max(maxColdServers),
+    departures: z.array(z.object({ gateway: gatewayProcess, stoppedAgoMs: z.number() })).max(maxGateways),
+    absent: z.array(gatewayProcess).max(maxGateways),
     isAskerSuspended: z.boolean(),
-    signals: z.array(serverSignal).max(maximumWords),
+    signals: z.array(serverSignal).max(maxColdServers),
 });
 
-/** All that a process holds. */
+/** The configuration and roster that a process holds. */
 export const offerSchema: z.ZodType<ConfigurationOffer> = z.object({
     offered: revisedConfiguration.optional(),
     roster: rosterSchema.optional(),
 }).transform(offer => ({ offered: offer.offered, roster: offer.roster }));
 
-/** A gateway's word on an offer. */
+/** A gateway's response to an offer. */
 export const offerAnswerSchema: z.ZodType<OfferAnswer> = z.object({
     gateway: identitySchema,
     revision: count,
@@ -103,11 +103,11 @@
     recentCallers: identities,
 });
 
-/** Which backend servers are asked for. */
+/** Request for observations of one service's backend servers or, without a name, of all. */
 export const observationQuerySchema = z.object({ service: name.optional() });
 
-// The operators' messages hold 32 bits. A number beyond them would fail the whole list, with every gateway's word, for
-// the fault of one.
+// The operator API has 32-bit fields. A larger number from one faulty gateway would fail the whole list, with the
+// observations of all gateways.
 const count32 = count.max(2 ** 32 - 1);
 
 const serverObservation = z.object({
@@ -123,7 +123,7 @@
     reportedAgeMs: seen.reportedAgeMs,
 }));
 
-/** What a gateway knows of the backend servers. */
+/** A gateway's view of the backend servers. */
 export const serverObservationsSchema: z.ZodType<ServerObservations> = z.object({
     gateway: name,
     servers: z.array(serverObservation).max(maxObservedServers),
