--- a/packages/atMostOnce/src/__tests__/attempt.test.ts
+++ b/packages/atMostOnce/src/__tests__/attempt.test.ts
@@ -25,14 +25,14 @@
 const completed: AttemptEvent = { type: "ended", end: "completed" };
 const tenBytes: ResponseFraming = { type: "length", bytes: 10 };
 
-// The caller files a return, and the server closes its idle connection as the first bytes leave. The server may have
-// read and run the request before it closed, so neither "it did not run" nor another try would be safe.
-test("a non-idempotent request whose connection closes after the first byte is unknown and not tried again", () => {
+// The server closes an idle connection just as the first bytes of a return are sent. It may have read and run the
+// request before closing, so neither reporting that it did not run nor a retry is safe.
+test("a non-idempotent request whose connection closes after the first byte is unknown and not retried", () => {
     const outcome = run(false, handOver, closed);
     assert.deepEqual(outcome, { didRun: "unknown", mayRetry: false, whole: false, failure: "connectionLost" });
 });
 
-test("a request of which no byte has left did not run, and may be tried again", () => {
+test("a request of which no byte was sent did not run, and may be retried", () => {
     for (const end of ["connectFailed", "closed"] as const) {
         const outcome = run(false, { type: "ended", end });
         assert.equal(outcome.didRun, "no");
@@ -40,9 +40,9 @@
     }
 });
 
-// A server under load says that it shed the deposit before running it. Only this exact word counts: a plain 503 may
-// come from something in front of the server that gave up waiting for it while it ran.
-test("only a 503 with the server's own word counts as shed", () => {
+// An overloaded server reports that it shed a deposit before running it. Only a 503 with the did-run header "no"
+// counts: a plain 503 may come from a proxy in front of the server that timed out while the request ran.
+test("only a 503 with the server's did-run header counts as shed", () => {
     const shed = run(false, handOver, createHead(503, tenBytes, "no"), { type: "bodyReceived", bytes: 10 }, completed);
     assert.deepEqual(shed, { didRun: "no", mayRetry: true, whole: true, failure: "backendShed" });
     const plain = run(false, handOver, createHead(503, { type: "none" }), completed);
@@ -51,16 +51,16 @@
     assert.equal(other.didRun, "yes");
 });
 
-test("an idempotent request is tried again only while nothing of an answer was seen", () => {
+test("an idempotent request is not retried once a response head was received", () => {
     assert.equal(run(true, handOver, closed).mayRetry, true);
     assert.equal(run(true, handOver, { type: "ended", end: "timedOut" }).mayRetry, true);
     assert.equal(run(true, handOver, { type: "ended", end: "aborted" }).mayRetry, false);
     assert.equal(run(true, handOver, createHead(200, tenBytes), closed).mayRetry, false);
 });
 
-// The survey table's connection is cut one byte before its declared end. Passed on as complete, it would read as a
-// shorter table; so one byte less, or one more, is never whole.
-test("a body is whole only at exactly its declared length", () => {
+// The connection of a survey table is closed one byte before its declared length. Forwarded as complete, it would read
+// as a shorter table.
+test("a body with one byte less or more than its declared length is not complete", () => {
     for (const [bytes, whole] of [[9, false], [10, true], [11, false]] as const) {
         const outcome = run(
             true,
@@ -76,7 +76,7 @@
     assert.equal(run(true, handOver, createHead(200, { type: "untilClose" }), completed).whole, false);
 });
 
-test("what arrives after the end changes nothing", () => {
+test("events after the end of an attempt do not change its outcome", () => {
     const late = run(true, handOver, { type: "ended", end: "timedOut" }, createHead(200, { type: "none" }), completed);
     assert.deepEqual(late, run(true, handOver, { type: "ended", end: "timedOut" }));
 });
@@ -87,9 +87,9 @@
     assert.equal(combineDidRun([{ didRun: "no" }, { didRun: "yes" }, { didRun: "unknown" }]), "yes");
 });
 
-// Over every order of events: a server can only run what was handed over, so "no" without its word, or a second try
-// of a non-idempotent request, may be said only of an attempt that gave nothing to the connection.
-test("no order of events makes a handed-over request safe to repeat without the server's word", () => {
+// Property over all orders of events: a server can run only what was sent. Without the server's did-run header, "no" or
+// a retry of a non-idempotent request is allowed only if no byte was written to the connection.
+test("no order of events makes a sent request safe to retry without the server's did-run header", () => {
     const head: fc.Arbitrary<ResponseHead> = fc.record({
         status: fc.constantFrom(200, 204, 409, 500, 502, 503, 504),
         didRunHeader: fc.constantFrom(undefined, "no", "yes"),
--- a/packages/atMostOnce/src/__tests__/claimDocument.test.ts
+++ b/packages/atMostOnce/src/__tests__/claimDocument.test.ts
@@ -3,9 +3,10 @@
 import { maxClaimDocumentLength } from "../index.js";
 import { type Claim, decodeClaimDocument, encodeClaimDocument } from "../claimDocument.js";
 
-// During an upgrade newer gateways write what older ones don't know. An older one that refused such a document would
-// refuse every keyed request of the shard; one that dropped what it doesn't know would lose it for the newer ones.
-test("what a newer gateway wrote is read, and kept when written again", () => {
+// During an upgrade, newer gateways write fields that older ones do not know. An older gateway that rejected such a
+// document would refuse every keyed request of the shard; one that dropped unknown fields would lose them for the
+// newer.
+test("unknown fields of a newer gateway's document are accepted, and kept in the next write", () => {
     const value = JSON.stringify({
         sealed: false,
         claims: { "0a": { fingerprint: "f", nonce: "n", holder: "h", end: { didRun: "yes", later: 1 }, later: 2 } },
@@ -16,14 +17,14 @@
     assert.deepEqual(JSON.parse(encodeClaimDocument(document)), JSON.parse(value));
 });
 
-test("what is no claim document is said so", () => {
+test("a malformed claim document is rejected as an internal failure", () => {
     for (const value of ["", "[]", "{\"sealed\":false}", "{\"sealed\":false,\"claims\":{\"0a\":{}}}"]) {
         assert.equal(decodeClaimDocument(value).swap().unsafeCoerce().kind, "internal", value);
     }
 });
 
-// A document is filled with claims whose requests all run; then all of them end. Were the ends to outgrow what the
-// store takes, none could be recorded any more, and every write of the shard would fail.
+// A document is full of claims whose requests are running, and then all of them end. If the ends made it larger than
+// the store accepts, no end could be recorded, and every write of the shard would fail.
 test("a full document has room for the ends of all its claims", () => {
     const claim: Claim = { fingerprint: "f".repeat(32), nonce: "n".repeat(36), holder: `gateway-10/${"i".repeat(36)}` };
     const fill = (each: Claim): string => {
--- a/packages/atMostOnce/src/__tests__/claimSimulation.ts
+++ b/packages/atMostOnce/src/__tests__/claimSimulation.ts
@@ -20,7 +20,7 @@
     type StoredClaims,
 } from "../index.js";
 
-/** Numbers small enough that a run crosses several buckets. */
+/** Limits small enough that a run spans several buckets. */
 export const simulationLimits: ClaimLimits = {
     shardCount: 2,
     bucketMs: 1_000,
@@ -32,29 +32,29 @@
     maxDocumentLength: 100_000,
 };
 
-/** What becomes of a store call, with fates that {@link FakeStore} lacks: it takes effect after its timeout, or lags. */
+/** Outcome of a store call, with two that {@link FakeStore} lacks: an effect after the timeout, and a stale read. */
 export type SimulatedStoreOutcome =
     | StoreCallOutcome
-    /** A read that returns the document as it was at the time given, or before it existed. */
+    /** A read that returns the document as of the given time, or none if it did not exist then. */
     | { readonly type: "stale"; readonly asOfMs: number; }
     | { readonly type: "late"; readonly outMs: number; readonly timeoutMs: number; };
 
-/** What becomes of a request that was handed over. */
+/** How the server handles a request. */
 export type ServerBehavior = "answers" | "sheds" | "closesBeforeRunning" | "closesWhileRunning";
 
-/** One try of a caller's request. */
+/** One attempt of a caller's request. */
 export interface SimulatedAttempt {
     readonly requestId: string;
     readonly key: string;
     readonly fingerprint?: string;
     readonly gateway: number;
     readonly server?: ServerBehavior;
-    /** Time between the claim and the check before the first byte: a pause of the process. */
+    /** Duration of a process pause between the claim and the check before the first byte. */
     readonly pauseMs?: number;
     readonly patienceMs?: number;
 }
 
-/** What a caller was told. */
+/** Result that a caller received. */
 export interface CallerResult {
     readonly kind: string;
     readonly didRun: DidRun;
@@ -74,7 +74,7 @@
     alive: boolean;
 }
 
-/** Several gateways, one store and one server on one virtual clock, recording a history. */
+/** Simulates several gateways, a store and a server on one virtual clock, and records a history. */
 export class ClaimSimulation {
     readonly clock = new VirtualClock();
     readonly history: HistoryLine[] = [];
@@ -107,12 +107,12 @@
         this.#tick();
     }
 
-    /** Sends a try at a time. */
+    /** Schedules an attempt. */
     sendAt(atMs: number, attempt: SimulatedAttempt): void {
         this.clock.schedule(atMs - this.clock.nowMs, () => this.#send(attempt));
     }
 
-    /** Ends a gateway's process at a time; callers of what it held are cut off. */
+    /** Schedules the crash of a gateway process, which closes the connections of its callers. */
     killAt(atMs: number, gateway: number): void {
         this.clock.schedule(atMs - this.clock.nowMs, () => {
             const killed = this.#gateway(gateway);
@@ -125,7 +125,7 @@
         });
     }
 
-    /** @returns ids of the requests that the server started, in order */
+    /** Ids of the requests that the server started, in order. */
     get startedRequestIds(): readonly string[] {
         return this.history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []);
     }
@@ -301,7 +301,7 @@
     #gateway(index: number): SimulatedGateway {
         const gateway = this.#gateways[index];
         if (gateway === undefined) {
-            throw new Error(`no gateway ${index}`);
+            throw new Error(`no gateway with index ${index}`);
         }
         return gateway;
     }
@@ -309,7 +309,7 @@
     #try(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
         const attempt = gateway.tries.get(nonce);
         if (attempt === undefined) {
-            throw new Error(`no try ${nonce}`);
+            throw new Error(`no attempt with nonce ${nonce}`);
         }
         return attempt;
     }
@@ -335,7 +335,7 @@
         : { type: "notSwapped", stored: toStored(outcome.current) };
 }
 
-/** Stands for a digest: one hexadecimal number for each key that a test uses. */
+/** Replaces the digest: a hexadecimal hash for each key that a test uses. */
 export function digest(key: string): string {
     let hash = 0;
     for (const character of key) {
@@ -344,7 +344,7 @@
     return hash.toString(16).padStart(8, "0");
 }
 
-/** @returns the store's answer as the batcher takes it in, for tests that drive it by hand */
+/** @returns a successful reply of the store, for tests that call the batcher directly */
 export function succeed(answer: ClaimStoreReply): Either<Failure, ClaimStoreReply> {
     return Right(answer);
 }
--- a/packages/atMostOnce/src/__tests__/claims.test.ts
+++ b/packages/atMostOnce/src/__tests__/claims.test.ts
@@ -12,7 +12,7 @@
 } from "./claimSimulation.js";
 
 const answered: SimulatedStoreOutcome = { type: "answered", outMs: 1, backMs: 1 };
-/** The read that comes before the write that a test is about. */
+/** Outcome of the read before the write under test. */
 const read = answered;
 const answerLost: SimulatedStoreOutcome = { type: "answerLost", outMs: 1, timeoutMs: 100 };
 const requestLost: SimulatedStoreOutcome = { type: "requestLost", timeoutMs: 100 };
@@ -22,15 +22,15 @@
     assert.deepEqual(found, []);
 }
 
-/** Gives each store call the next fate of a list, then answers. */
+/** Gives each store call the next outcome of a list, and `answered` after its end. */
 function createFates(...fates: readonly SimulatedStoreOutcome[]): (client: string) => SimulatedStoreOutcome {
     const left = [...fates];
     return () => left.shift() ?? answered;
 }
 
-// A payroll office's client times out early and asks again through another gateway in the same millisecond. Both
-// gateways write the claim against the same revision; the store takes one, and the other must not send.
-test("one key sent to two gateways at the same moment runs once", () => {
+// A client times out early and retries through another gateway in the same millisecond. Both gateways write the claim
+// with the same expected revision; the store accepts one write, and the other gateway must not send.
+test("requests with the same key through two gateways at the same time run once", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "r1", key: "k", gateway: 0 });
     world.sendAt(10, { requestId: "r2", key: "k", gateway: 1 });
@@ -40,9 +40,9 @@
     checkAll(world);
 });
 
-// The store takes the claim and its answer is lost. Without recognising its own nonce the gateway would refuse the
-// return as being under way, while nobody runs it: a lost return, told as an unknown one.
-test("a claim whose answer was lost is recognised as the gateway's own", () => {
+// The store accepts the claim and its reply is lost. If the gateway did not recognize its own nonce, it would refuse
+// the return as in progress although it never runs: a lost return, reported as unknown.
+test("a gateway recognizes its own claim after the reply to its write was lost", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "warm", key: "w", gateway: 0 });
     world.clock.runUntil(200);
@@ -54,8 +54,8 @@
     checkAll(world);
 });
 
-// The claim's write takes effect long after its client gave up on it, and the caller was told that the request did
-// not run. The late claim must be found and released, or the deposit could not be made for a day.
+// The write of a claim takes effect long after its timeout, and the caller was told that the request did not run. The
+// late claim must be detected and released, or the deposit could not be made for a day.
 test("a claim that takes effect after its refusal is released", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "warm", key: "w", gateway: 0 });
@@ -71,10 +71,10 @@
     checkAll(world);
 });
 
-// The store is down, and its calls time out. The first caller's refusal takes two timeouts, since one lost answer is
-// borne; after that each is refused in the turn in which it comes, truthfully, however long the outage lasts, and the
-// first after it runs. Were callers used to find out whether the store is back, each would wait out a timeout.
-test("while the store is down keyed requests are refused at once", () => {
+// The store is down and its calls time out. The first caller is refused after two timeouts, since one lost reply is
+// tolerated. Later ones are refused at once with didRun "no" for the rest of the outage, and the first request after it
+// runs. If callers' claims were used to probe the store, each of those callers would wait for a timeout.
+test("keyed requests do not wait for timeouts while the store is down", () => {
     const world = new ClaimSimulation([0]);
     world.resolveStoreOutcome = (_client, nowMs) => nowMs < 1_000 ? requestLost : answered;
     world.sendAt(10, { requestId: "r1", key: "k", gateway: 0 });
@@ -93,9 +93,9 @@
     checkAll(world);
 });
 
-// The holder is paused between its claim and its send for longer than claims are remembered. Another gateway claims
-// the key anew and runs the request; the first then wakes up, and would run it a second time.
-test("a holder that wakes up past its claim's validity does not send", () => {
+// The holder is paused between claim and send for longer than claims are retained. Another gateway claims the key again
+// and runs the request; when the first resumes, it would run the request a second time.
+test("a holder that resumes after its claim's validity does not send", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "r1", key: "k", gateway: 0, pauseMs: 9_000 });
     world.sendAt(8_000, { requestId: "r2", key: "k", gateway: 1 });
@@ -105,9 +105,9 @@
     checkAll(world);
 });
 
-// The gateway that runs a deposit dies. Whether the deposit was made is not known to anybody else, so the shopper's
-// next try is told so, rather than charged again.
-test("a dead holder's claim stays unknown", () => {
+// The gateway that handles a deposit crashes. No other process knows whether the deposit was made, so the shopper's
+// retry gets the outcome unknown instead of being charged again.
+test("a crashed holder's claim is not released, and its outcome is unknown", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "r1", key: "k", gateway: 0, pauseMs: 100 });
     world.killAt(50, 0);
@@ -119,7 +119,7 @@
     checkAll(world);
 });
 
-test("a key is free again once its request is known not to have run, and not otherwise", () => {
+test("a key is released only if its request is known not to have run", () => {
     const ends: readonly (readonly [ServerBehavior, string, number])[] = [
         ["sheds", "answered", 1],
         ["answers", "idempotencyKeyEnded", 1],
@@ -137,9 +137,9 @@
     }
 });
 
-// A gateway saw a key as claimed in a bucket that was then sealed, and keeps that; later the try of the key's holder
-// ended without running. A refusal out of memory would keep the caller from a deposit that never ran.
-test("a key is judged by a read made since its caller asked", () => {
+// A gateway has cached a key as claimed in a bucket that was then sealed; later the holder's attempt ended without
+// running. A refusal based on the cache would prevent a deposit that never ran.
+test("a key is not refused because of a cached claim that has ended since", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(850, { requestId: "r1", key: "k", gateway: 0, pauseMs: 800 });
     world.sendAt(1_200, { requestId: "r2", key: "w", gateway: 1 });
@@ -149,9 +149,9 @@
     checkAll(world);
 });
 
-// The store's reads lag while its writes go on. An old copy of the document does not show the claim yet, and a
-// gateway that believed it would forget to record the end: the deposit's key would stay taken for a day.
-test("a read that lags does not make a gateway forget the end of a request", () => {
+// Reads of the store lag behind its writes. A stale copy of the document lacks the claim, and a gateway that used it
+// would not record the end: the deposit's key would stay claimed for a day.
+test("a stale read does not prevent a gateway from recording the end of a request", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "warm", key: "w", gateway: 0 });
     world.clock.runUntil(200);
@@ -163,7 +163,7 @@
     checkAll(world);
 });
 
-test("another request under a known key is refused as such", () => {
+test("a different request with a claimed key is refused as a key mismatch", () => {
     const world = new ClaimSimulation([0, 0]);
     world.sendAt(10, { requestId: "r1", key: "k", gateway: 0 });
     world.sendAt(500, { requestId: "r2", key: "k", gateway: 1, fingerprint: "other" });
@@ -172,9 +172,9 @@
     checkAll(world);
 });
 
-// One gateway's clock is almost a bucket ahead. It claims a key in the new bucket after looking at the old one; the
-// other gateway, still in the old bucket, claims the same key there. Without the seal both succeed.
-test("a gateway whose clock is behind can't claim in a bucket that others have left", () => {
+// One gateway's clock is almost one bucket ahead. It claims a key in the new bucket after checking the old one; the
+// other gateway, still in the old bucket, claims the same key there. Without the seal, both claims succeed.
+test("a gateway whose clock is behind can't claim in a bucket that others have sealed", () => {
     const world = new ClaimSimulation([900, 0]);
     world.sendAt(10, { requestId: "w1", key: "w", gateway: 1 });
     world.clock.runUntil(150);
@@ -185,9 +185,9 @@
     checkAll(world);
 });
 
-// A burst of returns comes while a write is under way. Each claim for itself would cost a write; the store takes a
-// few hundred a second over the whole fleet, and every other caller's claim would wait behind them.
-test("claims that gather during a write ride in the next one", () => {
+// A burst of returns arrives while a write is in flight. A write for each claim would delay the claims of all other
+// callers, since the store accepts a few hundred writes a second from the whole fleet.
+test("claims that arrive during a write are batched into the next one", () => {
     const world = new ClaimSimulation([0], { ...simulationLimits, shardCount: 1 });
     world.sendAt(10, { requestId: "first", key: "first", gateway: 0 });
     world.clock.runUntil(300);
@@ -202,9 +202,10 @@
     checkAll(world);
 });
 
-// Returns come to both gateways in turn, so what either remembers of the document is always out of date. A write on
-// that revision fails and is made again: three writes for each return where two are enough, of the few there are.
-test("a document that others have written is read again before it is written", () => {
+// Returns arrive at both gateways alternately, so each one's cached document is always stale. A write based on the
+// cached revision fails and is repeated: three writes for each return instead of two, and the store's write rate is
+// limited.
+test("a stale cached document is read again before it is written", () => {
     const world = new ClaimSimulation([0, 0], { ...simulationLimits, shardCount: 1, bucketMs: 1_000_000 });
     world.sendAt(10, { requestId: "first", key: "first", gateway: 0 });
     world.sendAt(200, { requestId: "second", key: "second", gateway: 1 });
@@ -218,7 +219,7 @@
     assert.equal(world.swapCount - before, 20);
 });
 
-test("a full document refuses new keys and goes on recording ends", () => {
+test("a full document refuses new keys and still records ends", () => {
     const world = new ClaimSimulation([0], { ...simulationLimits, shardCount: 1, maxDocumentLength: 400 });
     for (let i = 0; i < 10; i++) {
         world.sendAt(10 + i * 60, { requestId: `r${i}`, key: `k${i}`, gateway: 0 });
@@ -254,8 +255,8 @@
     return draw < 0.24 ? { type: "late", outMs: 50 + draw * 4_000, timeoutMs: 100 } : answered;
 }
 
-// Callers, gateways, clocks and the store do everything at once that the tests above do one at a time.
-test("no interleaving runs a key twice or tells a caller what is not so", () => {
+// Combines the faults of callers, gateways, clocks and the store that the tests above cover one at a time.
+test("no interleaving runs a key twice or reports a wrong outcome to a caller", () => {
     const run = (
         tries: readonly (Omit<SimulatedAttempt, "requestId"> & { readonly atMs: number; })[],
         seed: number,
@@ -277,16 +278,16 @@
         checkAll(world);
         for (const [i, attempt] of tries.entries()) {
             const cut = killed && attempt.gateway === 2;
-            assert.ok(cut || world.results.has(`r${i}`), `r${i} was never answered`);
+            assert.ok(cut || world.results.has(`r${i}`), `r${i} has no result`);
         }
         for (const key of keys) {
-            // A key that stays taken although none of its requests can have run is a lost return. A killed gateway
-            // may have had no time to record that its try did not run; what it held stays unknown.
+            // A key that stays claimed although none of its requests can have run is a lost return. A crashed gateway
+            // may not have recorded that its attempt did not run, so the outcome of its claims stays unknown.
             const mayBeTaken = tries.some((attempt, i) => {
                 const cut = killed && attempt.gateway === 2;
                 return attempt.key === key && (cut || world.results.get(`r${i}`)?.didRun !== "no");
             });
-            assert.ok(mayBeTaken || world.results.get(`last-${key}`)?.kind === "answered", `${key} stays taken`);
+            assert.ok(mayBeTaken || world.results.get(`last-${key}`)?.kind === "answered", `${key} stays claimed`);
         }
     };
     fc.assert(
--- a/packages/atMostOnce/src/__tests__/stallDetector.test.ts
+++ b/packages/atMostOnce/src/__tests__/stallDetector.test.ts
@@ -6,8 +6,8 @@
     return { service: "tables", serverId, sentAtMs };
 }
 
-// One read waits on a silent connection while the backend server answers what was sent to it later.
-test("an attempt stalls once later ones were answered and its time is long over", () => {
+// A read waits on a dead connection while the backend server responds to requests that were sent to it later.
+test("an attempt is stalled once its timeout has passed and a later attempt was answered", () => {
     const judge = new StallDetector();
     const awaited = createAwaited(0);
     judge.onHead(createAwaited(10), 20);
@@ -15,9 +15,9 @@
     assert.equal(judge.isStalled(awaited, minStallTimeoutMs), true);
 });
 
-// The server has turned slow for everybody. Giving attempts up would multiply its load, so it takes an answer to
-// something that was sent later, by the same server, to call a connection silent.
-test("a server that answers nothing later is slow, not silent", () => {
+// The server is slow for all requests. Abandoning attempts would multiply its load, so a connection is considered dead
+// only after the same server has responded to a later attempt.
+test("an attempt at a slow server is not stalled while no later attempt was answered", () => {
     const judge = new StallDetector();
     const awaited = createAwaited(100);
     judge.onHead(createAwaited(50), 10_000);
@@ -25,9 +25,9 @@
     assert.equal(judge.isStalled(awaited, 1e6), false);
 });
 
-// Archive extracts take a second or three, by their size. One that takes as long as some others is no silent connection,
-// though it is several times the average and others have overtaken it.
-test("a service whose answers differ much is given longer", () => {
+// Archive extracts take one to three seconds, depending on their size. One that takes as long as some others is not on
+// a dead connection, although it takes several times the mean and later attempts have overtaken it.
+test("a service with widely varying response times gets a longer timeout", () => {
     const judge = new StallDetector();
     for (let i = 0; i < 100; i++) {
         judge.onHead(createAwaited(i * 10_000), i * 10_000 + (i % 10 === 0 ? 5_000 : 500));
@@ -37,7 +37,7 @@
     assert.equal(judge.isStalled(awaited, 1_005_000), false);
 });
 
-test("a service whose answers take long is given several times as long", () => {
+test("the timeout of a slow service is a multiple of its mean response time", () => {
     const judge = new StallDetector();
     judge.onHead(createAwaited(0), 60_000);
     judge.onHead(createAwaited(10), 60_010);
--- a/packages/atMostOnce/src/attempt.ts
+++ b/packages/atMostOnce/src/attempt.ts
@@ -1,19 +1,19 @@
 import { type DidRun, type ErrorKind } from "@galenaglade/errors";
 import { ambiguousStatuses, shedStatus } from "./constants.js";
 
-/** How a backend server marks the end of its answer. */
+/** How a backend server delimits the body of its response. */
 export type ResponseFraming =
     | { readonly type: "length"; readonly bytes: number; }
     | { readonly type: "chunked"; }
-    /** No body can follow: the answer to HEAD, 204, 304. */
+    /** No body can follow, as in a response to HEAD or with status 204 or 304. */
     | { readonly type: "none"; }
-    /** Ends with the connection, so that a cut can't be told from the end. */
+    /** Delimited by the end of the connection, so that a truncated body can't be detected. */
     | { readonly type: "untilClose"; };
 
-/** What an answer's head says. */
+/** Head of a response. */
 export interface ResponseHead {
     readonly status: number;
-    /** Value of the did-run header, where the server sent one. */
+    /** Value of the did-run header, if the server sent one. */
     readonly didRunHeader: string | undefined;
     readonly framing: ResponseFraming;
 }
@@ -21,15 +21,15 @@
 /** How an attempt ended. */
 export type AttemptEnd = "completed" | "connectFailed" | "closed" | "timedOut" | "aborted";
 
-/** What may happen to one attempt on one connection. */
+/** Event of one attempt on one connection. */
 export type AttemptEvent =
-    /** The next thing the process does is to give the connection the first byte; said before, never after. */
+    /** The first byte is about to be written to the connection; always reported before the write, never after it. */
     | { readonly type: "handOver"; }
     | { readonly type: "headReceived"; readonly head: ResponseHead; }
     | { readonly type: "bodyReceived"; readonly bytes: number; }
     | { readonly type: "ended"; readonly end: AttemptEnd; };
 
-/** One try of a request on one connection. */
+/** State of one attempt of a request on one connection. */
 export interface Attempt {
     readonly idempotent: boolean;
     readonly handedOver: boolean;
@@ -38,29 +38,29 @@
     readonly end: AttemptEnd | undefined;
 }
 
-/** What an attempt's end means. */
+/** Outcome of an attempt. */
 export interface AttemptOutcome {
     readonly didRun: DidRun;
-    /** Whether another try can't make a non-idempotent request run twice, nor mix two answers. */
+    /** Whether a retry can neither run a non-idempotent request twice nor mix two responses. */
     readonly mayRetry: boolean;
-    /** Whether the answer came to its declared end. */
+    /** Whether the response body was received in full. */
     readonly whole: boolean;
-    /** Why there is no whole answer; `undefined` where there is one to pass on. */
+    /** Why there is no complete response; `undefined` if there is one to forward. */
     readonly failure: ErrorKind | undefined;
 }
 
 /**
- * @param idempotent - whether running the request twice does no harm
- * @returns an attempt to which nothing has happened yet
+ * @param idempotent - whether the request may safely run twice
+ * @returns the initial state of an attempt
  */
 export function createAttempt(idempotent: boolean): Attempt {
     return Object.freeze({ idempotent, handedOver: false, head: undefined, bodyBytes: 0, end: undefined });
 }
 
 /**
- * @param attempt - the attempt so far
- * @param event - what happened
- * @returns the attempt after it; events that come after the end change nothing, since a late answer is nobody's
+ * @param attempt - state of the attempt
+ * @param event - the next event
+ * @returns the state after the event; events after the end are ignored, since a late response has no recipient
  */
 export function advanceAttempt(attempt: Attempt, event: AttemptEvent): Attempt {
     if (attempt.end !== undefined) {
@@ -79,10 +79,10 @@
 }
 
 /**
- * Says what is known of an attempt. It may be asked before the end, and then answers for a loss at this point.
+ * Resolves the outcome of an attempt. Before the attempt's end, this is the outcome if the connection were lost now.
  *
- * @param attempt - the attempt
- * @returns what can be said of it truthfully
+ * @param attempt - state of the attempt
+ * @returns the outcome
  */
 export function resolveAttempt(attempt: Attempt): AttemptOutcome {
     const didRun = resolveDidRun(attempt);
@@ -95,8 +95,8 @@
 }
 
 /**
- * A request of which one byte has left may have run: the server can read and run it although its connection then
- * breaks, and the caller who is told otherwise files the return twice. Only the server's own word outweighs that.
+ * A request may have run once its first byte was sent, even if the connection then breaks; a caller that is told
+ * otherwise would file the return twice. Only an explicit did-run header from the server rules that out.
  */
 function resolveDidRun(attempt: Attempt): DidRun {
     if (!attempt.handedOver) {
@@ -119,8 +119,8 @@
 }
 
 /**
- * A body shorter than declared looks like a shorter survey table, or half a catalog, to the caller. An answer that
- * ends with its connection can't be told from a cut one, so it never counts as whole.
+ * To the caller, a truncated body looks like a shorter survey table or half a catalog. A response that is delimited by
+ * the end of its connection can't be told from a truncated one, so it never counts as complete.
  */
 function isWhole(attempt: Attempt): boolean {
     if (attempt.end !== "completed" || attempt.head === undefined) {
@@ -155,11 +155,11 @@
 }
 
 /**
- * Joins what is known of several attempts into what may be said of the request. One attempt that may have run
- * weighs more than any number that did not: a try that was lost, followed by a try that was shed, is `unknown`.
+ * Combines the outcomes of several attempts of one request. One attempt that may have run outweighs any number that
+ * did not: a lost attempt followed by one that was shed gives `unknown`.
  *
- * @param attempts - outcomes of every attempt of one request
- * @returns what may be said of the request
+ * @param attempts - outcomes of all attempts of one request
+ * @returns whether the request ran
  */
 export function combineDidRun(attempts: readonly Pick<AttemptOutcome, "didRun">[]): DidRun {
     let combined: DidRun = "no";
--- a/packages/atMostOnce/src/claimBatcher.ts
+++ b/packages/atMostOnce/src/claimBatcher.ts
@@ -21,7 +21,7 @@
     claimValidityMs,
 } from "./constants.js";
 
-/** The limits that every gateway of a fleet uses. */
+/** Limits that all gateways of a fleet use. */
 export const defaultClaimLimits: ClaimLimits = Object.freeze({
     shardCount: claimShardCount,
     bucketMs: claimBucketMs,
@@ -39,8 +39,8 @@
 }
 
 /**
- * Claims idempotency keys by compare-and-swap before their requests are sent. While a write of a shard is under way,
- * what arrives for that shard gathers, and all of it rides in the next write.
+ * Claims idempotency keys by compare-and-swap before their requests are sent. Claims and ends that arrive while a write
+ * of their shard is in flight are batched into the next write.
  */
 export class ClaimBatcher {
     readonly #holder: string;
@@ -50,15 +50,15 @@
     readonly #underWay = new Map<number, CallUnderWay>();
     readonly #busyShards = new Set<number>();
     readonly #failures = new Map<number, number>();
-    /** While the store is down: when to ask next whether it answers. */
+    /** Time of the next probe of the store; `undefined` while the store is available. */
     #askStoreAtMs: number | undefined;
-    /** The call that asks. */
+    /** Id of the probe call in flight, if any. */
     #question: number | undefined;
     #callCount = 0;
 
     /**
      * @param holder - name and incarnation of this gateway, as written into its claims
-     * @param limits - the fleet's numbers
+     * @param limits - limits of the fleet
      */
     constructor(holder: string, limits: ClaimLimits = defaultClaimLimits) {
         this.#holder = holder;
@@ -66,11 +66,11 @@
     }
 
     /**
-     * Asks for a key. A verdict, `claimed` or `refused`, follows in the result of this or a later call.
+     * Claims a key. The verdict, `claimed` or `refused`, is among the commands that this or a later call returns.
      *
-     * @param req - the claim
-     * @param time - the present time
-     * @returns what to do
+     * @param req - the requested claim
+     * @param time - current time
+     * @returns commands to execute
      */
     claim(req: ClaimRequest, time: ClaimTime): readonly ClaimCommand[] {
         const shard = resolveClaimShard(req.keyDigest, this.#limits.shardCount);
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Records the end of a claimed request. An end with `didRun: "no"` frees the key for another try.
+     * Records the end of a claimed request. An end with `didRun: "no"` releases the key for another attempt.
      *
-     * @param nonce - the claim's
+     * @param nonce - nonce of the claim
      * @param end - how the request ended
-     * @param time - the present time
-     * @returns what to do
+     * @param time - current time
+     * @returns commands to execute
      */
     recordEnd(nonce: string, end: ClaimEnd, time: ClaimTime): readonly ClaimCommand[] {
         const shard = this.#shardOf.get(nonce);
@@ -98,12 +98,12 @@
     }
 
     /**
-     * Takes in the answer to a `read` or `swap`.
+     * Handles the store's reply to a `read` or `swap`.
      *
-     * @param callId - the command's
-     * @param answer - what the store answered, or why it did not
-     * @param time - the present time
-     * @returns what to do
+     * @param callId - id of the command
+     * @param answer - the reply, or why there is none
+     * @param time - current time
+     * @returns commands to execute
      */
     onStoreReply(callId: number, answer: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
         if (callId === this.#question) {
@@ -131,10 +131,10 @@
     }
 
     /**
-     * Lets time pass: refuses what waited too long, and takes up again what a failure of the store interrupted.
+     * Refuses claims past their deadline, and resumes work that a failure of the store interrupted.
      *
-     * @param time - the present time
-     * @returns what to do
+     * @param time - current time
+     * @returns commands to execute
      */
     tick(time: ClaimTime): readonly ClaimCommand[] {
         const commands = [...this.#shards.keys()].flatMap(shard => this.#pump(shard, time));
@@ -146,8 +146,8 @@
     }
 
     /**
-     * The gateway itself asks whether the store is back. Were a caller's claim sent to find out, that caller would
-     * wait until the call times out, again and again through a long outage.
+     * Handles the result of a probe. The gateway probes the store itself: if callers' claims were used for that, one
+     * caller after another would wait for a timeout throughout a long outage.
      */
     #storeAsked(answered: boolean, time: ClaimTime): readonly ClaimCommand[] {
         this.#question = undefined;
@@ -155,17 +155,17 @@
         return this.tick(time);
     }
 
-    /** Whether nothing waits to be written; a planned stop waits for it, so that every end is recorded. */
+    /** Whether no write is pending; a planned stop waits for this, so that every end is recorded. */
     get isIdle(): boolean {
         return this.#underWay.size === 0 && [...this.#shards.values()].every(shard => shard.isIdle);
     }
 
-    /** Whether {@link tick} has to be called. */
+    /** Whether {@link tick} must be called. */
     get needsTick(): boolean {
         return !this.isIdle || this.#askStoreAtMs !== undefined;
     }
 
-    /** One lost answer is borne, since the write may have taken effect; a store that is down fails the claims at once. */
+    /** Tolerates one lost reply, since the write may have taken effect; if the store is down, claims fail at once. */
     #failed(shard: number, failure: Failure, time: ClaimTime): void {
         const failures = (this.#failures.get(shard) ?? 0) + 1;
         this.#failures.set(shard, failures);
@@ -180,8 +180,8 @@
         shard.refuseExpired(time.nowMs);
         const storeIsDown = this.#askStoreAtMs !== undefined;
         if (storeIsDown) {
-            // Nothing was handed over, so the refusal is truthful; waiting for the store would spend the caller's
-            // patience and end in the same refusal, later.
+            // Nothing was sent to a backend server, so it is true that the request did not run. Waiting for the store
+            // would use up the caller's patience and end in the same refusal.
             shard.refuseWaiting(createFailure("storeUnavailable", "the idempotency key can't be claimed now"));
         }
         const commands: ClaimCommand[] = [];
@@ -223,13 +223,13 @@
 }
 
 /**
- * Says whether a claimed request may be handed over. Ask in the same turn in which the first byte is given to the
- * connection: a process that was paused in between acts on a claim that may have run out, while the caller has
- * already asked elsewhere.
+ * Checks whether a claimed request may still be sent. Must be called in the same event loop turn in which the first
+ * byte is written: a process that was paused in between would act on an expired claim, while the caller may already
+ * have retried through another gateway.
  *
  * @param validUntilMs - from the `claimed` command
- * @param nowMs - the present monotonic time
- * @returns whether the claim still counts
+ * @param nowMs - current monotonic time
+ * @returns whether the claim is still valid
  */
 export function isClaimValid(validUntilMs: number, nowMs: number): boolean {
     return nowMs < validUntilMs;
--- a/packages/atMostOnce/src/claimDocument.ts
+++ b/packages/atMostOnce/src/claimDocument.ts
@@ -2,7 +2,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import * as z from "zod";
 
-// Loose, so that what a newer gateway adds is neither refused nor dropped by an older one during an upgrade.
+// Loose, so that during an upgrade older gateways neither reject nor drop fields that newer ones add.
 const claimEndSchema = z.looseObject({
     didRun: z.enum(["no", "yes", "unknown"]),
     status: z.number().int().optional(),
@@ -22,28 +22,28 @@
 
 /** How the request of a claim ended. */
 export type ClaimEnd = z.infer<typeof claimEndSchema>;
-/** One caller's idempotency key as claimed by one gateway for one request. */
+/** A caller's idempotency key as claimed by one gateway for one request. */
 export type Claim = z.infer<typeof claimSchema>;
 /**
- * The claims of one shard and one time bucket, by digest of their key. A sealed document takes no new claim, and
- * only ends are added to it.
+ * The claims of one shard and one time bucket, by the digest of their key. A sealed document accepts no new claims,
+ * only the ends of existing ones.
  */
 export type ClaimDocument = z.infer<typeof claimDocumentSchema>;
 
-/** A document that holds nothing yet. */
+/** A document without claims. */
 export const emptyClaimDocument: ClaimDocument = Object.freeze({ sealed: false, claims: Object.freeze({}) });
 
 /**
  * @param document - the document
- * @returns its form in the store
+ * @returns the document as stored JSON
  */
 export function encodeClaimDocument(document: ClaimDocument): string {
     return JSON.stringify(document);
 }
 
 /**
- * @param value - what the store returned
- * @returns the document, or `internal` where it isn't one
+ * @param value - the stored JSON
+ * @returns the document, or an `internal` failure if the value is malformed
  */
 export function decodeClaimDocument(value: string): Either<Failure, ClaimDocument> {
     try {
@@ -57,14 +57,14 @@
 /**
  * @param bucket - number of the time bucket
  * @param shard - number of the shard
- * @returns the document's key in the store
+ * @returns the store key of the document
  */
 export function createClaimDocumentKey(bucket: number, shard: number): string {
     return `claims/${bucket}/${shard}`;
 }
 
 /**
- * @param keyDigest - digest of an idempotency key, in hexadecimal digits
+ * @param keyDigest - hexadecimal digest of an idempotency key
  * @param shards - number of shards
  * @returns the shard that every gateway uses for the key
  */
--- a/packages/atMostOnce/src/claimDocumentCache.ts
+++ b/packages/atMostOnce/src/claimDocumentCache.ts
@@ -1,15 +1,15 @@
 import { type Claim, type ClaimDocument, emptyClaimDocument } from "./claimDocument.js";
 import { type ClaimLimits, type ClaimTime } from "./claimMessages.js";
 
-/** A document as the store last showed it. */
+/** A document as last read from or written to the store. */
 export interface CachedDocument {
     readonly revision: number;
     readonly document: ClaimDocument;
-    /** Monotonic time at which the store's answer came. */
+    /** Monotonic time of the store's reply, in milliseconds. */
     readonly readAtMs: number;
 }
 
-/** A claim that keeps its key from being claimed again. */
+/** A claim that prevents its key from being claimed again. */
 export interface BlockingClaim {
     readonly bucket: number;
     readonly claim: Claim;
@@ -17,7 +17,7 @@
 
 const unseen: CachedDocument = Object.freeze({ revision: 0, document: emptyClaimDocument, readAtMs: 0 });
 
-/** One shard's documents as one gateway has seen them, by time bucket. */
+/** Cache of one shard's documents by time bucket. */
 export class ClaimDocumentCache {
     readonly #limits: ClaimLimits;
     readonly #seen = new Map<number, CachedDocument>();
@@ -30,7 +30,7 @@
         return this.#seen.get(bucket);
     }
 
-    /** @returns what was seen of a bucket, or an empty document that does not exist yet */
+    /** @returns the cached document of a bucket, or an empty one with revision 0 */
     getOrEmpty(bucket: number): CachedDocument {
         return this.#seen.get(bucket) ?? unseen;
     }
@@ -44,29 +44,29 @@
     }
 
     /**
-     * Another gateway has probably written a document that was seen some time ago: a write on this revision would be
-     * spent in vain, and the store takes ten times as many reads as writes.
+     * Whether a document must be read again before it is written. Another gateway has probably written it since, so
+     * that a write based on this revision would fail; the store takes ten times as many reads as writes.
      */
     isStale(seen: CachedDocument, time: ClaimTime): boolean {
         return time.nowMs - seen.readAtMs > this.#limits.maxCacheAgeMs;
     }
 
-    /** @returns the bucket that takes new claims */
+    /** @returns number of the bucket that accepts new claims */
     openBucket(time: ClaimTime): number {
         let open = Math.floor(time.epochMs / this.#limits.bucketMs);
         for (const [bucket, seen] of this.#seen) {
-            // Buckets never go back, neither for a clock that does nor for one that is behind the others'.
+            // The open bucket never moves back, even if this clock does or is behind those of other gateways.
             open = Math.max(open, seen.document.sealed ? bucket + 1 : bucket);
         }
         return open;
     }
 
-    /** @returns the oldest bucket whose claims still count */
+    /** @returns number of the oldest bucket whose claims are still in effect */
     oldestBucket(time: ClaimTime): number {
         return this.openBucket(time) - this.#limits.retainedBuckets;
     }
 
-    /** @returns a bucket whose claims count no longer */
+    /** @returns number of a cached bucket whose claims have expired, if there is one */
     findExpired(time: ClaimTime): number | undefined {
         const oldest = this.oldestBucket(time);
         for (const bucket of this.#seen.keys()) {
@@ -77,12 +77,12 @@
         return undefined;
     }
 
-    /** @returns the claim that keeps a key from being claimed, where there is one */
+    /** @returns the claim that prevents a key from being claimed, if there is one */
     findBlocking(keyDigest: string): BlockingClaim | undefined {
         for (const [bucket, seen] of this.#seen) {
             const claim = seen.document.claims[keyDigest];
-            // A claim blocks until its request is known not to have run. Its holder's death frees nothing: the
-            // request may be running, and a second try would file the return twice.
+            // A claim blocks its key until the request is known not to have run, even if its holder has died: the
+            // request may be running, and a second attempt would file the return twice.
             if (claim !== undefined && claim.end?.didRun !== "no") {
                 return { bucket, claim };
             }
--- a/packages/atMostOnce/src/claimMessages.ts
+++ b/packages/atMostOnce/src/claimMessages.ts
@@ -1,32 +1,32 @@
 import { type Failure } from "@galenaglade/errors";
 
-/** A caller's idempotency key, to be claimed for one try of its request. */
+/** Request to claim a caller's idempotency key for one attempt of its request. */
 export interface ClaimRequest {
-    /** Unique to this try; the store's copy of a claim is recognised by it. */
+    /** Unique to this attempt; identifies the gateway's own claim in the store. */
     readonly nonce: string;
-    /** Digest of service and key, in hexadecimal digits. */
+    /** Hexadecimal digest of service and key. */
     readonly keyDigest: string;
-    /** Digest of method, path and body, so that a different request under the same key is found out. */
+    /** Digest of method, path and body, to detect a different request with the same key. */
     readonly fingerprint: string;
-    /** Monotonic time in milliseconds at which the claim is refused if it isn't held by then. */
+    /** Monotonic time in milliseconds at which the claim is refused if it has not been acquired. */
     readonly deadlineMs: number;
 }
 
-/** A stored document as the store returned it. */
+/** A document as returned by the store. */
 export interface StoredClaims {
     readonly value: string;
     readonly revision: number;
 }
 
-/** Answer of the store to one call of the batcher's. */
+/** Reply of the store to one call of the batcher. */
 export type ClaimStoreReply =
     | { readonly type: "read"; readonly stored: readonly (StoredClaims | undefined)[]; }
     | { readonly type: "swapped"; readonly revision: number; }
     | { readonly type: "notSwapped"; readonly stored: StoredClaims | undefined; };
 
-/** What the batcher wants done. */
+/** Command of the batcher, to be executed by the gateway. */
 export type ClaimCommand =
-    /** Reads all keys at the same time; the answer has them in the same order. */
+    /** Reads all keys concurrently; the reply has the documents in the same order. */
     | { readonly type: "read"; readonly callId: number; readonly keys: readonly string[]; }
     | {
         readonly type: "swap";
@@ -36,24 +36,24 @@
         /** `undefined` deletes the document. */
         readonly value: string | undefined;
     }
-    /** The key is held; the request may be handed over before `validUntilMs`, checked in the same turn. */
+    /** The key is claimed; the request may be sent before `validUntilMs`, to be checked in the same turn. */
     | { readonly type: "claimed"; readonly nonce: string; readonly validUntilMs: number; }
     | { readonly type: "refused"; readonly nonce: string; readonly failure: Failure; };
 
-/** The present time, twice. */
+/** Current time on two clocks. */
 export interface ClaimTime {
-    /** Monotonic milliseconds; every wait and validity is counted on it. */
+    /** Monotonic time in milliseconds, used for all timeouts and validity periods. */
     readonly nowMs: number;
-    /** Wall-clock milliseconds; only the time bucket is taken from it. */
+    /** Wall-clock time in milliseconds since the Unix epoch, used only to select the time bucket. */
     readonly epochMs: number;
 }
 
-/** Numbers of the claims; the same on every gateway. */
+/** Limits of claims; the same on every gateway. */
 export interface ClaimLimits {
     readonly shardCount: number;
     readonly bucketMs: number;
     readonly retainedBuckets: number;
-    /** Age up to which a document as last seen is worth a write without another read. */
+    /** Maximum age of a cached document that is written without being read again. */
     readonly maxCacheAgeMs: number;
     readonly validityMs: number;
     readonly storeProbeDelayMs: number;
--- a/packages/atMostOnce/src/claimShard.ts
+++ b/packages/atMostOnce/src/claimShard.ts
@@ -25,13 +25,13 @@
     type WaitingClaim,
 } from "./shardCall.js";
 
-/** The claims of one shard as one gateway sees them: which wait, which are held, and what the store last held. */
+/** One gateway's state of the claims of one shard: waiting and held claims, and cached documents. */
 export class ClaimShard {
     readonly #holder: string;
     readonly #limits: ClaimLimits;
     readonly #documents: ClaimDocumentCache;
     readonly #waiting = new Map<string, WaitingClaim>();
-    /** Claims whose write was sent and of which it isn't known yet whether it took effect. */
+    /** Claims whose write was sent and has not been confirmed or ruled out yet. */
     readonly #sent = new Map<string, SentClaim>();
     readonly #held = new Map<string, ClaimLocation>();
     readonly #ends = new Map<string, PendingEnd>();
@@ -43,17 +43,17 @@
         this.#documents = new ClaimDocumentCache(limits);
     }
 
-    /** Whether no claim waits and no end is still to be written. */
+    /** Whether no claim is waiting or unconfirmed, and no end is still to be written. */
     get isIdle(): boolean {
         return this.#waiting.size === 0 && this.#ends.size === 0 && this.#sent.size === 0;
     }
 
-    /** Adds a claim to those that wait for the next write. */
+    /** Queues a claim for the next write. */
     add(req: ClaimRequest): void {
         this.#waiting.set(req.nonce, { req, readBuckets: new Set(), firstSentAtMs: undefined });
     }
 
-    /** Notes how a held claim's request ended. */
+    /** Records the end of a held claim's request. */
     recordEnd(nonce: string, end: ClaimEnd): void {
         const place = this.#held.get(nonce);
         if (place !== undefined) {
@@ -69,14 +69,14 @@
         return verdicts;
     }
 
-    /** Refuses every claim that waits; writes that may yet take effect are followed up and released. */
+    /** Refuses all waiting claims. Those whose write may still take effect are tracked and then released. */
     refuseWaiting(failure: Failure): void {
         for (const nonce of [...this.#waiting.keys()]) {
             this.#refuse(nonce, failure);
         }
     }
 
-    /** Refuses claims that waited for as long as their caller allows. */
+    /** Refuses waiting claims that are past their deadline. */
     refuseExpired(nowMs: number): void {
         for (const [nonce, waiting] of [...this.#waiting]) {
             if (waiting.req.deadlineMs <= nowMs) {
@@ -86,14 +86,14 @@
     }
 
     /**
-     * @param time - the present time
-     * @returns the next call of the store, or `undefined` where nothing is to be done
+     * @param time - current time
+     * @returns the next store call, or `undefined` if none is due
      */
     nextCall(time: ClaimTime): ShardCall | undefined {
         return this.#nextForClaims(time) ?? this.#nextForEnds(time) ?? this.#nextFence() ?? this.#nextDeletion(time);
     }
 
-    /** Takes in the store's answer to a call. */
+    /** Handles the store's reply to a call. @returns the failure if the document is malformed */
     onReply(call: ShardCall, answer: ClaimStoreReply, now: ClaimTime): Failure | undefined {
         if (answer.type === "read") {
             return this.#readAnswered(call, answer.stored, now);
@@ -120,8 +120,8 @@
         for (const [i, bucket] of call.buckets.entries()) {
             const seen = this.#documents.getOrEmpty(bucket);
             if (seen.revision > (stored[i]?.revision ?? 0)) {
-                // The store's reads may lag, while its writes never do. Taken for the present, an old copy without a
-                // claim that is held would make the gateway forget to record its end, and the key would stay taken.
+                // Reads of the store may lag, but writes never do. If a stale copy that lacks a held claim were used,
+                // the gateway would not record the claim's end, and the key would stay claimed.
                 this.#observe(call, bucket, seen.revision, seen.document, now);
                 continue;
             }
@@ -159,8 +159,8 @@
             return this.#read(missing);
         }
         for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
-            // Without the seal a gateway whose clock is behind could claim a key in an older bucket after this one
-            // has looked there, and the key's request would run twice. A sealed document takes no new claim.
+            // Without the seal, a gateway whose clock is behind could claim a key in an older bucket after this gateway
+            // has checked it, and the key's request would run twice. A sealed document accepts no new claims.
             const { document } = this.#documents.getOrEmpty(bucket);
             if (!document.sealed) {
                 return this.#swap(bucket, { ...document, sealed: true });
@@ -195,7 +195,7 @@
                 batch.set(keyDigest, waiting);
                 continue;
             }
-            // What is cached may have ended since; a caller is told so only after a read made since it asked.
+            // The cached claim may have ended since, so a refusal requires a read made after the request arrived.
             if (!waiting.readBuckets.has(blocking.bucket)) {
                 return this.#read([blocking.bucket]);
             }
@@ -239,9 +239,9 @@
     }
 
     /**
-     * A claim was given up while the answer to its write was lost: should the write yet take effect, the caller's
-     * next try would be told for a day that its request is under way, and the return would be lost. Writing the
-     * document once more unchanged shows the claim, so that it can be released, or makes the lost write fail.
+     * Resolves a claim that was refused although its write may still take effect. Otherwise retries of the caller would
+     * be refused for a day because their request seems to be in progress, and the return would be lost. Rewriting the
+     * document unchanged either reveals the claim, so that it can be released, or makes the lost write fail.
      */
     #nextFence(): ShardCall | undefined {
         for (const [nonce, sent] of [...this.#sent]) {
@@ -288,12 +288,12 @@
         }
     }
 
-    /** The document has moved past the revision on which the claim was written: it is there now, or never will be. */
+    /** Confirms or rules out a claim's write, once the document is past the revision that the write expected. */
     #settle(nonce: string, sent: SentClaim, document: ClaimDocument, now: ClaimTime): void {
         this.#sent.delete(nonce);
         const waiting = this.#waiting.get(nonce);
-        // An answer that was lost after the write took effect must not make a gateway refuse its own claim: the
-        // caller would be told that its request is under way while nobody runs it.
+        // If the write took effect but its reply was lost, the gateway must recognize its own claim. Otherwise the
+        // caller would be told that its request is in progress although it never runs.
         if (document.claims[sent.keyDigest]?.nonce !== nonce) {
             return;
         }
@@ -323,7 +323,7 @@
         };
     }
 
-    /** Every write of a document carries the ends that are due in it. */
+    /** Creates a write of a document, which includes the pending ends of its claims. */
     #swap(bucket: number, document: ClaimDocument): ShardCall {
         const claims: Record<string, Claim> = { ...document.claims };
         for (const [nonce, pending] of this.#ends) {
--- a/packages/atMostOnce/src/createBlockedFailure.ts
+++ b/packages/atMostOnce/src/createBlockedFailure.ts
@@ -4,8 +4,8 @@
 
 /**
  * @param claim - the claim that holds the key
- * @param req - the claim that comes too late
- * @returns what to tell its caller
+ * @param req - the later request for a claim of the same key
+ * @returns the failure for the caller of the later request
  */
 export function createBlockedFailure(claim: Claim, req: ClaimRequest): Failure {
     if (claim.fingerprint !== req.fingerprint) {
--- a/packages/atMostOnce/src/index.ts
+++ b/packages/atMostOnce/src/index.ts
@@ -1,4 +1,4 @@
-/** What may be said of a request having run, and claims of idempotency keys that keep it from running twice. */
+/** Tracks whether a request may have run, and claims idempotency keys so that it does not run twice. */
 export {
     advanceAttempt,
     type ResponseHead,
--- a/packages/atMostOnce/src/stallDetector.ts
+++ b/packages/atMostOnce/src/stallDetector.ts
@@ -1,16 +1,16 @@
 import { stallDeviationFactor, stallLatencyFactor, stallLatencyEwmaWeight, minStallTimeoutMs } from "./constants.js";
 
-/** One attempt that waits for its answer's head. */
+/** An attempt that waits for its response head. */
 export interface PendingAttempt {
     readonly service: string;
     readonly serverId: string;
     readonly sentAtMs: number;
 }
 
-/** Moving averages of the time to an answer's head. */
+/** Exponentially weighted moving averages of the time to the response head. */
 interface ServiceTimes {
     readonly meanMs: number;
-    /** Mean distance from the mean. */
+    /** Mean absolute deviation from the mean. */
     readonly deviationMs: number;
 }
 
@@ -26,21 +26,22 @@
 }
 
 /**
- * Tells a connection that went silent from a backend server that is slow.
+ * Distinguishes a dead connection from a slow backend server.
  *
- * Something between the two ends may lose track of a connection: what is sent on it arrives nowhere, no error comes
- * back, and the caller waits until its patience ends. A slow server looks the same on one connection. But a server
- * that answers what was sent later, while an earlier request goes unanswered for several times its usual time, is
- * not slow; so both are asked for. A request that is really that much longer than the others is taken for stalled as
- * well. So the time allowed grows with the spread of the service's times, the try after a stalled one is left alone, and
- * whoever asks gives an attempt up only when another try is sure to follow.
+ * A device between the two ends may lose the state of a connection. Requests on it are then dropped without an error,
+ * and the caller waits until its patience ends. A slow server looks the same on one connection. An attempt is therefore
+ * considered stalled only if it takes several times as long as usual and the server has responded to a later attempt.
+ *
+ * A request that really takes that much longer than others is considered stalled as well. To limit this, the timeout
+ * grows with the deviation of the service's times, the retry of a stalled attempt is not checked, and the gateway
+ * abandons an attempt only if a retry is certain to follow.
  */
 export class StallDetector {
     readonly #times = new Map<string, ServiceTimes>();
-    /** For each backend server, when the latest-sent attempt that it answered was sent. */
+    /** Sending time of the latest attempt that each backend server has responded to. */
     readonly #answeredSentMs = new Map<string, number>();
 
-    /** Notes that an answer's head came. */
+    /** Records a response head. */
     onHead(awaited: PendingAttempt, nowMs: number): void {
         const tookMs = nowMs - awaited.sentAtMs;
         this.#times.set(awaited.service, learn(this.#times.get(awaited.service), tookMs));
@@ -50,7 +51,7 @@
 
     /**
      * @param service - name of the service
-     * @returns time in milliseconds after which it makes sense to ask whether an attempt stalls
+     * @returns time in milliseconds after which an attempt may be considered stalled
      */
     getTimeoutMs(service: string): number {
         const { meanMs, deviationMs } = this.#times.get(service) ?? { meanMs: 0, deviationMs: 0 };
@@ -59,8 +60,8 @@
 
     /**
      * @param awaited - the attempt
-     * @param nowMs - the present time
-     * @returns whether its connection is to be given up
+     * @param nowMs - current monotonic time
+     * @returns whether the connection of the attempt should be abandoned
      */
     isStalled(awaited: PendingAttempt, nowMs: number): boolean {
         const answeredSentMs = this.#answeredSentMs.get(awaited.serverId);
--- a/packages/coldStart/src/__tests__/absenceTracker.test.ts
+++ b/packages/coldStart/src/__tests__/absenceTracker.test.ts
@@ -5,9 +5,9 @@
 
 const longMs = contactTimeoutMs + authorityChangeDelayMs;
 
-// Two gateways warm the same cold server up. The owner had its last answer from here, and may act on it for a while;
-// called absent any sooner, it would have a successor while it still sends.
-test("a member is absent only when its last answer from here no longer counts for it", () => {
+// Two gateways warm up the same cold server: the owner may act on this gateway's last response for some time, and if it
+// is reported absent earlier, its successor takes over while the owner still sends.
+test("a member is not reported absent while this gateway's last response to it counts as contact", () => {
     const absences = new AbsenceTracker("g1/1");
     absences.onRoster(0);
     absences.onHeartbeat("g2/1", 1_000);
@@ -15,8 +15,8 @@
     assert.deepEqual(absences.reportAbsent(["g1/1", "g2/1"], 1_000 + longMs), ["g2/1"]);
 });
 
-// The same, the other way round: the owner comes back while its successor still acts on its absence.
-test("a member that was called absent stays suspended while somebody may rely on that", () => {
+// Two gateways warm up the same cold server: the owner comes back while its successor still relies on its absence.
+test("a member that was reported absent stays suspended while a peer may rely on the report", () => {
     const absences = new AbsenceTracker("g1/1");
     absences.onRoster(0);
     absences.reportAbsent(["g2/1"], 10_000);
--- a/packages/coldStart/src/__tests__/coldStart.test.ts
+++ b/packages/coldStart/src/__tests__/coldStart.test.ts
@@ -72,11 +72,11 @@
     slow: fc.boolean(),
 });
 
-// Callers see errors from a server that was given more than it bears, and it never gets warm. It turns cold without a
-// word while gateways are stopped, cut off, replaced, or without a store; each of them is right by what it knows, and
-// only their sum is too much.
-test("a cold server is never given more than it bears, whatever is lost, late, stopped or down", () => {
-    // Within the window, a gateway that died has three requests there beside three of each that lives: 19 of 18.
+// An overloaded cold server fails requests and never becomes warm. Servers turn cold unannounced while gateways are
+// paused, disconnected or replaced, or while the store is down. Each gateway keeps within the limits that it knows, but
+// the sum of their requests exceeds what the server can handle.
+test("a cold server is never overloaded, whatever is lost, delayed, paused or down", () => {
+    // Within the window, a dead gateway has three requests at the server besides three of each live one: 19 of 18.
     const diedInWindow = {
         seed: 1384199573,
         gateways: 6,
@@ -102,9 +102,9 @@
     );
 });
 
-// Morning finds every server cold and every caller refused. The store is down all night, no permit can be got, and the
-// servers turn cold one by one; with those of a dead gateway left to nobody, a part of them would stay so.
-test("through a long outage of the store servers that turn cold are warmed up again, a dead gateway's too", () => {
+// The store is down for a long time, no permit can be acquired, and the servers turn cold one by one until all requests
+// are refused. Without a successor for a dead gateway, the servers that it owns would stay cold.
+test("servers that turn cold during a long store outage are warmed up again, even those of a dead gateway", () => {
     const fromMs = 60_000;
     const toMs = fromMs + 20 * 60_000;
     const fleet = new SimulatedFleet(planOf(1, {
@@ -125,12 +125,12 @@
         sum += fleet.warmShare();
         samples++;
     }
-    assert.ok(sum / samples > 0.7, `${sum / samples} of the servers were warm in the mean`);
+    assert.ok(sum / samples > 0.7, `mean share of warm servers: ${sum / samples}`);
 });
 
-// New requests reach a server that is shutting down, and are cut. One gateway has its answer that says so; the others
-// have heard nothing from the server, and the host list is late.
-test("a few seconds after a server begins to leave it gets no new work", () => {
+// New requests are sent to a server that is shutting down, and are aborted. One gateway has a response that reports it;
+// the others have no response from the server yet, and the host list lags.
+test("a leaving server gets no new requests after a few seconds", () => {
     const leavePlans: fc.Arbitrary<Faults> = fc.record({
         seed: fc.integer({ min: 1, max: 0x7fffffff }),
         loss: fc.constantFrom(0, 0.02),
@@ -138,7 +138,7 @@
         cutEveryMs: fc.constantFrom(0, 4_000),
         arrivalMs: fc.constantFrom(40, 300),
     });
-    // A gateway alone got the word, while it was cut off for longer than signals were then repeated.
+    // Only one gateway learned of it, while it was disconnected for longer than signals used to be repeated.
     const cutOffWithTheWord = { seed: 2147483620, loss: 0, pauseEveryMs: 0, cutEveryMs: 4_000, arrivalMs: 300 };
     fc.assert(
         fc.property(leavePlans, faults => {
--- a/packages/coldStart/src/__tests__/gateDriver.ts
+++ b/packages/coldStart/src/__tests__/gateDriver.ts
@@ -12,12 +12,12 @@
     type StoreOutcome,
 } from "../index.js";
 
-/** What a server says of itself in an answer. */
+/** Creates the metadata of a server's response. */
 export function createMetadata(state: ServerMetadata["state"], more: Partial<ServerMetadata> = {}): ServerMetadata {
     return { ...emptyServerMetadata, state, ...more };
 }
 
-/** A declared server with the limits that the tests count on. */
+/** Creates a declared server with the limits that the tests expect. */
 export function createServer(serverId: ServerId, more: Partial<GatedServer["limits"]> = {}): GatedServer {
     const limits = {
         concurrency: 1,
@@ -30,14 +30,14 @@
     return { serverId, limits, isZoneInService: true };
 }
 
-/** One gate with a store that answers at once, and peers that say what the test wants. */
+/** Drives one gate with a store that replies immediately and peers whose responses the test determines. */
 export class GateDriver {
     readonly self: string;
     readonly gate: ServerPermitGate;
     isStoreUp = true;
-    /** Whether ticks are called as time passes; without them only rounds are. */
+    /** Whether time steps call `tick`; otherwise they only run heartbeat rounds. */
     isTicking = true;
-    /** Makes the answers of a round's peers, from the word that they got. */
+    /** Creates the peers' responses to a heartbeat. */
     createResponses: (word: ColdStartHeartbeat) => readonly ColdStartHeartbeat[];
     nowMs = 0;
     #requests = 0;
@@ -55,7 +55,7 @@
                 .map(member => createHeartbeatResponse(member, roster.version, word));
     }
 
-    /** Lets time pass in steps of 100 ms. */
+    /** Advances the time in steps of 100 ms. */
     advanceUntil(untilMs: number): void {
         while (this.nowMs < untilMs) {
             this.nowMs += 100;
@@ -78,7 +78,7 @@
         return this.gate.maySend(serverId, this.nowMs, this.nowMs + patienceMs) === "yes";
     }
 
-    /** Asks for the server until it may be sent to, and sends. @returns the request */
+    /** Waits until a request may be sent to the server, and sends it. @returns the id of the request */
     send(serverId: ServerId, patienceMs = 500): string {
         for (let i = 0; i < 200 && !this.maySend(serverId, patienceMs); i++) {
             this.advanceUntil(this.nowMs + 100);
@@ -91,7 +91,7 @@
         return requestId;
     }
 
-    /** A whole answer comes, 10 ms after the request. */
+    /** Completes a request with a good response after 10 ms. */
     respond(serverId: ServerId, requestId: string, signs: ServerMetadata): void {
         this.nowMs += 10;
         this.gate.onEnd(serverId, requestId, { outcome: "good", metadata: signs, mayStillRun: false }, this.nowMs);
@@ -117,7 +117,7 @@
     }
 }
 
-/** The answer of a peer that has nothing in flight and knows of as many turns to cold as whoever asked. */
+/** Creates the response of a peer that has no requests in flight and knows the same epochs as the sender. */
 export function createHeartbeatResponse(
     from: string,
     rosterVersion: number,
--- a/packages/coldStart/src/__tests__/leavingTracker.test.ts
+++ b/packages/coldStart/src/__tests__/leavingTracker.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { LeavingTracker, type LeavingSource } from "../index.js";
 
-test("whichever source says first that a server is leaving is believed at once", () => {
+test("the first report that a server is leaving takes effect at once, whatever its source", () => {
     for (const source of ["hostList", "health", "answer", "peer"] as const satisfies readonly LeavingSource[]) {
         const leaving = new LeavingTracker();
         assert.equal(leaving.onReport(source, true, "1", 0), true, source);
@@ -10,9 +10,9 @@
     }
 });
 
-// A drained server gets new work and cuts it: it said that it is leaving, and the endpoint or the list, which lag,
-// still say that the same life of it is well.
-test("a lagging source doesn't bring a leaving server back, and a new life of it does", () => {
+// A draining server gets new requests and aborts them: it reported that it is leaving, but the health endpoint or the
+// host list lags and still reports the same incarnation as live.
+test("a leaving server is not brought back by a lagging source, but by a new incarnation", () => {
     const leaving = new LeavingTracker();
     leaving.onReport("answer", true, "1", 0);
     leaving.onReport("health", false, "1", 100);
@@ -23,8 +23,8 @@
     assert.equal(leaving.isLeaving, false);
 });
 
-// A server that has come back gets no work for good: a peer repeats the word of its former life.
-test("a late word of a life that is over doesn't take the next one out", () => {
+// A server that has come back gets no requests ever again, since a peer repeats a report about its old incarnation.
+test("a late report on an old incarnation doesn't take the new one out of service", () => {
     const leaving = new LeavingTracker();
     leaving.onReport("answer", true, "1", 0);
     leaving.onReport("health", false, "2", 100);
@@ -32,7 +32,7 @@
     assert.equal(leaving.isLeaving, false);
 });
 
-test("without incarnations a server is back when the list says so that said it left, or after a long while", () => {
+test("a server without incarnations comes back by the host list that reported it, or after a timeout", () => {
     const listed = new LeavingTracker();
     listed.onReport("hostList", true, undefined, 0);
     listed.onReport("hostList", false, undefined, 100);
--- a/packages/coldStart/src/__tests__/serverPermitGate.test.ts
+++ b/packages/coldStart/src/__tests__/serverPermitGate.test.ts
@@ -15,7 +15,7 @@
     driver.respond(server, driver.send(server), createMetadata("warm"));
 }
 
-test("a fresh gateway takes every server for cold, and sends one request at a time until an answer says warm", () => {
+test("a new gateway treats every server as cold, and sends one request at a time until one responds as warm", () => {
     const driver = createDriver();
     assert.equal(driver.maySend(server), false);
     const first = driver.send(server);
@@ -26,7 +26,7 @@
     assert.equal(driver.maySend(server), true);
 });
 
-test("without the server's word it counts as warm after the configured number of good answers in a row", () => {
+test("a server that reports no state is warm after the configured number of consecutive good responses", () => {
     const driver = createDriver();
     for (const state of [undefined, undefined]) {
         driver.respond(server, driver.send(server), createMetadata(state));
@@ -41,10 +41,10 @@
         driver.respond(server, driver.send(server), createMetadata(state));
     }
     driver.send(server);
-    assert.equal(driver.maySend(server), false, "the refusal began the count anew");
+    assert.equal(driver.maySend(server), false, "the shed request restarted the count");
 });
 
-test("the limit grows with good answers up to what the server says that it bears, and falls with it at once", () => {
+test("the limit grows with good responses up to the concurrency that the server reports, and drops with it", () => {
     const driver = createDriver();
     const bears2 = createMetadata("cold", { bears: 2 });
     driver.respond(server, driver.send(server), bears2);
@@ -56,9 +56,9 @@
     assert.equal(driver.maySend(server), false);
 });
 
-// A caller's request reaches a server that nobody has used all night and that was restarted meanwhile. The gateway
-// still has it down as warm; three requests at once would fall on a server that bears one.
-test("a server idle for long gets one trial request first", () => {
+// A server was idle for hours and restarted meanwhile, and the gateway still considers it warm. Three concurrent
+// requests would be sent to a server that can handle one.
+test("a server that was idle for a long time gets one trial request first", () => {
     const driver = createDriver({ idleMs: 10_000 });
     warmUp(driver);
     driver.advanceUntil(driver.nowMs + 12_000);
@@ -69,9 +69,9 @@
     assert.equal(driver.maySend(server), true);
 });
 
-// A cold server is given too much: the holder's renewals fail while the store gives the key to another. The holder
-// hears from its peers all the time and does nothing but ask whether it may send, so only the time shows.
-test("the lease's time ends the permit in the very turn in which a request would be sent", () => {
+// A cold server is overloaded: the holder's renewals fail and the store grants the permit to another gateway. The
+// holder keeps contact with its peers and runs no ticks, so only the current time shows that its lease has expired.
+test("an expired lease ends the permit in the same turn in which a request would be sent", () => {
     const driver = createDriver();
     driver.respond(server, driver.send(server), createMetadata("cold"));
     assert.equal(driver.maySend(server), true);
@@ -80,9 +80,9 @@
     assert.equal(driver.maySend(server), false);
 });
 
-// A holder sends a request that may run for eight seconds and vanishes at once. Its record said one second, so the next
-// holder, which can't ask it any more, sends after two, and the server has one more than it bears.
-test("the record is widened in the store before a request with a later deadline is sent", () => {
+// A holder sends a request that may run for eight seconds and crashes. If its record has a horizon of one second, the
+// next holder, which can't reach it, sends after two seconds, and the server has one request more than it can handle.
+test("the record's horizon is widened in the store before a request with a later deadline is sent", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
     driver.respond(server, driver.send(server, 500), createMetadata("cold"));
@@ -92,15 +92,15 @@
     assert.deepEqual(JSON.parse(record), { epoch: 0, holders: [{ gateway: "g1/1", horizonMs: 8_000 }] });
     const next = new GateDriver("g4/1", engine, [createServer(server)], { version: 2, members: ["g4/1"] });
     next.nowMs = driver.nowMs + 1_000;
-    // The holder's key has to lapse, and then its longest request.
+    // The holder's lease has to expire, and then its longest request has to end.
     const sentAtMs = driver.nowMs;
     next.send(server);
     assert.ok(next.nowMs >= sentAtMs + 8_000, `sent after ${next.nowMs - sentAtMs} ms`);
 });
 
-// A gateway dies with requests on a server that then turns cold, and leaves the roster. A gateway that came later never
-// saw it as a member; its peers have to tell, or it sends while those requests still run.
-test("a fresh gateway counts what gateways that left before it came may have in flight", () => {
+// A gateway crashes with requests on a server that then turns cold, and leaves the roster. A gateway that joins later
+// has never seen it as a member: without its peers' reports, it would send while those requests still run.
+test("a new gateway counts the requests that gateways which left before it joined may have in flight", () => {
     const driver = createDriver({ maxPatienceMs: 9_000 });
     const departures = [{ gateway: "g0/1", stoppedAgoMs: 0 }];
     let isTold = false;
@@ -114,9 +114,10 @@
     assert.ok(driver.nowMs >= 9_000, `sent after ${driver.nowMs} ms`);
 });
 
-// A peer that lags has not heard that the server turned cold, says that it has nothing there, hears an old word that
-// the server is warm, and sends three requests. Its word counts only if it knows of the same turn to cold.
-test("the word of a peer that knows of fewer turns to cold doesn't count", () => {
+// A lagging peer does not know that the server turned cold. It reports no requests in flight, then receives an old
+// signal that the server is warm, and sends three requests. Its report must not count until it knows the current
+// epoch.
+test("a report from a peer with an older epoch doesn't count", () => {
     const driver = createDriver();
     warmUp(driver);
     driver.respond(server, driver.send(server), createMetadata("cold"));
@@ -131,9 +132,9 @@
     driver.send(server);
 });
 
-// A cold server is given more than it bears right after a change of the roster. The last contact under the old one
-// still counts for a gateway that, under the new one, hasn't heard from anybody yet who may hold the permit now.
-test("contact with a majority of an old roster ends with it", () => {
+// A cold server is overloaded right after a roster change: a gateway still relies on its contact under the old roster,
+// but has had no contact under the new one with the gateways that may hold the permit now.
+test("contact with a majority of an old roster doesn't count under the new one", () => {
     const driver = createDriver();
     warmUp(driver);
     assert.equal(driver.maySend(server), true);
@@ -141,9 +142,9 @@
     assert.equal(driver.maySend(server), false);
 });
 
-// The store is down for all, two gateways tell each other of a lease that lapsed long ago, and each dates it from when
-// it heard of it. It would never grow old, and no server that turned cold would get any work until the store is back.
-test("a lease that is told to and fro grows old all the same", () => {
+// The store is down, and two gateways report to each other a lease that expired long ago. If each measured its age from
+// the latest report, the lease would never expire, and no cold server would get requests until the store is back.
+test("a lease that peers keep reporting to each other still expires", () => {
     const driver = createDriver();
     driver.isStoreUp = false;
     const owned = ["a", "b", "c", "d", "e", "f"].map(name => createServer(`service/${name}`));
@@ -151,7 +152,7 @@
     const plain = driver.createResponses;
     let told: ColdStartHeartbeat["leases"] = [{ holder: "g2/1", sequence: 1, ageMs: 0 }];
     driver.createResponses = word => {
-        // The peers answer with what they were told a round before, as if it had been 100 ms on the way.
+        // The peers respond with the leases of the previous round, as if delayed by 100 ms.
         const leases = told;
         told = word.leases;
         return plain(word).map(answer => createHeartbeatResponse(answer.from, 1, word, { leases }));
@@ -163,15 +164,15 @@
     assert.ok(open().includes(true));
 });
 
-// The trial finds a cold server with two requests. The evidence that it was warm ran out; a peer that heard of the last
-// answer late takes it for fresh a little longer, says so to nobody, and sends once more beside the trial.
-test("a trial waits until no peer can still take the server for warm", () => {
+// A cold server gets two concurrent requests. The confirmation that it was warm has expired here, but a peer that
+// learned late of the last response considers the server warm a little longer, and sends a request besides the trial.
+test("a trial request waits until no peer can still consider the server warm", () => {
     const driver = createDriver({ idleMs: 10_000 });
     warmUp(driver);
     const provenAtMs = driver.nowMs - 10;
     driver.advanceUntil(provenAtMs + 9_900);
     const last = driver.send(server);
-    assert.ok(driver.nowMs < provenAtMs + 10_000, "warm until then");
+    assert.ok(driver.nowMs < provenAtMs + 10_000, "still confirmed warm");
     driver.respond(server, last, createMetadata("warm"));
     const idleFromMs = driver.nowMs - 10 + 10_000;
     driver.advanceUntil(idleFromMs);
@@ -179,9 +180,9 @@
     assert.ok(driver.nowMs >= idleFromMs + authorityChangeDelayMs, `sent ${driver.nowMs - idleFromMs} ms after`);
 });
 
-// Every caller of a service is refused until a person looks: the permit was granted and the answer lost, the gateway
-// sees the key taken, and waits for a holder that is itself and renews its lease for ever.
-test("a permit whose grant was lost on the way is known again by its lease", () => {
+// All callers of a service are refused until an operator intervenes: the permit was granted but the reply was lost, and
+// the gateway waits for the holder of the key, which is itself and keeps renewing its lease.
+test("a gateway recognizes by the lease a permit whose grant reply was lost", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
     driver.advanceUntil(3_000);
@@ -193,7 +194,7 @@
     driver.send(server);
 });
 
-test("a permit is given up when nobody asks for the server any more", () => {
+test("a permit is released when there are no more requests for the server", () => {
     const engine = new KeyValueEngine();
     const driver = createDriver({}, engine);
     driver.respond(server, driver.send(server), createMetadata("cold"));
@@ -202,7 +203,7 @@
     assert.equal(engine.get(`coldStart/permit/${server}`, driver.nowMs), undefined);
 });
 
-test("signs of turning cold take a server out at once, and are told to peers; shedding while warm is no such sign", () => {
+test("evidence of a cold server takes effect and is signalled at once, but shedding while warm is none", () => {
     const end = { metadata: createMetadata(undefined), mayStillRun: false } as const;
     const cases = [
         { cold: true, end: { ...end, outcome: "shed" } },
@@ -223,7 +224,7 @@
     }
 });
 
-test("a first answer after a silence that is far slower than usual is a sign of turning cold", () => {
+test("a much slower first response after an idle period shows that the server has turned cold", () => {
     const driver = createDriver();
     for (let i = 0; i < 5; i++) {
         driver.respond(server, driver.send(server), createMetadata(undefined));
@@ -236,7 +237,7 @@
     assert.equal(driver.maySend(server), false);
 });
 
-test("an endpoint that still says cold doesn't contradict newer answers, and is believed when none come", () => {
+test("an endpoint that lags doesn't override recent responses, but takes effect without any", () => {
     const driver = createDriver();
     warmUp(driver);
     driver.gate.onReport(server, createMetadata("cold"), driver.nowMs);
@@ -246,7 +247,7 @@
     assert.equal(driver.maySend(server), false);
 });
 
-test("the servers of an availability zone that comes back count as cold", () => {
+test("the servers of an availability zone are cold when it comes back", () => {
     const driver = createDriver();
     warmUp(driver);
     const declared = createServer(server);
@@ -257,9 +258,9 @@
     assert.equal(driver.maySend(server), false);
 });
 
-// A cold server is given too much by a holder that asked in time, opened a connection, was stopped before the first byte
-// and went on when another held the permit.
-test("what allowed a request is asked again in the turn of its first byte", () => {
+// A cold server is overloaded: the holder is allowed to send, opens a connection, is paused before the first byte, and
+// resumes when another gateway holds the permit.
+test("a request is not sent if its permission has expired by the turn of its first byte", () => {
     const driver = createDriver();
     const request = driver.send(server);
     assert.equal(driver.gate.mayStillSend(server, request, driver.nowMs), true);
@@ -269,7 +270,7 @@
     assert.equal(driver.gate.mayStillSend(server, request, driver.nowMs), false, "under another permit");
 });
 
-test("a request for a server that has turned cold or begun to leave since isn't handed over", () => {
+test("a request is not sent if its server has turned cold or begun to leave since it was allowed", () => {
     const signals = [
         { kind: "turnedCold", epoch: 1 },
         { kind: "leaving", epoch: 0 },
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -12,7 +12,7 @@
     type StoreOutcome,
 } from "../index.js";
 
-/** What a simulated run is made of; every fault is drawn from the seed. */
+/** Parameters of a simulated run; all faults are drawn from the seed. */
 export interface FleetPlan {
     readonly seed: number;
     readonly gateways: number;
@@ -21,27 +21,27 @@
     /** Time between two requests that arrive at a gateway. */
     readonly arrivalMs: number;
     readonly idleMs: number;
-    /** Share of requests, answers and heartbeats that are lost. */
+    /** Share of requests, responses and heartbeats that are lost. */
     readonly loss: number;
-    /** Mean time between two servers that turn cold without a word; 0 for none. */
+    /** Mean time between two unannounced changes of a server to cold; 0 for none. */
     readonly coldEveryMs: number;
-    /** Mean time between two stops of a gateway; 0 for none. */
+    /** Mean time between two process pauses of a gateway; 0 for none. */
     readonly pauseEveryMs: number;
-    /** Mean time between two cuts of a gateway from the store, or from its peers; 0 for none. */
+    /** Mean time between two disconnections of a gateway from the store or its peers; 0 for none. */
     readonly cutEveryMs: number;
     /** Mean time between two replacements of a gateway; 0 for none. */
     readonly replaceEveryMs: number;
-    /** When the store is down. */
+    /** Periods in which the store is down. */
     readonly outages: readonly { readonly fromMs: number; readonly toMs: number; }[];
-    /** Gateways, by number, that die with the first outage and aren't replaced. */
+    /** Number of gateways that crash when the first outage begins and are not replaced. */
     readonly dead: number;
-    /** Longest patience of a caller. */
+    /** Maximum patience of a caller. */
     readonly patienceMs: number;
     /** Mean time between two servers that begin to leave; 0 for none. */
     readonly leaveEveryMs: number;
-    /** Requests in flight that a cold server bears. */
+    /** Number of concurrent requests that a cold server can handle. */
     readonly coldBears: number;
-    /** Good answers until a cold server is warm. */
+    /** Number of good responses after which a cold server is warm. */
     readonly answersUntilWarm: number;
     /** Share of requests that run to their deadline. */
     readonly longShare: number;
@@ -58,7 +58,7 @@
     ended: boolean;
 }
 
-/** A backend server that tells its state in each answer, and in nothing else. */
+/** A backend server that reports its state only in its responses. */
 class SimulatedServer {
     readonly serverId: ServerId;
     cold = true;
@@ -82,7 +82,7 @@
         this.#answers = 0;
     }
 
-    /** @returns whether the answer made it warm */
+    /** @returns whether the response made the server warm */
     answer(): boolean {
         this.#answers++;
         if (this.cold && this.#answers >= this.#plan.answersUntilWarm) {
@@ -93,7 +93,7 @@
     }
 }
 
-/** A gateway process that may be stopped and continued; what comes meanwhile waits for it, in no order. */
+/** A gateway process that can be paused and resumed; events during a pause are delivered afterwards in random order. */
 class SimulatedGateway {
     readonly id: string;
     readonly gate: ServerPermitGate;
@@ -134,7 +134,7 @@
     }
 }
 
-/** Several gateways, backend servers and the store on one virtual clock. */
+/** Simulates several gateways, backend servers and the store on one virtual clock. */
 export class SimulatedFleet {
     readonly history: HistoryLine[] = [];
     readonly #plan: FleetPlan;
@@ -157,12 +157,12 @@
         }
     }
 
-    /** Gateways that were ever started: those that died may still have requests at a server. */
+    /** Number of gateways ever started, since dead ones may still have requests at a server. */
     get gatewayCount(): number {
         return this.#gatewayCount;
     }
 
-    /** Share of servers that a caller of some gateway could be sent to freely just now. */
+    /** Share of servers that are warm now. */
     warmShare(): number {
         return this.#servers.filter(server => !server.cold).length / this.#servers.length;
     }
@@ -195,7 +195,7 @@
         this.history.push({ sequence: this.history.length, atMs: this.#time.nowMs, process, ...event });
     }
 
-    /** Runs `work` at random times that lie `meanMs` apart in the mean. */
+    /** Runs `work` at random intervals with the mean `meanMs`. */
     #repeat(meanMs: number, work: () => void): void {
         if (meanMs > 0) {
             this.#time.schedule(meanMs * 2 * this.#random.next(), () => {
@@ -261,7 +261,7 @@
         });
     }
 
-    /** The new roster reaches every gateway within two seconds. */
+    /** Changes the roster; the new one reaches every gateway within two seconds. */
     #changeRoster(): void {
         const members = this.#gateways.filter(gateway => !gateway.isDead).map(gateway => gateway.id);
         const previous = this.#roster.version === 0 ? undefined : this.#roster.members;
@@ -283,7 +283,7 @@
         }
     }
 
-    /** Its answers say so at once; the host list tells each gateway some seconds later, or never. */
+    /** One server starts leaving: its responses report it at once, the host list to each gateway later or never. */
     #leaveOne(): void {
         const server = this.#servers[this.#random.nextInt(this.#servers.length)];
         if (server === undefined || server.leaving) {
@@ -376,7 +376,7 @@
         return gateways.some(gateway => this.#time.nowMs < gateway.cutFromPeersUntilMs);
     }
 
-    /** Counted here a second time, from the roster as it stands, so that the checker doesn't rest on the gate's word. */
+    /** Computes the majority from the current roster, so that the checker does not depend on the gate's result. */
     #recordMajority(gateway: SimulatedGateway, startedAtMs: number, peers: readonly string[]): void {
         const heard = new Set([gateway.id, ...peers]);
         const { members, previous } = this.#roster;
@@ -433,7 +433,7 @@
         });
     }
 
-    /** The server keeps deadlines: what runs past one is cancelled within half a second. */
+    /** The server enforces deadlines: requests past theirs are cancelled within half a second. */
     #serve(gateway: SimulatedGateway, server: SimulatedServer, request: RunningRequest, deadlineMs: number): void {
         server.inFlight++;
         this.#record(server.serverId, {
--- a/packages/coldStart/src/absenceTracker.ts
+++ b/packages/coldStart/src/absenceTracker.ts
@@ -1,8 +1,8 @@
 import { authorityChangeDelayMs, contactTimeoutMs } from "./constants.js";
 
 /**
- * What this gateway, as one of a majority, knows and has said of members that don't ask it any more. A dead owner would
- * otherwise keep the servers that fall to it cold for as long as the store is down.
+ * Tracks roster members whose heartbeats no longer reach this gateway, and which of them it has reported as absent.
+ * Without it, the servers owned by a dead gateway would stay cold for as long as the store is down.
  */
 export class AbsenceTracker {
     readonly #self: string;
@@ -14,20 +14,22 @@
         this.#self = self;
     }
 
-    /** Under a new roster nobody is absent until the time has passed anew. */
+    /** Restarts the timeout of every member, so that a new roster begins without absent members. */
     onRoster(nowMs: number): void {
         this.#sinceMs = nowMs;
     }
 
-    /** Notes that a member has asked, and is being answered. */
+    /** Records a heartbeat from a member, which this gateway responds to. */
     onHeartbeat(member: string, nowMs: number): void {
         this.#askedAtMs.set(member, nowMs);
     }
 
     /**
-     * Says who is absent, which others may then rely on for {@link contactTimeoutMs}.
+     * Reports the absent members to a peer, which may rely on the report for {@link contactTimeoutMs}.
      *
-     * @returns members whose last answer from here is too old to count for them
+     * @param members - members of the roster, as `name/incarnation`
+     * @param nowMs - current monotonic time
+     * @returns members whose last response from this gateway is too old to count as contact for them
      */
     reportAbsent(members: readonly string[], nowMs: number): readonly string[] {
         const absent = members.filter(member => member !== this.#self && this.#isAbsent(member, nowMs));
@@ -38,9 +40,9 @@
     }
 
     /**
-     * A member that comes back may not go on as owner while a successor relies on its absence.
+     * A member that comes back must not act as owner while a successor may still rely on its absence.
      *
-     * @returns whether somebody may still do so
+     * @returns whether a peer may still rely on a report that the member is absent
      */
     isSuspended(member: string, nowMs: number): boolean {
         return nowMs
--- a/packages/coldStart/src/coldStartHeartbeat.ts
+++ b/packages/coldStart/src/coldStartHeartbeat.ts
@@ -1,62 +1,62 @@
 import { type ServerId, type ServerSignal } from "@galenaglade/routing";
 
-/** What a gateway says to a peer, in each heartbeat and each answer to one, about a server it may not send to freely. */
+/** A gateway's report on a server that it may not send to without a permit; part of heartbeats and their responses. */
 export interface ColdServerReport {
     readonly serverId: ServerId;
-    /** How often the server has turned cold, as the speaker knows. */
+    /** Number of times that the server has turned cold, as known to the sender. */
     readonly epoch: number;
-    /** Requests that the speaker has in flight there. */
+    /** Number of requests that the sender has in flight at the server. */
     readonly inFlight: number;
 }
 
-/** A gateway's latest lease, as it is passed on from gateway to gateway. */
+/** A gateway's latest lease, as gateways forward it to each other. */
 export interface LeaseReport {
-    /** `name/incarnation` of the gateway whose lease it is. */
+    /** `name/incarnation` of the gateway that holds the lease. */
     readonly holder: string;
-    /** Rises with each renewal. */
+    /** Increases with each renewal. */
     readonly sequence: number;
-    /** Time since before the renewal was sent, in milliseconds. */
+    /** Age in milliseconds, measured from before the renewal was sent. */
     readonly ageMs: number;
 }
 
 /** A gateway that has left the roster. */
 export interface DepartureReport {
-    /** `name/incarnation`. */
+    /** `name/incarnation` of the gateway. */
     readonly gateway: string;
-    /** Time since it had certainly stopped sending, in milliseconds; negative while that is still to come. */
+    /** Time since the gateway has certainly stopped sending, in milliseconds; negative if that is in the future. */
     readonly stoppedAgoMs: number;
 }
 
-/** The part of a heartbeat, or of the answer to one, that concerns cold start. */
+/** The cold-start part of a heartbeat or heartbeat response. */
 export interface ColdStartHeartbeat {
-    /** `name/incarnation` of the speaker. */
+    /** `name/incarnation` of the sender. */
     readonly from: string;
     readonly rosterVersion: number;
-    /** The latest lease of each gateway, the speaker's own among them. */
+    /** The latest lease of each gateway, including the sender's own. */
     readonly leases: readonly LeaseReport[];
-    /** One for each server that the speaker may not send to without a permit. */
+    /** One report for each server that the sender may not send to without a permit. */
     readonly words: readonly ColdServerReport[];
     readonly departures: readonly DepartureReport[];
-    /** Members that the speaker has not been asked by for so long that their contact with it no longer counts. */
+    /** Members whose last heartbeat to the sender is too old for its response to count as contact. */
     readonly absent: readonly string[];
-    /** In an answer: whether the speaker has told others so lately that the asker is absent that they may rely on it. */
+    /** In a response: whether peers may still rely on the sender's report that the requesting gateway is absent. */
     readonly isAskerSuspended: boolean;
-    /** What the speaker has learnt lately. */
+    /** Recent state changes of servers, and repeated `warm` signals. */
     readonly signals: readonly ServerSignal[];
 }
 
-/** One exchange of heartbeats with the peers. */
+/** One exchange of heartbeats with all peers. */
 export interface HeartbeatRound {
-    /** Time before the first heartbeat of the round was sent, in milliseconds. */
+    /** Monotonic time before the first heartbeat of the round was sent, in milliseconds. */
     readonly startedAtMs: number;
-    /** What the peers that answered said. */
+    /** Responses of the peers that responded so far. */
     readonly responses: readonly ColdStartHeartbeat[];
 }
 
-/** The gateways that count, as `name/incarnation`; changed through the store alone. */
+/** The member gateways of the fleet, as `name/incarnation`; changed only through the store. */
 export interface GatewayRoster {
     readonly version: number;
     readonly members: readonly string[];
-    /** Present while the roster changes: a majority of both is needed. */
+    /** Members before the change, while the roster changes: a majority of both lists is then required. */
     readonly previous?: readonly string[] | undefined;
 }
--- a/packages/coldStart/src/constants.ts
+++ b/packages/coldStart/src/constants.ts
@@ -1,56 +1,56 @@
-/** Lease under which a gateway holds its permits; renewed at a third of it. */
+/** TTL of the lease under which a gateway holds its permits; it is renewed after a third of the TTL. */
 export const leaseTtlMs = 6_000;
 
-/** How often the lease is renewed. */
+/** Interval between lease renewals. */
 export const leaseRenewalPeriodMs = 2_000;
 
-/** A reply of the store that takes longer is taken as lost. */
+/** Time after which a reply of the store is considered lost. */
 export const storeReplyTimeoutMs = 1_500;
 
-/** A gateway that has not exchanged heartbeats with a majority for this long sends nothing. */
+/** Time without a heartbeat exchange with a majority after which a gateway sends no requests. */
 export const contactTimeoutMs = 1_500;
 
-/** How long after contact was lost it is still likely to be regained in a moment, as after a pause of the process. */
+/** Time after a loss of contact during which it is likely to be regained at once, as after a process pause. */
 export const contactRecoveryMs = 1_500;
 
-/** Allowance for clocks that run at different rates, over the longest of the times above. */
+/** Allowance for clocks that run at different rates, over the longest of the durations above. */
 export const clockDriftAllowanceMs = 250;
 
 /**
- * Time that must pass between authority by lease and authority without the store, either way, so that whoever used
- * the one can't have its last contact still count while another uses the other.
+ * Delay of a change between authority by lease and authority by roster, in either direction. The last contact of the
+ * gateway that used the one must have expired before another gateway uses the other.
  */
 export const authorityChangeDelayMs = contactTimeoutMs + clockDriftAllowanceMs;
 
-/** Time that a backend server takes to act on a cancellation or a passed deadline. */
+/** Time that a backend server may take to stop a request that was cancelled or is past its deadline. */
 export const cancellationGraceMs = 1_000;
 
-/** Pause before a permit that another gateway holds is asked for again. */
+/** Delay before another attempt to claim a permit that is held by another gateway, or whose store call failed. */
 export const permitRetryDelayMs = 1_000;
 
-/** How long a signal is repeated in heartbeats, so that a lost one arrives all the same. */
+/** How long heartbeats repeat a signal, so that it arrives even if some of them are lost. */
 export const signalRepeatDurationMs = 10_000;
 
-/** An answer this many times slower than usual, and the first after a silence, is a sign of a cold server. */
+/** Ratio to the average latency above which the first response after an idle period indicates a cold server. */
 export const coldLatencyFactor = 10;
 
-/** How long no answer must have come for the next one to be the first after a silence. */
+/** Time without responses after which the latency of the next one is checked for a cold server. */
 export const latencyCheckIdleMs = 10_000;
 
-/** Smallest horizon written to a permit's record, in milliseconds; larger ones are doublings of it. */
+/** Minimum horizon of a permit record, in milliseconds; larger horizons are this value doubled repeatedly. */
 export const minHorizonMs = 1_000;
 
-/** How far behind the health and load endpoints may be. */
+/** Maximum delay of the state that health and load endpoints report. */
 export const maxReportLagMs = 5_000;
 
-/** How long after the last request for a server its permit is kept. */
+/** How long a permit is kept after the last request for its server. */
 export const permitIdleTimeoutMs = 5_000;
 
-/** Most servers whose warmth one heartbeat tells. */
+/** Maximum number of repeated `warm` signals in one heartbeat. */
 export const maxWarmSignalsPerHeartbeat = 32;
 
-/** How long gateways that left the roster are remembered: no patience that can be declared is longer. */
+/** How long gateways that left the roster are remembered; no configurable patience is longer. */
 export const departureRetentionMs = 86_400_000 + 60_000;
 
-/** How long a server's own endpoint must not have said "leaving" until it is believed to be back. */
+/** Time after the last report of leaving until a health report without an incarnation counts as the server's return. */
 export const leavingRecoveryMs = 30_000;
--- a/packages/coldStart/src/createServerPermitGate.ts
+++ b/packages/coldStart/src/createServerPermitGate.ts
@@ -51,7 +51,7 @@
             return "no";
         }
         if (server.state.isConfirmedWarm(nowMs)) {
-            // Until a server that turned cold without a word is found out, all gateways may send. This bounds the sum.
+            // All gateways may send until they detect a server that turned cold unannounced; this bounds the total.
             return server.state.inFlight(nowMs) < server.state.limits.slots ? "yes" : "no";
         }
         return this.#mayWarmUp(server, nowMs, deadlineMs) ? "yes" : "no";
@@ -152,7 +152,7 @@
                 continue;
             }
             this.#onZone(server, false, nowMs);
-            // What is still in flight has to be counted if the server is declared again.
+            // Requests still in flight must count if the server is declared again.
             if (server.state.inFlight(nowMs) === 0) {
                 this.#servers.delete(serverId);
             }
@@ -225,7 +225,7 @@
     }
 
     #isOpen(server: GatedServerState, nowMs: number): boolean {
-        // Out of touch with the majority, a gateway may not have heard that the server turned cold or is leaving.
+        // Without contact with a majority, a gateway may not know that the server turned cold or is leaving.
         return server.isZoneInService && !server.leaving.isLeaving && this.#authority.hasMajorityContact(nowMs);
     }
 
@@ -239,7 +239,7 @@
             return false;
         }
         if (warmUp.authorityId.startsWith("lease") && deadlineMs - nowMs > server.permit.horizonMs) {
-            // Sent without a wider record, it could outlast what the next holder counts.
+            // Without a wider horizon in the record, the request could outlast what the next holder accounts for.
             server.permit.widenHorizon(deadlineMs - nowMs);
             return false;
         }
@@ -247,14 +247,14 @@
             < server.state.warmUpConcurrency;
     }
 
-    /** @returns the present authority to warm the server up, with the work inherited at its beginning */
+    /** @returns the current authority to warm up the server, with the requests inherited at its start */
     #resolveWarmUp(server: GatedServerState, nowMs: number): WarmUp | undefined {
         const stretch = this.#resolveStretch(server, nowMs);
         if (stretch === undefined) {
             server.warmUp = undefined;
             return undefined;
         }
-        // What was sent while the server was warm is inherited anew each time that it turns cold.
+        // Requests sent while the server was warm are inherited each time that it turns cold.
         const name = `${stretch}/${server.state.epoch}`;
         if (server.warmUp?.authorityId !== name) {
             server.warmUp = { authorityId: name, inheritedRequests: this.#openInherited(server, nowMs) };
@@ -312,7 +312,7 @@
         }
     }
 
-    /** A speaker that knows of fewer turns to cold may still learn that the server was warm before the last. */
+    /** Ignores peers with an older epoch: they may still be told that the server is warm, and send to it. */
     #hearServerWord(from: string, word: ColdServerReport, askedAtMs: number): void {
         const server = this.#servers.get(word.serverId);
         if (server !== undefined && word.epoch >= server.state.epoch) {
@@ -320,7 +320,7 @@
         }
     }
 
-    /** Signals are repeated for a while only: after longer without contact, some may have been missed. */
+    /** Signals are repeated for a limited time, so some may have been missed after a longer loss of contact. */
     #noteContact(startedAtMs: number): void {
         if (startedAtMs > this.#lastContactMs + signalRepeatDurationMs - contactTimeoutMs) {
             for (const server of this.#servers.values()) {
@@ -330,7 +330,7 @@
         this.#lastContactMs = Math.max(this.#lastContactMs, startedAtMs);
     }
 
-    /** An availability zone that comes back counts as cold. Whichever gateway hears of it first tells the others. */
+    /** A server is cold when its availability zone comes back; the first gateway to see that signals the others. */
     #onZone(server: GatedServerState, isIn: boolean, nowMs: number): void {
         if (server.isZoneInService && !isIn) {
             server.epochAtZoneOut = server.state.epoch;
@@ -407,10 +407,10 @@
 }
 
 /**
- * Makes the gate that rests on warm-up permits.
+ * Creates a gate that is based on warm-up permits.
  *
  * @param self - `name/incarnation` of this gateway
- * @returns the gate; it lets nothing through until it has heard of a roster, servers and a majority
+ * @returns the gate; it allows no requests until it has a roster, servers and contact with a majority
  */
 export function createServerPermitGate(self: string): ServerPermitGate {
     return new PermitServerGate(self);
--- a/packages/coldStart/src/departedGateways.ts
+++ b/packages/coldStart/src/departedGateways.ts
@@ -1,24 +1,24 @@
 import { contactTimeoutMs, departureRetentionMs } from "./constants.js";
 import { type DepartureReport } from "./coldStartHeartbeat.js";
 
-/** Gateways that left the roster; what they sent before may still run. */
+/** Gateways that left the roster; requests that they sent before may still run. */
 export class DepartedGateways {
-    /** With the time by which each has certainly stopped sending. */
+    /** Time by which each gateway has stopped sending; infinite while unknown. */
     readonly #stoppedAtMs = new Map<string, number>();
 
-    /** With the time by which each has certainly stopped sending; infinite while that isn't known. */
+    /** Monotonic time by which each gateway has stopped sending, in milliseconds; infinite while unknown. */
     get stoppedAtMs(): ReadonlyMap<string, number> {
         return this.#stoppedAtMs;
     }
 
-    /** A gateway is no longer in the roster. */
+    /** Adds a gateway that is no longer in the roster. */
     add(gateway: string): void {
         this.#stoppedAtMs.set(gateway, Number.POSITIVE_INFINITY);
     }
 
     /**
-     * Notes that a majority knows of the present roster. A gateway that left it is answered by members that haven't heard
-     * of that yet; once a majority knows, its contact ends, and it sends no more.
+     * Records that a majority knows the current roster. Until then, members that do not know it yet still respond to a
+     * gateway that left; afterwards that gateway loses contact with a majority and stops sending.
      */
     confirmStopped(nowMs: number): void {
         for (const [gateway, stoppedAtMs] of this.#stoppedAtMs) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** A fresh gateway never saw those that left before it came, whose requests may still run; peers tell it. */
+    /** Merges departures known to peers: a new gateway has not seen earlier ones, whose requests may still run. */
     merge(words: readonly DepartureReport[], nowMs: number): void {
         for (const { gateway, stoppedAgoMs } of words) {
             if (!this.#stoppedAtMs.has(gateway)) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** @returns what peers are told */
+    /** @returns the departures to report to peers */
     createReports(nowMs: number): readonly DepartureReport[] {
         return [...this.#stoppedAtMs]
             .filter(([, stoppedAtMs]) => stoppedAtMs !== Number.POSITIVE_INFINITY)
--- a/packages/coldStart/src/gatedServerState.ts
+++ b/packages/coldStart/src/gatedServerState.ts
@@ -5,19 +5,19 @@
 import { Permit } from "./permit.js";
 import { type ServerLimits, ServerState } from "./serverState.js";
 
-/** Work inherited in one stretch of authority over a server. */
+/** One period of authority to warm up a server, with the requests inherited in it. */
 export interface WarmUp {
-    /** Names the stretch; a new stretch counts anew. */
+    /** Identifies the period; a new period recounts the inherited requests. */
     readonly authorityId: string;
     readonly inheritedRequests: InheritedRequests;
 }
 
-/** All that a gate holds about one server. */
+/** State that a gate keeps for one server. */
 export class GatedServerState {
     readonly state: ServerState;
     readonly permit: Permit;
     readonly leaving = new LeavingTracker();
-    /** Whether the server's availability zone is in. */
+    /** Whether the server's availability zone is in service. */
     isZoneInService = true;
     epochAtZoneOut = 0;
     warmUp: WarmUp | undefined;
@@ -29,14 +29,14 @@
         this.permit = new Permit(self, serverId);
     }
 
-    /** Notes that peers have to be told, for some time. */
+    /** Records a change, which is signalled to peers for {@link signalRepeatDurationMs}. */
     markChanged(nowMs: number): void {
         this.#changedAtMs = nowMs;
     }
 
     /**
-     * A trial waits a little longer than {@link ServerState.isConfirmedWarm}, since a peer that heard late that the server was
-     * warm takes it for warm for that much longer.
+     * A trial waits longer than {@link ServerState.isConfirmedWarm} lasts, since a peer that learned late that the
+     * server was warm considers it warm for that much longer.
      */
     mayWarmUp(nowMs: number): boolean {
         const { state } = this;
@@ -44,10 +44,10 @@
     }
 
     /**
-     * That a server is cold or leaving is told for as long as it lasts: a gateway that hears it while it is cut off
-     * from its peers has to pass it on when it is back, however long that takes.
+     * Signals that a server is cold or leaving are repeated for as long as it is: a gateway that learns of it while
+     * disconnected from its peers must forward it once reconnected, however long that takes.
      *
-     * @returns what peers should know now
+     * @returns the signals to send to peers now
      */
     createSignals(nowMs: number): readonly ServerSignal[] {
         const signals: ServerSignal[] = [];
@@ -67,7 +67,7 @@
         return signals;
     }
 
-    /** @returns the word that the server is warm, as old as the evidence for it */
+    /** @returns a signal that the server is warm, with the age of the last response that confirmed it */
     createWarmSignal(nowMs: number): ServerSignal {
         const { serverId, epoch, incarnation, warmConfirmedAtMs } = this.state;
         return { serverId, kind: "warm", epoch, incarnation, ageMs: Math.min(nowMs - warmConfirmedAtMs, 1e12) };
--- a/packages/coldStart/src/index.ts
+++ b/packages/coldStart/src/index.ts
@@ -1,4 +1,4 @@
-/** Which backend servers a gateway may send to: cold start, and servers that leave. */
+/** Decides which backend servers a gateway may send to, given cold starts and leaving servers. */
 export {
     type ColdStartHeartbeat,
     type DepartureReport,
--- a/packages/coldStart/src/inheritedRequests.ts
+++ b/packages/coldStart/src/inheritedRequests.ts
@@ -1,21 +1,22 @@
 interface Entry {
-    /** Infinite until the gateway has spoken. */
+    /** Infinite until the gateway has reported. */
     inFlight: number;
-    /** By then all that it sent has ended, whatever it says. */
+    /** Time by which all requests of the gateway have ended, with or without a report. */
     readonly untilMs: number;
 }
 
 /**
- * What other gateways may still have in flight at a server when one begins to warm it up. Without it a new holder
- * would fill the server while an earlier holder's requests, or those sent while it was warm, still run there.
+ * Requests that other gateways may still have in flight at a server when this gateway starts to warm it up. Without
+ * them, a new permit holder would overload the server while requests of an earlier holder, or those sent while the
+ * server was warm, still run there.
  */
 export class InheritedRequests {
     readonly #entries = new Map<string, Entry>();
     readonly #openedAtMs: number;
 
     /**
-     * @param openedAtMs - since when no other gateway can send to the server
-     * @param gateways - who may have sent to it before, with the time by which all of it has ended
+     * @param openedAtMs - monotonic time since which no other gateway can send to the server
+     * @param gateways - gateways that may have sent to it before, with the time by which all their requests have ended
      */
     constructor(openedAtMs: number, gateways: ReadonlyMap<string, number>) {
         this.#openedAtMs = openedAtMs;
@@ -25,11 +26,12 @@
     }
 
     /**
-     * A word counts only if it was asked for after the opening: an older one may be followed by more work.
+     * Records a gateway's report. Reports requested before the start of this period are ignored, since the gateway may
+     * have sent more requests afterwards.
      *
-     * @param gateway - who spoke
-     * @param askedAtMs - time before it was asked
-     * @param inFlight - what it has in flight at the server
+     * @param gateway - the reporting gateway
+     * @param askedAtMs - monotonic time before the report was requested
+     * @param inFlight - number of requests that the gateway has in flight at the server
      */
     onReport(gateway: string, askedAtMs: number, inFlight: number): void {
         const entry = this.#entries.get(gateway);
@@ -43,8 +45,9 @@
     }
 
     /**
-     * @param nowMs - the present time
-     * @returns requests of others that may still run; infinite while a gateway that has not spoken may have some
+     * @param nowMs - current monotonic time
+     * @returns number of requests of other gateways that may still run; infinite while one that has not reported may
+     * have some
      */
     countInFlight(nowMs: number): number {
         let total = 0;
--- a/packages/coldStart/src/leaseKeeper.ts
+++ b/packages/coldStart/src/leaseKeeper.ts
@@ -1,36 +1,36 @@
 import { clockDriftAllowanceMs, leaseRenewalPeriodMs, leaseTtlMs, storeReplyTimeoutMs } from "./constants.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
-/** Keeps one lease for a gateway, and knows until when the gateway may act on it. */
+/** Acquires and renews the lease of a gateway, and tracks until when the gateway may act on it. */
 export class LeaseKeeper {
     #leaseId: string | undefined;
     #renewedAtMs = Number.NEGATIVE_INFINITY;
     #askedAtMs = Number.NEGATIVE_INFINITY;
 
-    /** The present lease; `undefined` where there is none. */
+    /** Id of the current lease; `undefined` if there is none. */
     get leaseId(): string | undefined {
         return this.#leaseId;
     }
 
-    /** Time before the last confirmed grant or renewal was sent, in milliseconds. */
+    /** Monotonic time before the last confirmed grant or renewal was sent, in milliseconds. */
     get renewedAtMs(): number {
         return this.#renewedAtMs;
     }
 
     /**
-     * Counted from before the renewal was sent and with a margin: a holder that was paused past the lease sees in the
-     * turn in which it wakes that its authority is gone, before the store could have given it to another.
+     * Validity is measured from before the renewal was sent, less a clock drift allowance. A holder that was paused
+     * past its lease thus finds it expired in the turn in which it resumes, before the store can grant it to another.
      *
-     * @param nowMs - the present time
-     * @returns whether the lease certainly still stands at the store
+     * @param nowMs - current monotonic time
+     * @returns whether the lease is certain to be still valid in the store
      */
     isValid(nowMs: number): boolean {
         return this.#leaseId !== undefined && nowMs < this.#renewedAtMs + leaseTtlMs - clockDriftAllowanceMs;
     }
 
     /**
-     * @param nowMs - the present time
-     * @returns the call that is due, if any
+     * @param nowMs - current monotonic time
+     * @returns the store call that is due, if any
      */
     tick(nowMs: number): readonly StoreCommand[] {
         const isPending = nowMs < this.#askedAtMs + storeReplyTimeoutMs;
@@ -46,7 +46,7 @@
     }
 
     /**
-     * @param reply - the end of any call; those of other commands are passed over
+     * @param reply - reply to any store call; replies to other commands are ignored
      */
     onReply(reply: StoreReply): void {
         const { command, outcome } = reply;
--- a/packages/coldStart/src/leavingTracker.ts
+++ b/packages/coldStart/src/leavingTracker.ts
@@ -1,11 +1,12 @@
 import { contactTimeoutMs, leavingRecoveryMs } from "./constants.js";
 
-/** Who said that a server is leaving, or not. */
+/** Source of a report on whether a server is leaving. */
 export type LeavingSource = "hostList" | "health" | "answer" | "peer";
 
 /**
- * Whether one backend server is leaving. Whichever source says so first is believed at once, since each of them lags
- * now and then; that it is back is believed only of a new life, since a lagging source still says "live" of the old.
+ * Tracks whether one backend server is leaving. The first report of leaving takes effect whatever its source, since
+ * each source lags at times. A report that the server is back usually requires a new incarnation, since a lagging
+ * source still reports the old one as live.
  */
 export class LeavingTracker {
     #isLeaving = false;
@@ -18,22 +19,22 @@
         return this.#isLeaving;
     }
 
-    /** The server's life that is leaving, where it is known. */
+    /** Incarnation of the server that is leaving, if known. */
     get incarnation(): string | undefined {
         return this.#incarnation;
     }
 
-    /** When it was last said that the server is leaving. */
+    /** Monotonic time of the last report that the server is leaving, in milliseconds. */
     get reportedAtMs(): number {
         return this.#saidAtMs;
     }
 
     /**
-     * @param source - who said it
-     * @param isLeaving - what was said
-     * @param incarnation - the server's life that it was said of, where known
-     * @param saidAtMs - when it was first said; a peer passes on what it heard some time ago
-     * @returns whether that changed anything
+     * @param source - source of the report
+     * @param isLeaving - whether the server is reported as leaving
+     * @param incarnation - incarnation of the server that the report is about, if known
+     * @param saidAtMs - monotonic time of the original report; peers forward reports some time later
+     * @returns whether the state changed
      */
     onReport(source: LeavingSource, isLeaving: boolean, incarnation: string | undefined, saidAtMs: number): boolean {
         const isBack = this.#isBack(source, isLeaving, incarnation, saidAtMs);
@@ -51,8 +52,8 @@
     }
 
     #onLeaving(source: LeavingSource, incarnation: string | undefined, saidAtMs: number): boolean {
-        // Peers repeat a word for as long as they believe it. One that is older than the server's return would take
-        // it out again, and two gateways would tell each other so for ever.
+        // Peers repeat a report for as long as it holds for them. One that is older than the server's return would take
+        // the server out again, and two gateways would keep each other's report alive forever.
         if (source === "peer" && saidAtMs <= this.#backAtMs + contactTimeoutMs) {
             return false;
         }
@@ -72,7 +73,7 @@
         }
         const isNewLife = incarnation !== undefined && this.#incarnation !== undefined
             && incarnation !== this.#incarnation;
-        // A server that names no incarnation would otherwise stay out for good after a restart.
+        // Otherwise a server that reports no incarnation would stay out of service forever after a restart.
         const isSilent = source === "health" && incarnation === undefined
             && nowMs >= this.#saidAtMs + leavingRecoveryMs;
         return isNewLife || isSilent || (source === "hostList" && this.#wasListedLeaving);
--- a/packages/coldStart/src/permit.ts
+++ b/packages/coldStart/src/permit.ts
@@ -2,30 +2,30 @@
 import { permitRetryDelayMs, minHorizonMs } from "./constants.js";
 import { type StoreCommand, type StoredValue, type StoreReply } from "./storeCommand.js";
 
-/** What one holder of a permit may have left in flight. */
+/** A permit holder whose requests may still be in flight. */
 export interface FormerHolder {
-    /** `name/incarnation`. */
+    /** `name/incarnation` of the gateway. */
     readonly gateway: string;
-    /** Longest time from sending to deadline of anything that it sent under the permit, in milliseconds. */
+    /** Maximum time from sending to deadline of the requests sent under the permit, in milliseconds. */
     readonly horizonMs: number;
 }
 
-/** What the store keeps of a permit beyond its lease, so that the next holder knows what to count. */
+/** Stored record that outlives the permit's lease, so that the next holder can account for earlier requests. */
 export interface PermitRecord {
-    /** How often the server has turned cold, as the last holder knew. */
+    /** Number of times that the server has turned cold, as known to the last holder. */
     readonly epoch: number;
-    /** The last holder, and earlier ones whose work it had not seen end. */
+    /** The last holder, and earlier ones whose requests may not have ended yet. */
     readonly holders: readonly FormerHolder[];
 }
 
 type Stage = "none" | "claiming" | "claimed" | "reading" | "read" | "writing" | "held" | "releasing";
 
-/** @returns the key that a permit is held by */
+/** @returns the store key that a permit holder keeps under its lease */
 export function createPermitKey(serverId: ServerId): string {
     return `coldStart/permit/${serverId}`;
 }
 
-/** @returns the key of the record that outlasts the permit's lease */
+/** @returns the store key of the record that outlives the permit's lease */
 export function createPermitRecordKey(serverId: ServerId): string {
     return `coldStart/record/${serverId}`;
 }
@@ -42,7 +42,7 @@
     return horizonMs;
 }
 
-/** One gateway's way to the warm-up permit of one server: the key under its lease first, then the record. */
+/** Acquires the warm-up permit of one server for one gateway: first the key under its lease, then the record. */
 export class Permit {
     readonly #self: string;
     readonly #serverId: ServerId;
@@ -55,7 +55,7 @@
     #inherited: readonly FormerHolder[] = [];
     #recordedEpoch = 0;
     #isSettled = false;
-    /** Whether a claim may have taken effect whose answer was lost. */
+    /** Whether a claim whose reply was lost may have taken effect. */
     #isUnsure = false;
     #writtenMs = 0;
     #horizonMs = 0;
@@ -66,32 +66,32 @@
         this.#serverId = serverId;
     }
 
-    /** The store's revision of the present claim: rises with each holder. */
+    /** Store revision of the current claim, which increases with each holder. */
     get term(): number {
         return this.#term;
     }
 
-    /** What holders before may have left; known once {@link isHeld}. */
+    /** Earlier holders whose requests may still run; known once {@link isHeld}. */
     get inheritedHolders(): readonly FormerHolder[] {
         return this.#inherited;
     }
 
-    /** The epoch that the record held when it was read. */
+    /** Epoch of the record when it was read. */
     get recordedEpoch(): number {
         return this.#recordedEpoch;
     }
 
-    /** Longest time from sending to deadline that the record allows, in milliseconds. */
+    /** Maximum time from sending to deadline that the record allows, in milliseconds. */
     get horizonMs(): number {
         return this.#horizonMs;
     }
 
-    /** Asks that the record be widened before work with a later deadline is sent. */
+    /** Requires a wider horizon in the record before a request with a later deadline is sent. */
     widenHorizon(horizonMs: number): void {
         this.#neededMs = Math.max(this.#neededMs, resolveHorizon(horizonMs));
     }
 
-    /** Notes that nothing of earlier holders runs any more, so that the record need not name them. */
+    /** Records that all requests of earlier holders have ended, so that the record need not list them. */
     markInheritedEnded(): void {
         this.#isSettled = true;
     }
@@ -100,7 +100,7 @@
         return leaseId !== undefined && leaseId === this.#leaseId && this.#horizonMs > 0;
     }
 
-    /** @returns the next call on the way to the permit, if one is due */
+    /** @returns the next store call to acquire or keep the permit, if one is due */
     nextCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
         if (leaseId !== this.#leaseId) {
             this.#reset(leaseId);
@@ -113,10 +113,10 @@
     }
 
     /**
-     * A claim whose answer was lost may have taken effect, and a permit that is forgotten while its lease is renewed
-     * would keep every other gateway from the server for good. So giving up ends only with the store's word.
+     * A claim whose reply was lost may have taken effect. A permit that is forgotten while its lease is renewed would
+     * block every other gateway forever, so a release completes only when the store confirms it.
      *
-     * @returns the next call on the way to giving the permit up, if one is due
+     * @returns the next store call to release the permit, if one is due
      */
     nextReleaseCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
         if (this.#stage === "none" && !this.#isUnsure) {
@@ -203,7 +203,7 @@
             this.#claimed(outcome.revision);
         }
         else if (outcome.type === "notSwapped" && outcome.current?.leaseId === this.#leaseId) {
-            // The answer to an earlier claim was lost after the claim had taken effect: the key is under this lease.
+            // An earlier claim took effect but its reply was lost: the key is under this gateway's lease.
             this.#claimed(outcome.current?.modifiedRevision ?? 0);
         }
         else {
@@ -225,7 +225,7 @@
         }
         this.#recordRevision = reply.outcome.entry?.modifiedRevision ?? 0;
         const record = parseRecord(reply.outcome.entry);
-        // This gateway counts its own requests itself.
+        // This gateway's own requests are counted by ServerState.
         this.#inherited = record?.holders.filter(former => former.gateway !== this.#self) ?? [];
         this.#recordedEpoch = record?.epoch ?? 0;
         this.#isSettled = false;
@@ -239,7 +239,7 @@
             this.#stage = "held";
             return;
         }
-        // An earlier holder's last write came in between; its horizon has to be read.
+        // An earlier holder's last write came first; its horizon must be read.
         this.#stage = "claimed";
     }
 
--- a/packages/coldStart/src/rankOwners.ts
+++ b/packages/coldStart/src/rankOwners.ts
@@ -5,18 +5,19 @@
     for (let i = 0; i < text.length; i++) {
         value = Math.imul(value ^ text.charCodeAt(i), 0x01000193);
     }
-    // FNV's last characters reach the high bits badly, so they are mixed once more before two values are compared.
+    // The last characters of an FNV hash hardly affect its high bits, so the value is mixed before it is compared.
     value = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
     value = Math.imul(value ^ (value >>> 13), 0xc2b2ae35);
     return (value ^ (value >>> 16)) >>> 0;
 }
 
 /**
- * Ranks the gateways of a roster for a server, by rendezvous hashing: the first owns it, the next succeeds.
+ * Ranks the gateways of a roster for a server by rendezvous hashing: the first owns the server, the next is its
+ * successor.
  *
  * @param members - the gateways, as `name/incarnation`
  * @param serverId - the server
- * @returns the members in an order that every gateway with the same roster arrives at
+ * @returns the members in an order that is the same on every gateway with this roster
  */
 export function rankOwners(members: readonly string[], serverId: ServerId): readonly string[] {
     return members
--- a/packages/coldStart/src/serverMetadata.ts
+++ b/packages/coldStart/src/serverMetadata.ts
@@ -1,15 +1,15 @@
-/** What a backend server says of itself, in an answer or on its health or load endpoint. */
+/** State that a backend server reports in its response headers or on its health or load endpoint. */
 export interface ServerMetadata {
     readonly state: "warm" | "cold" | "leaving" | undefined;
-    /** Requests that it has in flight. */
+    /** Number of requests that the server has in flight. */
     readonly inFlight: number | undefined;
-    /** Its word for its present life. */
+    /** Identifies the current incarnation of the server process. */
     readonly incarnation: string | undefined;
-    /** Requests in flight that it bears now. */
+    /** Number of concurrent requests that the server accepts at present. */
     readonly bears: number | undefined;
 }
 
-/** Answer headers that carry {@link ServerMetadata}. */
+/** Response headers that carry {@link ServerMetadata}. */
 export const serverMetadataHeaders = {
     state: "x-backend-state",
     inFlight: "x-backend-in-flight",
@@ -17,7 +17,7 @@
     bears: "x-backend-bears",
 } as const;
 
-/** Signs of a server that says nothing. */
+/** Metadata of a server that reports nothing. */
 export const emptyServerMetadata: ServerMetadata = Object.freeze({
     state: undefined,
     inFlight: undefined,
@@ -32,10 +32,10 @@
 }
 
 /**
- * Reads what a backend server says of itself; what is malformed counts as not said.
+ * Parses the metadata that a backend server reports. Malformed values are ignored.
  *
- * @param header - gives a header's value by its name in lower case
- * @returns the signs
+ * @param header - returns the value of a header by its lower-case name
+ * @returns the metadata; fields that are missing or malformed are `undefined`
  */
 export function parseServerMetadata(header: (name: string) => string | undefined): ServerMetadata {
     const state = header(serverMetadataHeaders.state);
@@ -48,11 +48,11 @@
     };
 }
 
-/** How one request to a backend server ended. */
+/** How one attempt at a backend server ended. */
 export interface AttemptCompletion {
-    /** `good`: a whole answer, whatever its status; `refused`: no connection; `failed`: no whole answer. */
+    /** `good`: a complete response of any status; `refused`: no connection; `failed`: no complete response. */
     readonly outcome: "good" | "shed" | "refused" | "failed" | "cancelled";
     readonly metadata: ServerMetadata;
-    /** Whether the server may still be running it, as after a lost connection; it is counted until its deadline. */
+    /** Whether the server may still run the request, as after a lost connection; it then counts until its deadline. */
     readonly mayStillRun: boolean;
 }
--- a/packages/coldStart/src/serverPermitGate.ts
+++ b/packages/coldStart/src/serverPermitGate.ts
@@ -4,79 +4,79 @@
 import { type ServerLimits } from "./serverState.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
-/** One server as the configuration declares it to the gate. */
+/** One server as declared by the configuration. */
 export interface GatedServer {
     readonly serverId: ServerId;
     readonly limits: ServerLimits;
-    /** Whether its availability zone is in; one that comes back in counts as cold. */
+    /** Whether its availability zone is in service; a server whose zone comes back is considered cold. */
     readonly isZoneInService: boolean;
 }
 
-/** How a gateway takes a backend server to stand. */
+/** State of a backend server as known to a gateway. */
 export type ServerReadiness = "cold" | "warm" | "leaving";
 
 /**
- * Says to which backend servers a gateway may send now. It takes events with their monotonic times in milliseconds,
- * does no I/O, and is asked in the very turn in which a request is sent.
+ * Decides to which backend servers a gateway may send now. It receives events with their monotonic times in
+ * milliseconds, does no I/O, and must be called in the same event loop turn in which a request is sent.
  */
 export abstract class ServerPermitGate {
-    /** The lease that the permits are held by; to be revoked in a planned stop, after the last request has ended. */
+    /** Lease under which the permits are held; to be revoked in a planned stop, after the last request has ended. */
     abstract get leaseId(): string | undefined;
     /**
      * @param serverId - the server
-     * @param nowMs - the present time
-     * @param deadlineMs - when the attempt ends at the latest
+     * @param nowMs - current monotonic time
+     * @param deadlineMs - monotonic time by which the attempt ends at the latest
      * @returns `yes` only if the request may be sent in this turn
      */
     abstract maySend(serverId: ServerId, nowMs: number, deadlineMs: number): "yes" | "no";
     /**
-     * Whether this gateway has exchanged words with a majority lately, or so lately that it may again in a moment. If
-     * not, {@link maySend} allows nothing, and nothing shows that it will.
+     * Whether this gateway has recent contact with a majority, or lost it so recently that it may be regained at once.
+     * Otherwise {@link maySend} allows no requests, and is not expected to soon.
      */
     abstract hasPeerContact(nowMs: number): boolean;
-    /** @returns how this gateway takes a server to stand; `undefined` for one that isn't declared */
+    /** @returns the state of a server as known to this gateway; `undefined` if the server is not declared */
     abstract getReadiness(serverId: ServerId): ServerReadiness | undefined;
-    /** Notes that a request has been handed to a connection, in the turn that {@link maySend} allowed it. */
+    /** Records a request that is handed to a connection, in the same turn in which {@link maySend} allowed it. */
     abstract onSent(serverId: ServerId, requestId: string, nowMs: number, deadlineMs: number): void;
     /**
-     * Asked where a connection had to be opened between {@link onSent} and the first byte: the process may have been
-     * stopped meanwhile, and what allowed the request may be over.
+     * To be called if a connection had to be opened between {@link onSent} and the first byte: the process may have
+     * been paused in between, and the permission may have expired.
      *
-     * @returns whether the first byte may be sent in this turn; if not, the request is to be ended as cancelled
+     * @returns whether the first byte may be sent in this turn; if not, the request must be ended as cancelled
      */
     abstract mayStillSend(serverId: ServerId, requestId: string, nowMs: number): boolean;
-    /** Notes the end of a request. */
+    /** Records the end of a request. */
     abstract onEnd(serverId: ServerId, requestId: string, end: AttemptCompletion, nowMs: number): void;
-    /** Takes what the server's health or load endpoint says. */
+    /** Handles metadata from the server's health or load endpoint. */
     abstract onReport(serverId: ServerId, signs: ServerMetadata, nowMs: number): void;
-    /** Takes what the platform's host list says of the server's host. */
+    /** Handles the state of the server's host in the platform's host list. */
     abstract onHostListed(serverId: ServerId, state: "live" | "leaving", nowMs: number): void;
-    /** Takes a peer's signal. */
+    /** Handles a signal from a peer. */
     abstract onSignal(signal: ServerSignal, nowMs: number): void;
-    /** Takes the servers as the present configuration declares them. */
+    /** Replaces the declared servers by those of the current configuration. */
     abstract onServers(servers: readonly GatedServer[], nowMs: number): void;
     abstract onRoster(roster: GatewayRoster, nowMs: number): void;
     /**
      * Begins a round of heartbeats.
      *
-     * @returns what every heartbeat of it says
+     * @returns the heartbeat to send to every peer
      */
     abstract beginRound(nowMs: number): ColdStartHeartbeat;
-    /** Takes the answers of a round that {@link beginRound} began at `round.startedAtMs`. */
+    /** Handles the responses of a round that {@link beginRound} began at `round.startedAtMs`. */
     abstract onRound(round: HeartbeatRound, nowMs: number): void;
     /**
-     * Takes a peer's heartbeat.
+     * Handles a heartbeat from a peer.
      *
-     * @returns what the answer to it says
+     * @returns the response to it
      */
     abstract onHeartbeat(word: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat;
     abstract onStoreReply(reply: StoreReply, nowMs: number): void;
     /**
-     * To be called some times a second.
+     * To be called several times a second.
      *
-     * @returns calls of the store that are due
+     * @returns the store calls that are due
      */
     abstract tick(nowMs: number): readonly StoreCommand[];
-    /** @returns what peers should hear at once; each signal is returned once and repeated in heartbeats */
+    /** @returns signals to send to peers immediately; each is returned once, and repeated in heartbeats */
     abstract takeUrgentSignals(nowMs: number): readonly ServerSignal[];
 }
--- a/packages/coldStart/src/serverState.ts
+++ b/packages/coldStart/src/serverState.ts
@@ -2,15 +2,15 @@
 import { type ServerMetadata, type AttemptCompletion } from "./serverMetadata.js";
 import { cancellationGraceMs, maxReportLagMs, latencyCheckIdleMs, coldLatencyFactor } from "./constants.js";
 
-/** What the configuration says of one server's cold start. */
+/** Cold-start limits of one server from the configuration. */
 export interface ServerLimits {
-    /** Requests in flight that the server bears while cold. */
+    /** Maximum number of requests in flight while the server is cold. */
     readonly concurrency: number;
-    /** Requests that it runs at the same time while warm. */
+    /** Number of requests that the server runs concurrently while warm. */
     readonly slots: number;
     readonly answersToWarm: number;
     readonly idleMs: number;
-    /** Longest patience of its service's callers, in milliseconds. */
+    /** Maximum patience of the service's callers, in milliseconds. */
     readonly maxPatienceMs: number;
 }
 
@@ -20,16 +20,16 @@
     readonly deadlineMs: number;
     readonly epoch: number;
     readonly wasWarm: boolean;
-    /** The stretch of authority that it was sent under, where the server was not warm. */
+    /** Period of authority under which the request was sent, if the server was not warm. */
     readonly authorityId: string | undefined;
 }
 
-/** What one gateway believes of one backend server. */
+/** State of one backend server as known to one gateway. */
 export class ServerState {
     readonly serverId: ServerId;
     limits: ServerLimits;
     readonly #requests = new Map<string, SentRequest>();
-    /** Times by which requests that ended without a known end have certainly ended. */
+    /** Times by which requests with an unknown outcome have certainly ended. */
     #lingering: number[] = [];
     #epoch = 0;
     #isWarm = false;
@@ -54,7 +54,7 @@
         return this.#incarnation;
     }
 
-    /** Sending time of the newest request that the server answered as a warm one. */
+    /** Sending time of the latest request whose response confirmed that the server is warm. */
     get warmConfirmedAtMs(): number {
         return this.#evidenceAtMs;
     }
@@ -63,24 +63,24 @@
         return this.#isWarm;
     }
 
-    /** Requests in flight from this gateway, those included whose end is not known. */
+    /** Number of requests in flight from this gateway, including those with an unknown outcome. */
     inFlight(nowMs: number): number {
         this.#lingering = this.#lingering.filter(untilMs => nowMs < untilMs);
         return this.#requests.size + this.#lingering.length;
     }
 
-    /** Whether any gateway may send to the server without a permit. */
+    /** Whether the server was confirmed warm recently, so that any gateway may send to it without a permit. */
     isConfirmedWarm(nowMs: number): boolean {
         return this.#isWarm && nowMs < this.#evidenceAtMs + this.limits.idleMs;
     }
 
-    /** Requests in flight, over all gateways, that the holder of the permit may let it have. */
+    /** Maximum number of requests in flight, over all gateways, that the permit holder allows. */
     get warmUpConcurrency(): number {
-        // An idle server that was warm gets one trial request; it may have turned cold without a word.
+        // An idle server that was warm gets one trial request, since it may have turned cold unannounced.
         return this.#isWarm ? 1 : this.#limit;
     }
 
-    /** @returns what was noted of a request in flight */
+    /** @returns a request in flight, if it is known */
     getRequest(requestId: string): SentRequest | undefined {
         return this.#requests.get(requestId);
     }
@@ -95,7 +95,7 @@
         });
     }
 
-    /** @returns whether the server has been found to have turned cold */
+    /** @returns whether the end of the request shows that the server has turned cold */
     onEnd(requestId: string, end: AttemptCompletion, nowMs: number): boolean {
         const sent = this.#requests.get(requestId);
         if (sent === undefined) {
@@ -117,10 +117,10 @@
         return false;
     }
 
-    /** @returns whether a word from outside a request shows that the server has turned cold */
+    /** @returns whether metadata from outside of requests shows that the server has turned cold */
     onReport(signs: ServerMetadata, nowMs: number): boolean {
-        // The endpoints lag: one that still says "cold" after the server's own answers say "warm" would take a warm
-        // server out again and again. Answers are the newer word while they come.
+        // The endpoints lag: one that still reports "cold" after the server's responses report "warm" would take a warm
+        // server out again and again. Recent responses take precedence.
         const isContradicted = nowMs < this.#evidenceAtMs + maxReportLagMs;
         const isCold = this.#isNewIncarnation(signs) || (signs.state === "cold" && !isContradicted);
         if (!this.#isWarm || !isCold) {
@@ -135,10 +135,10 @@
     }
 
     /**
-     * Takes over what a peer or the store knows. Later epochs go before earlier ones and, within one, warm before
-     * cold, so that the outcome is the same in whatever order signals arrive.
+     * Merges the state known to a peer or the store. Later epochs take precedence over earlier ones and, within an
+     * epoch, warm over cold, so that the result does not depend on the order in which signals arrive.
      *
-     * @returns whether anything changed
+     * @returns whether the state changed
      */
     merge(epoch: number, isWarm: boolean, incarnation: string | undefined, evidenceAtMs: number): boolean {
         if (epoch > this.#epoch) {
@@ -156,7 +156,7 @@
         return false;
     }
 
-    /** Forgets that the server was seen to be warm, as after a time out of touch with the peers. */
+    /** Clears the confirmation that the server is warm, as after a loss of contact with the peers. */
     clearWarmConfirmation(): void {
         this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
     }
@@ -180,7 +180,7 @@
     }
 
     #onEndWhileWarm(sent: SentRequest, end: AttemptCompletion, isCold: boolean): boolean {
-        // An answer to a request of an earlier epoch says nothing that the permit holder of that epoch didn't learn.
+        // A request of an earlier epoch shows nothing that the permit holder of that epoch has not already detected.
         if (sent.epoch !== this.#epoch) {
             return false;
         }
@@ -219,7 +219,7 @@
         this.#growLimit(metadata.bears);
     }
 
-    /** The limit grows by one with each good answer, only up to what the server itself says that it bears. */
+    /** Raises the limit by one for each good response, up to the concurrency that the server itself reports. */
     #growLimit(bears: number | undefined): void {
         if (bears !== undefined) {
             this.#limit = Math.max(1, Math.min(this.#limit + 1, bears, this.limits.slots));
@@ -235,7 +235,7 @@
             return true;
         }
         if (end.outcome === "shed") {
-            // A server that says it is warm sheds for its load, not for its state.
+            // A server that reports itself warm sheds because of its load, not because it is cold.
             return metadata.state === undefined;
         }
         return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterSilence(latencyMs, nowMs);
--- a/packages/coldStart/src/storeCommand.ts
+++ b/packages/coldStart/src/storeCommand.ts
@@ -1,4 +1,4 @@
-/** A call that the shell is to make to the platform's store; each gets exactly one {@link StoreReply}. */
+/** A store call that the gate requests from its gateway; each gets exactly one {@link StoreReply}. */
 export type StoreCommand =
     | { readonly type: "grantLease"; readonly ttlMs: number; }
     | { readonly type: "renewLease"; readonly leaseId: string; }
@@ -11,24 +11,24 @@
         readonly leaseId: string | undefined;
     };
 
-/** A key as the store returned it. */
+/** A value as returned by the store. */
 export interface StoredValue {
     readonly value: string;
     readonly modifiedRevision: number;
     readonly leaseId?: string | undefined;
 }
 
-/** How a call ended. */
+/** Outcome of a store call. */
 export type StoreOutcome =
     | { readonly type: "lease"; readonly leaseId: string; readonly ttlMs: number; }
     | { readonly type: "lapsed"; }
     | { readonly type: "value"; readonly entry: StoredValue | undefined; }
     | { readonly type: "swapped"; readonly revision: number; }
     | { readonly type: "notSwapped"; readonly current: StoredValue | undefined; }
-    /** Nothing is known of the call, not even whether a write took effect. */
+    /** The outcome is unknown, including whether a write took effect. */
     | { readonly type: "failed"; };
 
-/** The end of one call. */
+/** Reply to one store call. */
 export interface StoreReply {
     readonly command: StoreCommand;
     /** Monotonic time before the call was sent, in milliseconds. */
--- a/packages/coldStart/src/warmUpAuthority.ts
+++ b/packages/coldStart/src/warmUpAuthority.ts
@@ -9,12 +9,12 @@
 import { type LeaseKeeper } from "./leaseKeeper.js";
 import { rankOwners } from "./rankOwners.js";
 
-/** A stretch of time over which something was confirmed again and again before it lapsed. */
+/** A period during which a condition was reconfirmed each time before {@link contactTimeoutMs} had passed. */
 class Stretch {
     #atMs = Number.NEGATIVE_INFINITY;
     #sinceMs = Number.POSITIVE_INFINITY;
 
-    /** When the stretch began; infinite before the first. */
+    /** Start of the current period; infinite before the first. */
     get sinceMs(): number {
         return this.#sinceMs;
     }
@@ -37,9 +37,9 @@
 }
 
 /**
- * Says on what a gateway may rest when it warms a server up: its lease at the store, or, while nobody's lease stands,
- * the roster. Both rest on contact with a majority, and any two majorities share a gateway, which passes on what it
- * heard from the one to the other; the proof is in docs/design/cold-start.md.
+ * Decides whether a gateway has authority to warm up a server: by its lease in the store or, while no gateway has a
+ * valid lease, by the roster. Both require contact with a majority. Any two majorities share a gateway, which forwards
+ * what it learned from one to the other; docs/design/cold-start.md has the proof.
  */
 export class WarmUpAuthority {
     readonly #self: string;
@@ -50,9 +50,9 @@
     #ownSequence = 0;
     #ownRenewedAtMs = Number.NEGATIVE_INFINITY;
     #contact = new Stretch();
-    /** Contact with a majority that doesn't hold this gateway for absent. */
+    /** Contact with a majority that does not consider this gateway absent. */
     #presence = new Stretch();
-    /** Members that a majority holds for absent. */
+    /** Members that a majority considers absent. */
     #absent = new Map<string, Stretch>();
     #announcedMs = Number.NEGATIVE_INFINITY;
     #announcedSinceMs = Number.POSITIVE_INFINITY;
@@ -66,7 +66,7 @@
         return this.#roster;
     }
 
-    /** Majorities of different rosters need not know of each other, so every time starts anew with each version. */
+    /** Majorities of different rosters need not overlap, so each roster version restarts every period. */
     onRoster(roster: GatewayRoster): void {
         if (roster.version <= this.#roster.version) {
             return;
@@ -79,7 +79,7 @@
         this.#announcedMs = Number.NEGATIVE_INFINITY;
     }
 
-    /** Notes what a round that starts now announces, and whom this gateway holds for absent. */
+    /** Records the lease that a heartbeat round starting now announces, and the members reported as absent in it. */
     beginRound(absent: readonly string[], nowMs: number): void {
         for (const startedAtMs of this.#begun.keys()) {
             if (startedAtMs + contactTimeoutMs < nowMs) {
@@ -89,7 +89,7 @@
         this.#begun.set(nowMs, { announcedMs: this.#lease.renewedAtMs, absent });
     }
 
-    /** @returns the latest lease of every gateway that is known of, own first */
+    /** @returns the latest known lease of every gateway, including this one */
     leases(nowMs: number): readonly LeaseReport[] {
         this.#noteOwnLease();
         return [...this.#leases].map(([holder, known]) => ({
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Each renewal is dated once, when first heard of. Dating it anew with each message would make it younger by a
-     * network delay each time that it went round, and a lease long lapsed would never be old.
+     * Merges the leases that a peer reports. The age of a renewal is taken only from the first report of it: otherwise
+     * each exchange between peers would subtract a network delay, and an expired lease would never appear old.
      */
     mergeLeases(word: ColdStartHeartbeat, nowMs: number): void {
         for (const lease of word.leases) {
@@ -146,29 +146,29 @@
         }
     }
 
-    /** Whether a majority has answered lately enough to send anything at all. */
+    /** Whether the last contact with a majority is recent enough to send any request. */
     hasMajorityContact(nowMs: number): boolean {
         return this.#contact.isHolding(nowMs);
     }
 
     /**
-     * @returns a word for the present stretch in which permits under the lease may be used, or `undefined`; between two
-     * stretches the owner by roster may have sent
+     * @returns an id of the current period in which permits under the lease may be used, or `undefined`; between two
+     * periods the owner by roster may have sent requests
      */
     resolveLeaseAuthorityId(nowMs: number): string | undefined {
         const isUsable = this.hasMajorityContact(nowMs)
-            // Counted from before the renewal was sent: a holder that was paused past its lease sees in the turn in
-            // which it wakes that its authority is gone. And from a renewal that a majority has heard of: any other
-            // wouldn't keep the owner by roster from sending.
+            // Measured from before the renewal was sent, so that a holder paused past its lease finds the authority
+            // expired in the turn in which it resumes. Only a renewal that a majority has learned of counts: no other
+            // prevents the owner by roster from sending.
             && nowMs < this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs
-            // The owner by roster may have had its last contact just before the lease was announced.
+            // The owner by roster may have had contact with a majority just before the lease was announced.
             && nowMs >= this.#announcedSinceMs + authorityChangeDelayMs;
         return isUsable ? String(this.#announcedSinceMs) : undefined;
     }
 
     /**
-     * @returns a word for the present stretch of authority without the store, or `undefined` where there is none; work
-     * inherited from before a stretch has to be counted again in the next, since another may have sent in between
+     * @returns an id of the current period of authority by the roster, or `undefined` if there is none; each period
+     * recounts the inherited requests, since another gateway may have sent some in between
      */
     resolveRosterAuthorityId(serverId: ServerId, nowMs: number): string | undefined {
         const freshestMs = this.#freshestLeaseMs();
@@ -182,7 +182,7 @@
             : `${this.#roster.version}/${this.#presence.sinceMs}/${freshestMs}/${succession}`;
     }
 
-    /** @returns since when each gateway ranked higher is absent, or `undefined` where one may not be */
+    /** @returns since when each higher-ranked gateway has been absent, or `undefined` if one may be present */
     #resolveSuccession(serverId: ServerId, nowMs: number): string | undefined {
         const absentSince: number[] = [];
         for (const member of rankOwners(this.#roster.members, serverId)) {
@@ -225,7 +225,7 @@
         this.#announcedMs = announcedMs;
     }
 
-    /** A gateway counts itself among those that answered. */
+    /** Whether the responding peers, together with this gateway, form a majority. */
     #isMajority(answers: readonly ColdStartHeartbeat[]): boolean {
         const heard = new Set([this.#self, ...answers.map(answer => answer.from)]);
         const { members, previous } = this.#roster;
