--- a/packages/atMostOnce/src/__tests__/claimSimulation.ts
+++ b/packages/atMostOnce/src/__tests__/claimSimulation.ts
@@ -61,7 +61,7 @@
     readonly atMs: number;
 }
 
-interface Version extends StoredClaims {
+interface DocumentVersion extends StoredClaims {
     readonly key: string;
     readonly atMs: number;
 }
@@ -90,13 +90,13 @@
     readonly #store: FakeStore;
     readonly #gateways: readonly SimulatedGateway[];
     readonly #random: RandomSource;
-    readonly #versions: Version[] = [];
-    #nextFate: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
+    readonly #versions: DocumentVersion[] = [];
+    #nextOutcome: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
 
     constructor(skewsMs: readonly number[], limits: ClaimLimits = simulationLimits, seed = 1) {
         this.#random = createRandomSource(seed);
-        const fateOf: StoreCallOutcomeResolver = () => this.#nextFate;
-        this.#store = new FakeStore(this.#engine, this.clock, fateOf);
+        const resolveOutcome: StoreCallOutcomeResolver = () => this.#nextOutcome;
+        this.#store = new FakeStore(this.#engine, this.clock, resolveOutcome);
         this.#gateways = skewsMs.map((skewMs, i) => ({
             name: `gateway-${i}`,
             batcher: new ClaimBatcher(`gateway-${i}/1`, limits),
@@ -148,10 +148,10 @@
             fingerprint: attempt.fingerprint ?? "same",
             deadlineMs: this.clock.nowMs + patienceMs,
         };
-        this.#run(gateway, gateway.batcher.claim(req, this.#timeOf(gateway)));
+        this.#execute(gateway, gateway.batcher.claim(req, this.#readClocks(gateway)));
     }
 
-    #run(gateway: SimulatedGateway, commands: readonly ClaimCommand[]): void {
+    #execute(gateway: SimulatedGateway, commands: readonly ClaimCommand[]): void {
         for (const command of commands) {
             switch (command.type) {
                 case "read":
@@ -162,7 +162,7 @@
                     this.#refuse(gateway, command.nonce, command.failure);
                     break;
                 case "claimed":
-                    this.#claimed(gateway, command.nonce, command.validUntilMs);
+                    this.#onClaimed(gateway, command.nonce, command.validUntilMs);
                     break;
             }
         }
@@ -178,7 +178,7 @@
         };
         const answer = (result: Either<Failure, ClaimStoreReply>): void => {
             if (gateway.alive) {
-                this.#run(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#timeOf(gateway)));
+                this.#execute(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#readClocks(gateway)));
             }
         };
         if (command.type === "swap") {
@@ -187,20 +187,22 @@
         else {
             this.readCount += command.keys.length;
         }
-        const fate = this.resolveStoreOutcome(gateway.name, this.clock.nowMs);
-        if (fate.type === "stale") {
-            const stored = command.type === "read" ? command.keys.map(key => this.#findVersion(key, fate.asOfMs)) : [];
+        const outcome = this.resolveStoreOutcome(gateway.name, this.clock.nowMs);
+        if (outcome.type === "stale") {
+            const stored = command.type === "read"
+                ? command.keys.map(key => this.#findVersion(key, outcome.asOfMs))
+                : [];
             const stale: ClaimStoreReply = { type: "read", stored };
             const { nowMs } = this.clock;
             this.clock.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
             return;
         }
-        if (fate.type === "late") {
-            this.clock.schedule(fate.outMs, () => run(this.#engine, this.clock.nowMs));
-            this.clock.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+        if (outcome.type === "late") {
+            this.clock.schedule(outcome.outMs, () => run(this.#engine, this.clock.nowMs));
+            this.clock.schedule(outcome.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
-        this.#nextFate = fate;
+        this.#nextOutcome = outcome;
         this.#store.call(gateway.name, run, answer);
     }
 
@@ -208,15 +210,15 @@
         return this.#versions.findLast(version => version.key === key && version.atMs <= asOfMs);
     }
 
-    #claimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
-        const attempt = this.#try(gateway, nonce);
+    #onClaimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
+        const attempt = this.#getAttempt(gateway, nonce);
         this.clock.schedule(attempt.pauseMs ?? 0, () => {
             if (!gateway.alive) {
                 return;
             }
             if (!isClaimValid(validUntilMs, this.clock.nowMs)) {
-                this.#tell(gateway, nonce, "patienceSpent", "no");
-                this.#end(gateway, nonce, { didRun: "no" });
+                this.#recordResult(gateway, nonce, "patienceSpent", "no");
+                this.#recordEnd(gateway, nonce, { didRun: "no" });
                 return;
             }
             this.#handOver(gateway, attempt);
@@ -240,61 +242,61 @@
                     bears: 3,
                 });
             }
-            this.clock.schedule(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
+            this.clock.schedule(1 + this.#random.nextInt(50), () => this.#onServerResponse(gateway, attempt, server));
         });
     }
 
-    #ended(gateway: SimulatedGateway, attempt: SimulatedAttempt, server: ServerBehavior): void {
+    #onServerResponse(gateway: SimulatedGateway, attempt: SimulatedAttempt, server: ServerBehavior): void {
         if (!gateway.alive) {
             return;
         }
         const nonce = attempt.requestId;
         if (server === "answers") {
-            this.#tell(gateway, nonce, "answered", "yes");
-            this.#end(gateway, nonce, { didRun: "yes", status: 200 });
+            this.#recordResult(gateway, nonce, "answered", "yes");
+            this.#recordEnd(gateway, nonce, { didRun: "yes", status: 200 });
         }
         else if (server === "sheds") {
-            this.#tell(gateway, nonce, "backendShed", "no");
-            this.#end(gateway, nonce, { didRun: "no" });
+            this.#recordResult(gateway, nonce, "backendShed", "no");
+            this.#recordEnd(gateway, nonce, { didRun: "no" });
         }
         else {
-            this.#tell(gateway, nonce, "connectionLost", "unknown");
-            this.#end(gateway, nonce, { didRun: "unknown" });
+            this.#recordResult(gateway, nonce, "connectionLost", "unknown");
+            this.#recordEnd(gateway, nonce, { didRun: "unknown" });
         }
     }
 
-    #end(gateway: SimulatedGateway, nonce: string, end: ClaimEnd): void {
-        this.#run(gateway, gateway.batcher.recordEnd(nonce, end, this.#timeOf(gateway)));
+    #recordEnd(gateway: SimulatedGateway, nonce: string, end: ClaimEnd): void {
+        this.#execute(gateway, gateway.batcher.recordEnd(nonce, end, this.#readClocks(gateway)));
     }
 
     #refuse(gateway: SimulatedGateway, nonce: string, failure: Failure): void {
         const resolved = resolveFailure(failure);
-        this.#tell(gateway, nonce, resolved.kind, resolved.didRun);
+        this.#recordResult(gateway, nonce, resolved.kind, resolved.didRun);
     }
 
-    #tell(gateway: SimulatedGateway, requestId: string, kind: string, didRun: DidRun): void {
+    #recordResult(gateway: SimulatedGateway, requestId: string, kind: string, didRun: DidRun): void {
         this.results.set(requestId, { kind, didRun, atMs: this.clock.nowMs });
-        const own = kind !== "answered";
+        const isFailure = kind !== "answered";
         this.#record(gateway.name, {
             type: "callerAnswered",
             requestId,
-            status: own ? 503 : 200,
+            status: isFailure ? 503 : 200,
             didRun,
             whole: true,
-            bodyRequestId: own ? undefined : requestId,
+            bodyRequestId: isFailure ? undefined : requestId,
         });
     }
 
     #tick(): void {
         for (const gateway of this.#gateways) {
             if (gateway.alive) {
-                this.#run(gateway, gateway.batcher.tick(this.#timeOf(gateway)));
+                this.#execute(gateway, gateway.batcher.tick(this.#readClocks(gateway)));
             }
         }
         this.clock.schedule(20, () => this.#tick());
     }
 
-    #timeOf(gateway: SimulatedGateway): ClaimTime {
+    #readClocks(gateway: SimulatedGateway): ClaimTime {
         return { nowMs: this.clock.nowMs, epochMs: 100_000 + this.clock.nowMs + gateway.skewMs };
     }
 
@@ -306,7 +308,7 @@
         return gateway;
     }
 
-    #try(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
+    #getAttempt(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
         const attempt = gateway.tries.get(nonce);
         if (attempt === undefined) {
             throw new Error(`no attempt with nonce ${nonce}`);
--- a/packages/atMostOnce/src/claimBatcher.ts
+++ b/packages/atMostOnce/src/claimBatcher.ts
@@ -33,7 +33,7 @@
     maxDocumentLength: maxClaimDocumentLength,
 });
 
-interface CallUnderWay {
+interface CallInFlight {
     readonly shard: number;
     readonly call: ShardCall;
 }
@@ -46,15 +46,15 @@
     readonly #holder: string;
     readonly #limits: ClaimLimits;
     readonly #shards = new Map<number, ClaimShard>();
-    readonly #shardOf = new Map<string, number>();
-    readonly #underWay = new Map<number, CallUnderWay>();
+    readonly #shardByNonce = new Map<string, number>();
+    readonly #callsInFlight = new Map<number, CallInFlight>();
     readonly #busyShards = new Set<number>();
-    readonly #failures = new Map<number, number>();
+    readonly #consecutiveFailures = new Map<number, number>();
     /** Time of the next probe of the store; `undefined` while the store is available. */
-    #askStoreAtMs: number | undefined;
+    #nextProbeAtMs: number | undefined;
     /** Id of the probe call in flight, if any. */
-    #question: number | undefined;
-    #callCount = 0;
+    #probeCallId: number | undefined;
+    #lastCallId = 0;
 
     /**
      * @param holder - name and incarnation of this gateway, as written into its claims
@@ -74,9 +74,9 @@
      */
     claim(req: ClaimRequest, time: ClaimTime): readonly ClaimCommand[] {
         const shard = resolveClaimShard(req.keyDigest, this.#limits.shardCount);
-        this.#shardOf.set(req.nonce, shard);
+        this.#shardByNonce.set(req.nonce, shard);
         this.#shard(shard).add(req);
-        return this.#pump(shard, time);
+        return this.#advance(shard, time);
     }
 
     /**
@@ -88,46 +88,46 @@
      * @returns commands to execute
      */
     recordEnd(nonce: string, end: ClaimEnd, time: ClaimTime): readonly ClaimCommand[] {
-        const shard = this.#shardOf.get(nonce);
+        const shard = this.#shardByNonce.get(nonce);
         if (shard === undefined) {
             return [];
         }
-        this.#shardOf.delete(nonce);
+        this.#shardByNonce.delete(nonce);
         this.#shard(shard).recordEnd(nonce, end);
-        return this.#pump(shard, time);
+        return this.#advance(shard, time);
     }
 
     /**
      * Handles the store's reply to a `read` or `swap`.
      *
      * @param callId - id of the command
-     * @param answer - the reply, or why there is none
+     * @param reply - the reply, or why there is none
      * @param time - current time
      * @returns commands to execute
      */
-    onStoreReply(callId: number, answer: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
-        if (callId === this.#question) {
-            return this.#storeAsked(answer.isRight(), time);
+    onStoreReply(callId: number, reply: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
+        if (callId === this.#probeCallId) {
+            return this.#onProbeReply(reply.isRight(), time);
         }
-        const underWay = this.#underWay.get(callId);
-        if (underWay === undefined) {
+        const callInFlight = this.#callsInFlight.get(callId);
+        if (callInFlight === undefined) {
             return [];
         }
-        this.#underWay.delete(callId);
-        this.#busyShards.delete(underWay.shard);
-        const shard = this.#shard(underWay.shard);
-        const failure = answer.caseOf<Failure | undefined>({
+        this.#callsInFlight.delete(callId);
+        this.#busyShards.delete(callInFlight.shard);
+        const shard = this.#shard(callInFlight.shard);
+        const failure = reply.caseOf<Failure | undefined>({
             Left: left => left,
-            Right: right => shard.onReply(underWay.call, right, time),
+            Right: right => shard.onReply(callInFlight.call, right, time),
         });
         if (failure === undefined) {
-            this.#failures.delete(underWay.shard);
-            this.#askStoreAtMs = undefined;
+            this.#consecutiveFailures.delete(callInFlight.shard);
+            this.#nextProbeAtMs = undefined;
         }
         else {
-            this.#failed(underWay.shard, failure, time);
+            this.#onCallFailed(callInFlight.shard, failure, time);
         }
-        return this.#pump(underWay.shard, time);
+        return this.#advance(callInFlight.shard, time);
     }
 
     /**
@@ -137,10 +137,10 @@
      * @returns commands to execute
      */
     tick(time: ClaimTime): readonly ClaimCommand[] {
-        const commands = [...this.#shards.keys()].flatMap(shard => this.#pump(shard, time));
-        if (this.#question === undefined && this.#askStoreAtMs !== undefined && this.#askStoreAtMs <= time.nowMs) {
-            this.#question = ++this.#callCount;
-            commands.push({ type: "read", callId: this.#question, keys: [createClaimDocumentKey(0, 0)] });
+        const commands = [...this.#shards.keys()].flatMap(shard => this.#advance(shard, time));
+        if (this.#probeCallId === undefined && this.#nextProbeAtMs !== undefined && this.#nextProbeAtMs <= time.nowMs) {
+            this.#probeCallId = ++this.#lastCallId;
+            commands.push({ type: "read", callId: this.#probeCallId, keys: [createClaimDocumentKey(0, 0)] });
         }
         return commands;
     }
@@ -149,36 +149,36 @@
      * Handles the result of a probe. The gateway probes the store itself: if callers' claims were used for that, one
      * caller after another would wait for a timeout throughout a long outage.
      */
-    #storeAsked(answered: boolean, time: ClaimTime): readonly ClaimCommand[] {
-        this.#question = undefined;
-        this.#askStoreAtMs = answered ? undefined : time.nowMs + this.#limits.storeProbeDelayMs;
+    #onProbeReply(isAvailable: boolean, time: ClaimTime): readonly ClaimCommand[] {
+        this.#probeCallId = undefined;
+        this.#nextProbeAtMs = isAvailable ? undefined : time.nowMs + this.#limits.storeProbeDelayMs;
         return this.tick(time);
     }
 
     /** Whether no write is pending; a planned stop waits for this, so that every end is recorded. */
     get isIdle(): boolean {
-        return this.#underWay.size === 0 && [...this.#shards.values()].every(shard => shard.isIdle);
+        return this.#callsInFlight.size === 0 && [...this.#shards.values()].every(shard => shard.isIdle);
     }
 
     /** Whether {@link tick} must be called. */
     get needsTick(): boolean {
-        return !this.isIdle || this.#askStoreAtMs !== undefined;
+        return !this.isIdle || this.#nextProbeAtMs !== undefined;
     }
 
     /** Tolerates one lost reply, since the write may have taken effect; if the store is down, claims fail at once. */
-    #failed(shard: number, failure: Failure, time: ClaimTime): void {
-        const failures = (this.#failures.get(shard) ?? 0) + 1;
-        this.#failures.set(shard, failures);
+    #onCallFailed(shard: number, failure: Failure, time: ClaimTime): void {
+        const failures = (this.#consecutiveFailures.get(shard) ?? 0) + 1;
+        this.#consecutiveFailures.set(shard, failures);
         if (failure.kind === "storeOutcomeUnknown" && failures < this.#limits.failureThreshold) {
             return;
         }
-        this.#askStoreAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
+        this.#nextProbeAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
     }
 
-    #pump(number: number, time: ClaimTime): readonly ClaimCommand[] {
+    #advance(number: number, time: ClaimTime): readonly ClaimCommand[] {
         const shard = this.#shard(number);
         shard.refuseExpired(time.nowMs);
-        const storeIsDown = this.#askStoreAtMs !== undefined;
+        const storeIsDown = this.#nextProbeAtMs !== undefined;
         if (storeIsDown) {
             // Nothing was sent to a backend server, so it is true that the request did not run. Waiting for the store
             // would use up the caller's patience and end in the same refusal.
@@ -188,21 +188,21 @@
         if (!storeIsDown && !this.#busyShards.has(number)) {
             const call = shard.nextCall(time);
             if (call !== undefined) {
-                commands.push(this.#start(number, call));
+                commands.push(this.#startCall(number, call));
             }
         }
         for (const verdict of shard.takeVerdicts()) {
             if (verdict.type === "refused") {
-                this.#shardOf.delete(verdict.nonce);
+                this.#shardByNonce.delete(verdict.nonce);
             }
             commands.push(verdict);
         }
         return commands;
     }
 
-    #start(shard: number, call: ShardCall): ClaimCommand {
-        const callId = ++this.#callCount;
-        this.#underWay.set(callId, { shard, call });
+    #startCall(shard: number, call: ShardCall): ClaimCommand {
+        const callId = ++this.#lastCallId;
+        this.#callsInFlight.set(callId, { shard, call });
         this.#busyShards.add(shard);
         const keys = call.buckets.map(bucket => createClaimDocumentKey(bucket, shard));
         if (call.type === "read") {
--- a/packages/atMostOnce/src/claimDocumentCache.ts
+++ b/packages/atMostOnce/src/claimDocumentCache.ts
@@ -15,48 +15,48 @@
     readonly claim: Claim;
 }
 
-const unseen: CachedDocument = Object.freeze({ revision: 0, document: emptyClaimDocument, readAtMs: 0 });
+const emptyCachedDocument: CachedDocument = Object.freeze({ revision: 0, document: emptyClaimDocument, readAtMs: 0 });
 
 /** Cache of one shard's documents by time bucket. */
 export class ClaimDocumentCache {
     readonly #limits: ClaimLimits;
-    readonly #seen = new Map<number, CachedDocument>();
+    readonly #cached = new Map<number, CachedDocument>();
 
     constructor(limits: ClaimLimits) {
         this.#limits = limits;
     }
 
     get(bucket: number): CachedDocument | undefined {
-        return this.#seen.get(bucket);
+        return this.#cached.get(bucket);
     }
 
     /** @returns the cached document of a bucket, or an empty one with revision 0 */
     getOrEmpty(bucket: number): CachedDocument {
-        return this.#seen.get(bucket) ?? unseen;
+        return this.#cached.get(bucket) ?? emptyCachedDocument;
     }
 
-    set(bucket: number, seen: CachedDocument): void {
-        this.#seen.set(bucket, seen);
+    set(bucket: number, cached: CachedDocument): void {
+        this.#cached.set(bucket, cached);
     }
 
     delete(bucket: number): void {
-        this.#seen.delete(bucket);
+        this.#cached.delete(bucket);
     }
 
     /**
      * Whether a document must be read again before it is written. Another gateway has probably written it since, so
      * that a write based on this revision would fail; the store takes ten times as many reads as writes.
      */
-    isStale(seen: CachedDocument, time: ClaimTime): boolean {
-        return time.nowMs - seen.readAtMs > this.#limits.maxCacheAgeMs;
+    isStale(cached: CachedDocument, time: ClaimTime): boolean {
+        return time.nowMs - cached.readAtMs > this.#limits.maxCacheAgeMs;
     }
 
     /** @returns number of the bucket that accepts new claims */
     openBucket(time: ClaimTime): number {
         let open = Math.floor(time.epochMs / this.#limits.bucketMs);
-        for (const [bucket, seen] of this.#seen) {
+        for (const [bucket, cached] of this.#cached) {
             // The open bucket never moves back, even if this clock does or is behind those of other gateways.
-            open = Math.max(open, seen.document.sealed ? bucket + 1 : bucket);
+            open = Math.max(open, cached.document.sealed ? bucket + 1 : bucket);
         }
         return open;
     }
@@ -69,7 +69,7 @@
     /** @returns number of a cached bucket whose claims have expired, if there is one */
     findExpired(time: ClaimTime): number | undefined {
         const oldest = this.oldestBucket(time);
-        for (const bucket of this.#seen.keys()) {
+        for (const bucket of this.#cached.keys()) {
             if (bucket < oldest) {
                 return bucket;
             }
@@ -79,8 +79,8 @@
 
     /** @returns the claim that prevents a key from being claimed, if there is one */
     findBlocking(keyDigest: string): BlockingClaim | undefined {
-        for (const [bucket, seen] of this.#seen) {
-            const claim = seen.document.claims[keyDigest];
+        for (const [bucket, cached] of this.#cached) {
+            const claim = cached.document.claims[keyDigest];
             // A claim blocks its key until the request is known not to have run, even if its holder has died: the
             // request may be running, and a second attempt would file the return twice.
             if (claim !== undefined && claim.end?.didRun !== "no") {
--- a/packages/atMostOnce/src/claimShard.ts
+++ b/packages/atMostOnce/src/claimShard.ts
@@ -32,9 +32,9 @@
     readonly #documents: ClaimDocumentCache;
     readonly #waiting = new Map<string, WaitingClaim>();
     /** Claims whose write was sent and has not been confirmed or ruled out yet. */
-    readonly #sent = new Map<string, SentClaim>();
+    readonly #sentClaims = new Map<string, SentClaim>();
     readonly #held = new Map<string, ClaimLocation>();
-    readonly #ends = new Map<string, PendingEnd>();
+    readonly #pendingEnds = new Map<string, PendingEnd>();
     #verdicts: ClaimVerdict[] = [];
 
     constructor(holder: string, limits: ClaimLimits) {
@@ -45,7 +45,7 @@
 
     /** Whether no claim is waiting or unconfirmed, and no end is still to be written. */
     get isIdle(): boolean {
-        return this.#waiting.size === 0 && this.#ends.size === 0 && this.#sent.size === 0;
+        return this.#waiting.size === 0 && this.#pendingEnds.size === 0 && this.#sentClaims.size === 0;
     }
 
     /** Queues a claim for the next write. */
@@ -55,10 +55,10 @@
 
     /** Records the end of a held claim's request. */
     recordEnd(nonce: string, end: ClaimEnd): void {
-        const place = this.#held.get(nonce);
-        if (place !== undefined) {
+        const location = this.#held.get(nonce);
+        if (location !== undefined) {
             this.#held.delete(nonce);
-            this.#ends.set(nonce, { ...place, end });
+            this.#pendingEnds.set(nonce, { ...location, end });
         }
     }
 
@@ -90,100 +90,100 @@
      * @returns the next store call, or `undefined` if none is due
      */
     nextCall(time: ClaimTime): ShardCall | undefined {
-        return this.#nextForClaims(time) ?? this.#nextForEnds(time) ?? this.#nextFence() ?? this.#nextDeletion(time);
+        return this.#nextClaimCall(time) ?? this.#nextEndCall(time) ?? this.#nextRewrite() ?? this.#nextDeletion(time);
     }
 
     /** Handles the store's reply to a call. @returns the failure if the document is malformed */
-    onReply(call: ShardCall, answer: ClaimStoreReply, now: ClaimTime): Failure | undefined {
-        if (answer.type === "read") {
-            return this.#readAnswered(call, answer.stored, now);
+    onReply(call: ShardCall, reply: ClaimStoreReply, now: ClaimTime): Failure | undefined {
+        if (reply.type === "read") {
+            return this.#onReadReply(call, reply.stored, now);
         }
         const [bucket = 0] = call.buckets;
-        const stored = answer.type === "swapped" ? undefined : answer.stored;
+        const stored = reply.type === "swapped" ? undefined : reply.stored;
         if (call.type === "delete" && stored === undefined) {
             this.#documents.delete(bucket);
             return undefined;
         }
-        if (answer.type === "swapped") {
-            this.#observe(call, bucket, answer.revision, call.document, now);
+        if (reply.type === "swapped") {
+            this.#updateDocument(call, bucket, reply.revision, call.document, now);
             return undefined;
         }
-        return this.#observeStored(call, bucket, stored, now);
+        return this.#updateFromStore(call, bucket, stored, now);
     }
 
-    #readAnswered(
+    #onReadReply(
         call: ShardCall,
         stored: readonly (StoredClaims | undefined)[],
         now: ClaimTime,
     ): Failure | undefined {
         let failure: Failure | undefined;
         for (const [i, bucket] of call.buckets.entries()) {
-            const seen = this.#documents.getOrEmpty(bucket);
-            if (seen.revision > (stored[i]?.revision ?? 0)) {
+            const cached = this.#documents.getOrEmpty(bucket);
+            if (cached.revision > (stored[i]?.revision ?? 0)) {
                 // Reads of the store may lag, but writes never do. If a stale copy that lacks a held claim were used,
                 // the gateway would not record the claim's end, and the key would stay claimed.
-                this.#observe(call, bucket, seen.revision, seen.document, now);
+                this.#updateDocument(call, bucket, cached.revision, cached.document, now);
                 continue;
             }
-            failure = this.#observeStored(call, bucket, stored[i], now) ?? failure;
+            failure = this.#updateFromStore(call, bucket, stored[i], now) ?? failure;
         }
         return failure;
     }
 
-    #observeStored(
+    #updateFromStore(
         call: ShardCall,
         bucket: number,
         stored: StoredClaims | undefined,
         now: ClaimTime,
     ): Failure | undefined {
         if (stored === undefined) {
-            this.#observe(call, bucket, 0, emptyClaimDocument, now);
+            this.#updateDocument(call, bucket, 0, emptyClaimDocument, now);
             return undefined;
         }
         return decodeClaimDocument(stored.value).caseOf<Failure | undefined>({
             Left: failure => failure,
             Right: document => {
-                this.#observe(call, bucket, stored.revision, document, now);
+                this.#updateDocument(call, bucket, stored.revision, document, now);
                 return undefined;
             },
         });
     }
 
-    #nextForClaims(time: ClaimTime): ShardCall | undefined {
+    #nextClaimCall(time: ClaimTime): ShardCall | undefined {
         if (this.#waiting.size === 0) {
             return undefined;
         }
-        const open = this.#documents.openBucket(time);
-        const missing = this.#findMissing(open, time);
+        const openBucket = this.#documents.openBucket(time);
+        const missing = this.#findBucketsToRead(openBucket, time);
         if (missing.length > 0) {
-            return this.#read(missing);
+            return this.#createRead(missing);
         }
-        for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
+        for (let bucket = this.#documents.oldestBucket(time); bucket < openBucket; bucket++) {
             // Without the seal, a gateway whose clock is behind could claim a key in an older bucket after this gateway
             // has checked it, and the key's request would run twice. A sealed document accepts no new claims.
             const { document } = this.#documents.getOrEmpty(bucket);
             if (!document.sealed) {
-                return this.#swap(bucket, { ...document, sealed: true });
+                return this.#createSwap(bucket, { ...document, sealed: true });
             }
         }
-        return this.#nextBatch(open, time);
+        return this.#nextBatchCall(openBucket, time);
     }
 
-    #findMissing(open: number, time: ClaimTime): readonly number[] {
+    #findBucketsToRead(openBucket: number, time: ClaimTime): readonly number[] {
         const missing: number[] = [];
-        for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
+        for (let bucket = this.#documents.oldestBucket(time); bucket < openBucket; bucket++) {
             if (this.#documents.get(bucket) === undefined) {
                 missing.push(bucket);
             }
         }
-        const seen = this.#documents.get(open);
-        if (seen === undefined || this.#documents.isStale(seen, time)) {
-            missing.push(open);
+        const cached = this.#documents.get(openBucket);
+        if (cached === undefined || this.#documents.isStale(cached, time)) {
+            missing.push(openBucket);
         }
         return missing;
     }
 
-    #nextBatch(open: number, time: ClaimTime): ShardCall | undefined {
+    #nextBatchCall(openBucket: number, time: ClaimTime): ShardCall | undefined {
         const batch = new Map<string, WaitingClaim>();
         for (const waiting of [...this.#waiting.values()]) {
             const { keyDigest, nonce } = waiting.req;
@@ -197,20 +197,24 @@
             }
             // The cached claim may have ended since, so a refusal requires a read made after the request arrived.
             if (!waiting.readBuckets.has(blocking.bucket)) {
-                return this.#read([blocking.bucket]);
+                return this.#createRead([blocking.bucket]);
             }
             this.#refuse(nonce, createBlockedFailure(blocking.claim, waiting.req));
         }
-        return batch.size === 0 ? undefined : this.#swapWithClaims(open, batch, time);
+        return batch.size === 0 ? undefined : this.#createClaimSwap(openBucket, batch, time);
     }
 
-    #swapWithClaims(open: number, batch: ReadonlyMap<string, WaitingClaim>, time: ClaimTime): ShardCall | undefined {
-        const cached = this.#documents.getOrEmpty(open);
+    #createClaimSwap(
+        openBucket: number,
+        batch: ReadonlyMap<string, WaitingClaim>,
+        time: ClaimTime,
+    ): ShardCall | undefined {
+        const cached = this.#documents.getOrEmpty(openBucket);
         const claims: Record<string, Claim> = { ...cached.document.claims };
         for (const { req } of batch.values()) {
             claims[req.keyDigest] = { fingerprint: req.fingerprint, nonce: req.nonce, holder: this.#holder };
         }
-        const call = this.#swap(open, { ...cached.document, claims });
+        const call = this.#createSwap(openBucket, { ...cached.document, claims });
         if ((call.value ?? "").length > this.#limits.maxDocumentLength) {
             for (const { req } of batch.values()) {
                 this.#refuse(req.nonce, createFailure("overloaded", "too many idempotency keys are remembered"));
@@ -220,20 +224,20 @@
         for (const waiting of batch.values()) {
             const { keyDigest, nonce } = waiting.req;
             waiting.firstSentAtMs ??= time.nowMs;
-            this.#sent.set(nonce, { bucket: open, keyDigest, expectedRevision: cached.revision });
+            this.#sentClaims.set(nonce, { bucket: openBucket, keyDigest, expectedRevision: cached.revision });
         }
         return call;
     }
 
-    #nextForEnds(time: ClaimTime): ShardCall | undefined {
-        for (const [nonce, pending] of [...this.#ends]) {
+    #nextEndCall(time: ClaimTime): ShardCall | undefined {
+        for (const [nonce, pending] of [...this.#pendingEnds]) {
             const cached = this.#documents.get(pending.bucket);
             if (cached !== undefined) {
                 return this.#documents.isStale(cached, time)
-                    ? this.#read([pending.bucket])
-                    : this.#swap(pending.bucket, cached.document);
+                    ? this.#createRead([pending.bucket])
+                    : this.#createSwap(pending.bucket, cached.document);
             }
-            this.#ends.delete(nonce);
+            this.#pendingEnds.delete(nonce);
         }
         return undefined;
     }
@@ -243,13 +247,13 @@
      * be refused for a day because their request seems to be in progress, and the return would be lost. Rewriting the
      * document unchanged either reveals the claim, so that it can be released, or makes the lost write fail.
      */
-    #nextFence(): ShardCall | undefined {
-        for (const [nonce, sent] of [...this.#sent]) {
+    #nextRewrite(): ShardCall | undefined {
+        for (const [nonce, sent] of [...this.#sentClaims]) {
             const cached = this.#documents.get(sent.bucket);
             if (cached !== undefined) {
-                return this.#swap(sent.bucket, cached.document);
+                return this.#createSwap(sent.bucket, cached.document);
             }
-            this.#sent.delete(nonce);
+            this.#sentClaims.delete(nonce);
         }
         return undefined;
     }
@@ -270,27 +274,27 @@
         };
     }
 
-    #observe(call: ShardCall, bucket: number, revision: number, document: ClaimDocument, now: ClaimTime): void {
+    #updateDocument(call: ShardCall, bucket: number, revision: number, document: ClaimDocument, now: ClaimTime): void {
         this.#documents.set(bucket, { revision, document, readAtMs: now.nowMs });
         for (const nonce of call.waitingNonces) {
             this.#waiting.get(nonce)?.readBuckets.add(bucket);
         }
-        for (const [nonce, sent] of [...this.#sent]) {
+        for (const [nonce, sent] of [...this.#sentClaims]) {
             if (sent.bucket === bucket && revision > sent.expectedRevision) {
-                this.#settle(nonce, sent, document, now);
+                this.#resolveSentClaim(nonce, sent, document, now);
             }
         }
-        for (const [nonce, pending] of [...this.#ends]) {
+        for (const [nonce, pending] of [...this.#pendingEnds]) {
             const claim = document.claims[pending.keyDigest];
             if (pending.bucket === bucket && (claim?.nonce !== nonce || claim.end !== undefined)) {
-                this.#ends.delete(nonce);
+                this.#pendingEnds.delete(nonce);
             }
         }
     }
 
     /** Confirms or rules out a claim's write, once the document is past the revision that the write expected. */
-    #settle(nonce: string, sent: SentClaim, document: ClaimDocument, now: ClaimTime): void {
-        this.#sent.delete(nonce);
+    #resolveSentClaim(nonce: string, sent: SentClaim, document: ClaimDocument, now: ClaimTime): void {
+        this.#sentClaims.delete(nonce);
         const waiting = this.#waiting.get(nonce);
         // If the write took effect but its reply was lost, the gateway must recognize its own claim. Otherwise the
         // caller would be told that its request is in progress although it never runs.
@@ -312,7 +316,7 @@
         this.#verdicts.push({ type: "refused", nonce, failure });
     }
 
-    #read(buckets: readonly number[]): ShardCall {
+    #createRead(buckets: readonly number[]): ShardCall {
         return {
             type: "read",
             buckets,
@@ -324,9 +328,9 @@
     }
 
     /** Creates a write of a document, which includes the pending ends of its claims. */
-    #swap(bucket: number, document: ClaimDocument): ShardCall {
+    #createSwap(bucket: number, document: ClaimDocument): ShardCall {
         const claims: Record<string, Claim> = { ...document.claims };
-        for (const [nonce, pending] of this.#ends) {
+        for (const [nonce, pending] of this.#pendingEnds) {
             const claim = claims[pending.keyDigest];
             if (pending.bucket === bucket && claim?.nonce === nonce) {
                 claims[pending.keyDigest] = { ...claim, end: pending.end };
--- a/packages/atMostOnce/src/stallDetector.ts
+++ b/packages/atMostOnce/src/stallDetector.ts
@@ -14,7 +14,7 @@
     readonly deviationMs: number;
 }
 
-function learn(times: ServiceTimes | undefined, tookMs: number): ServiceTimes {
+function updateTimes(times: ServiceTimes | undefined, tookMs: number): ServiceTimes {
     if (times === undefined) {
         return { meanMs: tookMs, deviationMs: 0 };
     }
@@ -39,14 +39,14 @@
 export class StallDetector {
     readonly #times = new Map<string, ServiceTimes>();
     /** Sending time of the latest attempt that each backend server has responded to. */
-    readonly #answeredSentMs = new Map<string, number>();
+    readonly #lastAnsweredSentAtMs = new Map<string, number>();
 
     /** Records a response head. */
-    onHead(awaited: PendingAttempt, nowMs: number): void {
-        const tookMs = nowMs - awaited.sentAtMs;
-        this.#times.set(awaited.service, learn(this.#times.get(awaited.service), tookMs));
-        const latest = this.#answeredSentMs.get(awaited.serverId) ?? awaited.sentAtMs;
-        this.#answeredSentMs.set(awaited.serverId, Math.max(latest, awaited.sentAtMs));
+    onHead(attempt: PendingAttempt, nowMs: number): void {
+        const tookMs = nowMs - attempt.sentAtMs;
+        this.#times.set(attempt.service, updateTimes(this.#times.get(attempt.service), tookMs));
+        const latest = this.#lastAnsweredSentAtMs.get(attempt.serverId) ?? attempt.sentAtMs;
+        this.#lastAnsweredSentAtMs.set(attempt.serverId, Math.max(latest, attempt.sentAtMs));
     }
 
     /**
@@ -59,13 +59,13 @@
     }
 
     /**
-     * @param awaited - the attempt
+     * @param attempt - the attempt
      * @param nowMs - current monotonic time
      * @returns whether the connection of the attempt should be abandoned
      */
-    isStalled(awaited: PendingAttempt, nowMs: number): boolean {
-        const answeredSentMs = this.#answeredSentMs.get(awaited.serverId);
-        const overtaken = answeredSentMs !== undefined && answeredSentMs > awaited.sentAtMs;
-        return overtaken && nowMs - awaited.sentAtMs >= this.getTimeoutMs(awaited.service);
+    isStalled(attempt: PendingAttempt, nowMs: number): boolean {
+        const lastAnsweredSentAtMs = this.#lastAnsweredSentAtMs.get(attempt.serverId);
+        const isOvertaken = lastAnsweredSentAtMs !== undefined && lastAnsweredSentAtMs > attempt.sentAtMs;
+        return isOvertaken && nowMs - attempt.sentAtMs >= this.getTimeoutMs(attempt.service);
     }
 }
--- a/packages/coldStart/src/__tests__/coldStart.test.ts
+++ b/packages/coldStart/src/__tests__/coldStart.test.ts
@@ -77,7 +77,7 @@
 // the sum of their requests exceeds what the server can handle.
 test("a cold server is never overloaded, whatever is lost, delayed, paused or down", () => {
     // Within the window, a dead gateway has three requests at the server besides three of each live one: 19 of 18.
-    const diedInWindow = {
+    const deadGatewayInWindow = {
         seed: 1384199573,
         gateways: 6,
         servers: 1,
@@ -98,7 +98,7 @@
     };
     fc.assert(
         fc.property(plans, faults => check(planOf(faults.seed, faults))),
-        { numRuns: 250, examples: [[diedInWindow]] },
+        { numRuns: 250, examples: [[deadGatewayInWindow]] },
     );
 });
 
@@ -139,7 +139,7 @@
         arrivalMs: fc.constantFrom(40, 300),
     });
     // Only one gateway learned of it, while it was disconnected for longer than signals used to be repeated.
-    const cutOffWithTheWord = { seed: 2147483620, loss: 0, pauseEveryMs: 0, cutEveryMs: 4_000, arrivalMs: 300 };
+    const disconnectedWithReport = { seed: 2147483620, loss: 0, pauseEveryMs: 0, cutEveryMs: 4_000, arrivalMs: 300 };
     fc.assert(
         fc.property(leavePlans, faults => {
             const plan = planOf(faults.seed, { ...faults, leaveEveryMs: 8_000, coldEveryMs: 0, longShare: 0 });
@@ -147,6 +147,6 @@
             const violations = checkServerLeaving(fleet.history, contactTimeoutMs + longestDeliveryMs);
             assert.deepEqual(violations.slice(0, 3), [], JSON.stringify(plan));
         }),
-        { numRuns: 60, examples: [[cutOffWithTheWord]] },
+        { numRuns: 60, examples: [[disconnectedWithReport]] },
     );
 });
--- a/packages/coldStart/src/__tests__/gateDriver.ts
+++ b/packages/coldStart/src/__tests__/gateDriver.ts
@@ -38,7 +38,7 @@
     /** Whether time steps call `tick`; otherwise they only run heartbeat rounds. */
     isTicking = true;
     /** Creates the peers' responses to a heartbeat. */
-    createResponses: (word: ColdStartHeartbeat) => readonly ColdStartHeartbeat[];
+    createResponses: (heartbeat: ColdStartHeartbeat) => readonly ColdStartHeartbeat[];
     nowMs = 0;
     #requests = 0;
     readonly #engine: KeyValueEngine;
@@ -49,10 +49,10 @@
         this.#engine = engine;
         this.gate.onServers(servers, 0);
         this.gate.onRoster(roster, 0);
-        this.createResponses = word =>
+        this.createResponses = heartbeat =>
             roster.members
                 .filter(member => member !== self)
-                .map(member => createHeartbeatResponse(member, roster.version, word));
+                .map(member => createHeartbeatResponse(member, roster.version, heartbeat));
     }
 
     /** Advances the time in steps of 100 ms. */
@@ -64,8 +64,8 @@
     }
 
     step(): void {
-        const word = this.gate.beginRound(this.nowMs);
-        this.gate.onRound({ startedAtMs: this.nowMs, responses: this.createResponses(word) }, this.nowMs);
+        const heartbeat = this.gate.beginRound(this.nowMs);
+        this.gate.onRound({ startedAtMs: this.nowMs, responses: this.createResponses(heartbeat) }, this.nowMs);
         if (this.isTicking) {
             for (const command of this.gate.tick(this.nowMs)) {
                 const outcome = this.isStoreUp ? this.#run(command) : { type: "failed" } as const;
@@ -92,9 +92,9 @@
     }
 
     /** Completes a request with a good response after 10 ms. */
-    respond(serverId: ServerId, requestId: string, signs: ServerMetadata): void {
+    respond(serverId: ServerId, requestId: string, metadata: ServerMetadata): void {
         this.nowMs += 10;
-        this.gate.onEnd(serverId, requestId, { outcome: "good", metadata: signs, mayStillRun: false }, this.nowMs);
+        this.gate.onEnd(serverId, requestId, { outcome: "good", metadata, mayStillRun: false }, this.nowMs);
     }
 
     #run(command: StoreCommand): StoreOutcome {
@@ -121,10 +121,10 @@
 export function createHeartbeatResponse(
     from: string,
     rosterVersion: number,
-    asked: ColdStartHeartbeat,
+    request: ColdStartHeartbeat,
     more: Partial<ColdStartHeartbeat> = {},
 ): ColdStartHeartbeat {
-    const words = asked.words.map(word => ({ ...word, inFlight: 0 }));
+    const words = request.words.map(report => ({ ...report, inFlight: 0 }));
     return {
         from,
         rosterVersion,
--- a/packages/coldStart/src/__tests__/leavingTracker.test.ts
+++ b/packages/coldStart/src/__tests__/leavingTracker.test.ts
@@ -37,10 +37,10 @@
     listed.onReport("hostList", true, undefined, 0);
     listed.onReport("hostList", false, undefined, 100);
     assert.equal(listed.isLeaving, false);
-    const silent = new LeavingTracker();
-    silent.onReport("answer", true, undefined, 0);
-    silent.onReport("health", false, undefined, 29_999);
-    assert.equal(silent.isLeaving, true);
-    silent.onReport("health", false, undefined, 30_000);
-    assert.equal(silent.isLeaving, false);
+    const withoutList = new LeavingTracker();
+    withoutList.onReport("answer", true, undefined, 0);
+    withoutList.onReport("health", false, undefined, 29_999);
+    assert.equal(withoutList.isLeaving, true);
+    withoutList.onReport("health", false, undefined, 30_000);
+    assert.equal(withoutList.isLeaving, false);
 });
--- a/packages/coldStart/src/__tests__/serverPermitGate.test.ts
+++ b/packages/coldStart/src/__tests__/serverPermitGate.test.ts
@@ -103,12 +103,14 @@
 test("a new gateway counts the requests that gateways which left before it joined may have in flight", () => {
     const driver = createDriver({ maxPatienceMs: 9_000 });
     const departures = [{ gateway: "g0/1", stoppedAgoMs: 0 }];
-    let isTold = false;
-    const plain = driver.createResponses;
-    driver.createResponses = word => {
-        const answers = plain(word).map(answer => isTold ? answer : { ...answer, departures });
-        isTold = true;
-        return answers;
+    let isReported = false;
+    const createOriginal = driver.createResponses;
+    driver.createResponses = heartbeat => {
+        const responses = createOriginal(heartbeat).map(response =>
+            isReported ? response : { ...response, departures }
+        );
+        isReported = true;
+        return responses;
     };
     driver.send(server);
     assert.ok(driver.nowMs >= 9_000, `sent after ${driver.nowMs} ms`);
@@ -121,14 +123,14 @@
     const driver = createDriver();
     warmUp(driver);
     driver.respond(server, driver.send(server), createMetadata("cold"));
-    const plain = driver.createResponses;
-    const lag = (answer: ColdStartHeartbeat): ColdStartHeartbeat => ({
-        ...answer,
-        words: answer.words.map(word => ({ ...word, epoch: word.epoch - 1 })),
+    const createOriginal = driver.createResponses;
+    const lag = (response: ColdStartHeartbeat): ColdStartHeartbeat => ({
+        ...response,
+        words: response.words.map(report => ({ ...report, epoch: report.epoch - 1 })),
     });
-    driver.createResponses = word => plain(word).map(lag);
+    driver.createResponses = heartbeat => createOriginal(heartbeat).map(lag);
     assert.throws(() => driver.send(server), /may not send/);
-    driver.createResponses = plain;
+    driver.createResponses = createOriginal;
     driver.send(server);
 });
 
@@ -149,13 +151,15 @@
     driver.isStoreUp = false;
     const owned = ["a", "b", "c", "d", "e", "f"].map(name => createServer(`service/${name}`));
     driver.gate.onServers(owned, 0);
-    const plain = driver.createResponses;
-    let told: ColdStartHeartbeat["leases"] = [{ holder: "g2/1", sequence: 1, ageMs: 0 }];
-    driver.createResponses = word => {
+    const createOriginal = driver.createResponses;
+    let previousLeases: ColdStartHeartbeat["leases"] = [{ holder: "g2/1", sequence: 1, ageMs: 0 }];
+    driver.createResponses = heartbeat => {
         // The peers respond with the leases of the previous round, as if delayed by 100 ms.
-        const leases = told;
-        told = word.leases;
-        return plain(word).map(answer => createHeartbeatResponse(answer.from, 1, word, { leases }));
+        const leases = previousLeases;
+        previousLeases = heartbeat.leases;
+        return createOriginal(heartbeat).map(response =>
+            createHeartbeatResponse(response.from, 1, heartbeat, { leases })
+        );
     };
     driver.advanceUntil(20_000);
     const open = (): readonly boolean[] => owned.map(each => driver.maySend(each.serverId));
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -66,7 +66,7 @@
     inFlight = 0;
     incarnation = 1;
     readonly #plan: FleetPlan;
-    #answers = 0;
+    #responses = 0;
 
     constructor(serverId: ServerId, plan: FleetPlan) {
         this.serverId = serverId;
@@ -79,13 +79,13 @@
 
     turnCold(): void {
         this.cold = true;
-        this.#answers = 0;
+        this.#responses = 0;
     }
 
     /** @returns whether the response made the server warm */
     answer(): boolean {
-        this.#answers++;
-        if (this.cold && this.#answers >= this.#plan.answersUntilWarm) {
+        this.#responses++;
+        if (this.cold && this.#responses >= this.#plan.answersUntilWarm) {
             this.cold = false;
             return true;
         }
@@ -138,7 +138,7 @@
 export class SimulatedFleet {
     readonly history: HistoryLine[] = [];
     readonly #plan: FleetPlan;
-    readonly #time = new VirtualClock();
+    readonly #clock = new VirtualClock();
     readonly #random: RandomSource;
     readonly #store: FakeStore;
     readonly #servers: SimulatedServer[] = [];
@@ -151,7 +151,11 @@
     constructor(plan: FleetPlan) {
         this.#plan = plan;
         this.#random = createRandomSource(plan.seed);
-        this.#store = new FakeStore(new KeyValueEngine(), this.#time, (client, nowMs) => this.#fate(client, nowMs));
+        this.#store = new FakeStore(
+            new KeyValueEngine(),
+            this.#clock,
+            (client, nowMs) => this.#resolveStoreOutcome(client, nowMs),
+        );
         for (let i = 0; i < plan.servers; i++) {
             this.#servers.push(new SimulatedServer(`service/s${i}`, plan));
         }
@@ -172,14 +176,14 @@
             this.#addGateway();
         }
         this.#changeRoster();
-        this.#repeat(this.#plan.coldEveryMs, () => this.#turnOneCold());
-        this.#repeat(this.#plan.leaveEveryMs, () => this.#leaveOne());
-        this.#repeat(this.#plan.pauseEveryMs, () => this.#pauseOne());
-        this.#repeat(this.#plan.cutEveryMs, () => this.#cutOne());
-        this.#repeat(this.#plan.replaceEveryMs, () => this.#replaceOne());
+        this.#repeat(this.#plan.coldEveryMs, () => this.#turnServerCold());
+        this.#repeat(this.#plan.leaveEveryMs, () => this.#startServerLeaving());
+        this.#repeat(this.#plan.pauseEveryMs, () => this.#pauseGateway());
+        this.#repeat(this.#plan.cutEveryMs, () => this.#disconnectGateway());
+        this.#repeat(this.#plan.replaceEveryMs, () => this.#replaceGateway());
         const outage = this.#plan.outages[0];
         if (outage !== undefined && this.#plan.dead > 0) {
-            this.#time.schedule(outage.fromMs, () => {
+            this.#clock.schedule(outage.fromMs, () => {
                 for (const gateway of this.#gateways.slice(0, this.#plan.dead)) {
                     gateway.isDead = true;
                 }
@@ -188,24 +192,24 @@
     }
 
     runUntil(atMs: number): void {
-        this.#time.runUntil(atMs);
+        this.#clock.runUntil(atMs);
     }
 
     #record(process: string, event: HistoryEvent): void {
-        this.history.push({ sequence: this.history.length, atMs: this.#time.nowMs, process, ...event });
+        this.history.push({ sequence: this.history.length, atMs: this.#clock.nowMs, process, ...event });
     }
 
     /** Runs `work` at random intervals with the mean `meanMs`. */
     #repeat(meanMs: number, work: () => void): void {
         if (meanMs > 0) {
-            this.#time.schedule(meanMs * 2 * this.#random.next(), () => {
+            this.#clock.schedule(meanMs * 2 * this.#random.next(), () => {
                 work();
                 this.#repeat(meanMs, work);
             });
         }
     }
 
-    #delayMs(): number {
+    #drawDelayMs(): number {
         const isSlow = this.#plan.slow && this.#random.next() < 0.05;
         return 1 + this.#random.nextInt(isSlow ? 1_200 : 20);
     }
@@ -218,25 +222,25 @@
         return this.#plan.outages.some(outage => nowMs >= outage.fromMs && nowMs < outage.toMs);
     }
 
-    #fate(client: string, nowMs: number): StoreCallOutcome {
+    #resolveStoreOutcome(client: string, nowMs: number): StoreCallOutcome {
         const gateway = this.#gateways.find(each => each.id === client);
-        const isCut = gateway !== undefined && nowMs < gateway.cutFromStoreUntilMs;
-        if (isCut || this.#isStoreDown(nowMs) || this.#isLost()) {
+        const isDisconnected = gateway !== undefined && nowMs < gateway.cutFromStoreUntilMs;
+        if (isDisconnected || this.#isStoreDown(nowMs) || this.#isLost()) {
             return { type: "requestLost", timeoutMs: 1_000 };
         }
         if (this.#isLost()) {
-            return { type: "answerLost", outMs: this.#delayMs() % 1_000, timeoutMs: 1_000 };
+            return { type: "answerLost", outMs: this.#drawDelayMs() % 1_000, timeoutMs: 1_000 };
         }
-        return { type: "answered", outMs: this.#delayMs(), backMs: this.#delayMs() };
+        return { type: "answered", outMs: this.#drawDelayMs(), backMs: this.#drawDelayMs() };
     }
 
     #addGateway(): SimulatedGateway {
         const gateway = new SimulatedGateway(`g${this.#gatewayCount++}/1`);
         this.#gateways.push(gateway);
-        gateway.gate.onServers(this.#servers.map(server => this.#declare(server)), this.#time.nowMs);
+        gateway.gate.onServers(this.#servers.map(server => this.#declare(server)), this.#clock.nowMs);
         this.#every(gateway, tickMs, () => this.#tick(gateway));
         this.#every(gateway, roundMs, () => this.#round(gateway));
-        this.#every(gateway, this.#plan.arrivalMs, () => this.#arrive(gateway));
+        this.#every(gateway, this.#plan.arrivalMs, () => this.#onRequest(gateway));
         return gateway;
     }
 
@@ -252,7 +256,7 @@
     }
 
     #every(gateway: SimulatedGateway, periodMs: number, work: () => void): void {
-        this.#time.schedule(periodMs / 2 + this.#random.nextInt(periodMs), () => {
+        this.#clock.schedule(periodMs / 2 + this.#random.nextInt(periodMs), () => {
             if (gateway.isDead) {
                 return;
             }
@@ -268,14 +272,14 @@
         this.#roster = { version: this.#roster.version + 1, members, previous };
         const roster = this.#roster;
         for (const gateway of this.#gateways) {
-            this.#time.schedule(
+            this.#clock.schedule(
                 this.#random.nextInt(2_000),
-                () => gateway.run(() => gateway.gate.onRoster(roster, this.#time.nowMs)),
+                () => gateway.run(() => gateway.gate.onRoster(roster, this.#clock.nowMs)),
             );
         }
     }
 
-    #turnOneCold(): void {
+    #turnServerCold(): void {
         const server = this.#servers[this.#random.nextInt(this.#servers.length)];
         if (server !== undefined && !server.cold) {
             server.turnCold();
@@ -284,7 +288,7 @@
     }
 
     /** One server starts leaving: its responses report it at once, the host list to each gateway later or never. */
-    #leaveOne(): void {
+    #startServerLeaving(): void {
         const server = this.#servers[this.#random.nextInt(this.#servers.length)];
         if (server === undefined || server.leaving) {
             return;
@@ -293,23 +297,23 @@
         this.#record(server.serverId, { type: "serverLeaving", server: server.serverId });
         for (const gateway of this.#gateways) {
             if (!this.#isLost()) {
-                this.#time.schedule(3_000 + this.#random.nextInt(20_000), () =>
+                this.#clock.schedule(3_000 + this.#random.nextInt(20_000), () =>
                     gateway.run(() => {
-                        gateway.gate.onHostListed(server.serverId, "leaving", this.#time.nowMs);
+                        gateway.gate.onHostListed(server.serverId, "leaving", this.#clock.nowMs);
                     }));
             }
         }
     }
 
-    #pauseOne(): void {
+    #pauseGateway(): void {
         const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
         gateway?.pause();
-        this.#time.schedule(500 + this.#random.nextInt(15_000), () => gateway?.resume(this.#random));
+        this.#clock.schedule(500 + this.#random.nextInt(15_000), () => gateway?.resume(this.#random));
     }
 
-    #cutOne(): void {
+    #disconnectGateway(): void {
         const gateway = this.#gateways[this.#random.nextInt(this.#gateways.length)];
-        const untilMs = this.#time.nowMs + 500 + this.#random.nextInt(20_000);
+        const untilMs = this.#clock.nowMs + 500 + this.#random.nextInt(20_000);
         if (gateway !== undefined && this.#random.next() < 0.7) {
             gateway.cutFromStoreUntilMs = untilMs;
         }
@@ -318,12 +322,12 @@
         }
     }
 
-    #replaceOne(): void {
-        if (this.#isStoreDown(this.#time.nowMs)) {
+    #replaceGateway(): void {
+        if (this.#isStoreDown(this.#clock.nowMs)) {
             return;
         }
-        const living = this.#gateways.filter(gateway => !gateway.isDead);
-        const gateway = living[this.#random.nextInt(living.length)];
+        const live = this.#gateways.filter(gateway => !gateway.isDead);
+        const gateway = live[this.#random.nextInt(live.length)];
         if (gateway !== undefined) {
             gateway.isDead = true;
             this.#addGateway();
@@ -332,37 +336,37 @@
     }
 
     #tick(gateway: SimulatedGateway): void {
-        for (const command of gateway.gate.tick(this.#time.nowMs)) {
+        for (const command of gateway.gate.tick(this.#clock.nowMs)) {
             this.#call(gateway, command);
         }
     }
 
     #call(gateway: SimulatedGateway, command: StoreCommand): void {
-        const askedAtMs = this.#time.nowMs;
+        const sentAtMs = this.#clock.nowMs;
         this.#store.call(gateway.id, (engine, nowMs) => runCommand(engine, command, nowMs), result => {
             const outcome: StoreOutcome = result.orDefault({ type: "failed" });
-            gateway.run(() => gateway.gate.onStoreReply({ command, sentAtMs: askedAtMs, outcome }, this.#time.nowMs));
+            gateway.run(() => gateway.gate.onStoreReply({ command, sentAtMs, outcome }, this.#clock.nowMs));
         });
     }
 
     #round(gateway: SimulatedGateway): void {
-        const startedAtMs = this.#time.nowMs;
+        const startedAtMs = this.#clock.nowMs;
         const word = gateway.gate.beginRound(startedAtMs);
         const answers: ReturnType<ServerPermitGate["beginRound"]>[] = [];
         const end = (): void => {
-            gateway.gate.onRound({ startedAtMs, responses: answers }, this.#time.nowMs);
+            gateway.gate.onRound({ startedAtMs, responses: answers }, this.#clock.nowMs);
         };
         for (const peer of this.#gateways) {
-            if (peer === gateway || this.#isCut(gateway, peer) || this.#isLost()) {
+            if (peer === gateway || this.#isDisconnected(gateway, peer) || this.#isLost()) {
                 continue;
             }
-            this.#time.schedule(this.#delayMs(), () =>
+            this.#clock.schedule(this.#drawDelayMs(), () =>
                 peer.run(() => {
-                    const answer = peer.gate.onHeartbeat(word, this.#time.nowMs);
+                    const answer = peer.gate.onHeartbeat(word, this.#clock.nowMs);
                     if (this.#isLost()) {
                         return;
                     }
-                    this.#time.schedule(this.#delayMs(), () =>
+                    this.#clock.schedule(this.#drawDelayMs(), () =>
                         gateway.run(() => {
                             answers.push(answer);
                             end();
@@ -372,23 +376,23 @@
         }
     }
 
-    #isCut(...gateways: readonly SimulatedGateway[]): boolean {
-        return gateways.some(gateway => this.#time.nowMs < gateway.cutFromPeersUntilMs);
+    #isDisconnected(...gateways: readonly SimulatedGateway[]): boolean {
+        return gateways.some(gateway => this.#clock.nowMs < gateway.cutFromPeersUntilMs);
     }
 
     /** Computes the majority from the current roster, so that the checker does not depend on the gate's result. */
     #recordMajority(gateway: SimulatedGateway, startedAtMs: number, peers: readonly string[]): void {
-        const heard = new Set([gateway.id, ...peers]);
+        const contacted = new Set([gateway.id, ...peers]);
         const { members, previous } = this.#roster;
         const isMajority = [members, previous ?? members]
-            .every(list => list.filter(member => heard.has(member)).length * 2 > list.length);
+            .every(list => list.filter(member => contacted.has(member)).length * 2 > list.length);
         if (isMajority) {
             this.#record(gateway.id, { type: "majorityRound", gateway: gateway.id, startedAtMs });
         }
     }
 
-    #arrive(gateway: SimulatedGateway): void {
-        const nowMs = this.#time.nowMs;
+    #onRequest(gateway: SimulatedGateway): void {
+        const nowMs = this.#clock.nowMs;
         this.asked++;
         const deadlineMs = nowMs + 100 + this.#random.nextInt(this.#plan.patienceMs - 100);
         const first = this.#random.nextInt(this.#servers.length);
@@ -404,15 +408,15 @@
     #send(gateway: SimulatedGateway, server: SimulatedServer, deadlineMs: number): void {
         const requestId = `${gateway.id}-${gateway.requests++}`;
         const request: RunningRequest = { requestId, ended: false };
-        gateway.gate.onSent(server.serverId, requestId, this.#time.nowMs, deadlineMs);
-        this.#time.schedule(deadlineMs - this.#time.nowMs, () =>
+        gateway.gate.onSent(server.serverId, requestId, this.#clock.nowMs, deadlineMs);
+        this.#clock.schedule(deadlineMs - this.#clock.nowMs, () =>
             this.#end(gateway, server, request, {
                 outcome: "failed",
                 metadata: emptyServerMetadata,
                 mayStillRun: true,
             }));
         if (!this.#isLost()) {
-            this.#time.schedule(1 + this.#random.nextInt(20), () => this.#serve(gateway, server, request, deadlineMs));
+            this.#clock.schedule(1 + this.#random.nextInt(20), () => this.#serve(gateway, server, request, deadlineMs));
         }
     }
 
@@ -429,7 +433,7 @@
                 this.#record(gateway.id, { type: "leavingHeard", gateway: gateway.id, server: server.serverId });
             }
             this.answered += end.outcome === "good" ? 1 : 0;
-            gateway.gate.onEnd(server.serverId, request.requestId, end, this.#time.nowMs);
+            gateway.gate.onEnd(server.serverId, request.requestId, end, this.#clock.nowMs);
         });
     }
 
@@ -448,8 +452,8 @@
         });
         const isStuck = this.#random.next() < this.#plan.longShare;
         const serviceMs = isStuck ? Number.POSITIVE_INFINITY : (server.cold ? 20 : 5) + this.#random.nextInt(80);
-        const latestMs = deadlineMs + this.#random.nextInt(500) - this.#time.nowMs;
-        this.#time.schedule(Math.min(serviceMs, latestMs), () => {
+        const latestMs = deadlineMs + this.#random.nextInt(500) - this.#clock.nowMs;
+        this.#clock.schedule(Math.min(serviceMs, latestMs), () => {
             server.inFlight--;
             if (serviceMs > latestMs) {
                 return;
@@ -457,15 +461,15 @@
             if (server.answer()) {
                 this.#record(server.serverId, { type: "serverTurnedWarm", server: server.serverId });
             }
-            const signs = {
+            const metadata = {
                 state: resolveState(server),
                 inFlight: server.inFlight,
                 incarnation: undefined,
                 bears: server.bears,
             };
             if (!this.#isLost()) {
-                const end: AttemptCompletion = { outcome: "good", metadata: signs, mayStillRun: false };
-                this.#time.schedule(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
+                const end: AttemptCompletion = { outcome: "good", metadata, mayStillRun: false };
+                this.#clock.schedule(1 + this.#random.nextInt(20), () => this.#end(gateway, server, request, end));
             }
         });
     }
--- a/packages/coldStart/src/absenceTracker.ts
+++ b/packages/coldStart/src/absenceTracker.ts
@@ -6,9 +6,9 @@
  */
 export class AbsenceTracker {
     readonly #self: string;
-    readonly #askedAtMs = new Map<string, number>();
-    readonly #saidAtMs = new Map<string, number>();
-    #sinceMs = Number.POSITIVE_INFINITY;
+    readonly #lastHeartbeatAtMs = new Map<string, number>();
+    readonly #reportedAtMs = new Map<string, number>();
+    #rosterSinceMs = Number.POSITIVE_INFINITY;
 
     constructor(self: string) {
         this.#self = self;
@@ -16,12 +16,12 @@
 
     /** Restarts the timeout of every member, so that a new roster begins without absent members. */
     onRoster(nowMs: number): void {
-        this.#sinceMs = nowMs;
+        this.#rosterSinceMs = nowMs;
     }
 
     /** Records a heartbeat from a member, which this gateway responds to. */
     onHeartbeat(member: string, nowMs: number): void {
-        this.#askedAtMs.set(member, nowMs);
+        this.#lastHeartbeatAtMs.set(member, nowMs);
     }
 
     /**
@@ -34,7 +34,7 @@
     reportAbsent(members: readonly string[], nowMs: number): readonly string[] {
         const absent = members.filter(member => member !== this.#self && this.#isAbsent(member, nowMs));
         for (const member of absent) {
-            this.#saidAtMs.set(member, nowMs);
+            this.#reportedAtMs.set(member, nowMs);
         }
         return absent;
     }
@@ -46,11 +46,14 @@
      */
     isSuspended(member: string, nowMs: number): boolean {
         return nowMs
-            < (this.#saidAtMs.get(member) ?? Number.NEGATIVE_INFINITY) + contactTimeoutMs + authorityChangeDelayMs;
+            < (this.#reportedAtMs.get(member) ?? Number.NEGATIVE_INFINITY) + contactTimeoutMs + authorityChangeDelayMs;
     }
 
     #isAbsent(member: string, nowMs: number): boolean {
-        const askedAtMs = Math.max(this.#sinceMs, this.#askedAtMs.get(member) ?? this.#sinceMs);
-        return nowMs >= askedAtMs + contactTimeoutMs + authorityChangeDelayMs;
+        const lastHeartbeatAtMs = Math.max(
+            this.#rosterSinceMs,
+            this.#lastHeartbeatAtMs.get(member) ?? this.#rosterSinceMs,
+        );
+        return nowMs >= lastHeartbeatAtMs + contactTimeoutMs + authorityChangeDelayMs;
     }
 }
--- a/packages/coldStart/src/createServerPermitGate.ts
+++ b/packages/coldStart/src/createServerPermitGate.ts
@@ -23,15 +23,15 @@
 import { type GatedServer, ServerPermitGate, type ServerReadiness } from "./serverPermitGate.js";
 import { type StoreCommand, type StoreReply } from "./storeCommand.js";
 
-class PermitServerGate extends ServerPermitGate {
+class WarmUpPermitGate extends ServerPermitGate {
     readonly #self: string;
     readonly #servers = new Map<ServerId, GatedServerState>();
     readonly #lease = new LeaseKeeper();
     readonly #authority: WarmUpAuthority;
     readonly #absences: AbsenceTracker;
-    readonly #departures = new DepartedGateways();
-    #urgent = new Set<ServerId>();
-    #lastContactMs = Number.NEGATIVE_INFINITY;
+    readonly #departed = new DepartedGateways();
+    #urgentServers = new Set<ServerId>();
+    #lastContactAtMs = Number.NEGATIVE_INFINITY;
     #warmCursor = 0;
 
     constructor(self: string) {
@@ -47,7 +47,7 @@
 
     override maySend(serverId: ServerId, nowMs: number, deadlineMs: number): "yes" | "no" {
         const server = this.#servers.get(serverId);
-        if (server === undefined || !this.#isOpen(server, nowMs)) {
+        if (server === undefined || !this.#isAvailable(server, nowMs)) {
             return "no";
         }
         if (server.state.isConfirmedWarm(nowMs)) {
@@ -58,7 +58,7 @@
     }
 
     override hasPeerContact(nowMs: number): boolean {
-        return nowMs < this.#lastContactMs + contactTimeoutMs + contactRecoveryMs;
+        return nowMs < this.#lastContactAtMs + contactTimeoutMs + contactRecoveryMs;
     }
 
     override getReadiness(serverId: ServerId): ServerReadiness | undefined {
@@ -82,7 +82,7 @@
     override mayStillSend(serverId: ServerId, requestId: string, nowMs: number): boolean {
         const server = this.#servers.get(serverId);
         const sent = server?.state.getRequest(requestId);
-        if (server === undefined || sent === undefined || !this.#isOpen(server, nowMs)) {
+        if (server === undefined || sent === undefined || !this.#isAvailable(server, nowMs)) {
             return false;
         }
         if (server.state.isConfirmedWarm(nowMs)) {
@@ -98,20 +98,20 @@
         }
         const wasWarm = server.state.isWarm;
         if (server.state.onEnd(requestId, end, nowMs) || server.state.isWarm !== wasWarm) {
-            this.#noteChange(server, nowMs);
+            this.#recordChange(server, nowMs);
         }
-        this.#onSigns(server, end.metadata, "answer", nowMs);
+        this.#onMetadata(server, end.metadata, "answer", nowMs);
     }
 
-    override onReport(serverId: ServerId, signs: ServerMetadata, nowMs: number): void {
+    override onReport(serverId: ServerId, metadata: ServerMetadata, nowMs: number): void {
         const server = this.#servers.get(serverId);
         if (server === undefined) {
             return;
         }
-        if (server.state.onReport(signs, nowMs)) {
-            this.#noteChange(server, nowMs);
+        if (server.state.onReport(metadata, nowMs)) {
+            this.#recordChange(server, nowMs);
         }
-        this.#onSigns(server, signs, "health", nowMs);
+        this.#onMetadata(server, metadata, "health", nowMs);
     }
 
     override onHostListed(serverId: ServerId, state: "live" | "leaving", nowMs: number): void {
@@ -128,13 +128,13 @@
         }
         if (signal.kind === "leaving") {
             if (server.leaving.onReport("peer", true, signal.incarnation, nowMs - signal.ageMs)) {
-                this.#noteChange(server, nowMs);
+                this.#recordChange(server, nowMs);
             }
             return;
         }
         const isWarm = signal.kind === "warm";
         if (server.state.merge(signal.epoch, isWarm, signal.incarnation, nowMs - signal.ageMs)) {
-            this.#noteChange(server, nowMs);
+            this.#recordChange(server, nowMs);
         }
     }
 
@@ -145,13 +145,13 @@
             const server = this.#servers.get(serverId) ?? new GatedServerState(this.#self, serverId, limits);
             this.#servers.set(serverId, server);
             server.state.limits = limits;
-            this.#onZone(server, isZoneInService, nowMs);
+            this.#updateZone(server, isZoneInService, nowMs);
         }
         for (const [serverId, server] of this.#servers) {
             if (declared.has(serverId)) {
                 continue;
             }
-            this.#onZone(server, false, nowMs);
+            this.#updateZone(server, false, nowMs);
             // Requests still in flight must count if the server is declared again.
             if (server.state.inFlight(nowMs) === 0) {
                 this.#servers.delete(serverId);
@@ -166,7 +166,7 @@
         const members = new Set([...roster.members, ...roster.previous ?? []]);
         for (const former of this.#rosterMembers()) {
             if (!members.has(former)) {
-                this.#departures.add(former);
+                this.#departed.add(former);
             }
         }
         this.#authority.onRoster(roster);
@@ -174,30 +174,30 @@
     }
 
     override beginRound(nowMs: number): ColdStartHeartbeat {
-        const word = this.#word(nowMs);
-        this.#authority.beginRound(word.absent, nowMs);
-        return word;
+        const heartbeat = this.#createHeartbeat(nowMs);
+        this.#authority.beginRound(heartbeat.absent, nowMs);
+        return heartbeat;
     }
 
     override onRound(round: HeartbeatRound, nowMs: number): void {
-        for (const answer of round.responses) {
-            this.#hear(answer, nowMs);
+        for (const response of round.responses) {
+            this.#mergeHeartbeat(response, nowMs);
         }
         if (this.#authority.onRound(round, nowMs)) {
-            this.#noteContact(round.startedAtMs);
-            this.#departures.confirmStopped(nowMs);
+            this.#recordContact(round.startedAtMs);
+            this.#departed.confirmStopped(nowMs);
         }
-        for (const answer of round.responses) {
-            for (const word of answer.words) {
-                this.#hearServerWord(answer.from, word, round.startedAtMs);
+        for (const response of round.responses) {
+            for (const report of response.words) {
+                this.#onServerReport(response.from, report, round.startedAtMs);
             }
         }
     }
 
-    override onHeartbeat(word: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat {
-        this.#hear(word, nowMs);
-        this.#absences.onHeartbeat(word.from, nowMs);
-        return { ...this.#word(nowMs), isAskerSuspended: this.#absences.isSuspended(word.from, nowMs) };
+    override onHeartbeat(heartbeat: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat {
+        this.#mergeHeartbeat(heartbeat, nowMs);
+        this.#absences.onHeartbeat(heartbeat.from, nowMs);
+        return { ...this.#createHeartbeat(nowMs), isAskerSuspended: this.#absences.isSuspended(heartbeat.from, nowMs) };
     }
 
     override onStoreReply(reply: StoreReply, nowMs: number): void {
@@ -219,12 +219,12 @@
     }
 
     override takeUrgentSignals(nowMs: number): readonly ServerSignal[] {
-        const urgent = this.#urgent;
-        this.#urgent = new Set();
-        return [...urgent].flatMap(serverId => this.#servers.get(serverId)?.createSignals(nowMs) ?? []);
+        const urgentServers = this.#urgentServers;
+        this.#urgentServers = new Set();
+        return [...urgentServers].flatMap(serverId => this.#servers.get(serverId)?.createSignals(nowMs) ?? []);
     }
 
-    #isOpen(server: GatedServerState, nowMs: number): boolean {
+    #isAvailable(server: GatedServerState, nowMs: number): boolean {
         // Without contact with a majority, a gateway may not know that the server turned cold or is leaving.
         return server.isZoneInService && !server.leaving.isLeaving && this.#authority.hasMajorityContact(nowMs);
     }
@@ -249,35 +249,38 @@
 
     /** @returns the current authority to warm up the server, with the requests inherited at its start */
     #resolveWarmUp(server: GatedServerState, nowMs: number): WarmUp | undefined {
-        const stretch = this.#resolveStretch(server, nowMs);
-        if (stretch === undefined) {
+        const baseId = this.#resolveBaseAuthorityId(server, nowMs);
+        if (baseId === undefined) {
             server.warmUp = undefined;
             return undefined;
         }
         // Requests sent while the server was warm are inherited each time that it turns cold.
-        const name = `${stretch}/${server.state.epoch}`;
-        if (server.warmUp?.authorityId !== name) {
-            server.warmUp = { authorityId: name, inheritedRequests: this.#openInherited(server, nowMs) };
+        const authorityId = `${baseId}/${server.state.epoch}`;
+        if (server.warmUp?.authorityId !== authorityId) {
+            server.warmUp = {
+                authorityId,
+                inheritedRequests: this.#createInheritedRequests(server, nowMs),
+            };
         }
         return server.warmUp;
     }
 
-    #resolveStretch(server: GatedServerState, nowMs: number): string | undefined {
-        const leaseStretch = this.#authority.resolveLeaseAuthorityId(nowMs);
-        if (leaseStretch !== undefined && server.permit.isHeld(this.#lease.leaseId)) {
-            return `lease/${leaseStretch}/${server.permit.term}`;
+    #resolveBaseAuthorityId(server: GatedServerState, nowMs: number): string | undefined {
+        const leaseAuthorityId = this.#authority.resolveLeaseAuthorityId(nowMs);
+        if (leaseAuthorityId !== undefined && server.permit.isHeld(this.#lease.leaseId)) {
+            return `lease/${leaseAuthorityId}/${server.permit.term}`;
         }
-        const rosterStretch = this.#authority.resolveRosterAuthorityId(server.state.serverId, nowMs);
-        return rosterStretch === undefined ? undefined : `roster/${rosterStretch}`;
+        const rosterAuthorityId = this.#authority.resolveRosterAuthorityId(server.state.serverId, nowMs);
+        return rosterAuthorityId === undefined ? undefined : `roster/${rosterAuthorityId}`;
     }
 
-    #openInherited(server: GatedServerState, nowMs: number): InheritedRequests {
+    #createInheritedRequests(server: GatedServerState, nowMs: number): InheritedRequests {
         const { maxPatienceMs } = server.state.limits;
         const gateways = new Map<string, number>();
         for (const { gateway, horizonMs } of server.permit.inheritedHolders) {
             gateways.set(gateway, nowMs + horizonMs + cancellationGraceMs);
         }
-        for (const [gateway, stoppedAtMs] of this.#departures.stoppedAtMs) {
+        for (const [gateway, stoppedAtMs] of this.#departed.stoppedAtMs) {
             gateways.set(gateway, stoppedAtMs + maxPatienceMs + cancellationGraceMs);
         }
         for (const gateway of this.#rosterMembers()) {
@@ -289,8 +292,8 @@
 
     #permitCommand(server: GatedServerState, nowMs: number): StoreCommand | undefined {
         const { permit, state } = server;
-        const isWanted = nowMs < server.lastRequestedAtMs + permitIdleTimeoutMs && !state.isConfirmedWarm(nowMs);
-        if (!isWanted) {
+        const isRequested = nowMs < server.lastRequestedAtMs + permitIdleTimeoutMs && !state.isConfirmedWarm(nowMs);
+        if (!isRequested) {
             return state.inFlight(nowMs) === 0
                 ? permit.nextReleaseCommand(this.#lease.leaseId, state.epoch, nowMs)
                 : undefined;
@@ -304,49 +307,54 @@
         return permit.nextCommand(this.#lease.leaseId, state.epoch, nowMs);
     }
 
-    #hear(word: ColdStartHeartbeat, nowMs: number): void {
-        this.#authority.mergeLeases(word, nowMs);
-        this.#departures.merge(word.departures, nowMs);
-        for (const signal of word.signals) {
+    #mergeHeartbeat(heartbeat: ColdStartHeartbeat, nowMs: number): void {
+        this.#authority.mergeLeases(heartbeat, nowMs);
+        this.#departed.merge(heartbeat.departures, nowMs);
+        for (const signal of heartbeat.signals) {
             this.onSignal(signal, nowMs);
         }
     }
 
     /** Ignores peers with an older epoch: they may still be told that the server is warm, and send to it. */
-    #hearServerWord(from: string, word: ColdServerReport, askedAtMs: number): void {
-        const server = this.#servers.get(word.serverId);
-        if (server !== undefined && word.epoch >= server.state.epoch) {
-            server.warmUp?.inheritedRequests.onReport(from, askedAtMs, word.inFlight);
+    #onServerReport(from: string, report: ColdServerReport, requestedAtMs: number): void {
+        const server = this.#servers.get(report.serverId);
+        if (server !== undefined && report.epoch >= server.state.epoch) {
+            server.warmUp?.inheritedRequests.onReport(from, requestedAtMs, report.inFlight);
         }
     }
 
     /** Signals are repeated for a limited time, so some may have been missed after a longer loss of contact. */
-    #noteContact(startedAtMs: number): void {
-        if (startedAtMs > this.#lastContactMs + signalRepeatDurationMs - contactTimeoutMs) {
+    #recordContact(startedAtMs: number): void {
+        if (startedAtMs > this.#lastContactAtMs + signalRepeatDurationMs - contactTimeoutMs) {
             for (const server of this.#servers.values()) {
                 server.state.clearWarmConfirmation();
             }
         }
-        this.#lastContactMs = Math.max(this.#lastContactMs, startedAtMs);
+        this.#lastContactAtMs = Math.max(this.#lastContactAtMs, startedAtMs);
     }
 
     /** A server is cold when its availability zone comes back; the first gateway to see that signals the others. */
-    #onZone(server: GatedServerState, isIn: boolean, nowMs: number): void {
+    #updateZone(server: GatedServerState, isIn: boolean, nowMs: number): void {
         if (server.isZoneInService && !isIn) {
             server.epochAtZoneOut = server.state.epoch;
         }
         else if (isIn && !server.isZoneInService && server.state.epoch === server.epochAtZoneOut) {
             server.state.markCold(undefined);
-            this.#noteChange(server, nowMs);
+            this.#recordChange(server, nowMs);
         }
         server.isZoneInService = isIn;
     }
 
-    #onSigns(server: GatedServerState, signs: ServerMetadata, source: "answer" | "health", nowMs: number): void {
-        if (signs.state === undefined) {
+    #onMetadata(
+        server: GatedServerState,
+        metadata: ServerMetadata,
+        source: "answer" | "health",
+        nowMs: number,
+    ): void {
+        if (metadata.state === undefined) {
             return;
         }
-        if (server.leaving.onReport(source, signs.state === "leaving", signs.incarnation, nowMs)) {
+        if (server.leaving.onReport(source, metadata.state === "leaving", metadata.incarnation, nowMs)) {
             this.#onLeavingChanged(server, nowMs);
         }
     }
@@ -355,12 +363,12 @@
         if (!server.leaving.isLeaving) {
             server.state.markCold(undefined);
         }
-        this.#noteChange(server, nowMs);
+        this.#recordChange(server, nowMs);
     }
 
-    #noteChange(server: GatedServerState, nowMs: number): void {
+    #recordChange(server: GatedServerState, nowMs: number): void {
         server.markChanged(nowMs);
-        this.#urgent.add(server.state.serverId);
+        this.#urgentServers.add(server.state.serverId);
     }
 
     #rosterMembers(): readonly string[] {
@@ -368,30 +376,30 @@
         return [...members, ...previous ?? []];
     }
 
-    #word(nowMs: number): ColdStartHeartbeat {
+    #createHeartbeat(nowMs: number): ColdStartHeartbeat {
         return {
             from: this.#self,
             rosterVersion: this.#authority.roster.version,
             leases: this.#authority.leases(nowMs),
-            words: this.#serverWords(nowMs),
-            departures: this.#departures.createReports(nowMs),
+            words: this.#createServerReports(nowMs),
+            departures: this.#departed.createReports(nowMs),
             absent: this.#absences.reportAbsent(this.#authority.roster.members, nowMs),
             isAskerSuspended: false,
-            signals: this.#signals(nowMs),
+            signals: this.#createSignals(nowMs),
         };
     }
 
-    #serverWords(nowMs: number): readonly ColdServerReport[] {
-        const words: ColdServerReport[] = [];
+    #createServerReports(nowMs: number): readonly ColdServerReport[] {
+        const reports: ColdServerReport[] = [];
         for (const { state } of this.#servers.values()) {
             if (!state.isConfirmedWarm(nowMs)) {
-                words.push({ serverId: state.serverId, epoch: state.epoch, inFlight: state.inFlight(nowMs) });
+                reports.push({ serverId: state.serverId, epoch: state.epoch, inFlight: state.inFlight(nowMs) });
             }
         }
-        return words;
+        return reports;
     }
 
-    #signals(nowMs: number): readonly ServerSignal[] {
+    #createSignals(nowMs: number): readonly ServerSignal[] {
         const servers = [...this.#servers.values()];
         const signals = servers.flatMap(server => server.createSignals(nowMs));
         const warm = servers.filter(server => server.state.isConfirmedWarm(nowMs));
@@ -413,5 +421,5 @@
  * @returns the gate; it allows no requests until it has a roster, servers and contact with a majority
  */
 export function createServerPermitGate(self: string): ServerPermitGate {
-    return new PermitServerGate(self);
+    return new WarmUpPermitGate(self);
 }
--- a/packages/coldStart/src/departedGateways.ts
+++ b/packages/coldStart/src/departedGateways.ts
@@ -32,8 +32,8 @@
     }
 
     /** Merges departures known to peers: a new gateway has not seen earlier ones, whose requests may still run. */
-    merge(words: readonly DepartureReport[], nowMs: number): void {
-        for (const { gateway, stoppedAgoMs } of words) {
+    merge(reports: readonly DepartureReport[], nowMs: number): void {
+        for (const { gateway, stoppedAgoMs } of reports) {
             if (!this.#stoppedAtMs.has(gateway)) {
                 this.#stoppedAtMs.set(gateway, nowMs - stoppedAgoMs);
             }
--- a/packages/coldStart/src/gatedServerState.ts
+++ b/packages/coldStart/src/gatedServerState.ts
@@ -59,7 +59,7 @@
         }
         const ageMs = nowMs - this.#changedAtMs;
         if (!state.isWarm && state.epoch > 0) {
-            signals.push(this.#coldSignal(ageMs));
+            signals.push(this.#createColdSignal(ageMs));
         }
         if (state.isWarm && ageMs < signalRepeatDurationMs) {
             signals.push(this.createWarmSignal(nowMs));
@@ -73,7 +73,7 @@
         return { serverId, kind: "warm", epoch, incarnation, ageMs: Math.min(nowMs - warmConfirmedAtMs, 1e12) };
     }
 
-    #coldSignal(ageMs: number): ServerSignal {
+    #createColdSignal(ageMs: number): ServerSignal {
         const { serverId, epoch, incarnation } = this.state;
         return { serverId, kind: "turnedCold", epoch, incarnation, ageMs };
     }
--- a/packages/coldStart/src/inheritedRequests.ts
+++ b/packages/coldStart/src/inheritedRequests.ts
@@ -12,14 +12,14 @@
  */
 export class InheritedRequests {
     readonly #entries = new Map<string, Entry>();
-    readonly #openedAtMs: number;
+    readonly #startedAtMs: number;
 
     /**
-     * @param openedAtMs - monotonic time since which no other gateway can send to the server
+     * @param startedAtMs - monotonic time since which no other gateway can send to the server
      * @param gateways - gateways that may have sent to it before, with the time by which all their requests have ended
      */
-    constructor(openedAtMs: number, gateways: ReadonlyMap<string, number>) {
-        this.#openedAtMs = openedAtMs;
+    constructor(startedAtMs: number, gateways: ReadonlyMap<string, number>) {
+        this.#startedAtMs = startedAtMs;
         for (const [gateway, untilMs] of gateways) {
             this.#entries.set(gateway, { inFlight: Number.POSITIVE_INFINITY, untilMs });
         }
@@ -30,12 +30,12 @@
      * have sent more requests afterwards.
      *
      * @param gateway - the reporting gateway
-     * @param askedAtMs - monotonic time before the report was requested
+     * @param requestedAtMs - monotonic time before the report was requested
      * @param inFlight - number of requests that the gateway has in flight at the server
      */
-    onReport(gateway: string, askedAtMs: number, inFlight: number): void {
+    onReport(gateway: string, requestedAtMs: number, inFlight: number): void {
         const entry = this.#entries.get(gateway);
-        if (entry === undefined || askedAtMs < this.#openedAtMs) {
+        if (entry === undefined || requestedAtMs < this.#startedAtMs) {
             return;
         }
         entry.inFlight = Math.min(entry.inFlight, inFlight);
--- a/packages/coldStart/src/leaseKeeper.ts
+++ b/packages/coldStart/src/leaseKeeper.ts
@@ -5,7 +5,7 @@
 export class LeaseKeeper {
     #leaseId: string | undefined;
     #renewedAtMs = Number.NEGATIVE_INFINITY;
-    #askedAtMs = Number.NEGATIVE_INFINITY;
+    #calledAtMs = Number.NEGATIVE_INFINITY;
 
     /** Id of the current lease; `undefined` if there is none. */
     get leaseId(): string | undefined {
@@ -33,11 +33,11 @@
      * @returns the store call that is due, if any
      */
     tick(nowMs: number): readonly StoreCommand[] {
-        const isPending = nowMs < this.#askedAtMs + storeReplyTimeoutMs;
+        const isPending = nowMs < this.#calledAtMs + storeReplyTimeoutMs;
         if (isPending || nowMs < this.#renewedAtMs + leaseRenewalPeriodMs) {
             return [];
         }
-        this.#askedAtMs = nowMs;
+        this.#calledAtMs = nowMs;
         if (this.#leaseId === undefined || !this.isValid(nowMs)) {
             this.#leaseId = undefined;
             return [{ type: "grantLease", ttlMs: leaseTtlMs }];
@@ -62,7 +62,7 @@
         else {
             return;
         }
-        this.#askedAtMs = outcome.type === "failed" ? this.#askedAtMs : Number.NEGATIVE_INFINITY;
+        this.#calledAtMs = outcome.type === "failed" ? this.#calledAtMs : Number.NEGATIVE_INFINITY;
     }
 
     #onRenewal(reply: StoreReply): void {
--- a/packages/coldStart/src/leavingTracker.ts
+++ b/packages/coldStart/src/leavingTracker.ts
@@ -12,7 +12,7 @@
     #isLeaving = false;
     #incarnation: string | undefined;
     #wasListedLeaving = false;
-    #saidAtMs = Number.NEGATIVE_INFINITY;
+    #reportedAtMs = Number.NEGATIVE_INFINITY;
     #backAtMs = Number.NEGATIVE_INFINITY;
 
     get isLeaving(): boolean {
@@ -26,35 +26,40 @@
 
     /** Monotonic time of the last report that the server is leaving, in milliseconds. */
     get reportedAtMs(): number {
-        return this.#saidAtMs;
+        return this.#reportedAtMs;
     }
 
     /**
      * @param source - source of the report
      * @param isLeaving - whether the server is reported as leaving
      * @param incarnation - incarnation of the server that the report is about, if known
-     * @param saidAtMs - monotonic time of the original report; peers forward reports some time later
+     * @param reportedAtMs - monotonic time of the original report; peers forward reports some time later
      * @returns whether the state changed
      */
-    onReport(source: LeavingSource, isLeaving: boolean, incarnation: string | undefined, saidAtMs: number): boolean {
-        const isBack = this.#isBack(source, isLeaving, incarnation, saidAtMs);
+    onReport(
+        source: LeavingSource,
+        isLeaving: boolean,
+        incarnation: string | undefined,
+        reportedAtMs: number,
+    ): boolean {
+        const isBack = this.#isBack(source, isLeaving, incarnation, reportedAtMs);
         if (source === "hostList") {
             this.#wasListedLeaving = isLeaving;
         }
         if (isLeaving) {
-            return this.#onLeaving(source, incarnation, saidAtMs);
+            return this.#onLeaving(source, incarnation, reportedAtMs);
         }
         if (isBack) {
             this.#isLeaving = false;
-            this.#backAtMs = saidAtMs;
+            this.#backAtMs = reportedAtMs;
         }
         return isBack;
     }
 
-    #onLeaving(source: LeavingSource, incarnation: string | undefined, saidAtMs: number): boolean {
+    #onLeaving(source: LeavingSource, incarnation: string | undefined, reportedAtMs: number): boolean {
         // Peers repeat a report for as long as it holds for them. One that is older than the server's return would take
         // the server out again, and two gateways would keep each other's report alive forever.
-        if (source === "peer" && saidAtMs <= this.#backAtMs + contactTimeoutMs) {
+        if (source === "peer" && reportedAtMs <= this.#backAtMs + contactTimeoutMs) {
             return false;
         }
         if (!this.#isLeaving && incarnation !== undefined && incarnation === this.#incarnation) {
@@ -62,7 +67,7 @@
         }
         const isNew = !this.#isLeaving;
         this.#isLeaving = true;
-        this.#saidAtMs = Math.max(this.#saidAtMs, saidAtMs);
+        this.#reportedAtMs = Math.max(this.#reportedAtMs, reportedAtMs);
         this.#incarnation = isNew ? incarnation : incarnation ?? this.#incarnation;
         return isNew;
     }
@@ -71,11 +76,11 @@
         if (isLeaving || !this.#isLeaving) {
             return false;
         }
-        const isNewLife = incarnation !== undefined && this.#incarnation !== undefined
+        const isNewIncarnation = incarnation !== undefined && this.#incarnation !== undefined
             && incarnation !== this.#incarnation;
         // Otherwise a server that reports no incarnation would stay out of service forever after a restart.
-        const isSilent = source === "health" && incarnation === undefined
-            && nowMs >= this.#saidAtMs + leavingRecoveryMs;
-        return isNewLife || isSilent || (source === "hostList" && this.#wasListedLeaving);
+        const isTimedOut = source === "health" && incarnation === undefined
+            && nowMs >= this.#reportedAtMs + leavingRecoveryMs;
+        return isNewIncarnation || isTimedOut || (source === "hostList" && this.#wasListedLeaving);
     }
 }
--- a/packages/coldStart/src/permit.ts
+++ b/packages/coldStart/src/permit.ts
@@ -34,9 +34,9 @@
     return entry === undefined ? undefined : JSON.parse(entry.value) as PermitRecord;
 }
 
-function resolveHorizon(neededMs: number): number {
+function roundUpHorizon(requiredMs: number): number {
     let horizonMs = minHorizonMs;
-    while (horizonMs < neededMs) {
+    while (horizonMs < requiredMs) {
         horizonMs *= 2;
     }
     return horizonMs;
@@ -52,14 +52,14 @@
     #retryAtMs = 0;
     #term = 0;
     #recordRevision = 0;
-    #inherited: readonly FormerHolder[] = [];
+    #inheritedHolders: readonly FormerHolder[] = [];
     #recordedEpoch = 0;
-    #isSettled = false;
+    #hasInheritedEnded = false;
     /** Whether a claim whose reply was lost may have taken effect. */
-    #isUnsure = false;
-    #writtenMs = 0;
+    #isClaimUncertain = false;
+    #writtenHorizonMs = 0;
     #horizonMs = 0;
-    #neededMs = minHorizonMs;
+    #requiredHorizonMs = minHorizonMs;
 
     constructor(self: string, serverId: ServerId) {
         this.#self = self;
@@ -73,7 +73,7 @@
 
     /** Earlier holders whose requests may still run; known once {@link isHeld}. */
     get inheritedHolders(): readonly FormerHolder[] {
-        return this.#inherited;
+        return this.#inheritedHolders;
     }
 
     /** Epoch of the record when it was read. */
@@ -88,12 +88,12 @@
 
     /** Requires a wider horizon in the record before a request with a later deadline is sent. */
     widenHorizon(horizonMs: number): void {
-        this.#neededMs = Math.max(this.#neededMs, resolveHorizon(horizonMs));
+        this.#requiredHorizonMs = Math.max(this.#requiredHorizonMs, roundUpHorizon(horizonMs));
     }
 
     /** Records that all requests of earlier holders have ended, so that the record need not list them. */
     markInheritedEnded(): void {
-        this.#isSettled = true;
+        this.#hasInheritedEnded = true;
     }
 
     isHeld(leaseId: string | undefined): boolean {
@@ -108,7 +108,7 @@
         if (leaseId === undefined || this.#pending !== undefined || nowMs < this.#retryAtMs) {
             return undefined;
         }
-        this.#pending = this.#command(leaseId, epoch);
+        this.#pending = this.#createCommand(leaseId, epoch);
         return this.#pending;
     }
 
@@ -119,7 +119,7 @@
      * @returns the next store call to release the permit, if one is due
      */
     nextReleaseCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
-        if (this.#stage === "none" && !this.#isUnsure) {
+        if (this.#stage === "none" && !this.#isClaimUncertain) {
             return undefined;
         }
         if (this.#pending === undefined && this.#term !== 0) {
@@ -154,38 +154,44 @@
         }
     }
 
-    #command(leaseId: string, epoch: number): StoreCommand | undefined {
+    #createCommand(leaseId: string, epoch: number): StoreCommand | undefined {
         switch (this.#stage) {
             case "none":
                 this.#stage = "claiming";
-                return this.#swap(createPermitKey(this.#serverId), 0, JSON.stringify({ holder: this.#self }), leaseId);
+                return this.#createSwap(
+                    createPermitKey(this.#serverId),
+                    0,
+                    JSON.stringify({ holder: this.#self }),
+                    leaseId,
+                );
             case "claimed":
                 this.#stage = "reading";
                 return { type: "read", key: createPermitRecordKey(this.#serverId) };
             case "read":
-                return this.#writeRecord(epoch);
+                return this.#createRecordWrite(epoch);
             case "held":
-                return this.#isRecordDue() ? this.#writeRecord(epoch) : undefined;
+                return this.#isRecordDue() ? this.#createRecordWrite(epoch) : undefined;
             case "releasing":
-                return this.#swap(createPermitKey(this.#serverId), this.#term, undefined, undefined);
+                return this.#createSwap(createPermitKey(this.#serverId), this.#term, undefined, undefined);
             default:
                 return undefined;
         }
     }
 
     #isRecordDue(): boolean {
-        return this.#neededMs > this.#horizonMs || (this.#isSettled && this.#inherited.length > 0);
+        return this.#requiredHorizonMs > this.#horizonMs
+            || (this.#hasInheritedEnded && this.#inheritedHolders.length > 0);
     }
 
-    #writeRecord(epoch: number): StoreCommand {
+    #createRecordWrite(epoch: number): StoreCommand {
         this.#stage = "writing";
-        this.#writtenMs = this.#neededMs;
-        if (this.#isSettled) {
-            this.#inherited = [];
+        this.#writtenHorizonMs = this.#requiredHorizonMs;
+        if (this.#hasInheritedEnded) {
+            this.#inheritedHolders = [];
         }
-        const own: FormerHolder = { gateway: this.#self, horizonMs: this.#writtenMs };
-        const record: PermitRecord = { epoch, holders: [own, ...this.#inherited] };
-        return this.#swap(
+        const own: FormerHolder = { gateway: this.#self, horizonMs: this.#writtenHorizonMs };
+        const record: PermitRecord = { epoch, holders: [own, ...this.#inheritedHolders] };
+        return this.#createSwap(
             createPermitRecordKey(this.#serverId),
             this.#recordRevision,
             JSON.stringify(record),
@@ -193,29 +199,34 @@
         );
     }
 
-    #swap(key: string, expectedRevision: number, value: string | undefined, leaseId: string | undefined): StoreCommand {
+    #createSwap(
+        key: string,
+        expectedRevision: number,
+        value: string | undefined,
+        leaseId: string | undefined,
+    ): StoreCommand {
         return { type: "swap", key, expectedRevision, value, leaseId };
     }
 
     #onClaimed(reply: StoreReply, nowMs: number): void {
         const { outcome } = reply;
         if (outcome.type === "swapped") {
-            this.#claimed(outcome.revision);
+            this.#setClaimed(outcome.revision);
         }
         else if (outcome.type === "notSwapped" && outcome.current?.leaseId === this.#leaseId) {
             // An earlier claim took effect but its reply was lost: the key is under this gateway's lease.
-            this.#claimed(outcome.current?.modifiedRevision ?? 0);
+            this.#setClaimed(outcome.current?.modifiedRevision ?? 0);
         }
         else {
             this.#stage = "none";
-            this.#isUnsure = false;
+            this.#isClaimUncertain = false;
             this.#retryAtMs = nowMs + permitRetryDelayMs;
         }
     }
 
-    #claimed(term: number): void {
+    #setClaimed(term: number): void {
         this.#stage = "claimed";
-        this.#isUnsure = false;
+        this.#isClaimUncertain = false;
         this.#term = term;
     }
 
@@ -226,16 +237,16 @@
         this.#recordRevision = reply.outcome.entry?.modifiedRevision ?? 0;
         const record = parseRecord(reply.outcome.entry);
         // This gateway's own requests are counted by ServerState.
-        this.#inherited = record?.holders.filter(former => former.gateway !== this.#self) ?? [];
+        this.#inheritedHolders = record?.holders.filter(holder => holder.gateway !== this.#self) ?? [];
         this.#recordedEpoch = record?.epoch ?? 0;
-        this.#isSettled = false;
+        this.#hasInheritedEnded = false;
         this.#stage = "read";
     }
 
     #onWritten(reply: StoreReply): void {
         if (reply.outcome.type === "swapped") {
             this.#recordRevision = reply.outcome.revision;
-            this.#horizonMs = this.#writtenMs;
+            this.#horizonMs = this.#writtenHorizonMs;
             this.#stage = "held";
             return;
         }
@@ -246,7 +257,7 @@
     #onFailed(nowMs: number): void {
         this.#retryAtMs = nowMs + permitRetryDelayMs;
         if (this.#stage === "claiming") {
-            this.#isUnsure = true;
+            this.#isClaimUncertain = true;
             this.#stage = "none";
         }
         else if (this.#stage !== "releasing") {
@@ -258,12 +269,12 @@
         this.#leaseId = leaseId;
         this.#stage = "none";
         this.#pending = undefined;
-        this.#isUnsure = false;
+        this.#isClaimUncertain = false;
         this.#term = 0;
         this.#horizonMs = 0;
-        this.#neededMs = minHorizonMs;
-        this.#inherited = [];
-        this.#isSettled = false;
+        this.#requiredHorizonMs = minHorizonMs;
+        this.#inheritedHolders = [];
+        this.#hasInheritedEnded = false;
         this.#recordRevision = 0;
     }
 }
--- a/packages/coldStart/src/serverMetadata.ts
+++ b/packages/coldStart/src/serverMetadata.ts
@@ -25,9 +25,9 @@
     bears: undefined,
 });
 
-const states = ["warm", "cold", "leaving"] as const;
+const knownStates = ["warm", "cold", "leaving"] as const;
 
-function resolveCount(text: string | undefined): number | undefined {
+function parseCount(text: string | undefined): number | undefined {
     return text !== undefined && /^\d{1,6}$/.test(text) ? Number(text) : undefined;
 }
 
@@ -41,10 +41,10 @@
     const state = header(serverMetadataHeaders.state);
     const incarnation = header(serverMetadataHeaders.incarnation);
     return {
-        state: states.find(known => known === state),
-        inFlight: resolveCount(header(serverMetadataHeaders.inFlight)),
+        state: knownStates.find(known => known === state),
+        inFlight: parseCount(header(serverMetadataHeaders.inFlight)),
         incarnation: incarnation === "" ? undefined : incarnation,
-        bears: resolveCount(header(serverMetadataHeaders.bears)),
+        bears: parseCount(header(serverMetadataHeaders.bears)),
     };
 }
 
--- a/packages/coldStart/src/serverPermitGate.ts
+++ b/packages/coldStart/src/serverPermitGate.ts
@@ -48,7 +48,7 @@
     /** Records the end of a request. */
     abstract onEnd(serverId: ServerId, requestId: string, end: AttemptCompletion, nowMs: number): void;
     /** Handles metadata from the server's health or load endpoint. */
-    abstract onReport(serverId: ServerId, signs: ServerMetadata, nowMs: number): void;
+    abstract onReport(serverId: ServerId, metadata: ServerMetadata, nowMs: number): void;
     /** Handles the state of the server's host in the platform's host list. */
     abstract onHostListed(serverId: ServerId, state: "live" | "leaving", nowMs: number): void;
     /** Handles a signal from a peer. */
@@ -69,7 +69,7 @@
      *
      * @returns the response to it
      */
-    abstract onHeartbeat(word: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat;
+    abstract onHeartbeat(heartbeat: ColdStartHeartbeat, nowMs: number): ColdStartHeartbeat;
     abstract onStoreReply(reply: StoreReply, nowMs: number): void;
     /**
      * To be called several times a second.
--- a/packages/coldStart/src/serverState.ts
+++ b/packages/coldStart/src/serverState.ts
@@ -30,20 +30,20 @@
     limits: ServerLimits;
     readonly #requests = new Map<string, SentRequest>();
     /** Times by which requests with an unknown outcome have certainly ended. */
-    #lingering: number[] = [];
+    #uncertainUntilMs: number[] = [];
     #epoch = 0;
     #isWarm = false;
     #incarnation: string | undefined;
-    #evidenceAtMs = Number.NEGATIVE_INFINITY;
-    #heardAtMs = Number.NEGATIVE_INFINITY;
-    #usualLatencyMs: number | undefined;
-    #goodAnswers = 0;
-    #limit: number;
+    #warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
+    #lastResponseAtMs = Number.NEGATIVE_INFINITY;
+    #averageLatencyMs: number | undefined;
+    #goodResponses = 0;
+    #concurrencyLimit: number;
 
     constructor(serverId: ServerId, limits: ServerLimits) {
         this.serverId = serverId;
         this.limits = limits;
-        this.#limit = limits.concurrency;
+        this.#concurrencyLimit = limits.concurrency;
     }
 
     get epoch(): number {
@@ -56,7 +56,7 @@
 
     /** Sending time of the latest request whose response confirmed that the server is warm. */
     get warmConfirmedAtMs(): number {
-        return this.#evidenceAtMs;
+        return this.#warmConfirmedAtMs;
     }
 
     get isWarm(): boolean {
@@ -65,19 +65,19 @@
 
     /** Number of requests in flight from this gateway, including those with an unknown outcome. */
     inFlight(nowMs: number): number {
-        this.#lingering = this.#lingering.filter(untilMs => nowMs < untilMs);
-        return this.#requests.size + this.#lingering.length;
+        this.#uncertainUntilMs = this.#uncertainUntilMs.filter(untilMs => nowMs < untilMs);
+        return this.#requests.size + this.#uncertainUntilMs.length;
     }
 
     /** Whether the server was confirmed warm recently, so that any gateway may send to it without a permit. */
     isConfirmedWarm(nowMs: number): boolean {
-        return this.#isWarm && nowMs < this.#evidenceAtMs + this.limits.idleMs;
+        return this.#isWarm && nowMs < this.#warmConfirmedAtMs + this.limits.idleMs;
     }
 
     /** Maximum number of requests in flight, over all gateways, that the permit holder allows. */
     get warmUpConcurrency(): number {
         // An idle server that was warm gets one trial request, since it may have turned cold unannounced.
-        return this.#isWarm ? 1 : this.#limit;
+        return this.#isWarm ? 1 : this.#concurrencyLimit;
     }
 
     /** @returns a request in flight, if it is known */
@@ -85,13 +85,13 @@
         return this.#requests.get(requestId);
     }
 
-    onSent(requestId: string, deadlineMs: number, stretch: string | undefined, nowMs: number): void {
+    onSent(requestId: string, deadlineMs: number, authorityId: string | undefined, nowMs: number): void {
         this.#requests.set(requestId, {
             sentAtMs: nowMs,
             deadlineMs,
             epoch: this.#epoch,
             wasWarm: this.isConfirmedWarm(nowMs),
-            authorityId: stretch,
+            authorityId,
         });
     }
 
@@ -103,11 +103,11 @@
         }
         this.#requests.delete(requestId);
         if (end.mayStillRun) {
-            this.#lingering.push(sent.deadlineMs + cancellationGraceMs);
+            this.#uncertainUntilMs.push(sent.deadlineMs + cancellationGraceMs);
         }
         const latencyMs = nowMs - sent.sentAtMs;
-        const isCold = this.#isSignOfCold(end, latencyMs, nowMs);
-        this.#noteHeard(end, latencyMs, nowMs);
+        const isCold = this.#indicatesCold(end, latencyMs, nowMs);
+        this.#recordResponse(end, latencyMs, nowMs);
         if (this.#isWarm) {
             return this.#onEndWhileWarm(sent, end, isCold);
         }
@@ -118,20 +118,20 @@
     }
 
     /** @returns whether metadata from outside of requests shows that the server has turned cold */
-    onReport(signs: ServerMetadata, nowMs: number): boolean {
+    onReport(metadata: ServerMetadata, nowMs: number): boolean {
         // The endpoints lag: one that still reports "cold" after the server's responses report "warm" would take a warm
         // server out again and again. Recent responses take precedence.
-        const isContradicted = nowMs < this.#evidenceAtMs + maxReportLagMs;
-        const isCold = this.#isNewIncarnation(signs) || (signs.state === "cold" && !isContradicted);
+        const hasRecentResponse = nowMs < this.#warmConfirmedAtMs + maxReportLagMs;
+        const isCold = this.#isNewIncarnation(metadata) || (metadata.state === "cold" && !hasRecentResponse);
         if (!this.#isWarm || !isCold) {
             return false;
         }
-        this.markCold(signs.incarnation);
+        this.markCold(metadata.incarnation);
         return true;
     }
 
     markCold(incarnation: string | undefined): void {
-        this.#becomeCold(this.#epoch + 1, incarnation);
+        this.#setCold(this.#epoch + 1, incarnation);
     }
 
     /**
@@ -140,17 +140,17 @@
      *
      * @returns whether the state changed
      */
-    merge(epoch: number, isWarm: boolean, incarnation: string | undefined, evidenceAtMs: number): boolean {
+    merge(epoch: number, isWarm: boolean, incarnation: string | undefined, warmConfirmedAtMs: number): boolean {
         if (epoch > this.#epoch) {
-            this.#becomeCold(epoch, incarnation);
+            this.#setCold(epoch, incarnation);
             if (isWarm) {
-                this.#becomeWarm(evidenceAtMs);
+                this.#setWarm(warmConfirmedAtMs);
             }
             return true;
         }
         if (epoch === this.#epoch && isWarm) {
             const isNew = !this.#isWarm;
-            this.#becomeWarm(evidenceAtMs);
+            this.#setWarm(warmConfirmedAtMs);
             return isNew;
         }
         return false;
@@ -158,25 +158,25 @@
 
     /** Clears the confirmation that the server is warm, as after a loss of contact with the peers. */
     clearWarmConfirmation(): void {
-        this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
+        this.#warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
     }
 
-    #becomeCold(epoch: number, incarnation: string | undefined): void {
+    #setCold(epoch: number, incarnation: string | undefined): void {
         this.#epoch = epoch;
         this.#isWarm = false;
         this.#incarnation = incarnation ?? this.#incarnation;
-        this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
-        this.#restartRamp();
+        this.#warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
+        this.#resetRampUp();
     }
 
-    #becomeWarm(evidenceAtMs: number): void {
+    #setWarm(warmConfirmedAtMs: number): void {
         this.#isWarm = true;
-        this.#evidenceAtMs = Math.max(this.#evidenceAtMs, evidenceAtMs);
+        this.#warmConfirmedAtMs = Math.max(this.#warmConfirmedAtMs, warmConfirmedAtMs);
     }
 
-    #restartRamp(): void {
-        this.#goodAnswers = 0;
-        this.#limit = this.limits.concurrency;
+    #resetRampUp(): void {
+        this.#goodResponses = 0;
+        this.#concurrencyLimit = this.limits.concurrency;
     }
 
     #onEndWhileWarm(sent: SentRequest, end: AttemptCompletion, isCold: boolean): boolean {
@@ -190,7 +190,7 @@
         }
         if (end.outcome === "good") {
             this.#incarnation = end.metadata.incarnation ?? this.#incarnation;
-            this.#evidenceAtMs = Math.max(this.#evidenceAtMs, sent.sentAtMs);
+            this.#warmConfirmedAtMs = Math.max(this.#warmConfirmedAtMs, sent.sentAtMs);
         }
         return false;
     }
@@ -198,35 +198,35 @@
     #onEndWhileCold(sent: SentRequest, end: AttemptCompletion): void {
         const { metadata } = end;
         if (end.outcome === "shed" || end.outcome === "refused" || end.outcome === "failed") {
-            this.#restartRamp();
+            this.#resetRampUp();
             return;
         }
         if (end.outcome !== "good" || metadata.state === "leaving") {
             return;
         }
         if (this.#isNewIncarnation(metadata)) {
-            this.#restartRamp();
+            this.#resetRampUp();
         }
         this.#incarnation = metadata.incarnation ?? this.#incarnation;
-        this.#goodAnswers++;
+        this.#goodResponses++;
         if (
             metadata.state === "warm"
-            || (metadata.state === undefined && this.#goodAnswers >= this.limits.answersToWarm)
+            || (metadata.state === undefined && this.#goodResponses >= this.limits.answersToWarm)
         ) {
-            this.#becomeWarm(sent.sentAtMs);
+            this.#setWarm(sent.sentAtMs);
             return;
         }
-        this.#growLimit(metadata.bears);
+        this.#raiseLimit(metadata.bears);
     }
 
     /** Raises the limit by one for each good response, up to the concurrency that the server itself reports. */
-    #growLimit(bears: number | undefined): void {
+    #raiseLimit(bears: number | undefined): void {
         if (bears !== undefined) {
-            this.#limit = Math.max(1, Math.min(this.#limit + 1, bears, this.limits.slots));
+            this.#concurrencyLimit = Math.max(1, Math.min(this.#concurrencyLimit + 1, bears, this.limits.slots));
         }
     }
 
-    #isSignOfCold(end: AttemptCompletion, latencyMs: number, nowMs: number): boolean {
+    #indicatesCold(end: AttemptCompletion, latencyMs: number, nowMs: number): boolean {
         const { metadata } = end;
         if (metadata.state === "cold" || this.#isNewIncarnation(metadata)) {
             return true;
@@ -242,24 +242,24 @@
     }
 
     #isSlowAfterSilence(latencyMs: number, nowMs: number): boolean {
-        return this.#usualLatencyMs !== undefined
-            && nowMs - latencyMs >= this.#heardAtMs + latencyCheckIdleMs
-            && latencyMs > this.#usualLatencyMs * coldLatencyFactor;
+        return this.#averageLatencyMs !== undefined
+            && nowMs - latencyMs >= this.#lastResponseAtMs + latencyCheckIdleMs
+            && latencyMs > this.#averageLatencyMs * coldLatencyFactor;
     }
 
-    #isNewIncarnation(signs: ServerMetadata): boolean {
-        return signs.incarnation !== undefined
+    #isNewIncarnation(metadata: ServerMetadata): boolean {
+        return metadata.incarnation !== undefined
             && this.#incarnation !== undefined
-            && signs.incarnation !== this.#incarnation;
+            && metadata.incarnation !== this.#incarnation;
     }
 
-    #noteHeard(end: AttemptCompletion, latencyMs: number, nowMs: number): void {
+    #recordResponse(end: AttemptCompletion, latencyMs: number, nowMs: number): void {
         if (end.outcome !== "good") {
             return;
         }
-        this.#heardAtMs = nowMs;
-        this.#usualLatencyMs = this.#usualLatencyMs === undefined
+        this.#lastResponseAtMs = nowMs;
+        this.#averageLatencyMs = this.#averageLatencyMs === undefined
             ? latencyMs
-            : this.#usualLatencyMs * 0.9 + latencyMs * 0.1;
+            : this.#averageLatencyMs * 0.9 + latencyMs * 0.1;
     }
 }
--- a/packages/coldStart/src/warmUpAuthority.ts
+++ b/packages/coldStart/src/warmUpAuthority.ts
@@ -10,8 +10,8 @@
 import { rankOwners } from "./rankOwners.js";
 
 /** A period during which a condition was reconfirmed each time before {@link contactTimeoutMs} had passed. */
-class Stretch {
-    #atMs = Number.NEGATIVE_INFINITY;
+class ConfirmedPeriod {
+    #confirmedAtMs = Number.NEGATIVE_INFINITY;
     #sinceMs = Number.POSITIVE_INFINITY;
 
     /** Start of the current period; infinite before the first. */
@@ -20,14 +20,14 @@
     }
 
     confirm(startedAtMs: number, nowMs: number): void {
-        if (!this.isHolding(nowMs)) {
+        if (!this.isActive(nowMs)) {
             this.#sinceMs = nowMs;
         }
-        this.#atMs = Math.max(this.#atMs, startedAtMs);
+        this.#confirmedAtMs = Math.max(this.#confirmedAtMs, startedAtMs);
     }
 
-    isHolding(nowMs: number): boolean {
-        return nowMs < this.#atMs + contactTimeoutMs;
+    isActive(nowMs: number): boolean {
+        return nowMs < this.#confirmedAtMs + contactTimeoutMs;
     }
 }
 
@@ -45,17 +45,20 @@
     readonly #self: string;
     readonly #lease: LeaseKeeper;
     readonly #leases = new Map<string, KnownLease>();
-    readonly #begun = new Map<number, { readonly announcedMs: number; readonly absent: readonly string[]; }>();
+    readonly #openRounds = new Map<
+        number,
+        { readonly announcedRenewalMs: number; readonly absent: readonly string[]; }
+    >();
     #roster: GatewayRoster = { version: 0, members: [] };
     #ownSequence = 0;
     #ownRenewedAtMs = Number.NEGATIVE_INFINITY;
-    #contact = new Stretch();
+    #majorityContact = new ConfirmedPeriod();
     /** Contact with a majority that does not consider this gateway absent. */
-    #presence = new Stretch();
+    #presence = new ConfirmedPeriod();
     /** Members that a majority considers absent. */
-    #absent = new Map<string, Stretch>();
-    #announcedMs = Number.NEGATIVE_INFINITY;
-    #announcedSinceMs = Number.POSITIVE_INFINITY;
+    #absent = new Map<string, ConfirmedPeriod>();
+    #announcedRenewalMs = Number.NEGATIVE_INFINITY;
+    #leasePeriodSinceMs = Number.POSITIVE_INFINITY;
 
     constructor(self: string, lease: LeaseKeeper) {
         this.#self = self;
@@ -72,26 +75,26 @@
             return;
         }
         this.#roster = roster;
-        this.#begun.clear();
-        this.#contact = new Stretch();
-        this.#presence = new Stretch();
+        this.#openRounds.clear();
+        this.#majorityContact = new ConfirmedPeriod();
+        this.#presence = new ConfirmedPeriod();
         this.#absent = new Map();
-        this.#announcedMs = Number.NEGATIVE_INFINITY;
+        this.#announcedRenewalMs = Number.NEGATIVE_INFINITY;
     }
 
     /** Records the lease that a heartbeat round starting now announces, and the members reported as absent in it. */
     beginRound(absent: readonly string[], nowMs: number): void {
-        for (const startedAtMs of this.#begun.keys()) {
+        for (const startedAtMs of this.#openRounds.keys()) {
             if (startedAtMs + contactTimeoutMs < nowMs) {
-                this.#begun.delete(startedAtMs);
+                this.#openRounds.delete(startedAtMs);
             }
         }
-        this.#begun.set(nowMs, { announcedMs: this.#lease.renewedAtMs, absent });
+        this.#openRounds.set(nowMs, { announcedRenewalMs: this.#lease.renewedAtMs, absent });
     }
 
     /** @returns the latest known lease of every gateway, including this one */
     leases(nowMs: number): readonly LeaseReport[] {
-        this.#noteOwnLease();
+        this.#recordOwnLease();
         return [...this.#leases].map(([holder, known]) => ({
             holder,
             sequence: known.sequence,
@@ -103,8 +106,8 @@
      * Merges the leases that a peer reports. The age of a renewal is taken only from the first report of it: otherwise
      * each exchange between peers would subtract a network delay, and an expired lease would never appear old.
      */
-    mergeLeases(word: ColdStartHeartbeat, nowMs: number): void {
-        for (const lease of word.leases) {
+    mergeLeases(heartbeat: ColdStartHeartbeat, nowMs: number): void {
+        for (const lease of heartbeat.leases) {
             const known = this.#leases.get(lease.holder);
             if (lease.holder !== this.#self && (known === undefined || lease.sequence > known.sequence)) {
                 this.#leases.set(lease.holder, { sequence: lease.sequence, renewedAtMs: nowMs - lease.ageMs });
@@ -114,41 +117,41 @@
 
     /** @returns whether the round reached a majority */
     onRound(round: HeartbeatRound, nowMs: number): boolean {
-        const begun = this.#begun.get(round.startedAtMs);
-        for (const answer of round.responses) {
-            this.mergeLeases(answer, nowMs);
+        const openRound = this.#openRounds.get(round.startedAtMs);
+        for (const response of round.responses) {
+            this.mergeLeases(response, nowMs);
         }
-        const answers = round.responses.filter(answer => answer.rosterVersion === this.#roster.version);
-        if (begun === undefined || !this.#isMajority(answers)) {
+        const responses = round.responses.filter(response => response.rosterVersion === this.#roster.version);
+        if (openRound === undefined || !this.#isMajority(responses)) {
             return false;
         }
-        this.#contact.confirm(round.startedAtMs, nowMs);
-        this.#noteAnnouncement(begun.announcedMs, nowMs);
-        if (this.#isMajority(answers.filter(answer => !answer.isAskerSuspended))) {
+        this.#majorityContact.confirm(round.startedAtMs, nowMs);
+        this.#recordAnnouncement(openRound.announcedRenewalMs, nowMs);
+        if (this.#isMajority(responses.filter(response => !response.isAskerSuspended))) {
             this.#presence.confirm(round.startedAtMs, nowMs);
         }
-        this.#noteAbsences(round.startedAtMs, answers, begun.absent, nowMs);
+        this.#recordAbsences(round.startedAtMs, responses, openRound.absent, nowMs);
         return true;
     }
 
-    #noteAbsences(
+    #recordAbsences(
         startedAtMs: number,
-        answers: readonly ColdStartHeartbeat[],
+        responses: readonly ColdStartHeartbeat[],
         ownAbsent: readonly string[],
         nowMs: number,
     ): void {
         for (const member of ownAbsent) {
-            if (this.#isMajority(answers.filter(answer => answer.absent.includes(member)))) {
-                const stretch = this.#absent.get(member) ?? new Stretch();
-                this.#absent.set(member, stretch);
-                stretch.confirm(startedAtMs, nowMs);
+            if (this.#isMajority(responses.filter(response => response.absent.includes(member)))) {
+                const period = this.#absent.get(member) ?? new ConfirmedPeriod();
+                this.#absent.set(member, period);
+                period.confirm(startedAtMs, nowMs);
             }
         }
     }
 
     /** Whether the last contact with a majority is recent enough to send any request. */
     hasMajorityContact(nowMs: number): boolean {
-        return this.#contact.isHolding(nowMs);
+        return this.#majorityContact.isActive(nowMs);
     }
 
     /**
@@ -160,10 +163,10 @@
             // Measured from before the renewal was sent, so that a holder paused past its lease finds the authority
             // expired in the turn in which it resumes. Only a renewal that a majority has learned of counts: no other
             // prevents the owner by roster from sending.
-            && nowMs < this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs
+            && nowMs < this.#announcedRenewalMs + leaseTtlMs - clockDriftAllowanceMs
             // The owner by roster may have had contact with a majority just before the lease was announced.
-            && nowMs >= this.#announcedSinceMs + authorityChangeDelayMs;
-        return isUsable ? String(this.#announcedSinceMs) : undefined;
+            && nowMs >= this.#leasePeriodSinceMs + authorityChangeDelayMs;
+        return isUsable ? String(this.#leasePeriodSinceMs) : undefined;
     }
 
     /**
@@ -171,15 +174,15 @@
      * recounts the inherited requests, since another gateway may have sent some in between
      */
     resolveRosterAuthorityId(serverId: ServerId, nowMs: number): string | undefined {
-        const freshestMs = this.#freshestLeaseMs();
-        const restMs = leaseTtlMs + authorityChangeDelayMs;
-        const isUsable = this.#presence.isHolding(nowMs)
-            && nowMs >= this.#presence.sinceMs + restMs
-            && nowMs >= freshestMs + restMs;
+        const latestRenewalMs = this.#latestRenewalMs();
+        const delayMs = leaseTtlMs + authorityChangeDelayMs;
+        const isUsable = this.#presence.isActive(nowMs)
+            && nowMs >= this.#presence.sinceMs + delayMs
+            && nowMs >= latestRenewalMs + delayMs;
         const succession = isUsable ? this.#resolveSuccession(serverId, nowMs) : undefined;
         return succession === undefined
             ? undefined
-            : `${this.#roster.version}/${this.#presence.sinceMs}/${freshestMs}/${succession}`;
+            : `${this.#roster.version}/${this.#presence.sinceMs}/${latestRenewalMs}/${succession}`;
     }
 
     /** @returns since when each higher-ranked gateway has been absent, or `undefined` if one may be present */
@@ -189,16 +192,16 @@
             if (member === this.#self) {
                 return absentSince.join(",");
             }
-            const stretch = this.#absent.get(member);
-            if (stretch?.isHolding(nowMs) !== true) {
+            const period = this.#absent.get(member);
+            if (period?.isActive(nowMs) !== true) {
                 return undefined;
             }
-            absentSince.push(stretch.sinceMs);
+            absentSince.push(period.sinceMs);
         }
         return undefined;
     }
 
-    #noteOwnLease(): void {
+    #recordOwnLease(): void {
         if (this.#lease.renewedAtMs > this.#ownRenewedAtMs) {
             this.#ownRenewedAtMs = this.#lease.renewedAtMs;
             this.#ownSequence++;
@@ -206,37 +209,37 @@
         }
     }
 
-    #freshestLeaseMs(): number {
-        this.#noteOwnLease();
-        let freshestMs = Number.NEGATIVE_INFINITY;
+    #latestRenewalMs(): number {
+        this.#recordOwnLease();
+        let latestRenewalMs = Number.NEGATIVE_INFINITY;
         for (const lease of this.#leases.values()) {
-            freshestMs = Math.max(freshestMs, lease.renewedAtMs);
+            latestRenewalMs = Math.max(latestRenewalMs, lease.renewedAtMs);
         }
-        return freshestMs;
+        return latestRenewalMs;
     }
 
-    #noteAnnouncement(announcedMs: number, nowMs: number): void {
-        if (announcedMs <= this.#announcedMs) {
+    #recordAnnouncement(announcedRenewalMs: number, nowMs: number): void {
+        if (announcedRenewalMs <= this.#announcedRenewalMs) {
             return;
         }
-        if (nowMs >= this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs) {
-            this.#announcedSinceMs = nowMs;
+        if (nowMs >= this.#announcedRenewalMs + leaseTtlMs - clockDriftAllowanceMs) {
+            this.#leasePeriodSinceMs = nowMs;
         }
-        this.#announcedMs = announcedMs;
+        this.#announcedRenewalMs = announcedRenewalMs;
     }
 
     /** Whether the responding peers, together with this gateway, form a majority. */
-    #isMajority(answers: readonly ColdStartHeartbeat[]): boolean {
-        const heard = new Set([this.#self, ...answers.map(answer => answer.from)]);
+    #isMajority(responses: readonly ColdStartHeartbeat[]): boolean {
+        const contacted = new Set([this.#self, ...responses.map(response => response.from)]);
         const { members, previous } = this.#roster;
-        return isMajorityOf(members, heard) && (previous === undefined || isMajorityOf(previous, heard));
+        return isMajorityOf(members, contacted) && (previous === undefined || isMajorityOf(previous, contacted));
     }
 }
 
-function isMajorityOf(members: readonly string[], heard: ReadonlySet<string>): boolean {
+function isMajorityOf(members: readonly string[], contacted: ReadonlySet<string>): boolean {
     let count = 0;
     for (const member of members) {
-        count += heard.has(member) ? 1 : 0;
+        count += contacted.has(member) ? 1 : 0;
     }
     return count * 2 > members.length;
 }
