--- a/packages/atMostOnce/src/__tests__/claimSimulation.ts
+++ b/packages/atMostOnce/src/__tests__/claimSimulation.ts
@@ -176,7 +176,7 @@
             }
             return result;
         };
-        const answer = (result: Either<Failure, ClaimStoreReply>): void => {
+        const reply = (result: Either<Failure, ClaimStoreReply>): void => {
             if (gateway.alive) {
                 this.#execute(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#readClocks(gateway)));
             }
@@ -194,16 +194,16 @@
                 : [];
             const stale: ClaimStoreReply = { type: "read", stored };
             const { nowMs } = this.clock;
-            this.clock.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
+            this.clock.schedule(2, () => reply(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
             return;
         }
         if (outcome.type === "late") {
             this.clock.schedule(outcome.outMs, () => run(this.#engine, this.clock.nowMs));
-            this.clock.schedule(outcome.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+            this.clock.schedule(outcome.timeoutMs, () => reply(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
         this.#nextOutcome = outcome;
-        this.#store.call(gateway.name, run, answer);
+        this.#store.call(gateway.name, run, reply);
     }
 
     #findVersion(key: string, asOfMs: number): StoredClaims | undefined {
--- a/packages/coldStart/src/__tests__/simulatedFleet.ts
+++ b/packages/coldStart/src/__tests__/simulatedFleet.ts
@@ -351,10 +351,10 @@
 
     #round(gateway: SimulatedGateway): void {
         const startedAtMs = this.#clock.nowMs;
-        const word = gateway.gate.beginRound(startedAtMs);
-        const answers: ReturnType<ServerPermitGate["beginRound"]>[] = [];
+        const heartbeat = gateway.gate.beginRound(startedAtMs);
+        const responses: ReturnType<ServerPermitGate["beginRound"]>[] = [];
         const end = (): void => {
-            gateway.gate.onRound({ startedAtMs, responses: answers }, this.#clock.nowMs);
+            gateway.gate.onRound({ startedAtMs, responses }, this.#clock.nowMs);
         };
         for (const peer of this.#gateways) {
             if (peer === gateway || this.#isDisconnected(gateway, peer) || this.#isLost()) {
@@ -362,15 +362,15 @@
             }
             this.#clock.schedule(this.#drawDelayMs(), () =>
                 peer.run(() => {
-                    const answer = peer.gate.onHeartbeat(word, this.#clock.nowMs);
+                    const response = peer.gate.onHeartbeat(heartbeat, this.#clock.nowMs);
                     if (this.#isLost()) {
                         return;
                     }
                     this.#clock.schedule(this.#drawDelayMs(), () =>
                         gateway.run(() => {
-                            answers.push(answer);
+                            responses.push(response);
                             end();
-                            this.#recordMajority(gateway, startedAtMs, answers.map(each => each.from));
+                            this.#recordMajority(gateway, startedAtMs, responses.map(each => each.from));
                         }));
                 }));
         }
