--- a/packages/atMostOnce/src/claimBatcher.ts
+++ b/packages/atMostOnce/src/claimBatcher.ts
@@ -75,7 +75,7 @@
     claim(req: ClaimRequest, time: ClaimTime): readonly ClaimCommand[] {
         const shard = resolveClaimShard(req.keyDigest, this.#limits.shardCount);
         this.#shardByNonce.set(req.nonce, shard);
-        this.#shard(shard).add(req);
+        this.#getShard(shard).add(req);
         return this.#advance(shard, time);
     }
 
@@ -93,7 +93,7 @@
             return [];
         }
         this.#shardByNonce.delete(nonce);
-        this.#shard(shard).recordEnd(nonce, end);
+        this.#getShard(shard).recordEnd(nonce, end);
         return this.#advance(shard, time);
     }
 
@@ -115,7 +115,7 @@
         }
         this.#callsInFlight.delete(callId);
         this.#busyShards.delete(callInFlight.shard);
-        const shard = this.#shard(callInFlight.shard);
+        const shard = this.#getShard(callInFlight.shard);
         const failure = reply.caseOf<Failure | undefined>({
             Left: left => left,
             Right: right => shard.onReply(callInFlight.call, right, time),
@@ -175,8 +175,8 @@
         this.#nextProbeAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
     }
 
-    #advance(number: number, time: ClaimTime): readonly ClaimCommand[] {
-        const shard = this.#shard(number);
+    #advance(shardNumber: number, time: ClaimTime): readonly ClaimCommand[] {
+        const shard = this.#getShard(shardNumber);
         shard.refuseExpired(time.nowMs);
         const storeIsDown = this.#nextProbeAtMs !== undefined;
         if (storeIsDown) {
@@ -185,10 +185,10 @@
             shard.refuseWaiting(createFailure("storeUnavailable", "the idempotency key can't be claimed now"));
         }
         const commands: ClaimCommand[] = [];
-        if (!storeIsDown && !this.#busyShards.has(number)) {
+        if (!storeIsDown && !this.#busyShards.has(shardNumber)) {
             const call = shard.nextCall(time);
             if (call !== undefined) {
-                commands.push(this.#startCall(number, call));
+                commands.push(this.#startCall(shardNumber, call));
             }
         }
         for (const verdict of shard.takeVerdicts()) {
@@ -212,11 +212,11 @@
         return { type: "swap", callId, key, expectedRevision: call.expectedRevision, value: call.value };
     }
 
-    #shard(number: number): ClaimShard {
-        let shard = this.#shards.get(number);
+    #getShard(shardNumber: number): ClaimShard {
+        let shard = this.#shards.get(shardNumber);
         if (shard === undefined) {
             shard = new ClaimShard(this.#holder, this.#limits);
-            this.#shards.set(number, shard);
+            this.#shards.set(shardNumber, shard);
         }
         return shard;
     }
--- a/packages/coldStart/src/createServerPermitGate.ts
+++ b/packages/coldStart/src/createServerPermitGate.ts
@@ -315,7 +315,7 @@
         }
     }
 
-    /** Ignores peers with an older epoch: they may still be told that the server is warm, and send to it. */
+    /** Ignores reports with an older epoch: their sender may still learn that the server was warm, and send to it. */
     #onServerReport(from: string, report: ColdServerReport, requestedAtMs: number): void {
         const server = this.#servers.get(report.serverId);
         if (server !== undefined && report.epoch >= server.state.epoch) {
@@ -334,15 +334,15 @@
     }
 
     /** A server is cold when its availability zone comes back; the first gateway to see that signals the others. */
-    #updateZone(server: GatedServerState, isIn: boolean, nowMs: number): void {
-        if (server.isZoneInService && !isIn) {
+    #updateZone(server: GatedServerState, isInService: boolean, nowMs: number): void {
+        if (server.isZoneInService && !isInService) {
             server.epochAtZoneOut = server.state.epoch;
         }
-        else if (isIn && !server.isZoneInService && server.state.epoch === server.epochAtZoneOut) {
+        else if (isInService && !server.isZoneInService && server.state.epoch === server.epochAtZoneOut) {
             server.state.markCold(undefined);
             this.#recordChange(server, nowMs);
         }
-        server.isZoneInService = isIn;
+        server.isZoneInService = isInService;
     }
 
     #onMetadata(
--- a/packages/coldStart/src/serverState.ts
+++ b/packages/coldStart/src/serverState.ts
@@ -238,10 +238,10 @@
             // A server that reports itself warm sheds because of its load, not because it is cold.
             return metadata.state === undefined;
         }
-        return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterSilence(latencyMs, nowMs);
+        return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterIdle(latencyMs, nowMs);
     }
 
-    #isSlowAfterSilence(latencyMs: number, nowMs: number): boolean {
+    #isSlowAfterIdle(latencyMs: number, nowMs: number): boolean {
         return this.#averageLatencyMs !== undefined
             && nowMs - latencyMs >= this.#lastResponseAtMs + latencyCheckIdleMs
             && latencyMs > this.#averageLatencyMs * coldLatencyFactor;
