--- a/packages/atMostOnce/src/__tests__/claimSimulation.ts
+++ b/packages/atMostOnce/src/__tests__/claimSimulation.ts
@@ -20,7 +20,7 @@
     type StoredClaims,
 } from "../index.js";
 
-/** Numbers small enough that a run crosses several buckets. */
+/** Limits small enough that a run spans several buckets. */
 export const simulationLimits: ClaimLimits = {
     shardCount: 2,
     bucketMs: 1_000,
@@ -32,36 +32,36 @@
     maxDocumentLength: 100_000,
 };
 
-/** What becomes of a store call, with fates that {@link FakeStore} lacks: it takes effect after its timeout, or lags. */
+/** Outcome of a store call, with two that {@link FakeStore} lacks: an effect after the timeout, and a stale read. */
 export type SimulatedStoreOutcome =
     | StoreCallOutcome
-    /** A read that returns the document as it was at the time given, or before it existed. */
+    /** A read that returns the document as of the given time, or none if it did not exist then. */
     | { readonly type: "stale"; readonly asOfMs: number; }
     | { readonly type: "late"; readonly outMs: number; readonly timeoutMs: number; };
 
-/** What becomes of a request that was handed over. */
+/** How the server handles a request. */
 export type ServerBehavior = "answers" | "sheds" | "closesBeforeRunning" | "closesWhileRunning";
 
-/** One try of a caller's request. */
+/** One attempt of a caller's request. */
 export interface SimulatedAttempt {
     readonly requestId: string;
     readonly key: string;
     readonly fingerprint?: string;
     readonly gateway: number;
     readonly server?: ServerBehavior;
-    /** Time between the claim and the check before the first byte: a pause of the process. */
+    /** Duration of a process pause between the claim and the check before the first byte. */
     readonly pauseMs?: number;
     readonly patienceMs?: number;
 }
 
-/** What a caller was told. */
+/** Result that a caller received. */
 export interface CallerResult {
     readonly kind: string;
     readonly didRun: DidRun;
     readonly atMs: number;
 }
 
-interface Version extends StoredClaims {
+interface DocumentVersion extends StoredClaims {
     readonly key: string;
     readonly atMs: number;
 }
@@ -74,7 +74,7 @@
     alive: boolean;
 }
 
-/** Several gateways, one store and one server on one virtual clock, recording a history. */
+/** Simulates several gateways, a store and a server on one virtual clock, and records a history. */
 export class ClaimSimulation {
     readonly clock = new VirtualClock();
     readonly history: HistoryLine[] = [];
@@ -90,13 +90,13 @@
     readonly #store: FakeStore;
     readonly #gateways: readonly SimulatedGateway[];
     readonly #random: RandomSource;
-    readonly #versions: Version[] = [];
-    #nextFate: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
+    readonly #versions: DocumentVersion[] = [];
+    #nextOutcome: StoreCallOutcome = { type: "answered", outMs: 1, backMs: 1 };
 
     constructor(skewsMs: readonly number[], limits: ClaimLimits = simulationLimits, seed = 1) {
         this.#random = createRandomSource(seed);
-        const fateOf: StoreCallOutcomeResolver = () => this.#nextFate;
-        this.#store = new FakeStore(this.#engine, this.clock, fateOf);
+        const resolveOutcome: StoreCallOutcomeResolver = () => this.#nextOutcome;
+        this.#store = new FakeStore(this.#engine, this.clock, resolveOutcome);
         this.#gateways = skewsMs.map((skewMs, i) => ({
             name: `gateway-${i}`,
             batcher: new ClaimBatcher(`gateway-${i}/1`, limits),
@@ -107,12 +107,12 @@
         this.#tick();
     }
 
-    /** Sends a try at a time. */
+    /** Schedules an attempt. */
     sendAt(atMs: number, attempt: SimulatedAttempt): void {
         this.clock.schedule(atMs - this.clock.nowMs, () => this.#send(attempt));
     }
 
-    /** Ends a gateway's process at a time; callers of what it held are cut off. */
+    /** Schedules the crash of a gateway process, which closes the connections of its callers. */
     killAt(atMs: number, gateway: number): void {
         this.clock.schedule(atMs - this.clock.nowMs, () => {
             const killed = this.#gateway(gateway);
@@ -125,7 +125,7 @@
         });
     }
 
-    /** @returns ids of the requests that the server started, in order */
+    /** Ids of the requests that the server started, in order. */
     get startedRequestIds(): readonly string[] {
         return this.history.flatMap(line => line.type === "serverStarted" ? [line.requestId] : []);
     }
@@ -148,10 +148,10 @@
             fingerprint: attempt.fingerprint ?? "same",
             deadlineMs: this.clock.nowMs + patienceMs,
         };
-        this.#run(gateway, gateway.batcher.claim(req, this.#timeOf(gateway)));
+        this.#execute(gateway, gateway.batcher.claim(req, this.#readClocks(gateway)));
     }
 
-    #run(gateway: SimulatedGateway, commands: readonly ClaimCommand[]): void {
+    #execute(gateway: SimulatedGateway, commands: readonly ClaimCommand[]): void {
         for (const command of commands) {
             switch (command.type) {
                 case "read":
@@ -162,7 +162,7 @@
                     this.#refuse(gateway, command.nonce, command.failure);
                     break;
                 case "claimed":
-                    this.#claimed(gateway, command.nonce, command.validUntilMs);
+                    this.#onClaimed(gateway, command.nonce, command.validUntilMs);
                     break;
             }
         }
@@ -176,9 +176,9 @@
             }
             return result;
         };
-        const answer = (result: Either<Failure, ClaimStoreReply>): void => {
+        const reply = (result: Either<Failure, ClaimStoreReply>): void => {
             if (gateway.alive) {
-                this.#run(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#timeOf(gateway)));
+                this.#execute(gateway, gateway.batcher.onStoreReply(command.callId, result, this.#readClocks(gateway)));
             }
         };
         if (command.type === "swap") {
@@ -187,36 +187,38 @@
         else {
             this.readCount += command.keys.length;
         }
-        const fate = this.resolveStoreOutcome(gateway.name, this.clock.nowMs);
-        if (fate.type === "stale") {
-            const stored = command.type === "read" ? command.keys.map(key => this.#findVersion(key, fate.asOfMs)) : [];
+        const outcome = this.resolveStoreOutcome(gateway.name, this.clock.nowMs);
+        if (outcome.type === "stale") {
+            const stored = command.type === "read"
+                ? command.keys.map(key => this.#findVersion(key, outcome.asOfMs))
+                : [];
             const stale: ClaimStoreReply = { type: "read", stored };
             const { nowMs } = this.clock;
-            this.clock.schedule(2, () => answer(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
+            this.clock.schedule(2, () => reply(Right(command.type === "read" ? stale : run(this.#engine, nowMs))));
             return;
         }
-        if (fate.type === "late") {
-            this.clock.schedule(fate.outMs, () => run(this.#engine, this.clock.nowMs));
-            this.clock.schedule(fate.timeoutMs, () => answer(Left(createFailure("storeOutcomeUnknown", "timeout"))));
+        if (outcome.type === "late") {
+            this.clock.schedule(outcome.outMs, () => run(this.#engine, this.clock.nowMs));
+            this.clock.schedule(outcome.timeoutMs, () => reply(Left(createFailure("storeOutcomeUnknown", "timeout"))));
             return;
         }
-        this.#nextFate = fate;
-        this.#store.call(gateway.name, run, answer);
+        this.#nextOutcome = outcome;
+        this.#store.call(gateway.name, run, reply);
     }
 
     #findVersion(key: string, asOfMs: number): StoredClaims | undefined {
         return this.#versions.findLast(version => version.key === key && version.atMs <= asOfMs);
     }
 
-    #claimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
-        const attempt = this.#try(gateway, nonce);
+    #onClaimed(gateway: SimulatedGateway, nonce: string, validUntilMs: number): void {
+        const attempt = this.#getAttempt(gateway, nonce);
         this.clock.schedule(attempt.pauseMs ?? 0, () => {
             if (!gateway.alive) {
                 return;
             }
             if (!isClaimValid(validUntilMs, this.clock.nowMs)) {
-                this.#tell(gateway, nonce, "patienceSpent", "no");
-                this.#end(gateway, nonce, { didRun: "no" });
+                this.#recordResult(gateway, nonce, "patienceSpent", "no");
+                this.#recordEnd(gateway, nonce, { didRun: "no" });
                 return;
             }
             this.#handOver(gateway, attempt);
@@ -240,76 +242,76 @@
                     bears: 3,
                 });
             }
-            this.clock.schedule(1 + this.#random.nextInt(50), () => this.#ended(gateway, attempt, server));
+            this.clock.schedule(1 + this.#random.nextInt(50), () => this.#onServerResponse(gateway, attempt, server));
         });
     }
 
-    #ended(gateway: SimulatedGateway, attempt: SimulatedAttempt, server: ServerBehavior): void {
+    #onServerResponse(gateway: SimulatedGateway, attempt: SimulatedAttempt, server: ServerBehavior): void {
         if (!gateway.alive) {
             return;
         }
         const nonce = attempt.requestId;
         if (server === "answers") {
-            this.#tell(gateway, nonce, "answered", "yes");
-            this.#end(gateway, nonce, { didRun: "yes", status: 200 });
+            this.#recordResult(gateway, nonce, "answered", "yes");
+            this.#recordEnd(gateway, nonce, { didRun: "yes", status: 200 });
         }
         else if (server === "sheds") {
-            this.#tell(gateway, nonce, "backendShed", "no");
-            this.#end(gateway, nonce, { didRun: "no" });
+            this.#recordResult(gateway, nonce, "backendShed", "no");
+            this.#recordEnd(gateway, nonce, { didRun: "no" });
         }
         else {
-            this.#tell(gateway, nonce, "connectionLost", "unknown");
-            this.#end(gateway, nonce, { didRun: "unknown" });
+            this.#recordResult(gateway, nonce, "connectionLost", "unknown");
+            this.#recordEnd(gateway, nonce, { didRun: "unknown" });
         }
     }
 
-    #end(gateway: SimulatedGateway, nonce: string, end: ClaimEnd): void {
-        this.#run(gateway, gateway.batcher.recordEnd(nonce, end, this.#timeOf(gateway)));
+    #recordEnd(gateway: SimulatedGateway, nonce: string, end: ClaimEnd): void {
+        this.#execute(gateway, gateway.batcher.recordEnd(nonce, end, this.#readClocks(gateway)));
     }
 
     #refuse(gateway: SimulatedGateway, nonce: string, failure: Failure): void {
         const resolved = resolveFailure(failure);
-        this.#tell(gateway, nonce, resolved.kind, resolved.didRun);
+        this.#recordResult(gateway, nonce, resolved.kind, resolved.didRun);
     }
 
-    #tell(gateway: SimulatedGateway, requestId: string, kind: string, didRun: DidRun): void {
+    #recordResult(gateway: SimulatedGateway, requestId: string, kind: string, didRun: DidRun): void {
         this.results.set(requestId, { kind, didRun, atMs: this.clock.nowMs });
-        const own = kind !== "answered";
+        const isFailure = kind !== "answered";
         this.#record(gateway.name, {
             type: "callerAnswered",
             requestId,
-            status: own ? 503 : 200,
+            status: isFailure ? 503 : 200,
             didRun,
             whole: true,
-            bodyRequestId: own ? undefined : requestId,
+            bodyRequestId: isFailure ? undefined : requestId,
         });
     }
 
     #tick(): void {
         for (const gateway of this.#gateways) {
             if (gateway.alive) {
-                this.#run(gateway, gateway.batcher.tick(this.#timeOf(gateway)));
+                this.#execute(gateway, gateway.batcher.tick(this.#readClocks(gateway)));
             }
         }
         this.clock.schedule(20, () => this.#tick());
     }
 
-    #timeOf(gateway: SimulatedGateway): ClaimTime {
+    #readClocks(gateway: SimulatedGateway): ClaimTime {
         return { nowMs: this.clock.nowMs, epochMs: 100_000 + this.clock.nowMs + gateway.skewMs };
     }
 
     #gateway(index: number): SimulatedGateway {
         const gateway = this.#gateways[index];
         if (gateway === undefined) {
-            throw new Error(`no gateway ${index}`);
+            throw new Error(`no gateway with index ${index}`);
         }
         return gateway;
     }
 
-    #try(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
+    #getAttempt(gateway: SimulatedGateway, nonce: string): SimulatedAttempt {
         const attempt = gateway.tries.get(nonce);
         if (attempt === undefined) {
-            throw new Error(`no try ${nonce}`);
+            throw new Error(`no attempt with nonce ${nonce}`);
         }
         return attempt;
     }
@@ -335,7 +337,7 @@
         : { type: "notSwapped", stored: toStored(outcome.current) };
 }
 
-/** Stands for a digest: one hexadecimal number for each key that a test uses. */
+/** Replaces the digest: a hexadecimal hash for each key that a test uses. */
 export function digest(key: string): string {
     let hash = 0;
     for (const character of key) {
@@ -344,7 +346,7 @@
     return hash.toString(16).padStart(8, "0");
 }
 
-/** @returns the store's answer as the batcher takes it in, for tests that drive it by hand */
+/** @returns a successful reply of the store, for tests that call the batcher directly */
 export function succeed(answer: ClaimStoreReply): Either<Failure, ClaimStoreReply> {
     return Right(answer);
 }
--- a/packages/atMostOnce/src/claimBatcher.ts
+++ b/packages/atMostOnce/src/claimBatcher.ts
@@ -21,7 +21,7 @@
     claimValidityMs,
 } from "./constants.js";
 
-/** The limits that every gateway of a fleet uses. */
+/** Limits that all gateways of a fleet use. */
 export const defaultClaimLimits: ClaimLimits = Object.freeze({
     shardCount: claimShardCount,
     bucketMs: claimBucketMs,
@@ -33,32 +33,32 @@
     maxDocumentLength: maxClaimDocumentLength,
 });
 
-interface CallUnderWay {
+interface CallInFlight {
     readonly shard: number;
     readonly call: ShardCall;
 }
 
 /**
- * Claims idempotency keys by compare-and-swap before their requests are sent. While a write of a shard is under way,
- * what arrives for that shard gathers, and all of it rides in the next write.
+ * Claims idempotency keys by compare-and-swap before their requests are sent. Claims and ends that arrive while a write
+ * of their shard is in flight are batched into the next write.
  */
 export class ClaimBatcher {
     readonly #holder: string;
     readonly #limits: ClaimLimits;
     readonly #shards = new Map<number, ClaimShard>();
-    readonly #shardOf = new Map<string, number>();
-    readonly #underWay = new Map<number, CallUnderWay>();
+    readonly #shardByNonce = new Map<string, number>();
+    readonly #callsInFlight = new Map<number, CallInFlight>();
     readonly #busyShards = new Set<number>();
-    readonly #failures = new Map<number, number>();
-    /** While the store is down: when to ask next whether it answers. */
-    #askStoreAtMs: number | undefined;
-    /** The call that asks. */
-    #question: number | undefined;
-    #callCount = 0;
+    readonly #consecutiveFailures = new Map<number, number>();
+    /** Time of the next probe of the store; `undefined` while the store is available. */
+    #nextProbeAtMs: number | undefined;
+    /** Id of the probe call in flight, if any. */
+    #probeCallId: number | undefined;
+    #lastCallId = 0;
 
     /**
      * @param holder - name and incarnation of this gateway, as written into its claims
-     * @param limits - the fleet's numbers
+     * @param limits - limits of the fleet
      */
     constructor(holder: string, limits: ClaimLimits = defaultClaimLimits) {
         this.#holder = holder;
@@ -66,143 +66,143 @@
     }
 
     /**
-     * Asks for a key. A verdict, `claimed` or `refused`, follows in the result of this or a later call.
+     * Claims a key. The verdict, `claimed` or `refused`, is among the commands that this or a later call returns.
      *
-     * @param req - the claim
-     * @param time - the present time
-     * @returns what to do
+     * @param req - the requested claim
+     * @param time - current time
+     * @returns commands to execute
      */
     claim(req: ClaimRequest, time: ClaimTime): readonly ClaimCommand[] {
         const shard = resolveClaimShard(req.keyDigest, this.#limits.shardCount);
-        this.#shardOf.set(req.nonce, shard);
-        this.#shard(shard).add(req);
-        return this.#pump(shard, time);
+        this.#shardByNonce.set(req.nonce, shard);
+        this.#getShard(shard).add(req);
+        return this.#advance(shard, time);
     }
 
     /**
-     * Records the end of a claimed request. An end with `didRun: "no"` frees the key for another try.
+     * Records the end of a claimed request. An end with `didRun: "no"` releases the key for another attempt.
      *
-     * @param nonce - the claim's
+     * @param nonce - nonce of the claim
      * @param end - how the request ended
-     * @param time - the present time
-     * @returns what to do
+     * @param time - current time
+     * @returns commands to execute
      */
     recordEnd(nonce: string, end: ClaimEnd, time: ClaimTime): readonly ClaimCommand[] {
-        const shard = this.#shardOf.get(nonce);
+        const shard = this.#shardByNonce.get(nonce);
         if (shard === undefined) {
             return [];
         }
-        this.#shardOf.delete(nonce);
-        this.#shard(shard).recordEnd(nonce, end);
-        return this.#pump(shard, time);
+        this.#shardByNonce.delete(nonce);
+        this.#getShard(shard).recordEnd(nonce, end);
+        return this.#advance(shard, time);
     }
 
     /**
-     * Takes in the answer to a `read` or `swap`.
+     * Handles the store's reply to a `read` or `swap`.
      *
-     * @param callId - the command's
-     * @param answer - what the store answered, or why it did not
-     * @param time - the present time
-     * @returns what to do
+     * @param callId - id of the command
+     * @param reply - the reply, or why there is none
+     * @param time - current time
+     * @returns commands to execute
      */
-    onStoreReply(callId: number, answer: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
-        if (callId === this.#question) {
-            return this.#storeAsked(answer.isRight(), time);
+    onStoreReply(callId: number, reply: Either<Failure, ClaimStoreReply>, time: ClaimTime): readonly ClaimCommand[] {
+        if (callId === this.#probeCallId) {
+            return this.#onProbeReply(reply.isRight(), time);
         }
-        const underWay = this.#underWay.get(callId);
-        if (underWay === undefined) {
+        const callInFlight = this.#callsInFlight.get(callId);
+        if (callInFlight === undefined) {
             return [];
         }
-        this.#underWay.delete(callId);
-        this.#busyShards.delete(underWay.shard);
-        const shard = this.#shard(underWay.shard);
-        const failure = answer.caseOf<Failure | undefined>({
+        this.#callsInFlight.delete(callId);
+        this.#busyShards.delete(callInFlight.shard);
+        const shard = this.#getShard(callInFlight.shard);
+        const failure = reply.caseOf<Failure | undefined>({
             Left: left => left,
-            Right: right => shard.onReply(underWay.call, right, time),
+            Right: right => shard.onReply(callInFlight.call, right, time),
         });
         if (failure === undefined) {
-            this.#failures.delete(underWay.shard);
-            this.#askStoreAtMs = undefined;
+            this.#consecutiveFailures.delete(callInFlight.shard);
+            this.#nextProbeAtMs = undefined;
         }
         else {
-            this.#failed(underWay.shard, failure, time);
+            this.#onCallFailed(callInFlight.shard, failure, time);
         }
-        return this.#pump(underWay.shard, time);
+        return this.#advance(callInFlight.shard, time);
     }
 
     /**
-     * Lets time pass: refuses what waited too long, and takes up again what a failure of the store interrupted.
+     * Refuses claims past their deadline, and resumes work that a failure of the store interrupted.
      *
-     * @param time - the present time
-     * @returns what to do
+     * @param time - current time
+     * @returns commands to execute
      */
     tick(time: ClaimTime): readonly ClaimCommand[] {
-        const commands = [...this.#shards.keys()].flatMap(shard => this.#pump(shard, time));
-        if (this.#question === undefined && this.#askStoreAtMs !== undefined && this.#askStoreAtMs <= time.nowMs) {
-            this.#question = ++this.#callCount;
-            commands.push({ type: "read", callId: this.#question, keys: [createClaimDocumentKey(0, 0)] });
+        const commands = [...this.#shards.keys()].flatMap(shard => this.#advance(shard, time));
+        if (this.#probeCallId === undefined && this.#nextProbeAtMs !== undefined && this.#nextProbeAtMs <= time.nowMs) {
+            this.#probeCallId = ++this.#lastCallId;
+            commands.push({ type: "read", callId: this.#probeCallId, keys: [createClaimDocumentKey(0, 0)] });
         }
         return commands;
     }
 
     /**
-     * The gateway itself asks whether the store is back. Were a caller's claim sent to find out, that caller would
-     * wait until the call times out, again and again through a long outage.
+     * Handles the result of a probe. The gateway probes the store itself: if callers' claims were used for that, one
+     * caller after another would wait for a timeout throughout a long outage.
      */
-    #storeAsked(answered: boolean, time: ClaimTime): readonly ClaimCommand[] {
-        this.#question = undefined;
-        this.#askStoreAtMs = answered ? undefined : time.nowMs + this.#limits.storeProbeDelayMs;
+    #onProbeReply(isAvailable: boolean, time: ClaimTime): readonly ClaimCommand[] {
+        this.#probeCallId = undefined;
+        this.#nextProbeAtMs = isAvailable ? undefined : time.nowMs + this.#limits.storeProbeDelayMs;
         return this.tick(time);
     }
 
-    /** Whether nothing waits to be written; a planned stop waits for it, so that every end is recorded. */
+    /** Whether no write is pending; a planned stop waits for this, so that every end is recorded. */
     get isIdle(): boolean {
-        return this.#underWay.size === 0 && [...this.#shards.values()].every(shard => shard.isIdle);
+        return this.#callsInFlight.size === 0 && [...this.#shards.values()].every(shard => shard.isIdle);
     }
 
-    /** Whether {@link tick} has to be called. */
+    /** Whether {@link tick} must be called. */
     get needsTick(): boolean {
-        return !this.isIdle || this.#askStoreAtMs !== undefined;
+        return !this.isIdle || this.#nextProbeAtMs !== undefined;
     }
 
-    /** One lost answer is borne, since the write may have taken effect; a store that is down fails the claims at once. */
-    #failed(shard: number, failure: Failure, time: ClaimTime): void {
-        const failures = (this.#failures.get(shard) ?? 0) + 1;
-        this.#failures.set(shard, failures);
+    /** Tolerates one lost reply, since the write may have taken effect; if the store is down, claims fail at once. */
+    #onCallFailed(shard: number, failure: Failure, time: ClaimTime): void {
+        const failures = (this.#consecutiveFailures.get(shard) ?? 0) + 1;
+        this.#consecutiveFailures.set(shard, failures);
         if (failure.kind === "storeOutcomeUnknown" && failures < this.#limits.failureThreshold) {
             return;
         }
-        this.#askStoreAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
+        this.#nextProbeAtMs = time.nowMs + this.#limits.storeProbeDelayMs;
     }
 
-    #pump(number: number, time: ClaimTime): readonly ClaimCommand[] {
-        const shard = this.#shard(number);
+    #advance(shardNumber: number, time: ClaimTime): readonly ClaimCommand[] {
+        const shard = this.#getShard(shardNumber);
         shard.refuseExpired(time.nowMs);
-        const storeIsDown = this.#askStoreAtMs !== undefined;
+        const storeIsDown = this.#nextProbeAtMs !== undefined;
         if (storeIsDown) {
-            // Nothing was handed over, so the refusal is truthful; waiting for the store would spend the caller's
-            // patience and end in the same refusal, later.
+            // Nothing was sent to a backend server, so it is true that the request did not run. Waiting for the store
+            // would use up the caller's patience and end in the same refusal.
             shard.refuseWaiting(createFailure("storeUnavailable", "the idempotency key can't be claimed now"));
         }
         const commands: ClaimCommand[] = [];
-        if (!storeIsDown && !this.#busyShards.has(number)) {
+        if (!storeIsDown && !this.#busyShards.has(shardNumber)) {
             const call = shard.nextCall(time);
             if (call !== undefined) {
-                commands.push(this.#start(number, call));
+                commands.push(this.#startCall(shardNumber, call));
             }
         }
         for (const verdict of shard.takeVerdicts()) {
             if (verdict.type === "refused") {
-                this.#shardOf.delete(verdict.nonce);
+                this.#shardByNonce.delete(verdict.nonce);
             }
             commands.push(verdict);
         }
         return commands;
     }
 
-    #start(shard: number, call: ShardCall): ClaimCommand {
-        const callId = ++this.#callCount;
-        this.#underWay.set(callId, { shard, call });
+    #startCall(shard: number, call: ShardCall): ClaimCommand {
+        const callId = ++this.#lastCallId;
+        this.#callsInFlight.set(callId, { shard, call });
         this.#busyShards.add(shard);
         const keys = call.buckets.map(bucket => createClaimDocumentKey(bucket, shard));
         if (call.type === "read") {
@@ -212,24 +212,24 @@
         return { type: "swap", callId, key, expectedRevision: call.expectedRevision, value: call.value };
     }
 
-    #shard(number: number): ClaimShard {
-        let shard = this.#shards.get(number);
+    #getShard(shardNumber: number): ClaimShard {
+        let shard = this.#shards.get(shardNumber);
         if (shard === undefined) {
             shard = new ClaimShard(this.#holder, this.#limits);
-            this.#shards.set(number, shard);
+            this.#shards.set(shardNumber, shard);
         }
         return shard;
     }
 }
 
 /**
- * Says whether a claimed request may be handed over. Ask in the same turn in which the first byte is given to the
- * connection: a process that was paused in between acts on a claim that may have run out, while the caller has
- * already asked elsewhere.
+ * Checks whether a claimed request may still be sent. Must be called in the same event loop turn in which the first
+ * byte is written: a process that was paused in between would act on an expired claim, while the caller may already
+ * have retried through another gateway.
  *
  * @param validUntilMs - from the `claimed` command
- * @param nowMs - the present monotonic time
- * @returns whether the claim still counts
+ * @param nowMs - current monotonic time
+ * @returns whether the claim is still valid
  */
 export function isClaimValid(validUntilMs: number, nowMs: number): boolean {
     return nowMs < validUntilMs;
--- a/packages/atMostOnce/src/claimShard.ts
+++ b/packages/atMostOnce/src/claimShard.ts
@@ -25,16 +25,16 @@
     type WaitingClaim,
 } from "./shardCall.js";
 
-/** The claims of one shard as one gateway sees them: which wait, which are held, and what the store last held. */
+/** One gateway's state of the claims of one shard: waiting and held claims, and cached documents. */
 export class ClaimShard {
     readonly #holder: string;
     readonly #limits: ClaimLimits;
     readonly #documents: ClaimDocumentCache;
     readonly #waiting = new Map<string, WaitingClaim>();
-    /** Claims whose write was sent and of which it isn't known yet whether it took effect. */
-    readonly #sent = new Map<string, SentClaim>();
+    /** Claims whose write was sent and has not been confirmed or ruled out yet. */
+    readonly #sentClaims = new Map<string, SentClaim>();
     readonly #held = new Map<string, ClaimLocation>();
-    readonly #ends = new Map<string, PendingEnd>();
+    readonly #pendingEnds = new Map<string, PendingEnd>();
     #verdicts: ClaimVerdict[] = [];
 
     constructor(holder: string, limits: ClaimLimits) {
@@ -43,22 +43,22 @@
         this.#documents = new ClaimDocumentCache(limits);
     }
 
-    /** Whether no claim waits and no end is still to be written. */
+    /** Whether no claim is waiting or unconfirmed, and no end is still to be written. */
     get isIdle(): boolean {
-        return this.#waiting.size === 0 && this.#ends.size === 0 && this.#sent.size === 0;
+        return this.#waiting.size === 0 && this.#pendingEnds.size === 0 && this.#sentClaims.size === 0;
     }
 
-    /** Adds a claim to those that wait for the next write. */
+    /** Queues a claim for the next write. */
     add(req: ClaimRequest): void {
         this.#waiting.set(req.nonce, { req, readBuckets: new Set(), firstSentAtMs: undefined });
     }
 
-    /** Notes how a held claim's request ended. */
+    /** Records the end of a held claim's request. */
     recordEnd(nonce: string, end: ClaimEnd): void {
-        const place = this.#held.get(nonce);
-        if (place !== undefined) {
+        const location = this.#held.get(nonce);
+        if (location !== undefined) {
             this.#held.delete(nonce);
-            this.#ends.set(nonce, { ...place, end });
+            this.#pendingEnds.set(nonce, { ...location, end });
         }
     }
 
@@ -69,14 +69,14 @@
         return verdicts;
     }
 
-    /** Refuses every claim that waits; writes that may yet take effect are followed up and released. */
+    /** Refuses all waiting claims. Those whose write may still take effect are tracked and then released. */
     refuseWaiting(failure: Failure): void {
         for (const nonce of [...this.#waiting.keys()]) {
             this.#refuse(nonce, failure);
         }
     }
 
-    /** Refuses claims that waited for as long as their caller allows. */
+    /** Refuses waiting claims that are past their deadline. */
     refuseExpired(nowMs: number): void {
         for (const [nonce, waiting] of [...this.#waiting]) {
             if (waiting.req.deadlineMs <= nowMs) {
@@ -86,104 +86,104 @@
     }
 
     /**
-     * @param time - the present time
-     * @returns the next call of the store, or `undefined` where nothing is to be done
+     * @param time - current time
+     * @returns the next store call, or `undefined` if none is due
      */
     nextCall(time: ClaimTime): ShardCall | undefined {
-        return this.#nextForClaims(time) ?? this.#nextForEnds(time) ?? this.#nextFence() ?? this.#nextDeletion(time);
+        return this.#nextClaimCall(time) ?? this.#nextEndCall(time) ?? this.#nextRewrite() ?? this.#nextDeletion(time);
     }
 
-    /** Takes in the store's answer to a call. */
-    onReply(call: ShardCall, answer: ClaimStoreReply, now: ClaimTime): Failure | undefined {
-        if (answer.type === "read") {
-            return this.#readAnswered(call, answer.stored, now);
+    /** Handles the store's reply to a call. @returns the failure if the document is malformed */
+    onReply(call: ShardCall, reply: ClaimStoreReply, now: ClaimTime): Failure | undefined {
+        if (reply.type === "read") {
+            return this.#onReadReply(call, reply.stored, now);
         }
         const [bucket = 0] = call.buckets;
-        const stored = answer.type === "swapped" ? undefined : answer.stored;
+        const stored = reply.type === "swapped" ? undefined : reply.stored;
         if (call.type === "delete" && stored === undefined) {
             this.#documents.delete(bucket);
             return undefined;
         }
-        if (answer.type === "swapped") {
-            this.#observe(call, bucket, answer.revision, call.document, now);
+        if (reply.type === "swapped") {
+            this.#updateDocument(call, bucket, reply.revision, call.document, now);
             return undefined;
         }
-        return this.#observeStored(call, bucket, stored, now);
+        return this.#updateFromStore(call, bucket, stored, now);
     }
 
-    #readAnswered(
+    #onReadReply(
         call: ShardCall,
         stored: readonly (StoredClaims | undefined)[],
         now: ClaimTime,
     ): Failure | undefined {
         let failure: Failure | undefined;
         for (const [i, bucket] of call.buckets.entries()) {
-            const seen = this.#documents.getOrEmpty(bucket);
-            if (seen.revision > (stored[i]?.revision ?? 0)) {
-                // The store's reads may lag, while its writes never do. Taken for the present, an old copy without a
-                // claim that is held would make the gateway forget to record its end, and the key would stay taken.
-                this.#observe(call, bucket, seen.revision, seen.document, now);
+            const cached = this.#documents.getOrEmpty(bucket);
+            if (cached.revision > (stored[i]?.revision ?? 0)) {
+                // Reads of the store may lag, but writes never do. If a stale copy that lacks a held claim were used,
+                // the gateway would not record the claim's end, and the key would stay claimed.
+                this.#updateDocument(call, bucket, cached.revision, cached.document, now);
                 continue;
             }
-            failure = this.#observeStored(call, bucket, stored[i], now) ?? failure;
+            failure = this.#updateFromStore(call, bucket, stored[i], now) ?? failure;
         }
         return failure;
     }
 
-    #observeStored(
+    #updateFromStore(
         call: ShardCall,
         bucket: number,
         stored: StoredClaims | undefined,
         now: ClaimTime,
     ): Failure | undefined {
         if (stored === undefined) {
-            this.#observe(call, bucket, 0, emptyClaimDocument, now);
+            this.#updateDocument(call, bucket, 0, emptyClaimDocument, now);
             return undefined;
         }
         return decodeClaimDocument(stored.value).caseOf<Failure | undefined>({
             Left: failure => failure,
             Right: document => {
-                this.#observe(call, bucket, stored.revision, document, now);
+                this.#updateDocument(call, bucket, stored.revision, document, now);
                 return undefined;
             },
         });
     }
 
-    #nextForClaims(time: ClaimTime): ShardCall | undefined {
+    #nextClaimCall(time: ClaimTime): ShardCall | undefined {
         if (this.#waiting.size === 0) {
             return undefined;
         }
-        const open = this.#documents.openBucket(time);
-        const missing = this.#findMissing(open, time);
+        const openBucket = this.#documents.openBucket(time);
+        const missing = this.#findBucketsToRead(openBucket, time);
         if (missing.length > 0) {
-            return this.#read(missing);
+            return this.#createRead(missing);
         }
-        for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
-            // Without the seal a gateway whose clock is behind could claim a key in an older bucket after this one
-            // has looked there, and the key's request would run twice. A sealed document takes no new claim.
+        for (let bucket = this.#documents.oldestBucket(time); bucket < openBucket; bucket++) {
+            // Without the seal, a gateway whose clock is behind could claim a key in an older bucket after this gateway
+            // has checked it, and the key's request would run twice. A sealed document accepts no new claims.
             const { document } = this.#documents.getOrEmpty(bucket);
             if (!document.sealed) {
-                return this.#swap(bucket, { ...document, sealed: true });
+                return this.#createSwap(bucket, { ...document, sealed: true });
             }
         }
-        return this.#nextBatch(open, time);
+        return this.#nextBatchCall(openBucket, time);
     }
 
-    #findMissing(open: number, time: ClaimTime): readonly number[] {
+    #findBucketsToRead(openBucket: number, time: ClaimTime): readonly number[] {
         const missing: number[] = [];
-        for (let bucket = this.#documents.oldestBucket(time); bucket < open; bucket++) {
+        for (let bucket = this.#documents.oldestBucket(time); bucket < openBucket; bucket++) {
             if (this.#documents.get(bucket) === undefined) {
                 missing.push(bucket);
             }
         }
-        const seen = this.#documents.get(open);
-        if (seen === undefined || this.#documents.isStale(seen, time)) {
-            missing.push(open);
+        const cached = this.#documents.get(openBucket);
+        if (cached === undefined || this.#documents.isStale(cached, time)) {
+            missing.push(openBucket);
         }
         return missing;
     }
 
-    #nextBatch(open: number, time: ClaimTime): ShardCall | undefined {
+    #nextBatchCall(openBucket: number, time: ClaimTime): ShardCall | undefined {
         const batch = new Map<string, WaitingClaim>();
         for (const waiting of [...this.#waiting.values()]) {
             const { keyDigest, nonce } = waiting.req;
@@ -195,22 +195,26 @@
                 batch.set(keyDigest, waiting);
                 continue;
             }
-            // What is cached may have ended since; a caller is told so only after a read made since it asked.
+            // The cached claim may have ended since, so a refusal requires a read made after the request arrived.
             if (!waiting.readBuckets.has(blocking.bucket)) {
-                return this.#read([blocking.bucket]);
+                return this.#createRead([blocking.bucket]);
             }
             this.#refuse(nonce, createBlockedFailure(blocking.claim, waiting.req));
         }
-        return batch.size === 0 ? undefined : this.#swapWithClaims(open, batch, time);
+        return batch.size === 0 ? undefined : this.#createClaimSwap(openBucket, batch, time);
     }
 
-    #swapWithClaims(open: number, batch: ReadonlyMap<string, WaitingClaim>, time: ClaimTime): ShardCall | undefined {
-        const cached = this.#documents.getOrEmpty(open);
+    #createClaimSwap(
+        openBucket: number,
+        batch: ReadonlyMap<string, WaitingClaim>,
+        time: ClaimTime,
+    ): ShardCall | undefined {
+        const cached = this.#documents.getOrEmpty(openBucket);
         const claims: Record<string, Claim> = { ...cached.document.claims };
         for (const { req } of batch.values()) {
             claims[req.keyDigest] = { fingerprint: req.fingerprint, nonce: req.nonce, holder: this.#holder };
         }
-        const call = this.#swap(open, { ...cached.document, claims });
+        const call = this.#createSwap(openBucket, { ...cached.document, claims });
         if ((call.value ?? "").length > this.#limits.maxDocumentLength) {
             for (const { req } of batch.values()) {
                 this.#refuse(req.nonce, createFailure("overloaded", "too many idempotency keys are remembered"));
@@ -220,36 +224,36 @@
         for (const waiting of batch.values()) {
             const { keyDigest, nonce } = waiting.req;
             waiting.firstSentAtMs ??= time.nowMs;
-            this.#sent.set(nonce, { bucket: open, keyDigest, expectedRevision: cached.revision });
+            this.#sentClaims.set(nonce, { bucket: openBucket, keyDigest, expectedRevision: cached.revision });
         }
         return call;
     }
 
-    #nextForEnds(time: ClaimTime): ShardCall | undefined {
-        for (const [nonce, pending] of [...this.#ends]) {
+    #nextEndCall(time: ClaimTime): ShardCall | undefined {
+        for (const [nonce, pending] of [...this.#pendingEnds]) {
             const cached = this.#documents.get(pending.bucket);
             if (cached !== undefined) {
                 return this.#documents.isStale(cached, time)
-                    ? this.#read([pending.bucket])
-                    : this.#swap(pending.bucket, cached.document);
+                    ? this.#createRead([pending.bucket])
+                    : this.#createSwap(pending.bucket, cached.document);
             }
-            this.#ends.delete(nonce);
+            this.#pendingEnds.delete(nonce);
         }
         return undefined;
     }
 
     /**
-     * A claim was given up while the answer to its write was lost: should the write yet take effect, the caller's
-     * next try would be told for a day that its request is under way, and the return would be lost. Writing the
-     * document once more unchanged shows the claim, so that it can be released, or makes the lost write fail.
+     * Resolves a claim that was refused although its write may still take effect. Otherwise retries of the caller would
+     * be refused for a day because their request seems to be in progress, and the return would be lost. Rewriting the
+     * document unchanged either reveals the claim, so that it can be released, or makes the lost write fail.
      */
-    #nextFence(): ShardCall | undefined {
-        for (const [nonce, sent] of [...this.#sent]) {
+    #nextRewrite(): ShardCall | undefined {
+        for (const [nonce, sent] of [...this.#sentClaims]) {
             const cached = this.#documents.get(sent.bucket);
             if (cached !== undefined) {
-                return this.#swap(sent.bucket, cached.document);
+                return this.#createSwap(sent.bucket, cached.document);
             }
-            this.#sent.delete(nonce);
+            this.#sentClaims.delete(nonce);
         }
         return undefined;
     }
@@ -270,30 +274,30 @@
         };
     }
 
-    #observe(call: ShardCall, bucket: number, revision: number, document: ClaimDocument, now: ClaimTime): void {
+    #updateDocument(call: ShardCall, bucket: number, revision: number, document: ClaimDocument, now: ClaimTime): void {
         this.#documents.set(bucket, { revision, document, readAtMs: now.nowMs });
         for (const nonce of call.waitingNonces) {
             this.#waiting.get(nonce)?.readBuckets.add(bucket);
         }
-        for (const [nonce, sent] of [...this.#sent]) {
+        for (const [nonce, sent] of [...this.#sentClaims]) {
             if (sent.bucket === bucket && revision > sent.expectedRevision) {
-                this.#settle(nonce, sent, document, now);
+                this.#resolveSentClaim(nonce, sent, document, now);
             }
         }
-        for (const [nonce, pending] of [...this.#ends]) {
+        for (const [nonce, pending] of [...this.#pendingEnds]) {
             const claim = document.claims[pending.keyDigest];
             if (pending.bucket === bucket && (claim?.nonce !== nonce || claim.end !== undefined)) {
-                this.#ends.delete(nonce);
+                this.#pendingEnds.delete(nonce);
             }
         }
     }
 
-    /** The document has moved past the revision on which the claim was written: it is there now, or never will be. */
-    #settle(nonce: string, sent: SentClaim, document: ClaimDocument, now: ClaimTime): void {
-        this.#sent.delete(nonce);
+    /** Confirms or rules out a claim's write, once the document is past the revision that the write expected. */
+    #resolveSentClaim(nonce: string, sent: SentClaim, document: ClaimDocument, now: ClaimTime): void {
+        this.#sentClaims.delete(nonce);
         const waiting = this.#waiting.get(nonce);
-        // An answer that was lost after the write took effect must not make a gateway refuse its own claim: the
-        // caller would be told that its request is under way while nobody runs it.
+        // If the write took effect but its reply was lost, the gateway must recognize its own claim. Otherwise the
+        // caller would be told that its request is in progress although it never runs.
         if (document.claims[sent.keyDigest]?.nonce !== nonce) {
             return;
         }
@@ -312,7 +316,7 @@
         this.#verdicts.push({ type: "refused", nonce, failure });
     }
 
-    #read(buckets: readonly number[]): ShardCall {
+    #createRead(buckets: readonly number[]): ShardCall {
         return {
             type: "read",
             buckets,
@@ -323,10 +327,10 @@
         };
     }
 
-    /** Every write of a document carries the ends that are due in it. */
-    #swap(bucket: number, document: ClaimDocument): ShardCall {
+    /** Creates a write of a document, which includes the pending ends of its claims. */
+    #createSwap(bucket: number, document: ClaimDocument): ShardCall {
         const claims: Record<string, Claim> = { ...document.claims };
-        for (const [nonce, pending] of this.#ends) {
+        for (const [nonce, pending] of this.#pendingEnds) {
             const claim = claims[pending.keyDigest];
             if (pending.bucket === bucket && claim?.nonce === nonce) {
                 claims[pending.keyDigest] = { ...claim, end: pending.end };
--- a/packages/atMostOnce/src/stallDetector.ts
+++ b/packages/atMostOnce/src/stallDetector.ts
@@ -1,20 +1,20 @@
 import { stallDeviationFactor, stallLatencyFactor, stallLatencyEwmaWeight, minStallTimeoutMs } from "./constants.js";
 
-/** One attempt that waits for its answer's head. */
+/** An attempt that waits for its response head. */
 export interface PendingAttempt {
     readonly service: string;
     readonly serverId: string;
     readonly sentAtMs: number;
 }
 
-/** Moving averages of the time to an answer's head. */
+/** Exponentially weighted moving averages of the time to the response head. */
 interface ServiceTimes {
     readonly meanMs: number;
-    /** Mean distance from the mean. */
+    /** Mean absolute deviation from the mean. */
     readonly deviationMs: number;
 }
 
-function learn(times: ServiceTimes | undefined, tookMs: number): ServiceTimes {
+function updateTimes(times: ServiceTimes | undefined, tookMs: number): ServiceTimes {
     if (times === undefined) {
         return { meanMs: tookMs, deviationMs: 0 };
     }
@@ -26,31 +26,32 @@
 }
 
 /**
- * Tells a connection that went silent from a backend server that is slow.
+ * Distinguishes a dead connection from a slow backend server.
  *
- * Something between the two ends may lose track of a connection: what is sent on it arrives nowhere, no error comes
- * back, and the caller waits until its patience ends. A slow server looks the same on one connection. But a server
- * that answers what was sent later, while an earlier request goes unanswered for several times its usual time, is
- * not slow; so both are asked for. A request that is really that much longer than the others is taken for stalled as
- * well. So the time allowed grows with the spread of the service's times, the try after a stalled one is left alone, and
- * whoever asks gives an attempt up only when another try is sure to follow.
+ * A device between the two ends may lose the state of a connection. Requests on it are then dropped without an error,
+ * and the caller waits until its patience ends. A slow server looks the same on one connection. An attempt is therefore
+ * considered stalled only if it takes several times as long as usual and the server has responded to a later attempt.
+ *
+ * A request that really takes that much longer than others is considered stalled as well. To limit this, the timeout
+ * grows with the deviation of the service's times, the retry of a stalled attempt is not checked, and the gateway
+ * abandons an attempt only if a retry is certain to follow.
  */
 export class StallDetector {
     readonly #times = new Map<string, ServiceTimes>();
-    /** For each backend server, when the latest-sent attempt that it answered was sent. */
-    readonly #answeredSentMs = new Map<string, number>();
+    /** Sending time of the latest attempt that each backend server has responded to. */
+    readonly #lastAnsweredSentAtMs = new Map<string, number>();
 
-    /** Notes that an answer's head came. */
-    onHead(awaited: PendingAttempt, nowMs: number): void {
-        const tookMs = nowMs - awaited.sentAtMs;
-        this.#times.set(awaited.service, learn(this.#times.get(awaited.service), tookMs));
-        const latest = this.#answeredSentMs.get(awaited.serverId) ?? awaited.sentAtMs;
-        this.#answeredSentMs.set(awaited.serverId, Math.max(latest, awaited.sentAtMs));
+    /** Records a response head. */
+    onHead(attempt: PendingAttempt, nowMs: number): void {
+        const tookMs = nowMs - attempt.sentAtMs;
+        this.#times.set(attempt.service, updateTimes(this.#times.get(attempt.service), tookMs));
+        const latest = this.#lastAnsweredSentAtMs.get(attempt.serverId) ?? attempt.sentAtMs;
+        this.#lastAnsweredSentAtMs.set(attempt.serverId, Math.max(latest, attempt.sentAtMs));
     }
 
     /**
      * @param service - name of the service
-     * @returns time in milliseconds after which it makes sense to ask whether an attempt stalls
+     * @returns time in milliseconds after which an attempt may be considered stalled
      */
     getTimeoutMs(service: string): number {
         const { meanMs, deviationMs } = this.#times.get(service) ?? { meanMs: 0, deviationMs: 0 };
@@ -58,13 +59,13 @@
     }
 
     /**
-     * @param awaited - the attempt
-     * @param nowMs - the present time
-     * @returns whether its connection is to be given up
+     * @param attempt - the attempt
+     * @param nowMs - current monotonic time
+     * @returns whether the connection of the attempt should be abandoned
      */
-    isStalled(awaited: PendingAttempt, nowMs: number): boolean {
-        const answeredSentMs = this.#answeredSentMs.get(awaited.serverId);
-        const overtaken = answeredSentMs !== undefined && answeredSentMs > awaited.sentAtMs;
-        return overtaken && nowMs - awaited.sentAtMs >= this.getTimeoutMs(awaited.service);
+    isStalled(attempt: PendingAttempt, nowMs: number): boolean {
+        const lastAnsweredSentAtMs = this.#lastAnsweredSentAtMs.get(attempt.serverId);
+        const isOvertaken = lastAnsweredSentAtMs !== undefined && lastAnsweredSentAtMs > attempt.sentAtMs;
+        return isOvertaken && nowMs - attempt.sentAtMs >= this.getTimeoutMs(attempt.service);
     }
 }
--- a/packages/coldStart/src/leavingTracker.ts
+++ b/packages/coldStart/src/leavingTracker.ts
@@ -1,59 +1,65 @@
 import { contactTimeoutMs, leavingRecoveryMs } from "./constants.js";
 
-/** Who said that a server is leaving, or not. */
+/** Source of a report on whether a server is leaving. */
 export type LeavingSource = "hostList" | "health" | "answer" | "peer";
 
 /**
- * Whether one backend server is leaving. Whichever source says so first is believed at once, since each of them lags
- * now and then; that it is back is believed only of a new life, since a lagging source still says "live" of the old.
+ * Tracks whether one backend server is leaving. The first report of leaving takes effect whatever its source, since
+ * each source lags at times. A report that the server is back usually requires a new incarnation, since a lagging
+ * source still reports the old one as live.
  */
 export class LeavingTracker {
     #isLeaving = false;
     #incarnation: string | undefined;
     #wasListedLeaving = false;
-    #saidAtMs = Number.NEGATIVE_INFINITY;
+    #reportedAtMs = Number.NEGATIVE_INFINITY;
     #backAtMs = Number.NEGATIVE_INFINITY;
 
     get isLeaving(): boolean {
         return this.#isLeaving;
     }
 
-    /** The server's life that is leaving, where it is known. */
+    /** Incarnation of the server that is leaving, if known. */
     get incarnation(): string | undefined {
         return this.#incarnation;
     }
 
-    /** When it was last said that the server is leaving. */
+    /** Monotonic time of the last report that the server is leaving, in milliseconds. */
     get reportedAtMs(): number {
-        return this.#saidAtMs;
+        return this.#reportedAtMs;
     }
 
     /**
-     * @param source - who said it
-     * @param isLeaving - what was said
-     * @param incarnation - the server's life that it was said of, where known
-     * @param saidAtMs - when it was first said; a peer passes on what it heard some time ago
-     * @returns whether that changed anything
+     * @param source - source of the report
+     * @param isLeaving - whether the server is reported as leaving
+     * @param incarnation - incarnation of the server that the report is about, if known
+     * @param reportedAtMs - monotonic time of the original report; peers forward reports some time later
+     * @returns whether the state changed
      */
-    onReport(source: LeavingSource, isLeaving: boolean, incarnation: string | undefined, saidAtMs: number): boolean {
-        const isBack = this.#isBack(source, isLeaving, incarnation, saidAtMs);
+    onReport(
+        source: LeavingSource,
+        isLeaving: boolean,
+        incarnation: string | undefined,
+        reportedAtMs: number,
+    ): boolean {
+        const isBack = this.#isBack(source, isLeaving, incarnation, reportedAtMs);
         if (source === "hostList") {
             this.#wasListedLeaving = isLeaving;
         }
         if (isLeaving) {
-            return this.#onLeaving(source, incarnation, saidAtMs);
+            return this.#onLeaving(source, incarnation, reportedAtMs);
         }
         if (isBack) {
             this.#isLeaving = false;
-            this.#backAtMs = saidAtMs;
+            this.#backAtMs = reportedAtMs;
         }
         return isBack;
     }
 
-    #onLeaving(source: LeavingSource, incarnation: string | undefined, saidAtMs: number): boolean {
-        // Peers repeat a word for as long as they believe it. One that is older than the server's return would take
-        // it out again, and two gateways would tell each other so for ever.
-        if (source === "peer" && saidAtMs <= this.#backAtMs + contactTimeoutMs) {
+    #onLeaving(source: LeavingSource, incarnation: string | undefined, reportedAtMs: number): boolean {
+        // Peers repeat a report for as long as it holds for them. One that is older than the server's return would take
+        // the server out again, and two gateways would keep each other's report alive forever.
+        if (source === "peer" && reportedAtMs <= this.#backAtMs + contactTimeoutMs) {
             return false;
         }
         if (!this.#isLeaving && incarnation !== undefined && incarnation === this.#incarnation) {
@@ -61,7 +67,7 @@
         }
         const isNew = !this.#isLeaving;
         this.#isLeaving = true;
-        this.#saidAtMs = Math.max(this.#saidAtMs, saidAtMs);
+        this.#reportedAtMs = Math.max(this.#reportedAtMs, reportedAtMs);
         this.#incarnation = isNew ? incarnation : incarnation ?? this.#incarnation;
         return isNew;
     }
@@ -70,11 +76,11 @@
         if (isLeaving || !this.#isLeaving) {
             return false;
         }
-        const isNewLife = incarnation !== undefined && this.#incarnation !== undefined
+        const isNewIncarnation = incarnation !== undefined && this.#incarnation !== undefined
             && incarnation !== this.#incarnation;
-        // A server that names no incarnation would otherwise stay out for good after a restart.
-        const isSilent = source === "health" && incarnation === undefined
-            && nowMs >= this.#saidAtMs + leavingRecoveryMs;
-        return isNewLife || isSilent || (source === "hostList" && this.#wasListedLeaving);
+        // Otherwise a server that reports no incarnation would stay out of service forever after a restart.
+        const isTimedOut = source === "health" && incarnation === undefined
+            && nowMs >= this.#reportedAtMs + leavingRecoveryMs;
+        return isNewIncarnation || isTimedOut || (source === "hostList" && this.#wasListedLeaving);
     }
 }
--- a/packages/coldStart/src/permit.ts
+++ b/packages/coldStart/src/permit.ts
@@ -2,30 +2,30 @@
 import { permitRetryDelayMs, minHorizonMs } from "./constants.js";
 import { type StoreCommand, type StoredValue, type StoreReply } from "./storeCommand.js";
 
-/** What one holder of a permit may have left in flight. */
+/** A permit holder whose requests may still be in flight. */
 export interface FormerHolder {
-    /** `name/incarnation`. */
+    /** `name/incarnation` of the gateway. */
     readonly gateway: string;
-    /** Longest time from sending to deadline of anything that it sent under the permit, in milliseconds. */
+    /** Maximum time from sending to deadline of the requests sent under the permit, in milliseconds. */
     readonly horizonMs: number;
 }
 
-/** What the store keeps of a permit beyond its lease, so that the next holder knows what to count. */
+/** Stored record that outlives the permit's lease, so that the next holder can account for earlier requests. */
 export interface PermitRecord {
-    /** How often the server has turned cold, as the last holder knew. */
+    /** Number of times that the server has turned cold, as known to the last holder. */
     readonly epoch: number;
-    /** The last holder, and earlier ones whose work it had not seen end. */
+    /** The last holder, and earlier ones whose requests may not have ended yet. */
     readonly holders: readonly FormerHolder[];
 }
 
 type Stage = "none" | "claiming" | "claimed" | "reading" | "read" | "writing" | "held" | "releasing";
 
-/** @returns the key that a permit is held by */
+/** @returns the store key that a permit holder keeps under its lease */
 export function createPermitKey(serverId: ServerId): string {
     return `coldStart/permit/${serverId}`;
 }
 
-/** @returns the key of the record that outlasts the permit's lease */
+/** @returns the store key of the record that outlives the permit's lease */
 export function createPermitRecordKey(serverId: ServerId): string {
     return `coldStart/record/${serverId}`;
 }
@@ -34,15 +34,15 @@
     return entry === undefined ? undefined : JSON.parse(entry.value) as PermitRecord;
 }
 
-function resolveHorizon(neededMs: number): number {
+function roundUpHorizon(requiredMs: number): number {
     let horizonMs = minHorizonMs;
-    while (horizonMs < neededMs) {
+    while (horizonMs < requiredMs) {
         horizonMs *= 2;
     }
     return horizonMs;
 }
 
-/** One gateway's way to the warm-up permit of one server: the key under its lease first, then the record. */
+/** Acquires the warm-up permit of one server for one gateway: first the key under its lease, then the record. */
 export class Permit {
     readonly #self: string;
     readonly #serverId: ServerId;
@@ -52,55 +52,55 @@
     #retryAtMs = 0;
     #term = 0;
     #recordRevision = 0;
-    #inherited: readonly FormerHolder[] = [];
+    #inheritedHolders: readonly FormerHolder[] = [];
     #recordedEpoch = 0;
-    #isSettled = false;
-    /** Whether a claim may have taken effect whose answer was lost. */
-    #isUnsure = false;
-    #writtenMs = 0;
+    #hasInheritedEnded = false;
+    /** Whether a claim whose reply was lost may have taken effect. */
+    #isClaimUncertain = false;
+    #writtenHorizonMs = 0;
     #horizonMs = 0;
-    #neededMs = minHorizonMs;
+    #requiredHorizonMs = minHorizonMs;
 
     constructor(self: string, serverId: ServerId) {
         this.#self = self;
         this.#serverId = serverId;
     }
 
-    /** The store's revision of the present claim: rises with each holder. */
+    /** Store revision of the current claim, which increases with each holder. */
     get term(): number {
         return this.#term;
     }
 
-    /** What holders before may have left; known once {@link isHeld}. */
+    /** Earlier holders whose requests may still run; known once {@link isHeld}. */
     get inheritedHolders(): readonly FormerHolder[] {
-        return this.#inherited;
+        return this.#inheritedHolders;
     }
 
-    /** The epoch that the record held when it was read. */
+    /** Epoch of the record when it was read. */
     get recordedEpoch(): number {
         return this.#recordedEpoch;
     }
 
-    /** Longest time from sending to deadline that the record allows, in milliseconds. */
+    /** Maximum time from sending to deadline that the record allows, in milliseconds. */
     get horizonMs(): number {
         return this.#horizonMs;
     }
 
-    /** Asks that the record be widened before work with a later deadline is sent. */
+    /** Requires a wider horizon in the record before a request with a later deadline is sent. */
     widenHorizon(horizonMs: number): void {
-        this.#neededMs = Math.max(this.#neededMs, resolveHorizon(horizonMs));
+        this.#requiredHorizonMs = Math.max(this.#requiredHorizonMs, roundUpHorizon(horizonMs));
     }
 
-    /** Notes that nothing of earlier holders runs any more, so that the record need not name them. */
+    /** Records that all requests of earlier holders have ended, so that the record need not list them. */
     markInheritedEnded(): void {
-        this.#isSettled = true;
+        this.#hasInheritedEnded = true;
     }
 
     isHeld(leaseId: string | undefined): boolean {
         return leaseId !== undefined && leaseId === this.#leaseId && this.#horizonMs > 0;
     }
 
-    /** @returns the next call on the way to the permit, if one is due */
+    /** @returns the next store call to acquire or keep the permit, if one is due */
     nextCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
         if (leaseId !== this.#leaseId) {
             this.#reset(leaseId);
@@ -108,18 +108,18 @@
         if (leaseId === undefined || this.#pending !== undefined || nowMs < this.#retryAtMs) {
             return undefined;
         }
-        this.#pending = this.#command(leaseId, epoch);
+        this.#pending = this.#createCommand(leaseId, epoch);
         return this.#pending;
     }
 
     /**
-     * A claim whose answer was lost may have taken effect, and a permit that is forgotten while its lease is renewed
-     * would keep every other gateway from the server for good. So giving up ends only with the store's word.
+     * A claim whose reply was lost may have taken effect. A permit that is forgotten while its lease is renewed would
+     * block every other gateway forever, so a release completes only when the store confirms it.
      *
-     * @returns the next call on the way to giving the permit up, if one is due
+     * @returns the next store call to release the permit, if one is due
      */
     nextReleaseCommand(leaseId: string | undefined, epoch: number, nowMs: number): StoreCommand | undefined {
-        if (this.#stage === "none" && !this.#isUnsure) {
+        if (this.#stage === "none" && !this.#isClaimUncertain) {
             return undefined;
         }
         if (this.#pending === undefined && this.#term !== 0) {
@@ -154,38 +154,44 @@
         }
     }
 
-    #command(leaseId: string, epoch: number): StoreCommand | undefined {
+    #createCommand(leaseId: string, epoch: number): StoreCommand | undefined {
         switch (this.#stage) {
             case "none":
                 this.#stage = "claiming";
-                return this.#swap(createPermitKey(this.#serverId), 0, JSON.stringify({ holder: this.#self }), leaseId);
+                return this.#createSwap(
+                    createPermitKey(this.#serverId),
+                    0,
+                    JSON.stringify({ holder: this.#self }),
+                    leaseId,
+                );
             case "claimed":
                 this.#stage = "reading";
                 return { type: "read", key: createPermitRecordKey(this.#serverId) };
             case "read":
-                return this.#writeRecord(epoch);
+                return this.#createRecordWrite(epoch);
             case "held":
-                return this.#isRecordDue() ? this.#writeRecord(epoch) : undefined;
+                return this.#isRecordDue() ? this.#createRecordWrite(epoch) : undefined;
             case "releasing":
-                return this.#swap(createPermitKey(this.#serverId), this.#term, undefined, undefined);
+                return this.#createSwap(createPermitKey(this.#serverId), this.#term, undefined, undefined);
             default:
                 return undefined;
         }
     }
 
     #isRecordDue(): boolean {
-        return this.#neededMs > this.#horizonMs || (this.#isSettled && this.#inherited.length > 0);
+        return this.#requiredHorizonMs > this.#horizonMs
+            || (this.#hasInheritedEnded && this.#inheritedHolders.length > 0);
     }
 
-    #writeRecord(epoch: number): StoreCommand {
+    #createRecordWrite(epoch: number): StoreCommand {
         this.#stage = "writing";
-        this.#writtenMs = this.#neededMs;
-        if (this.#isSettled) {
-            this.#inherited = [];
+        this.#writtenHorizonMs = this.#requiredHorizonMs;
+        if (this.#hasInheritedEnded) {
+            this.#inheritedHolders = [];
         }
-        const own: FormerHolder = { gateway: this.#self, horizonMs: this.#writtenMs };
-        const record: PermitRecord = { epoch, holders: [own, ...this.#inherited] };
-        return this.#swap(
+        const own: FormerHolder = { gateway: this.#self, horizonMs: this.#writtenHorizonMs };
+        const record: PermitRecord = { epoch, holders: [own, ...this.#inheritedHolders] };
+        return this.#createSwap(
             createPermitRecordKey(this.#serverId),
             this.#recordRevision,
             JSON.stringify(record),
@@ -193,29 +199,34 @@
         );
     }
 
-    #swap(key: string, expectedRevision: number, value: string | undefined, leaseId: string | undefined): StoreCommand {
+    #createSwap(
+        key: string,
+        expectedRevision: number,
+        value: string | undefined,
+        leaseId: string | undefined,
+    ): StoreCommand {
         return { type: "swap", key, expectedRevision, value, leaseId };
     }
 
     #onClaimed(reply: StoreReply, nowMs: number): void {
         const { outcome } = reply;
         if (outcome.type === "swapped") {
-            this.#claimed(outcome.revision);
+            this.#setClaimed(outcome.revision);
         }
         else if (outcome.type === "notSwapped" && outcome.current?.leaseId === this.#leaseId) {
-            // The answer to an earlier claim was lost after the claim had taken effect: the key is under this lease.
-            this.#claimed(outcome.current?.modifiedRevision ?? 0);
+            // An earlier claim took effect but its reply was lost: the key is under this gateway's lease.
+            this.#setClaimed(outcome.current?.modifiedRevision ?? 0);
         }
         else {
             this.#stage = "none";
-            this.#isUnsure = false;
+            this.#isClaimUncertain = false;
             this.#retryAtMs = nowMs + permitRetryDelayMs;
         }
     }
 
-    #claimed(term: number): void {
+    #setClaimed(term: number): void {
         this.#stage = "claimed";
-        this.#isUnsure = false;
+        this.#isClaimUncertain = false;
         this.#term = term;
     }
 
@@ -225,28 +236,28 @@
         }
         this.#recordRevision = reply.outcome.entry?.modifiedRevision ?? 0;
         const record = parseRecord(reply.outcome.entry);
-        // This gateway counts its own requests itself.
-        this.#inherited = record?.holders.filter(former => former.gateway !== this.#self) ?? [];
+        // This gateway's own requests are counted by ServerState.
+        this.#inheritedHolders = record?.holders.filter(holder => holder.gateway !== this.#self) ?? [];
         this.#recordedEpoch = record?.epoch ?? 0;
-        this.#isSettled = false;
+        this.#hasInheritedEnded = false;
         this.#stage = "read";
     }
 
     #onWritten(reply: StoreReply): void {
         if (reply.outcome.type === "swapped") {
             this.#recordRevision = reply.outcome.revision;
-            this.#horizonMs = this.#writtenMs;
+            this.#horizonMs = this.#writtenHorizonMs;
             this.#stage = "held";
             return;
         }
-        // An earlier holder's last write came in between; its horizon has to be read.
+        // An earlier holder's last write came first; its horizon must be read.
         this.#stage = "claimed";
     }
 
     #onFailed(nowMs: number): void {
         this.#retryAtMs = nowMs + permitRetryDelayMs;
         if (this.#stage === "claiming") {
-            this.#isUnsure = true;
+            this.#isClaimUncertain = true;
             this.#stage = "none";
         }
         else if (this.#stage !== "releasing") {
@@ -258,12 +269,12 @@
         this.#leaseId = leaseId;
         this.#stage = "none";
         this.#pending = undefined;
-        this.#isUnsure = false;
+        this.#isClaimUncertain = false;
         this.#term = 0;
         this.#horizonMs = 0;
-        this.#neededMs = minHorizonMs;
-        this.#inherited = [];
-        this.#isSettled = false;
+        this.#requiredHorizonMs = minHorizonMs;
+        this.#inheritedHolders = [];
+        this.#hasInheritedEnded = false;
         this.#recordRevision = 0;
     }
 }
--- a/packages/coldStart/src/serverState.ts
+++ b/packages/coldStart/src/serverState.ts
@@ -2,15 +2,15 @@
 import { type ServerMetadata, type AttemptCompletion } from "./serverMetadata.js";
 import { cancellationGraceMs, maxReportLagMs, latencyCheckIdleMs, coldLatencyFactor } from "./constants.js";
 
-/** What the configuration says of one server's cold start. */
+/** Cold-start limits of one server from the configuration. */
 export interface ServerLimits {
-    /** Requests in flight that the server bears while cold. */
+    /** Maximum number of requests in flight while the server is cold. */
     readonly concurrency: number;
-    /** Requests that it runs at the same time while warm. */
+    /** Number of requests that the server runs concurrently while warm. */
     readonly slots: number;
     readonly answersToWarm: number;
     readonly idleMs: number;
-    /** Longest patience of its service's callers, in milliseconds. */
+    /** Maximum patience of the service's callers, in milliseconds. */
     readonly maxPatienceMs: number;
 }
 
@@ -20,30 +20,30 @@
     readonly deadlineMs: number;
     readonly epoch: number;
     readonly wasWarm: boolean;
-    /** The stretch of authority that it was sent under, where the server was not warm. */
+    /** Period of authority under which the request was sent, if the server was not warm. */
     readonly authorityId: string | undefined;
 }
 
-/** What one gateway believes of one backend server. */
+/** State of one backend server as known to one gateway. */
 export class ServerState {
     readonly serverId: ServerId;
     limits: ServerLimits;
     readonly #requests = new Map<string, SentRequest>();
-    /** Times by which requests that ended without a known end have certainly ended. */
-    #lingering: number[] = [];
+    /** Times by which requests with an unknown outcome have certainly ended. */
+    #uncertainUntilMs: number[] = [];
     #epoch = 0;
     #isWarm = false;
     #incarnation: string | undefined;
-    #evidenceAtMs = Number.NEGATIVE_INFINITY;
-    #heardAtMs = Number.NEGATIVE_INFINITY;
-    #usualLatencyMs: number | undefined;
-    #goodAnswers = 0;
-    #limit: number;
+    #warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
+    #lastResponseAtMs = Number.NEGATIVE_INFINITY;
+    #averageLatencyMs: number | undefined;
+    #goodResponses = 0;
+    #concurrencyLimit: number;
 
     constructor(serverId: ServerId, limits: ServerLimits) {
         this.serverId = serverId;
         this.limits = limits;
-        this.#limit = limits.concurrency;
+        this.#concurrencyLimit = limits.concurrency;
     }
 
     get epoch(): number {
@@ -54,48 +54,48 @@
         return this.#incarnation;
     }
 
-    /** Sending time of the newest request that the server answered as a warm one. */
+    /** Sending time of the latest request whose response confirmed that the server is warm. */
     get warmConfirmedAtMs(): number {
-        return this.#evidenceAtMs;
+        return this.#warmConfirmedAtMs;
     }
 
     get isWarm(): boolean {
         return this.#isWarm;
     }
 
-    /** Requests in flight from this gateway, those included whose end is not known. */
+    /** Number of requests in flight from this gateway, including those with an unknown outcome. */
     inFlight(nowMs: number): number {
-        this.#lingering = this.#lingering.filter(untilMs => nowMs < untilMs);
-        return this.#requests.size + this.#lingering.length;
+        this.#uncertainUntilMs = this.#uncertainUntilMs.filter(untilMs => nowMs < untilMs);
+        return this.#requests.size + this.#uncertainUntilMs.length;
     }
 
-    /** Whether any gateway may send to the server without a permit. */
+    /** Whether the server was confirmed warm recently, so that any gateway may send to it without a permit. */
     isConfirmedWarm(nowMs: number): boolean {
-        return this.#isWarm && nowMs < this.#evidenceAtMs + this.limits.idleMs;
+        return this.#isWarm && nowMs < this.#warmConfirmedAtMs + this.limits.idleMs;
     }
 
-    /** Requests in flight, over all gateways, that the holder of the permit may let it have. */
+    /** Maximum number of requests in flight, over all gateways, that the permit holder allows. */
     get warmUpConcurrency(): number {
-        // An idle server that was warm gets one trial request; it may have turned cold without a word.
-        return this.#isWarm ? 1 : this.#limit;
+        // An idle server that was warm gets one trial request, since it may have turned cold unannounced.
+        return this.#isWarm ? 1 : this.#concurrencyLimit;
     }
 
-    /** @returns what was noted of a request in flight */
+    /** @returns a request in flight, if it is known */
     getRequest(requestId: string): SentRequest | undefined {
         return this.#requests.get(requestId);
     }
 
-    onSent(requestId: string, deadlineMs: number, stretch: string | undefined, nowMs: number): void {
+    onSent(requestId: string, deadlineMs: number, authorityId: string | undefined, nowMs: number): void {
         this.#requests.set(requestId, {
             sentAtMs: nowMs,
             deadlineMs,
             epoch: this.#epoch,
             wasWarm: this.isConfirmedWarm(nowMs),
-            authorityId: stretch,
+            authorityId,
         });
     }
 
-    /** @returns whether the server has been found to have turned cold */
+    /** @returns whether the end of the request shows that the server has turned cold */
     onEnd(requestId: string, end: AttemptCompletion, nowMs: number): boolean {
         const sent = this.#requests.get(requestId);
         if (sent === undefined) {
@@ -103,11 +103,11 @@
         }
         this.#requests.delete(requestId);
         if (end.mayStillRun) {
-            this.#lingering.push(sent.deadlineMs + cancellationGraceMs);
+            this.#uncertainUntilMs.push(sent.deadlineMs + cancellationGraceMs);
         }
         const latencyMs = nowMs - sent.sentAtMs;
-        const isCold = this.#isSignOfCold(end, latencyMs, nowMs);
-        this.#noteHeard(end, latencyMs, nowMs);
+        const isCold = this.#indicatesCold(end, latencyMs, nowMs);
+        this.#recordResponse(end, latencyMs, nowMs);
         if (this.#isWarm) {
             return this.#onEndWhileWarm(sent, end, isCold);
         }
@@ -117,70 +117,70 @@
         return false;
     }
 
-    /** @returns whether a word from outside a request shows that the server has turned cold */
-    onReport(signs: ServerMetadata, nowMs: number): boolean {
-        // The endpoints lag: one that still says "cold" after the server's own answers say "warm" would take a warm
-        // server out again and again. Answers are the newer word while they come.
-        const isContradicted = nowMs < this.#evidenceAtMs + maxReportLagMs;
-        const isCold = this.#isNewIncarnation(signs) || (signs.state === "cold" && !isContradicted);
+    /** @returns whether metadata from outside of requests shows that the server has turned cold */
+    onReport(metadata: ServerMetadata, nowMs: number): boolean {
+        // The endpoints lag: one that still reports "cold" after the server's responses report "warm" would take a warm
+        // server out again and again. Recent responses take precedence.
+        const hasRecentResponse = nowMs < this.#warmConfirmedAtMs + maxReportLagMs;
+        const isCold = this.#isNewIncarnation(metadata) || (metadata.state === "cold" && !hasRecentResponse);
         if (!this.#isWarm || !isCold) {
             return false;
         }
-        this.markCold(signs.incarnation);
+        this.markCold(metadata.incarnation);
         return true;
     }
 
     markCold(incarnation: string | undefined): void {
-        this.#becomeCold(this.#epoch + 1, incarnation);
+        this.#setCold(this.#epoch + 1, incarnation);
     }
 
     /**
-     * Takes over what a peer or the store knows. Later epochs go before earlier ones and, within one, warm before
-     * cold, so that the outcome is the same in whatever order signals arrive.
+     * Merges the state known to a peer or the store. Later epochs take precedence over earlier ones and, within an
+     * epoch, warm over cold, so that the result does not depend on the order in which signals arrive.
      *
-     * @returns whether anything changed
+     * @returns whether the state changed
      */
-    merge(epoch: number, isWarm: boolean, incarnation: string | undefined, evidenceAtMs: number): boolean {
+    merge(epoch: number, isWarm: boolean, incarnation: string | undefined, warmConfirmedAtMs: number): boolean {
         if (epoch > this.#epoch) {
-            this.#becomeCold(epoch, incarnation);
+            this.#setCold(epoch, incarnation);
             if (isWarm) {
-                this.#becomeWarm(evidenceAtMs);
+                this.#setWarm(warmConfirmedAtMs);
             }
             return true;
         }
         if (epoch === this.#epoch && isWarm) {
             const isNew = !this.#isWarm;
-            this.#becomeWarm(evidenceAtMs);
+            this.#setWarm(warmConfirmedAtMs);
             return isNew;
         }
         return false;
     }
 
-    /** Forgets that the server was seen to be warm, as after a time out of touch with the peers. */
+    /** Clears the confirmation that the server is warm, as after a loss of contact with the peers. */
     clearWarmConfirmation(): void {
-        this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
+        this.#warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
     }
 
-    #becomeCold(epoch: number, incarnation: string | undefined): void {
+    #setCold(epoch: number, incarnation: string | undefined): void {
         this.#epoch = epoch;
         this.#isWarm = false;
         this.#incarnation = incarnation ?? this.#incarnation;
-        this.#evidenceAtMs = Number.NEGATIVE_INFINITY;
-        this.#restartRamp();
+        this.#warmConfirmedAtMs = Number.NEGATIVE_INFINITY;
+        this.#resetRampUp();
     }
 
-    #becomeWarm(evidenceAtMs: number): void {
+    #setWarm(warmConfirmedAtMs: number): void {
         this.#isWarm = true;
-        this.#evidenceAtMs = Math.max(this.#evidenceAtMs, evidenceAtMs);
+        this.#warmConfirmedAtMs = Math.max(this.#warmConfirmedAtMs, warmConfirmedAtMs);
     }
 
-    #restartRamp(): void {
-        this.#goodAnswers = 0;
-        this.#limit = this.limits.concurrency;
+    #resetRampUp(): void {
+        this.#goodResponses = 0;
+        this.#concurrencyLimit = this.limits.concurrency;
     }
 
     #onEndWhileWarm(sent: SentRequest, end: AttemptCompletion, isCold: boolean): boolean {
-        // An answer to a request of an earlier epoch says nothing that the permit holder of that epoch didn't learn.
+        // A request of an earlier epoch shows nothing that the permit holder of that epoch has not already detected.
         if (sent.epoch !== this.#epoch) {
             return false;
         }
@@ -190,7 +190,7 @@
         }
         if (end.outcome === "good") {
             this.#incarnation = end.metadata.incarnation ?? this.#incarnation;
-            this.#evidenceAtMs = Math.max(this.#evidenceAtMs, sent.sentAtMs);
+            this.#warmConfirmedAtMs = Math.max(this.#warmConfirmedAtMs, sent.sentAtMs);
         }
         return false;
     }
@@ -198,35 +198,35 @@
     #onEndWhileCold(sent: SentRequest, end: AttemptCompletion): void {
         const { metadata } = end;
         if (end.outcome === "shed" || end.outcome === "refused" || end.outcome === "failed") {
-            this.#restartRamp();
+            this.#resetRampUp();
             return;
         }
         if (end.outcome !== "good" || metadata.state === "leaving") {
             return;
         }
         if (this.#isNewIncarnation(metadata)) {
-            this.#restartRamp();
+            this.#resetRampUp();
         }
         this.#incarnation = metadata.incarnation ?? this.#incarnation;
-        this.#goodAnswers++;
+        this.#goodResponses++;
         if (
             metadata.state === "warm"
-            || (metadata.state === undefined && this.#goodAnswers >= this.limits.answersToWarm)
+            || (metadata.state === undefined && this.#goodResponses >= this.limits.answersToWarm)
         ) {
-            this.#becomeWarm(sent.sentAtMs);
+            this.#setWarm(sent.sentAtMs);
             return;
         }
-        this.#growLimit(metadata.bears);
+        this.#raiseLimit(metadata.bears);
     }
 
-    /** The limit grows by one with each good answer, only up to what the server itself says that it bears. */
-    #growLimit(bears: number | undefined): void {
+    /** Raises the limit by one for each good response, up to the concurrency that the server itself reports. */
+    #raiseLimit(bears: number | undefined): void {
         if (bears !== undefined) {
-            this.#limit = Math.max(1, Math.min(this.#limit + 1, bears, this.limits.slots));
+            this.#concurrencyLimit = Math.max(1, Math.min(this.#concurrencyLimit + 1, bears, this.limits.slots));
         }
     }
 
-    #isSignOfCold(end: AttemptCompletion, latencyMs: number, nowMs: number): boolean {
+    #indicatesCold(end: AttemptCompletion, latencyMs: number, nowMs: number): boolean {
         const { metadata } = end;
         if (metadata.state === "cold" || this.#isNewIncarnation(metadata)) {
             return true;
@@ -235,31 +235,31 @@
             return true;
         }
         if (end.outcome === "shed") {
-            // A server that says it is warm sheds for its load, not for its state.
+            // A server that reports itself warm sheds because of its load, not because it is cold.
             return metadata.state === undefined;
         }
-        return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterSilence(latencyMs, nowMs);
+        return end.outcome === "good" && metadata.state === undefined && this.#isSlowAfterIdle(latencyMs, nowMs);
     }
 
-    #isSlowAfterSilence(latencyMs: number, nowMs: number): boolean {
-        return this.#usualLatencyMs !== undefined
-            && nowMs - latencyMs >= this.#heardAtMs + latencyCheckIdleMs
-            && latencyMs > this.#usualLatencyMs * coldLatencyFactor;
+    #isSlowAfterIdle(latencyMs: number, nowMs: number): boolean {
+        return this.#averageLatencyMs !== undefined
+            && nowMs - latencyMs >= this.#lastResponseAtMs + latencyCheckIdleMs
+            && latencyMs > this.#averageLatencyMs * coldLatencyFactor;
     }
 
-    #isNewIncarnation(signs: ServerMetadata): boolean {
-        return signs.incarnation !== undefined
+    #isNewIncarnation(metadata: ServerMetadata): boolean {
+        return metadata.incarnation !== undefined
             && this.#incarnation !== undefined
-            && signs.incarnation !== this.#incarnation;
+            && metadata.incarnation !== this.#incarnation;
     }
 
-    #noteHeard(end: AttemptCompletion, latencyMs: number, nowMs: number): void {
+    #recordResponse(end: AttemptCompletion, latencyMs: number, nowMs: number): void {
         if (end.outcome !== "good") {
             return;
         }
-        this.#heardAtMs = nowMs;
-        this.#usualLatencyMs = this.#usualLatencyMs === undefined
+        this.#lastResponseAtMs = nowMs;
+        this.#averageLatencyMs = this.#averageLatencyMs === undefined
             ? latencyMs
-            : this.#usualLatencyMs * 0.9 + latencyMs * 0.1;
+            : this.#averageLatencyMs * 0.9 + latencyMs * 0.1;
     }
 }
--- a/packages/coldStart/src/warmUpAuthority.ts
+++ b/packages/coldStart/src/warmUpAuthority.ts
@@ -9,25 +9,25 @@
 import { type LeaseKeeper } from "./leaseKeeper.js";
 import { rankOwners } from "./rankOwners.js";
 
-/** A stretch of time over which something was confirmed again and again before it lapsed. */
-class Stretch {
-    #atMs = Number.NEGATIVE_INFINITY;
+/** A period during which a condition was reconfirmed each time before {@link contactTimeoutMs} had passed. */
+class ConfirmedPeriod {
+    #confirmedAtMs = Number.NEGATIVE_INFINITY;
     #sinceMs = Number.POSITIVE_INFINITY;
 
-    /** When the stretch began; infinite before the first. */
+    /** Start of the current period; infinite before the first. */
     get sinceMs(): number {
         return this.#sinceMs;
     }
 
     confirm(startedAtMs: number, nowMs: number): void {
-        if (!this.isHolding(nowMs)) {
+        if (!this.isActive(nowMs)) {
             this.#sinceMs = nowMs;
         }
-        this.#atMs = Math.max(this.#atMs, startedAtMs);
+        this.#confirmedAtMs = Math.max(this.#confirmedAtMs, startedAtMs);
     }
 
-    isHolding(nowMs: number): boolean {
-        return nowMs < this.#atMs + contactTimeoutMs;
+    isActive(nowMs: number): boolean {
+        return nowMs < this.#confirmedAtMs + contactTimeoutMs;
     }
 }
 
@@ -37,25 +37,28 @@
 }
 
 /**
- * Says on what a gateway may rest when it warms a server up: its lease at the store, or, while nobody's lease stands,
- * the roster. Both rest on contact with a majority, and any two majorities share a gateway, which passes on what it
- * heard from the one to the other; the proof is in docs/design/cold-start.md.
+ * Decides whether a gateway has authority to warm up a server: by its lease in the store or, while no gateway has a
+ * valid lease, by the roster. Both require contact with a majority. Any two majorities share a gateway, which forwards
+ * what it learned from one to the other; docs/design/cold-start.md has the proof.
  */
 export class WarmUpAuthority {
     readonly #self: string;
     readonly #lease: LeaseKeeper;
     readonly #leases = new Map<string, KnownLease>();
-    readonly #begun = new Map<number, { readonly announcedMs: number; readonly absent: readonly string[]; }>();
+    readonly #openRounds = new Map<
+        number,
+        { readonly announcedRenewalMs: number; readonly absent: readonly string[]; }
+    >();
     #roster: GatewayRoster = { version: 0, members: [] };
     #ownSequence = 0;
     #ownRenewedAtMs = Number.NEGATIVE_INFINITY;
-    #contact = new Stretch();
-    /** Contact with a majority that doesn't hold this gateway for absent. */
-    #presence = new Stretch();
-    /** Members that a majority holds for absent. */
-    #absent = new Map<string, Stretch>();
-    #announcedMs = Number.NEGATIVE_INFINITY;
-    #announcedSinceMs = Number.POSITIVE_INFINITY;
+    #majorityContact = new ConfirmedPeriod();
+    /** Contact with a majority that does not consider this gateway absent. */
+    #presence = new ConfirmedPeriod();
+    /** Members that a majority considers absent. */
+    #absent = new Map<string, ConfirmedPeriod>();
+    #announcedRenewalMs = Number.NEGATIVE_INFINITY;
+    #leasePeriodSinceMs = Number.POSITIVE_INFINITY;
 
     constructor(self: string, lease: LeaseKeeper) {
         this.#self = self;
@@ -66,32 +69,32 @@
         return this.#roster;
     }
 
-    /** Majorities of different rosters need not know of each other, so every time starts anew with each version. */
+    /** Majorities of different rosters need not overlap, so each roster version restarts every period. */
     onRoster(roster: GatewayRoster): void {
         if (roster.version <= this.#roster.version) {
             return;
         }
         this.#roster = roster;
-        this.#begun.clear();
-        this.#contact = new Stretch();
-        this.#presence = new Stretch();
+        this.#openRounds.clear();
+        this.#majorityContact = new ConfirmedPeriod();
+        this.#presence = new ConfirmedPeriod();
         this.#absent = new Map();
-        this.#announcedMs = Number.NEGATIVE_INFINITY;
+        this.#announcedRenewalMs = Number.NEGATIVE_INFINITY;
     }
 
-    /** Notes what a round that starts now announces, and whom this gateway holds for absent. */
+    /** Records the lease that a heartbeat round starting now announces, and the members reported as absent in it. */
     beginRound(absent: readonly string[], nowMs: number): void {
-        for (const startedAtMs of this.#begun.keys()) {
+        for (const startedAtMs of this.#openRounds.keys()) {
             if (startedAtMs + contactTimeoutMs < nowMs) {
-                this.#begun.delete(startedAtMs);
+                this.#openRounds.delete(startedAtMs);
             }
         }
-        this.#begun.set(nowMs, { announcedMs: this.#lease.renewedAtMs, absent });
+        this.#openRounds.set(nowMs, { announcedRenewalMs: this.#lease.renewedAtMs, absent });
     }
 
-    /** @returns the latest lease of every gateway that is known of, own first */
+    /** @returns the latest known lease of every gateway, including this one */
     leases(nowMs: number): readonly LeaseReport[] {
-        this.#noteOwnLease();
+        this.#recordOwnLease();
         return [...this.#leases].map(([holder, known]) => ({
             holder,
             sequence: known.sequence,
@@ -100,11 +103,11 @@
     }
 
     /**
-     * Each renewal is dated once, when first heard of. Dating it anew with each message would make it younger by a
-     * network delay each time that it went round, and a lease long lapsed would never be old.
+     * Merges the leases that a peer reports. The age of a renewal is taken only from the first report of it: otherwise
+     * each exchange between peers would subtract a network delay, and an expired lease would never appear old.
      */
-    mergeLeases(word: ColdStartHeartbeat, nowMs: number): void {
-        for (const lease of word.leases) {
+    mergeLeases(heartbeat: ColdStartHeartbeat, nowMs: number): void {
+        for (const lease of heartbeat.leases) {
             const known = this.#leases.get(lease.holder);
             if (lease.holder !== this.#self && (known === undefined || lease.sequence > known.sequence)) {
                 this.#leases.set(lease.holder, { sequence: lease.sequence, renewedAtMs: nowMs - lease.ageMs });
@@ -114,91 +117,91 @@
 
     /** @returns whether the round reached a majority */
     onRound(round: HeartbeatRound, nowMs: number): boolean {
-        const begun = this.#begun.get(round.startedAtMs);
-        for (const answer of round.responses) {
-            this.mergeLeases(answer, nowMs);
+        const openRound = this.#openRounds.get(round.startedAtMs);
+        for (const response of round.responses) {
+            this.mergeLeases(response, nowMs);
         }
-        const answers = round.responses.filter(answer => answer.rosterVersion === this.#roster.version);
-        if (begun === undefined || !this.#isMajority(answers)) {
+        const responses = round.responses.filter(response => response.rosterVersion === this.#roster.version);
+        if (openRound === undefined || !this.#isMajority(responses)) {
             return false;
         }
-        this.#contact.confirm(round.startedAtMs, nowMs);
-        this.#noteAnnouncement(begun.announcedMs, nowMs);
-        if (this.#isMajority(answers.filter(answer => !answer.isAskerSuspended))) {
+        this.#majorityContact.confirm(round.startedAtMs, nowMs);
+        this.#recordAnnouncement(openRound.announcedRenewalMs, nowMs);
+        if (this.#isMajority(responses.filter(response => !response.isAskerSuspended))) {
             this.#presence.confirm(round.startedAtMs, nowMs);
         }
-        this.#noteAbsences(round.startedAtMs, answers, begun.absent, nowMs);
+        this.#recordAbsences(round.startedAtMs, responses, openRound.absent, nowMs);
         return true;
     }
 
-    #noteAbsences(
+    #recordAbsences(
         startedAtMs: number,
-        answers: readonly ColdStartHeartbeat[],
+        responses: readonly ColdStartHeartbeat[],
         ownAbsent: readonly string[],
         nowMs: number,
     ): void {
         for (const member of ownAbsent) {
-            if (this.#isMajority(answers.filter(answer => answer.absent.includes(member)))) {
-                const stretch = this.#absent.get(member) ?? new Stretch();
-                this.#absent.set(member, stretch);
-                stretch.confirm(startedAtMs, nowMs);
+            if (this.#isMajority(responses.filter(response => response.absent.includes(member)))) {
+                const period = this.#absent.get(member) ?? new ConfirmedPeriod();
+                this.#absent.set(member, period);
+                period.confirm(startedAtMs, nowMs);
             }
         }
     }
 
-    /** Whether a majority has answered lately enough to send anything at all. */
+    /** Whether the last contact with a majority is recent enough to send any request. */
     hasMajorityContact(nowMs: number): boolean {
-        return this.#contact.isHolding(nowMs);
+        return this.#majorityContact.isActive(nowMs);
     }
 
     /**
-     * @returns a word for the present stretch in which permits under the lease may be used, or `undefined`; between two
-     * stretches the owner by roster may have sent
+     * @returns an id of the current period in which permits under the lease may be used, or `undefined`; between two
+     * periods the owner by roster may have sent requests
      */
     resolveLeaseAuthorityId(nowMs: number): string | undefined {
         const isUsable = this.hasMajorityContact(nowMs)
-            // Counted from before the renewal was sent: a holder that was paused past its lease sees in the turn in
-            // which it wakes that its authority is gone. And from a renewal that a majority has heard of: any other
-            // wouldn't keep the owner by roster from sending.
-            && nowMs < this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs
-            // The owner by roster may have had its last contact just before the lease was announced.
-            && nowMs >= this.#announcedSinceMs + authorityChangeDelayMs;
-        return isUsable ? String(this.#announcedSinceMs) : undefined;
+            // Measured from before the renewal was sent, so that a holder paused past its lease finds the authority
+            // expired in the turn in which it resumes. Only a renewal that a majority has learned of counts: no other
+            // prevents the owner by roster from sending.
+            && nowMs < this.#announcedRenewalMs + leaseTtlMs - clockDriftAllowanceMs
+            // The owner by roster may have had contact with a majority just before the lease was announced.
+            && nowMs >= this.#leasePeriodSinceMs + authorityChangeDelayMs;
+        return isUsable ? String(this.#leasePeriodSinceMs) : undefined;
     }
 
     /**
-     * @returns a word for the present stretch of authority without the store, or `undefined` where there is none; work
-     * inherited from before a stretch has to be counted again in the next, since another may have sent in between
+     * @returns an id of the current period of authority by the roster, or `undefined` if there is none; each period
+     * recounts the inherited requests, since another gateway may have sent some in between
      */
     resolveRosterAuthorityId(serverId: ServerId, nowMs: number): string | undefined {
-        const freshestMs = this.#freshestLeaseMs();
-        const restMs = leaseTtlMs + authorityChangeDelayMs;
-        const isUsable = this.#presence.isHolding(nowMs)
-            && nowMs >= this.#presence.sinceMs + restMs
-            && nowMs >= freshestMs + restMs;
+        const latestRenewalMs = this.#latestRenewalMs();
+        const delayMs = leaseTtlMs + authorityChangeDelayMs;
+        const isUsable = this.#presence.isActive(nowMs)
+            && nowMs >= this.#presence.sinceMs + delayMs
+            && nowMs >= latestRenewalMs + delayMs;
         const succession = isUsable ? this.#resolveSuccession(serverId, nowMs) : undefined;
         return succession === undefined
             ? undefined
-            : `${this.#roster.version}/${this.#presence.sinceMs}/${freshestMs}/${succession}`;
+            : `${this.#roster.version}/${this.#presence.sinceMs}/${latestRenewalMs}/${succession}`;
     }
 
-    /** @returns since when each gateway ranked higher is absent, or `undefined` where one may not be */
+    /** @returns since when each higher-ranked gateway has been absent, or `undefined` if one may be present */
     #resolveSuccession(serverId: ServerId, nowMs: number): string | undefined {
         const absentSince: number[] = [];
         for (const member of rankOwners(this.#roster.members, serverId)) {
             if (member === this.#self) {
                 return absentSince.join(",");
             }
-            const stretch = this.#absent.get(member);
-            if (stretch?.isHolding(nowMs) !== true) {
+            const period = this.#absent.get(member);
+            if (period?.isActive(nowMs) !== true) {
                 return undefined;
             }
-            absentSince.push(stretch.sinceMs);
+            absentSince.push(period.sinceMs);
         }
         return undefined;
     }
 
-    #noteOwnLease(): void {
+    #recordOwnLease(): void {
         if (this.#lease.renewedAtMs > this.#ownRenewedAtMs) {
             this.#ownRenewedAtMs = this.#lease.renewedAtMs;
             this.#ownSequence++;
@@ -206,37 +209,37 @@
         }
     }
 
-    #freshestLeaseMs(): number {
-        this.#noteOwnLease();
-        let freshestMs = Number.NEGATIVE_INFINITY;
+    #latestRenewalMs(): number {
+        this.#recordOwnLease();
+        let latestRenewalMs = Number.NEGATIVE_INFINITY;
         for (const lease of this.#leases.values()) {
-            freshestMs = Math.max(freshestMs, lease.renewedAtMs);
+            latestRenewalMs = Math.max(latestRenewalMs, lease.renewedAtMs);
         }
-        return freshestMs;
+        return latestRenewalMs;
     }
 
-    #noteAnnouncement(announcedMs: number, nowMs: number): void {
-        if (announcedMs <= this.#announcedMs) {
+    #recordAnnouncement(announcedRenewalMs: number, nowMs: number): void {
+        if (announcedRenewalMs <= this.#announcedRenewalMs) {
             return;
         }
-        if (nowMs >= this.#announcedMs + leaseTtlMs - clockDriftAllowanceMs) {
-            this.#announcedSinceMs = nowMs;
+        if (nowMs >= this.#announcedRenewalMs + leaseTtlMs - clockDriftAllowanceMs) {
+            this.#leasePeriodSinceMs = nowMs;
         }
-        this.#announcedMs = announcedMs;
+        this.#announcedRenewalMs = announcedRenewalMs;
     }
 
-    /** A gateway counts itself among those that answered. */
-    #isMajority(answers: readonly ColdStartHeartbeat[]): boolean {
-        const heard = new Set([this.#self, ...answers.map(answer => answer.from)]);
+    /** Whether the responding peers, together with this gateway, form a majority. */
+    #isMajority(responses: readonly ColdStartHeartbeat[]): boolean {
+        const contacted = new Set([this.#self, ...responses.map(response => response.from)]);
         const { members, previous } = this.#roster;
-        return isMajorityOf(members, heard) && (previous === undefined || isMajorityOf(previous, heard));
+        return isMajorityOf(members, contacted) && (previous === undefined || isMajorityOf(previous, contacted));
     }
 }
 
-function isMajorityOf(members: readonly string[], heard: ReadonlySet<string>): boolean {
+function isMajorityOf(members: readonly string[], contacted: ReadonlySet<string>): boolean {
     let count = 0;
     for (const member of members) {
-        count += heard.has(member) ? 1 : 0;
+        count += contacted.has(member) ? 1 : 0;
     }
     return count * 2 > members.length;
 }
