--- a/packages/gateway/src/coldStart/attemptEnd.ts
+++ b/packages/gateway/src/coldStart/resolveAttemptCompletion.ts
@@ -5,7 +5,7 @@
  * @param result - result of an attempt
  * @returns the result as the cold-start gate needs it
  */
-export function resolveAttemptEnd(result: AttemptResult): AttemptCompletion {
+export function resolveAttemptCompletion(result: AttemptResult): AttemptCompletion {
     const { outcome, failure, metadata } = result;
     return {
         outcome: resolveOutcome(result),
--- a/packages/gateway/src/requests/forwarder.ts
+++ b/packages/gateway/src/requests/forwarder.ts
@@ -19,7 +19,7 @@
 import { resolveForwardHeaders } from "./headers.js";
 import { type Grant } from "./grant.js";
 import { type HeldClaim, type RequestClaims } from "./requestClaims.js";
-import { resolveAttemptEnd } from "../coldStart/attemptEnd.js";
+import { resolveAttemptCompletion } from "../coldStart/resolveAttemptCompletion.js";
 import { type Scheduler } from "./scheduler.js";
 
 /** A caller's request with its HTTP request and response objects. */
@@ -196,7 +196,7 @@
         scheduler.release(request, grant, {
             latencyMs: succeeded ? result.headLatencyMs : undefined,
             succeeded,
-            attempt: resolveAttemptEnd(result),
+            attempt: resolveAttemptCompletion(result),
         });
         if (!succeeded) {
             span.setAttribute("error.type", result.failure.kind);
--- a/packages/membership/src/__tests__/acceptance.test.ts
+++ b/packages/membership/src/__tests__/acceptance.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { AcceptanceTracker, RosterReconciler } from "../index.js";
-import { answer, gateway, roster, majorityWaitMs, survey, timings } from "./fleetBuilders.js";
+import { createVersionReport, gateway, roster, majorityWaitMs, survey, timings } from "./fleetBuilders.js";
 
 function createTracker(members: readonly string[], previous?: readonly string[]): AcceptanceTracker {
     const tracker = new AcceptanceTracker({ revision: 2, rosterVersion: 0 }, timings);
@@ -11,11 +11,11 @@
 
 test("a change isn't in force before each gateway has reported it twice", () => {
     const tracker = createTracker(["gw1", "gw2"]);
-    tracker.onVersionReport(answer("gw1", 2, 10));
-    tracker.onVersionReport(answer("gw2", 2, 10));
+    tracker.onVersionReport(createVersionReport("gw1", 2, 10));
+    tracker.onVersionReport(createVersionReport("gw2", 2, 10));
     assert.ok(!tracker.isInForce(12));
-    tracker.onVersionReport(answer("gw1", 2, 12));
-    tracker.onVersionReport(answer("gw2", 2, 12));
+    tracker.onVersionReport(createVersionReport("gw1", 2, 12));
+    tracker.onVersionReport(createVersionReport("gw2", 2, 12));
     assert.ok(tracker.isInForce(14));
 });
 
@@ -24,15 +24,15 @@
 // suggest that all gateways, or a majority, held the change, although they never did so at the same time.
 test("a restarted gateway doesn't count as holding what its predecessor held", () => {
     const tracker = createTracker(["gw1", "gw2", "gw3"]);
-    tracker.onVersionReport(answer("gw1", 2, 10));
-    tracker.onVersionReport(answer("gw2", 2, 20));
+    tracker.onVersionReport(createVersionReport("gw1", 2, 10));
+    tracker.onVersionReport(createVersionReport("gw2", 2, 20));
     assert.ok(!tracker.isInForce(20 + 2 * majorityWaitMs), "gw1 hasn't reported it again");
-    tracker.onVersionReport(answer("gw1", 1, 30, { gateway: gateway("gw1", "2") }));
-    tracker.onVersionReport(answer("gw2", 2, 30));
+    tracker.onVersionReport(createVersionReport("gw1", 1, 30, { gateway: gateway("gw1", "2") }));
+    tracker.onVersionReport(createVersionReport("gw2", 2, 30));
     assert.ok(!tracker.isInForce(30 + 2 * majorityWaitMs));
-    tracker.onVersionReport(answer("gw1", 2, 40, { gateway: gateway("gw1", "2") }));
-    tracker.onVersionReport(answer("gw2", 2, 41));
-    tracker.onVersionReport(answer("gw1", 2, 50, { gateway: gateway("gw1", "2") }));
+    tracker.onVersionReport(createVersionReport("gw1", 2, 40, { gateway: gateway("gw1", "2") }));
+    tracker.onVersionReport(createVersionReport("gw2", 2, 41));
+    tracker.onVersionReport(createVersionReport("gw1", 2, 50, { gateway: gateway("gw1", "2") }));
     assert.ok(!tracker.isInForce(41 + majorityWaitMs - 1));
     assert.ok(tracker.isInForce(42 + majorityWaitMs));
 });
@@ -40,12 +40,12 @@
 test("while the roster changes, a majority of the new members alone doesn't put a change in force", () => {
     const tracker = createTracker(["gw3", "gw4", "gw5"], ["gw1", "gw2", "gw3"]);
     for (const startedAtMs of [10, 20]) {
-        ["gw3", "gw4", "gw5"].forEach(name => tracker.onVersionReport(answer(name, 2, startedAtMs)));
+        ["gw3", "gw4", "gw5"].forEach(name => tracker.onVersionReport(createVersionReport(name, 2, startedAtMs)));
     }
     assert.ok(!tracker.isInForce(10 * majorityWaitMs));
-    [30, 40].forEach(startedAtMs => tracker.onVersionReport(answer("gw1", 2, startedAtMs)));
+    [30, 40].forEach(startedAtMs => tracker.onVersionReport(createVersionReport("gw1", 2, startedAtMs)));
     [42].forEach(startedAtMs =>
-        ["gw3", "gw4", "gw5"].forEach(name => tracker.onVersionReport(answer(name, 2, startedAtMs)))
+        ["gw3", "gw4", "gw5"].forEach(name => tracker.onVersionReport(createVersionReport(name, 2, startedAtMs)))
     );
     assert.ok(tracker.isInForce(10 * majorityWaitMs));
 });
@@ -64,7 +64,7 @@
     revision: number,
 ): void {
     for (const name of names) {
-        reconciler.onVersionReport(answer(name, revision, startedAtMs, { rosterVersion: 2 }));
+        reconciler.onVersionReport(createVersionReport(name, revision, startedAtMs, { rosterVersion: 2 }));
     }
 }
 
--- a/packages/membership/src/__tests__/fleetBuilders.ts
+++ b/packages/membership/src/__tests__/fleetBuilders.ts
@@ -47,7 +47,12 @@
     };
 }
 
-export function answer(from: string, revision: number, startedAtMs: number, more: Partial<VersionReport> = {}) {
+export function createVersionReport(
+    from: string,
+    revision: number,
+    startedAtMs: number,
+    more: Partial<VersionReport> = {},
+) {
     return {
         gateway: gateway(from),
         revision,
--- a/packages/membership/src/fleetMember.ts
+++ b/packages/membership/src/fleetMember.ts
@@ -375,7 +375,7 @@
             freshnessAgeMs: this.#freshness.ageMs(nowMs, this.#state),
             recovering: this.#recovering,
             signals: this.#signals.read(nowMs),
-            loads: this.#loads.take(loadLimit, nowMs),
+            loads: this.#loads.next(loadLimit, nowMs),
             stopping: this.#stopping,
         };
     }
--- a/packages/membership/src/loadRotation.ts
+++ b/packages/membership/src/loadRotation.ts
@@ -17,7 +17,7 @@
      * @param nowMs - current time of the monotonic clock, in milliseconds
      * @returns the next loads in the rotation, with their current ages in milliseconds
      */
-    take(limit: number, nowMs: number): readonly ServerLoad[] {
+    next(limit: number, nowMs: number): readonly ServerLoad[] {
         const count = Math.min(limit, this.#loads.length);
         const chosen: ServerLoad[] = [];
         for (let i = 0; i < count; i++) {
--- a/packages/peers/src/__tests__/configurationInForce.test.ts
+++ b/packages/peers/src/__tests__/configurationInForce.test.ts
@@ -254,7 +254,7 @@
     test(`responses from before a pause don't extend the freshness after it (seed ${seed})`, async () => {
         const sim = await startFleet(seed);
         sim.storeDelayMs = 700;
-        sim.network.maximumDelayMs = 450;
+        sim.network.maxDelayMs = 450;
         await sim.run(5_000 + sim.random.nextInt(1_000));
         sim.gateways.get("gw5")?.process.pause();
         await sim.run(1_500);
--- a/packages/peers/src/__tests__/faultyFleet.test.ts
+++ b/packages/peers/src/__tests__/faultyFleet.test.ts
@@ -113,10 +113,10 @@
                 this.#isolate(chosen.filter(name => !name.startsWith("op")), durationMs);
                 return;
             case "networkLossy":
-                sim.network.lossShare = selector / 2_048;
+                sim.network.lossProbability = selector / 2_048;
                 return;
             case "networkSlow":
-                sim.network.maximumDelayMs = 1 + selector;
+                sim.network.maxDelayMs = 1 + selector;
                 return;
             case "pause":
                 gateway?.process.pause();
--- a/packages/peers/src/__tests__/support/simulatedNetwork.ts
+++ b/packages/peers/src/__tests__/support/simulatedNetwork.ts
@@ -27,11 +27,11 @@
         this.#random = random;
     }
 
-    set lossShare(share: number) {
+    set lossProbability(share: number) {
         this.#lossShare = share;
     }
 
-    set maximumDelayMs(delayMs: number) {
+    set maxDelayMs(delayMs: number) {
         this.#maximumDelayMs = delayMs;
     }
 
--- a/packages/peers/src/peerRouter.ts
+++ b/packages/peers/src/peerRouter.ts
@@ -1,7 +1,7 @@
 import { type Heartbeat } from "@galenaglade/membership";
 import { initTRPC } from "@trpc/server";
 import { type PeerHandler } from "./peerCaller.js";
-import { coldStartWordSchema, heartbeatSchema, observationQuerySchema, offerSchema } from "./wireSchemas.js";
+import { coldStartHeartbeatSchema, heartbeatSchema, observationQuerySchema, offerSchema } from "./wireSchemas.js";
 
 const trpc = initTRPC.create({ isDev: false });
 
@@ -17,7 +17,7 @@
         fetch: trpc.procedure.mutation(() => handler.fetch()),
         offer: trpc.procedure.input(offerSchema).mutation(({ input }) => handler.offer(input)),
         exchangeColdStart: trpc.procedure
-            .input(coldStartWordSchema)
+            .input(coldStartHeartbeatSchema)
             .mutation(({ input }) => handler.exchangeColdStart(input)),
         observe: trpc.procedure
             .input(observationQuerySchema)
--- a/packages/peers/src/trpcPeerCaller.ts
+++ b/packages/peers/src/trpcPeerCaller.ts
@@ -10,7 +10,7 @@
 import { type PeerRouter } from "./peerRouter.js";
 import { type ServerObservations } from "./serverObservation.js";
 import {
-    coldStartWordSchema,
+    coldStartHeartbeatSchema,
     heartbeatSchema,
     offerAnswerSchema,
     offerSchema,
@@ -72,7 +72,7 @@
     ): Promise<Either<Failure, ColdStartHeartbeat>> {
         return this.#call(
             address,
-            coldStartWordSchema,
+            coldStartHeartbeatSchema,
             (client, signal) => client.exchangeColdStart.mutate(heartbeat, { signal }),
         );
     }
--- a/packages/peers/src/wireSchemas.ts
+++ b/packages/peers/src/wireSchemas.ts
@@ -78,7 +78,7 @@
 const maxColdServers = 10_000;
 
 /** Cold start state that gateways exchange, about servers to which they may send a limited number of requests. */
-export const coldStartWordSchema: z.ZodType<ColdStartHeartbeat> = z.object({
+export const coldStartHeartbeatSchema: z.ZodType<ColdStartHeartbeat> = z.object({
     from: gatewayProcess,
     rosterVersion: count,
     leases: z.array(z.object({ holder: gatewayProcess, sequence: count, ageMs })).max(maxGateways),
