--- a/packages/edge/src/constants.ts
+++ b/packages/edge/src/constants.ts
@@ -95,7 +95,7 @@
 
 /**
  * Period over which the gateways of a fleet spread rewriting their registrations and crash reports after the store was
- * restored from an older copy, in milliseconds. Hundreds of gateways writing at once would exceed the store's rate
+ * restored from a backup, in milliseconds. Hundreds of gateways writing at once would exceed the store's rate
  * limits.
  */
 export const rewriteSpreadMs = 2_500;
@@ -198,13 +198,13 @@
  */
 export const initialWatchDelayMs = 1_200;
 
-/** Interval at which a gateway evaluates open roll-outs, in milliseconds. */
+/** Interval at which a gateway evaluates open rollouts, in milliseconds. */
 export const rolloutCheckPeriodMs = 250;
 
-/** Timeout for a report to the coordinator of a roll-out, in milliseconds. */
+/** Timeout for a report to the coordinator of a rollout, in milliseconds. */
 export const rolloutReportTimeoutMs = 400;
 
-/** Maximum size of a report on a roll-out that is read. */
+/** Maximum size of a report on a rollout that is read. */
 export const maxRolloutReportBytes = 65_536;
 
 /**
--- a/packages/edge/src/peerServer.ts
+++ b/packages/edge/src/peerServer.ts
@@ -12,7 +12,7 @@
 export interface PeerServerDeps {
     /** Relays changes of the store. */
     readonly relay: RelayServer;
-    /** Receives reports on roll-outs. */
+    /** Receives reports on rollouts. */
     readonly inbox: EvidenceCollector;
     /** Reports whether this gateway reaches backend servers. */
     readonly reachability: ReachabilityProvider;
--- a/packages/edge/src/quarantine/crashReportSync.ts
+++ b/packages/edge/src/quarantine/crashReportSync.ts
@@ -72,7 +72,7 @@
         this.#stopped = true;
     }
 
-    /** Publishes again after the store was restored from an older copy, which may lack this gateway's report. */
+    /** Publishes again after the store was restored from a backup, which may lack this gateway's report. */
     #publishAgain(): void {
         if (this.#revision > 0) {
             setTimeout(() => this.#publish(), rewriteSpreadMs * this.#deps.random.next()).unref();
--- a/packages/edge/src/requests/exchangePlacement.ts
+++ b/packages/edge/src/requests/exchangePlacement.ts
@@ -24,7 +24,7 @@
     /** Age of the first server's load report when the server was picked, in milliseconds. */
     #offerAgeMs: number | undefined;
     #firstReason: string | undefined;
-    /** Version under trial that the first send went to. */
+    /** Version on trial that the first send went to. */
     #trialVersion: string | undefined;
 
     constructor(deps: ExchangeDeps, request: EdgeRequest, signal: AbortSignal) {
@@ -62,7 +62,7 @@
         };
     }
 
-    /** @returns a server of a version under trial, if this request is selected and one has spare capacity now */
+    /** @returns a server of a version on trial, if this request is selected and one has spare capacity now */
     async #placeTrial(): Promise<Placement | undefined> {
         const { rollouts } = this.#deps;
         const service = this.#request.rules.name;
--- a/packages/edge/src/state/registration.ts
+++ b/packages/edge/src/state/registration.ts
@@ -64,7 +64,7 @@
     /** Registers again if the store was restored from a backup since the last registration. */
     onViewChange(): void {
         if (this.#leaseId !== undefined && this.#deps.view.term !== this.#term) {
-            // Writes after the backup are lost, and the ID of the lease may now belong to another holder.
+            // Writes after the backup are lost, and the id of the lease may now belong to another holder.
             this.#leaseId = undefined;
             this.#renewalSleep.interrupt();
         }
--- a/packages/edge/src/stateCodec.ts
+++ b/packages/edge/src/stateCodec.ts
@@ -9,9 +9,9 @@
     abstract decode(entry: KeyValue): StateItem;
     /** @returns the key of a gateway's registration */
     abstract registrationKey(gateway: string): string;
-    /** @returns the key of the status of a service's roll-out */
+    /** @returns the key of the status of a service's rollout */
     abstract rolloutStatusKey(service: string): string;
-    /** @returns the encoded status of a roll-out */
+    /** @returns the encoded status of a rollout */
     abstract encodeRolloutStatus(status: RolloutStatus): string;
     /** @returns the key of a gateway's report on requests during which servers crashed */
     abstract crashReportKey(gateway: string): string;
--- a/packages/fleetState/src/__tests__/storeRestored.test.ts
+++ b/packages/fleetState/src/__tests__/storeRestored.test.ts
@@ -124,7 +124,7 @@
 });
 
 // Guards against a version that gets requests again because the backup is older than its rollback.
-test("a final roll-out stage holds although the backup lacks it or has an earlier stage", () => {
+test("a final rollout stage holds although the backup lacks it or has an earlier stage", () => {
     const status = (stage: RolloutStage, revision: number): StateItem => ({
         type: "rolloutStatus",
         key: "statuses/tables",
--- a/packages/fleetState/src/__tests__/versionEligibility.test.ts
+++ b/packages/fleetState/src/__tests__/versionEligibility.test.ts
@@ -37,7 +37,7 @@
     return view.trialServers("tables", 0).map(({ id }) => id).sort().join();
 }
 
-test("without a roll-out servers of all versions are used", () => {
+test("without a rollout servers of all versions are used", () => {
     assert.equal(usable(createView()), "one,plain,three,two");
     assert.equal(onTrial(createView()), "");
 });
@@ -61,7 +61,7 @@
     }
 });
 
-// Guards against refusing callers although servers of the old version, which run until the end of the roll-out, could
+// Guards against refusing callers although servers of the old version, which run until the end of the rollout, could
 // serve them.
 test("the old version serves requests while no server of the new version is available", () => {
     const view = createView(order("v2"), status("v2", "shifted"));
@@ -101,8 +101,8 @@
     assert.equal(usable(view), "two");
 });
 
-// Guards against a server that stays idle forever because it joins after the roll-out with another version.
-test("servers that join after the completion of a roll-out are used", () => {
+// Guards against a server that stays idle forever because it joins after the rollout with another version.
+test("servers that join after the completion of a rollout are used", () => {
     const view = createView(order("v2"), status("v2", "shifted"));
     view.onChanges({ items: [status("v2", "completed")], deletedKeys: [] }, 0);
     view.onChanges({ items: [serverItem("late", { version: "v1" })], deletedKeys: [] }, 0);
--- a/packages/fleetState/src/fleetView.ts
+++ b/packages/fleetState/src/fleetView.ts
@@ -191,7 +191,7 @@
     }
 
     /**
-     * @returns how many keys are still in effect although the store has lacked them since its restore from an older
+     * @returns how many keys are still in effect although the store has lacked them since it was restored from a
      * backup
      */
     countUnconfirmedKeys(): number {
@@ -239,12 +239,12 @@
             : this.readyServers(service, nowMs).filter(server => this.#rollouts.eligibilityOf(server) === "trial");
     }
 
-    /** @returns the latest roll-out of each service, including those that have ended */
+    /** @returns the latest rollout of each service, including those that have ended */
     rollouts(): readonly RolloutPlan[] {
         return this.#rollouts.plans;
     }
 
-    /** @returns the latest roll-out of a service */
+    /** @returns the latest rollout of a service */
     rolloutOf(service: string): RolloutPlan | undefined {
         return this.#rollouts.planOf(service);
     }
@@ -274,7 +274,7 @@
             : eligibility !== "blocked";
     }
 
-    /** @returns backend servers of a service that may get new requests, ignoring roll-outs */
+    /** @returns backend servers of a service that may get new requests, ignoring rollouts */
     readyServers(service: string, nowMs: number): readonly RegisteredServer[] {
         return this.#directory.ready(service, nowMs).filter(server =>
             !this.#evacuatedZones.has(server.availabilityZone)
--- a/packages/fleetState/src/index.ts
+++ b/packages/fleetState/src/index.ts
@@ -1,6 +1,6 @@
 /**
  * State of the fleet as read from the store: configuration, availability zones, backend servers, gateways and
- * roll-outs.
+ * rollouts.
  */
 export {
     departedGatewayGraceMs,
--- a/packages/fleetState/src/isLaterStatus.ts
+++ b/packages/fleetState/src/isLaterStatus.ts
@@ -8,7 +8,7 @@
     rolledBack: 3,
 });
 
-/** @returns whether a roll-out status of a service is later than another status of that service */
+/** @returns whether a rollout status of a service is later than another status of that service */
 export function isLaterStatus(status: RolloutStatus, other: RolloutStatus): boolean {
     const startedLater = status.startedAtEpochMs - other.startedAtEpochMs;
     return startedLater > 0 || (startedLater === 0 && progress[status.stage] > progress[other.stage]);
--- a/packages/fleetState/src/model.ts
+++ b/packages/fleetState/src/model.ts
@@ -32,17 +32,17 @@
 export interface RolloutOrder {
     readonly service: string;
     readonly version: string;
-    /** Time within which the roll-out must finish, measured from the order. */
+    /** Time within which the rollout must finish, measured from the order. */
     readonly allowedMs: number;
 }
 
 /**
- * Stage of a roll-out. The new version gets a bounded share of the requests in `trial`, a larger share in `widened`,
+ * Stage of a rollout. The new version gets a bounded share of the requests in `trial`, a larger share in `widened`,
  * and all requests in `shifted`. `completed` and `rolledBack` are final.
  */
 export type RolloutStage = "trial" | "widened" | "shifted" | "completed" | "rolledBack";
 
-/** The fleet's decision on the latest roll-out of a service. */
+/** The fleet's decision on the latest rollout of a service. */
 export interface RolloutStatus {
     readonly service: string;
     readonly version: string;
--- a/packages/fleetState/src/rolloutRegistry.ts
+++ b/packages/fleetState/src/rolloutRegistry.ts
@@ -1,13 +1,13 @@
 import { type RegisteredServer, type RolloutOrder, type RolloutStatus } from "./model.js";
 import { resolveVersionEligibility, type RolloutPlan, type VersionEligibility } from "./versionEligibility.js";
 
-/** Roll-outs in the store, by service. */
+/** Rollouts in the store, by service. */
 export class RolloutRegistry {
     readonly #plans = new Map<string, RolloutPlan>();
-    /** Servers of other versions that were registered when the roll-out of a service was completed. */
+    /** Servers of other versions that were registered when the rollout of a service was completed. */
     readonly #retiring = new Map<string, ReadonlySet<string>>();
 
-    /** @returns the latest roll-out of each service, including those that have ended */
+    /** @returns the latest rollout of each service, including those that have ended */
     get plans(): readonly RolloutPlan[] {
         return [...this.#plans.values()];
     }
@@ -16,7 +16,7 @@
         return this.#plans.get(service);
     }
 
-    /** @returns which requests a server may get, as far as roll-outs decide it */
+    /** @returns which requests a server may get, as far as rollouts decide it */
     eligibilityOf({ id, service, version }: RegisteredServer): VersionEligibility {
         const plan = this.#plans.get(service);
         if (plan === undefined) {
--- a/packages/fleetState/src/versionEligibility.ts
+++ b/packages/fleetState/src/versionEligibility.ts
@@ -1,6 +1,6 @@
 import { type RolloutOrder, type RolloutStage, type RolloutStatus } from "./model.js";
 
-/** The order and status of the latest roll-out of one service. */
+/** The order and status of the latest rollout of one service. */
 export interface RolloutPlan {
     readonly service: string;
     readonly order: RolloutOrder | undefined;
@@ -20,7 +20,7 @@
     return stage === "completed" || stage === "rolledBack";
 }
 
-/** @returns whether a roll-out still needs decisions */
+/** @returns whether a rollout still needs decisions */
 export function isOpenPlan({ order, status }: RolloutPlan): boolean {
     return status === undefined || !isFinalStage(status.stage)
         || (order !== undefined && order.version !== status.version);
@@ -28,7 +28,7 @@
 
 /**
  * @param version - version of a server
- * @param plan - roll-out of its service
+ * @param plan - rollout of its service
  * @returns which requests servers of that version may get
  */
 export function resolveVersionEligibility(
--- a/packages/gateway/src/coldStart/coldStartGate.ts
+++ b/packages/gateway/src/coldStart/coldStartGate.ts
@@ -4,7 +4,7 @@
     createServerPermitGate,
     type GatedServer,
     type GatewayRoster,
-    type ServerPermitGate as PermitGate,
+    type ServerPermitGate,
 } from "@galenaglade/cold-start";
 import { type Configuration, type ConfigurationRevision, type Service } from "@galenaglade/configuration";
 import { type Failure } from "@galenaglade/errors";
@@ -41,7 +41,7 @@
  */
 export class ColdStartGate extends ServerGate {
     readonly #deps: ColdStartGateDeps;
-    readonly #permitGate: PermitGate;
+    readonly #permitGate: ServerPermitGate;
     #storeTimer: NodeJS.Timeout | undefined;
     #heartbeatTimer: NodeJS.Timeout | undefined;
 
@@ -52,7 +52,7 @@
     }
 
     /** The permit gate, which holds the state of each backend server. */
-    get permitGate(): PermitGate {
+    get permitGate(): ServerPermitGate {
         return this.#permitGate;
     }
 
--- a/packages/placement/src/__tests__/largeFleet.test.ts
+++ b/packages/placement/src/__tests__/largeFleet.test.ts
@@ -57,7 +57,7 @@
 });
 
 // Guards against gateways of a zone that was taken out: after a restart they know no server's load and may probe hardly
-// any server, so they reject callers for seconds while servers of other zones have room.
+// any server, so they reject callers for seconds while servers of other zones have spare capacity.
 test("129 gateways that restart while a zone is out reject few callers", () => {
     const report = runReplay(readScenario("fleet-power-cut-zone-out", 12_000));
     assert.ok(report.refused < 0.1, `${report.refused} rejected`);
--- a/packages/placement/src/__tests__/replayedBackoffs.test.ts
+++ b/packages/placement/src/__tests__/replayedBackoffs.test.ts
@@ -10,8 +10,8 @@
     return runReplay({ ...scenario, events, seed });
 }
 
-// Guards against servers that turn everything away and, because they look idle, attract requests for which the others
-// have room.
+// Guards against servers that reject all requests and, because they look idle, attract requests for which the others
+// have spare capacity.
 test("a third of the servers asks for a back-off at normal load: the others serve nearly everything", () => {
     for (const seed of [1, 2, 3]) {
         const heeded = replay(seed, true);
--- a/packages/placement/src/__tests__/replayedLoads.test.ts
+++ b/packages/placement/src/__tests__/replayedLoads.test.ts
@@ -82,8 +82,8 @@
     assert.ok(share > 0.75, `${share} in time once all servers are warm`);
 });
 
-// Guards against unlimited retries when servers turn away half of the requests although they have room. Retries stop at
-// the fleet's allowance, and callers get a short Retry-After then.
+// Guards against unlimited retries when servers reject half of the requests although they have spare capacity. Retries
+// stop at the fleet's allowance, and callers get a short Retry-After then.
 test("servers that turn away half of the requests: retries stay within the allowance, most callers are served", () => {
     const fleets = seeds.map(seed =>
         new ReplayFleet({
@@ -133,8 +133,8 @@
     assert.ok(fleet.shareServed(6_000, 12_000) > 0.9, `${fleet.shareServed(6_000, 12_000)} served`);
 });
 
-// Guards against work for callers that have left: near capacity, half of the callers leave after half of the objective,
-// and the slots of their cancelled requests have to serve the others.
+// Guards against work for callers that have disconnected: near capacity, half of the callers disconnect after half of
+// the objective, and the slots of their cancelled requests have to serve the others.
 test("callers that leave at half of their objective: more of the others are in time than if all had stayed", () => {
     const load = (): number => 170;
     const staying = new ReplayFleet({ ...base, load }).run();
--- a/packages/placement/src/__tests__/support/replay.ts
+++ b/packages/placement/src/__tests__/support/replay.ts
@@ -139,7 +139,7 @@
         requests: [{
             name: service,
             service,
-            // Multiplied by the crowd's rate factor, which is the load.
+            // Multiplied by the callers' rate factor, which is the load.
             perSecond: 1,
             workMs: own.workMs,
             workSpread,
--- a/packages/placement/src/choosePlacement.ts
+++ b/packages/placement/src/choosePlacement.ts
@@ -64,7 +64,7 @@
     }
     if (best === undefined) {
         // Nothing is known of the servers. Rejecting for lack of probe budget would lose requests while servers have
-        // room.
+        // spare capacity.
         return input.mayProbeLater && waitedMs + typicalLatencyMs < objectiveMs
             ? { type: "wait" }
             : { type: "refuse", reason: "noOffer" };
--- a/packages/placement/src/constants.ts
+++ b/packages/placement/src/constants.ts
@@ -166,13 +166,13 @@
 /** Share of the latency objective after which an idempotent request without a response is hedged to a second server. */
 export const hedgeAfterShare = 0.55;
 
-/** Maximum number of sends of one request, including those that a server turned away. */
+/** Maximum number of sends of one request, including those that a server rejected. */
 export const maxSends = 6;
 
 /** Minimum time left before the deadline for a request to be placed, as a share of its typical latency. */
 export const minRemainingTimeShare = 0.5;
 
-/** Minimum and maximum Retry-After of a request that servers turned away although they had room. */
+/** Minimum and maximum Retry-After of a request that servers rejected although they had spare capacity. */
 export const minTurnedAwayRetryMs = 20;
 export const maxTurnedAwayRetryMs = 120;
 
--- a/packages/placement/src/goodChanceEstimator.ts
+++ b/packages/placement/src/goodChanceEstimator.ts
@@ -24,8 +24,8 @@
 ] as const;
 
 /**
- * Estimates the probability that a backend server is good now from its last observation and the age of that. How long
- * an observation stays valid differs between services and over the day, so it is learned from consecutive observations
+ * Estimates the probability that a backend server is good now from its last observation and its age. How long an
+ * observation stays valid differs between services and over the day, so it is learned from consecutive observations
  * of the same server.
  */
 export class GoodChanceEstimator {
--- a/packages/placement/src/retryAfter.ts
+++ b/packages/placement/src/retryAfter.ts
@@ -15,8 +15,8 @@
 /**
  * Draws the Retry-After of a rejected request. The time is random, because callers that retry together would recreate
  * the overload that rejected them. If all slots are taken, it spans the typical latency, within which each slot becomes
- * free once. If servers turned the request away although they had room, it is short. If servers asked for a back-off,
- * it spans half of the typical latency from the end of the back-off.
+ * free once. If servers rejected the request although they had spare capacity, it is short. If servers asked for a
+ * back-off, it spans half of the typical latency from the end of the back-off.
  *
  * @param cause - why the request was rejected
  * @param typicalLatencyMs - typical latency of the service in milliseconds
--- a/packages/placement/src/serverScore.ts
+++ b/packages/placement/src/serverScore.ts
@@ -33,7 +33,7 @@
  * Estimates how soon a server would respond to a request.
  *
  * @param status - status of the server
- * @param context - what the gateway knows besides
+ * @param context - what the gateway knows besides the status
  * @param policy - when a server counts as nearly full, and the slowdown that follows
  * @returns the score
  */
--- a/packages/quarantine/src/__tests__/support/crashSimulation.ts
+++ b/packages/quarantine/src/__tests__/support/crashSimulation.ts
@@ -4,12 +4,12 @@
 import { CrashLedger, quarantineStrikeThreshold } from "../../index.js";
 
 /** Faults of the servers besides crashing requests. */
-export type ServerTrouble = "none" | "zoneEnds" | "release" | "crashes";
+export type ServerFaults = "none" | "zoneEnds" | "release" | "crashes";
 
 export interface CrashSimulationInput {
     readonly seed: number;
     readonly gateways: number;
-    readonly trouble: ServerTrouble;
+    readonly faults: ServerFaults;
     /** Rate of crashing requests, from the start of the run. */
     readonly crashingPerSecond: number;
 }
@@ -223,7 +223,7 @@
 
     #injectFaults(): void {
         const affected = this.#servers.filter(({ number }) => number % 3 === 0);
-        switch (this.#input.trouble) {
+        switch (this.#input.faults) {
             case "none":
                 return;
             case "zoneEnds":
--- a/packages/rollout/src/__tests__/orderAge.test.ts
+++ b/packages/rollout/src/__tests__/orderAge.test.ts
@@ -113,9 +113,9 @@
     );
 });
 
-// Guards against a late rollback: a coordinator that was partitioned when the order was given ended the roll-out late
+// Guards against a late rollback: a coordinator that was partitioned when the order was given ended the rollout late
 // by the duration of the partition.
-test("a coordinator that was partitioned when the order was given ends the roll-out in time with a wrong clock", () => {
+test("a coordinator that was partitioned when the order was given ends the rollout in time with a wrong clock", () => {
     for (const clockErrorMs of [0, -60_000, 60_000]) {
         const gateway = new TestParticipant(first, clockErrorMs);
         gateway.read([], 0);
@@ -145,18 +145,18 @@
     }
 });
 
-// Guards against a roll-out without an end when no running gateway saw the order arrive: only the start time in the
+// Guards against a rollout without an end when no running gateway saw the order arrive: only the start time in the
 // status is left then.
-test("a coordinator ends the roll-out by the start time in the status if the whole fleet was restarted", () => {
+test("a coordinator ends the rollout by the start time in the status if the whole fleet was restarted", () => {
     const gateway = new TestParticipant(first);
     gateway.read([order, trialSince(1_000)], 6_000);
     const rolledBackAtMs = findRollBack(gateway.run(6_000, 30_000)) ?? Infinity;
     assert.ok(rolledBackAtMs <= 1_000 + allowedMs && rolledBackAtMs >= allowedMs, String(rolledBackAtMs));
 });
 
-// Guards against a roll-out that is left open because its coordinator accepts reports but cannot write, or is paused at
+// Guards against a rollout that is left open because its coordinator accepts reports but cannot write, or is paused at
 // the end.
-test("every gateway that reaches the store ends an overdue roll-out, also if another one coordinates", () => {
+test("every gateway that reaches the store ends an overdue rollout, also if another one coordinates", () => {
     for (const name of names) {
         const gateway = new TestParticipant(name);
         gateway.read([], 0);
@@ -173,7 +173,7 @@
 
 // Guards against an early rollback of sound versions: the upper bound of a gateway that was partitioned before the
 // order was given is too high by the duration of the partition, and must not be taken for the age.
-test("a gateway that was partitioned for long does not end a roll-out that has just started", () => {
+test("a gateway that was partitioned for long does not end a rollout that has just started", () => {
     for (const name of names) {
         const gateway = new TestParticipant(name);
         gateway.read([], 0);
--- a/packages/rollout/src/constants.ts
+++ b/packages/rollout/src/constants.ts
@@ -52,21 +52,21 @@
 export const minRouteShare = 0.1;
 
 /**
- * Shares of the allowed time: the minimum duration of a trial, and the time after which an unfinished roll-out is
+ * Shares of the allowed time: the minimum duration of a trial, and the time after which an unfinished rollout is
  * rolled back.
  */
 export const minTrialTimeShare = 0.4;
 export const deadlineShare = 0.92;
 
 /**
- * Share of the allowed time at which a roll-out ends according to the upper bound of its order's age. In normal
+ * Share of the allowed time at which a rollout ends according to the upper bound of its order's age. In normal
  * operation this bound is up to a second above the actual age, which is the interval at which gateways hear from the
- * store; with `deadlineShare`, roll-outs would lose that time.
+ * store; with `deadlineShare`, rollouts would lose that time.
  */
 export const deadlineShareByMaxAge = 0.97;
 
 /**
- * Share of the allowed time by which each next gateway in rank waits longer before it ends a roll-out that its
+ * Share of the allowed time by which each next gateway in rank waits longer before it ends a rollout that its
  * coordinator left open, and the maximum number of such delays. All gateways have written before the allowed time is
  * over, and usually only one needs to.
  */
@@ -118,10 +118,10 @@
 export const statusWriteDelayMs = 400;
 
 /**
- * Time for which a gateway that has just learnt of an order waits for reports before it ends the roll-out by the upper
+ * Time for which a gateway that has just learnt of an order waits for reports before it ends the rollout by the upper
  * bound of the order's age, in milliseconds. Gateways that found it unavailable report to it again after
  * `coordinatorRetryDelayMs` and one tick. Without the wait, a gateway that was partitioned for long would end a
- * roll-out that has just started.
+ * rollout that has just started.
  */
 export const orderAgeReportWaitMs = 4_500;
 
--- a/packages/rollout/src/coordinatorSelector.ts
+++ b/packages/rollout/src/coordinatorSelector.ts
@@ -2,7 +2,7 @@
 import { actingCoordinatorMs, coordinatorRetryDelayMs } from "./constants.js";
 
 /**
- * Selects the gateway that coordinates the roll-out of a service: the first one by rendezvous hashing over the
+ * Selects the gateway that coordinates the rollout of a service: the first one by rendezvous hashing over the
  * registrations that answers. All gateways find the same one without communication. Where their views differ, two
  * gateways coordinate for a while, and the store accepts the writes of only one of them.
  */
--- a/packages/rollout/src/evidence.ts
+++ b/packages/rollout/src/evidence.ts
@@ -20,7 +20,7 @@
     readonly server: string;
 }
 
-/** Everything that one incarnation of a gateway has observed of a roll-out so far. */
+/** Everything that one incarnation of a gateway has observed of a rollout so far. */
 export interface EvidenceReport {
     readonly gateway: string;
     /** Identifies the incarnation of the gateway. */
@@ -103,7 +103,7 @@
 }
 
 /**
- * The latest reports of all gateways on one roll-out. Reports are cumulative, so lost and duplicate reports do no
+ * The latest reports of all gateways on one rollout. Reports are cumulative, so lost and duplicate reports do no
  * harm, and a coordinator that takes over gets everything again.
  */
 export class EvidencePool {
--- a/packages/rollout/src/gatewayRollouts.ts
+++ b/packages/rollout/src/gatewayRollouts.ts
@@ -25,7 +25,7 @@
     readonly exposureShare: number;
 }
 
-/** State of one roll-out in this gateway. */
+/** State of one rollout in this gateway. */
 interface RolloutRun {
     readonly version: string;
     readonly allowance: TrialAllowance;
@@ -37,7 +37,7 @@
 }
 
 /**
- * The part of one gateway in the roll-outs of all services: it selects the requests that go to a version on trial,
+ * The part of one gateway in the rollouts of all services: it selects the requests that go to a version on trial,
  * records their outcomes, and tracks what is in flight on the old version. It stops a trial on its own evidence or on
  * the coordinator's decision, and suspends it while it does not hear from the store. None of this waits for a write to
  * the store.
@@ -141,7 +141,7 @@
         return !wasStopped;
     }
 
-    /** @returns everything that this gateway has observed of a roll-out */
+    /** @returns everything that this gateway has observed of a rollout */
     createReport(plan: RolloutPlan): EvidenceReport & { readonly trialAnswers: number; } {
         const { name, incarnation } = this.#deps;
         const { version, tally, trialAnswers } = this.#runOf(plan);
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,4 @@
-/** Roll-out of a new version of a service: trial traffic, evidence, coordination and the final decision. */
+/** Rollout of a new version of a service: trial traffic, evidence, coordination and the final decision. */
 export { classifyOutcome, type SendOutcome } from "./classifyOutcome.js";
 export { CoordinatorSelector } from "./coordinatorSelector.js";
 export {
--- a/packages/rollout/src/nextRolloutStep.ts
+++ b/packages/rollout/src/nextRolloutStep.ts
@@ -12,7 +12,7 @@
 } from "./constants.js";
 import { type VersionVerdict } from "./versionTest.js";
 
-/** Input of the decision on the next step of a roll-out. */
+/** Input of the decision on the next step of a rollout. */
 export interface RolloutInput {
     readonly plan: RolloutPlan;
     readonly verdict: VersionVerdict;
@@ -41,11 +41,11 @@
 }
 
 /**
- * Decides on the next step of one roll-out. The only state that a succeeding coordinator needs is the status in the
+ * Decides on the next step of one rollout. The only state that a succeeding coordinator needs is the status in the
  * store; gateways report their evidence to it again. In doubt, a version is rolled back: servers of the old version
  * keep running until the last step.
  *
- * @param input - the state of the roll-out
+ * @param input - the state of the rollout
  * @returns the status to write, or `undefined` if there is none
  */
 export function nextRolloutStep(input: RolloutInput): RolloutWrite | undefined {
@@ -72,10 +72,10 @@
 }
 
 /**
- * Decides whether the allowed time of a roll-out is over. An order that may be too old counts as too old: servers of
+ * Decides whether the allowed time of a rollout is over. An order that may be too old counts as too old: servers of
  * the old version are still running, so a rollback is safe.
  *
- * @returns whether an unfinished roll-out is to be rolled back
+ * @returns whether an unfinished rollout is to be rolled back
  */
 export function isTimedOut(
     { sinceOrderMs, sinceOrderAtMostMs = 0 }: Pick<RolloutInput, "sinceOrderMs" | "sinceOrderAtMostMs">,
--- a/packages/rollout/src/rolloutCoordination.ts
+++ b/packages/rollout/src/rolloutCoordination.ts
@@ -22,7 +22,7 @@
     readonly settled: number;
 }
 
-/** The state of one roll-out in one gateway, from which the gateway decides while it is the coordinator. */
+/** The state of one rollout in one gateway, from which the gateway decides while it is the coordinator. */
 export class RolloutCoordination {
     readonly version: string;
     readonly #evidence = new EvidencePool();
@@ -60,7 +60,7 @@
 
     /**
      * @param delayMs - extra time that this gateway leaves to others, in milliseconds
-     * @returns whether the roll-out should have ended by now, whichever gateway coordinates it
+     * @returns whether the rollout should have ended by now, whichever gateway coordinates it
      */
     isOverdue(plan: RolloutPlan, nowMs: number, delayMs: number): boolean {
         const { order, status } = plan;
@@ -114,7 +114,7 @@
 
     /**
      * Wall clocks differ between hosts and may be adjusted meanwhile. So the start time in the status is used only if
-     * no reporting gateway saw the order arrive, and only to end the roll-out: a clock that is ahead must not widen a
+     * no reporting gateway saw the order arrive, and only to end the rollout: a clock that is ahead must not widen a
      * version early.
      */
     #orderAgeBounds(
--- a/packages/rollout/src/rolloutParticipant.ts
+++ b/packages/rollout/src/rolloutParticipant.ts
@@ -61,7 +61,7 @@
 
 const noReport: ReportSummary = Object.freeze({ coordinator: undefined, answers: 0, settled: false });
 
-/** State of one open roll-out in this gateway. */
+/** State of one open rollout in this gateway. */
 interface OpenRollout {
     readonly coordination: RolloutCoordination;
     /** The last report that a coordinator accepted. */
@@ -76,8 +76,8 @@
 }
 
 /**
- * The control loop of one gateway over open roll-outs: it reports its evidence to the coordinator, coordinates the
- * roll-outs assigned to it, and stops trials. It is idle while no roll-out is open.
+ * The control loop of one gateway over open rollouts: it reports its evidence to the coordinator, coordinates the
+ * rollouts assigned to it, and stops trials. It is idle while no rollout is open.
  */
 export class RolloutParticipant {
     readonly #deps: RolloutParticipantDeps;
@@ -95,13 +95,13 @@
         this.#coordinators = new CoordinatorSelector(deps.name);
     }
 
-    /** @returns the number of open roll-outs */
+    /** @returns the number of open rollouts */
     countOpen(): number {
         return this.#openRollouts.size;
     }
 
     /**
-     * Processes all open roll-outs.
+     * Processes all open rollouts.
      *
      * @returns the commands to carry out
      */
@@ -126,7 +126,7 @@
     /**
      * Handles a report from another gateway.
      *
-     * @returns whether that gateway is to stop the trial; `undefined` if this gateway cannot coordinate the roll-out
+     * @returns whether that gateway is to stop the trial; `undefined` if this gateway cannot coordinate the rollout
      */
     onPeerReport(report: EvidenceReport, time: CoordinationTime): { readonly stop: boolean; } | undefined {
         const plan = this.#deps.view.rolloutOf(report.service);
@@ -230,7 +230,7 @@
 
     /**
      * A coordinator may be unable to write, or know the order for a shorter time than others, while it still accepts
-     * reports. So every gateway ends an overdue roll-out itself, with a delay that increases with its rank.
+     * reports. So every gateway ends an overdue rollout itself, with a delay that increases with its rank.
      */
     #overdueDelayMs({ service, order }: RolloutPlan, names: readonly string[]): number {
         const rank = this.#coordinators.rank(service, names).indexOf(this.#deps.name);
--- a/packages/soak/src/constants.ts
+++ b/packages/soak/src/constants.ts
@@ -89,7 +89,7 @@
 export const initialServerVersion = "v1";
 export const rolloutServerVersion = "v2";
 
-/** Number of servers of the new version, and the time limit of its roll-out. */
+/** Number of servers of the new version, and the time limit of its rollout. */
 export const rolloutServerCount = 4;
 export const rolloutTimeoutMs = 13_000;
 
@@ -97,10 +97,10 @@
 export const exposureShare = 0.4;
 export const exposureSlack = 20;
 
-/** How long gateways may send to a version after its roll-back was read from the store, on a shared machine. */
+/** How long gateways may send to a version after its rollback was read from the store, on a shared machine. */
 export const rollbackGraceMs = 3_500;
 
-/** Interval at which the operator reads the stage of a roll-out. */
+/** Interval at which the operator reads the stage of a rollout. */
 export const rolloutPollPeriodMs = 100;
 
 /**
--- a/packages/soak/src/rolloutPlan.ts
+++ b/packages/soak/src/rolloutPlan.ts
@@ -1,6 +1,6 @@
 import { createRandomSource } from "@galenaglade/routing";
 
-/** A roll-out that takes place alongside the faults of a run. */
+/** A rollout that takes place alongside the faults of a run. */
 export interface PlannedRollout {
     /** Milliseconds after the load begins. */
     readonly atMs: number;
@@ -18,11 +18,11 @@
 const seedFactor = 0x9e37_79b1;
 
 /**
- * Draws whether a run has a roll-out, and of which service and quality.
+ * Draws whether a run has a rollout, and of which service and quality.
  *
  * @param seed - seed of the run
  * @param services - services that may be rolled out
- * @returns the roll-out, or `undefined` for a run without one
+ * @returns the rollout, or `undefined` for a run without one
  */
 export function planRollout(seed: number, services: readonly string[]): PlannedRollout | undefined {
     const random = createRandomSource(Math.imul(seed, seedFactor));
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -35,7 +35,7 @@
     readonly findings: readonly string[];
     /** Whether the run had workspaces, so that callers needed keys. */
     readonly workspaces: boolean;
-    /** Quality and final stage of the roll-out; `undefined` for a run without one. */
+    /** Quality and final stage of the rollout; `undefined` for a run without one. */
     readonly rollout: string | undefined;
     readonly requests: number;
     readonly served: number;
@@ -100,7 +100,7 @@
         const queryOfDeathDone = load.sendQueriesOfDeath(queryOfDeath);
         const limit = planServerLimit(seed);
         const limitDone = limit === undefined ? Promise.resolve() : applyServerLimit(fleet, limit);
-        // For the same reason, no server leaves during a roll-out.
+        // For the same reason, no server leaves during a rollout.
         const { backoff, leaving } = planServerMetadata(seed);
         const serverMetadataDone = applyServerMetadata(fleet, {
             backoff,
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -250,7 +250,7 @@
         return this.#store.execute({ puts: [write] });
     }
 
-    /** @returns the stage of a service's roll-out in the store; `undefined` if there is none */
+    /** @returns the stage of a service's rollout in the store; `undefined` if there is none */
     readRolloutStage(service: string): Promise<RolloutStage | undefined> {
         return this.#system.readRolloutStage(this.#store.port, service);
     }
@@ -297,7 +297,7 @@
 
     /**
      * Starts a server. One of a version that is to be rolled out has to be registered with `register`, after the order
-     * of its roll-out.
+     * of its rollout.
      */
     async startBackend(
         service: string,
--- a/packages/soak/src/soakRollout.ts
+++ b/packages/soak/src/soakRollout.ts
@@ -15,12 +15,12 @@
 import { monotonicNow } from "./faultWindows.js";
 
 /**
- * Orders a roll-out as the operator does, waits for its end, and removes the servers that are no longer needed: those
+ * Orders a rollout as the operator does, waits for its end, and removes the servers that are no longer needed: those
  * of the old version immediately after it completed, those of the new version some seconds after it was rolled back.
  *
  * @param fleet - the processes of the run
  * @param system - encodes the order
- * @param rollout - the planned roll-out
+ * @param rollout - the planned rollout
  * @returns violations, one line each; empty if it ended in time
  */
 export async function runRollout(
--- a/packages/soak/src/soakSystem.ts
+++ b/packages/soak/src/soakSystem.ts
@@ -55,7 +55,7 @@
     abstract renderConfiguration(configuration: FleetConfiguration): StoreWrite;
     abstract renderServer(server: RegisteredServer): StoreWrite;
     abstract renderRollout(order: RolloutOrder): StoreWrite;
-    /** @returns the stage of a service's roll-out in the store, or `undefined` if there is none */
+    /** @returns the stage of a service's rollout in the store, or `undefined` if there is none */
     abstract readRolloutStage(storePort: number, service: string): Promise<RolloutStage | undefined>;
     abstract zoneOutKey(availabilityZone: string): string;
     /**
--- a/scripts/rollouts.ts
+++ b/scripts/rollouts.ts
@@ -1,4 +1,4 @@
-/** Simulates many roll-outs of good and bad versions under each kind of fault, and prints a table of the results. */
+/** Simulates many rollouts of good and bad versions under each kind of fault, and prints a table of the results. */
 import { renderRolloutTable } from "@galenaglade/replay";
 import { parseArgs } from "node:util";
 
